--- /dev/null
+++ b/internal/gateway/stored_test.go
@@ -0,0 +1,169 @@
+package gateway
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"reachpulley/decide"
+	"reachpulley/internal/capture"
+	"reachpulley/internal/capture/capturetest"
+	"reachpulley/internal/capture/model"
+	"reachpulley/internal/contract/observe"
+	"reachpulley/internal/disk"
+	"reachpulley/internal/restart"
+	"reachpulley/internal/trust"
+)
+
+// The files under testdata/format5 were written by commit 6bf5e3d, before its names were changed: a real gateway before the
+// demo's nodes, and a random day with every kind of record. Captures are of format 5, states of version 4.
+const storedDirectory = "testdata/format5"
+
+func storedFile(t *testing.T, name string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join(storedDirectory, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// Each stored capture is read and replayed, the model of the rules finds in it what it found before, and written again it has
+// the bytes that the program which recorded it would have written: no key of a stored map was renamed, no field moved.
+func TestStoredCapturesReplay(t *testing.T) {
+	for _, stored := range []struct {
+		name      string
+		events    int
+		breaches  int
+		rewritten string // SHA-256 of the uncompressed capture with the same records, by the program that recorded it
+	}{
+		{"demo.capture", 291, 0, "0aa75fb398d4b8e84ddc45f7c0bde9810398e5cba438118f60d9e1a21adbee53"},
+		{"demo.segment", 338, 0, "0313ee573636169b2f6a55dd9ac43201245bdb3f8b3388049a6d4c50cbc611a9"},
+		{"state-demo.capture", 0, 0, "6cd838c1198a956156d75061e11576816fc7586c161fb22098cfa701e9035bfe"},
+		{"state-random.capture", 0, 0, "008a74e2149959ec42999d72886c8d6594600970f8daf5eaef9b5e9b5b8f9ee2"},
+		{"random-day.capture", 353, 15, "f2a2bc0d9c6a8901cd7c986a9f6af6761eb69bd540579380bf279d62b8cb0c01"},
+	} {
+		t.Run(stored.name, func(t *testing.T) {
+			content := storedFile(t, stored.name)
+			if events, err := replayStored(content); err != nil || events != stored.events {
+				t.Errorf("%d events replayed, want %d: %v", events, stored.events, err)
+			}
+			if breaches := countBreaches(t, content); breaches != stored.breaches {
+				t.Errorf("%d breaches, want %d", breaches, stored.breaches)
+			}
+			sum := sha256.Sum256(rewrite(t, content))
+			if got := hex.EncodeToString(sum[:]); got != stored.rewritten {
+				t.Errorf("written again it has the sum %s, want %s", got, stored.rewritten)
+			}
+		})
+	}
+}
+
+func replayStored(content []byte) (events int, err error) {
+	reader, err := capture.NewReader(bytes.NewReader(content))
+	if err != nil {
+		return 0, err
+	}
+	return capture.Replay(reader)
+}
+
+func countBreaches(t *testing.T, content []byte) (breaches int) {
+	t.Helper()
+	reader, err := capture.NewReader(bytes.NewReader(content))
+	if err != nil {
+		t.Fatal(err)
+	}
+	player, checker := capture.NewPlayer(reader), model.New(reader.Head.Settings)
+	for {
+		step, err := player.Next()
+		if errors.Is(err, io.EOF) {
+			return breaches
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		breaches += len(checker.Step(step))
+	}
+}
+
+// rewrite reads all records of a capture and writes them as an uncompressed one.
+func rewrite(t *testing.T, content []byte) []byte {
+	t.Helper()
+	reader, err := capture.NewReader(bytes.NewReader(content))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var records []capture.Record
+	for {
+		record, err := reader.Next()
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		records = append(records, *record)
+	}
+	var out bytes.Buffer
+	if err := capture.Write(&out, reader.Head, records); err != nil {
+		t.Fatal(err)
+	}
+	return out.Bytes()
+}
+
+// A gateway starts from each stored state: it is read by the settings that it was written with, and what is still to be
+// believed of it is what the program that wrote it believed.
+func TestStoredStatesAreRestoredFrom(t *testing.T) {
+	demo, err := capture.NewReader(bytes.NewReader(storedFile(t, "state-demo.capture")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, stored := range []struct {
+		name     string
+		settings decide.Settings
+		nodes    int // that are remembered
+		known    int // of them beyond what the guards need
+		volumes  int
+	}{
+		{"state-demo.capture", demo.Head.Settings, 2, 2, 1},
+		{"state-random.capture", capturetest.Settings, 4, 4, 5},
+	} {
+		t.Run(stored.name, func(t *testing.T) {
+			store := &restart.Store{FS: disk.OS{}, Path: filepath.Join(storedDirectory, stored.name), Log: slog.New(slog.DiscardHandler)}
+			state, _ := store.Load(stored.settings)
+			if state == nil {
+				t.Fatal("it could not be read")
+			}
+			const now, age = time.Hour, 3 * time.Second
+			belief := restart.Believe(state, stored.settings, now, age, now-age-state.Now)
+			if nodes, volumes := len(belief.Learned.Nodes), len(belief.Learned.Volumes); nodes != stored.nodes || belief.Nodes != stored.known || volumes != stored.volumes {
+				t.Errorf("%d nodes, %d of them known, %d volumes", nodes, belief.Nodes, volumes)
+			}
+		})
+	}
+}
+
+// The stored trust file is read and taken over whole, and written again it has the same JSON.
+func TestStoredTrustFileIsRestoredFrom(t *testing.T) {
+	content := storedFile(t, "distrust.json")
+	file, err := observe.ReadDoubts(disk.OS{}, filepath.Join(storedDirectory, "distrust.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	changes, err := trust.New(decide.CareAvoid).Recall(time.Hour, file.Doubts, time.Second)
+	if err != nil || len(file.Doubts) != 2 || len(changes) != 2 {
+		t.Errorf("%d records, %d changes, %v", len(file.Doubts), len(changes), err)
+	}
+	again, err := json.MarshalIndent(file, "", "  ")
+	if err != nil || !bytes.Equal(append(again, '\n'), content) {
+		t.Errorf("%v: written again:\n%s", err, again)
+	}
+}
