--- a/cmd/reachpulley/api.go
+++ b/cmd/reachpulley/api.go
@@ -13,13 +13,13 @@
 	"text/tabwriter"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/config"
 	"reachpulley/internal/contract"
-	"reachpulley/internal/contract/book"
-	"reachpulley/internal/contract/observe"
-	"reachpulley/internal/disk"
+	"reachpulley/internal/contract/catalog"
+	"reachpulley/internal/contract/conformance"
+	"reachpulley/internal/filesystem"
 	"reachpulley/internal/rules"
+	"reachpulley/scheduler"
 )
 
 // apiCommands work with descriptions of operations.
@@ -64,7 +64,7 @@
 }
 
 // booked holds descriptions against the settings of a configuration.
-func booked(s streams, path string, files []string) (*book.Book, error) {
+func booked(s streams, path string, files []string) (*catalog.Book, error) {
 	settings, err := settingsOf(s, path)
 	if err != nil {
 		return nil, show(s, err)
@@ -174,20 +174,20 @@
 }
 
 // ruleOf words how far a call may be repeated.
-func ruleOf(b decide.Bound) string {
+func ruleOf(b scheduler.Bound) string {
 	switch b.Repeats {
-	case decide.Safe:
+	case scheduler.Safe:
 		return "any number of times"
-	case decide.Keyed:
-		return fmt.Sprintf("for %v by its key, %s", b.For, map[decide.Group]string{decide.GroupAll: "at any node", decide.GroupZone: "in one room", decide.GroupShard: "in one rack"}[b.Group])
+	case scheduler.Keyed:
+		return fmt.Sprintf("for %v by its key, %s", b.For, map[scheduler.Group]string{scheduler.GroupAll: "at any node", scheduler.GroupZone: "in one room", scheduler.GroupShard: "in one rack"}[b.Group])
 	}
 	return "never"
 }
 
 // settingsOf reads the settings of a configuration; without one there is a class of each kind of repeats, for descriptions that name none.
-func settingsOf(s streams, path string) (decide.Settings, error) {
+func settingsOf(s streams, path string) (scheduler.Settings, error) {
 	if path == "" && s.getenv("BALANCER_CONFIG") == "" {
-		return decide.Settings{Classes: []decide.Class{{Name: "(of the settings)", Aim: time.Second, Deadline: time.Minute, Repeats: decide.Unsafe, Writes: true}}}, nil
+		return scheduler.Settings{Classes: []scheduler.Class{{Name: "(of the settings)", Aim: time.Second, Deadline: time.Minute, Repeats: scheduler.Unsafe, Writes: true}}}, nil
 	}
 	return (&rulesCommands{Settings: path}).settings(s)
 }
@@ -199,7 +199,7 @@
 
 // Run lists doubts. Doubts are a finding.
 func (a apiDoubts) Run(s streams) error {
-	d, err := observe.ReadDoubts(disk.OS{}, a.File)
+	d, err := conformance.ReadDoubts(filesystem.OS{}, a.File)
 	if err != nil {
 		return show(s, err)
 	}
--- a/cmd/reachpulley/capture.go
+++ b/cmd/reachpulley/capture.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"reachpulley/internal/capture"
-	"reachpulley/internal/capture/model"
-	"reachpulley/internal/capture/story"
-	"reachpulley/internal/capture/tally"
-	"reachpulley/internal/disk"
+	"reachpulley/internal/capture/invariants"
+	"reachpulley/internal/capture/summary"
+	"reachpulley/internal/capture/timeline"
+	"reachpulley/internal/filesystem"
 )
 
 // captureCommands work with captures as files. They never change one.
@@ -52,8 +52,8 @@
 		return show(s, err)
 	}
 	defer f.Close()
-	clock := story.ClockOf(&c.Head)
-	all := tally.New(c.Head.Settings)
+	clock := timeline.ClockOf(&c.Head)
+	all := summary.New(c.Head.Settings)
 	events, snapshots, gaps, lost, notes := 0, 0, 0, 0, 0
 	var first, last time.Duration
 	for {
@@ -101,8 +101,8 @@
 		return show(s, err)
 	}
 	defer f.Close()
-	clock := story.ClockOf(&c.Head)
-	player, checker, events, breaches := capture.NewPlayer(c), model.New(c.Head.Settings), 0, 0
+	clock := timeline.ClockOf(&c.Head)
+	player, checker, events, breaches := capture.NewPlayer(c), invariants.New(c.Head.Settings), 0, 0
 	for {
 		step, err := player.Next()
 		if errors.Is(err, io.EOF) {
@@ -131,7 +131,7 @@
 	}
 	fmt.Fprintf(s.out, "%d events, every block whole, %d gaps with %d lost records\n", events, player.Gaps, player.Lost)
 	if a.Rules {
-		for _, rule := range model.Rules {
+		for _, rule := range invariants.Rules {
 			fmt.Fprintf(s.out, "%s: asked %d times\n", rule, checker.Checked[rule])
 		}
 		fmt.Fprintf(s.out, "%d breaches\n", breaches)
@@ -158,7 +158,7 @@
 	defer f.Close()
 	var kept []capture.Record
 	var now time.Duration
-	clock, from, to, began := story.ClockOf(&c.Head), time.Duration(0), time.Duration(1<<63-1), false
+	clock, from, to, began := timeline.ClockOf(&c.Head), time.Duration(0), time.Duration(1<<63-1), false
 	for {
 		r, err := c.Next()
 		if errors.Is(err, io.EOF) {
@@ -189,7 +189,7 @@
 	return writeCapture(s, a.Out, c.Head, kept)
 }
 
-func between(clock story.Clock, from, to string, begin time.Duration) (a, b time.Duration, err error) {
+func between(clock timeline.Clock, from, to string, begin time.Duration) (a, b time.Duration, err error) {
 	a, b = 0, 1<<63-1
 	if from != "" {
 		if a, err = clock.Parse(from, begin); err != nil {
@@ -221,7 +221,7 @@
 	if _, err := os.Stat(path); err == nil {
 		return show(s, fmt.Errorf("%s: is there already", path))
 	}
-	if err := disk.Replace(disk.OS{}, path, file); err != nil {
+	if err := filesystem.Replace(filesystem.OS{}, path, file); err != nil {
 		return show(s, err)
 	}
 	fmt.Fprintf(s.out, "%s: %d bytes written\n", path, len(file))
--- a/cmd/reachpulley/main.go
+++ b/cmd/reachpulley/main.go
@@ -1,4 +1,4 @@
-// Reachpulley is a gateway before storage nodes. It takes requests of clients, decides by package decide which
+// Reachpulley is a gateway before storage nodes. It takes requests of clients, decides by package scheduler which
 // goes to which node and when, and answers each of them once. Without arguments it serves.
 package main
 
--- a/cmd/reachpulley/rooms.go
+++ b/cmd/reachpulley/rooms.go
@@ -9,10 +9,10 @@
 
 	"github.com/guptarohit/asciigraph"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
-	"reachpulley/internal/lab"
-	"reachpulley/internal/rooms"
+	"reachpulley/internal/simulation"
+	"reachpulley/internal/zonefailover"
+	"reachpulley/scheduler"
 )
 
 // roomsCommands are about losing and regaining a room.
@@ -51,7 +51,7 @@
 	return tellRooms(s, state, settings)
 }
 
-func tellRooms(s streams, state *decide.Snapshot, settings decide.Settings) error {
+func tellRooms(s streams, state *scheduler.Snapshot, settings scheduler.Settings) error {
 	name := func(zone int) string {
 		if zone >= 0 && zone < len(settings.Zones) {
 			return settings.Zones[zone]
@@ -78,7 +78,7 @@
 	fmt.Fprintln(out, "\nnode\troom\tbelieved\tfor\tlast word\toldest question\tnext try\tstart")
 	for _, n := range state.View.Nodes {
 		try, start := "-", "warm"
-		if n.State == rooms.Dark {
+		if n.State == zonefailover.Dark {
 			try = (n.TryAt - state.Now).Round(time.Millisecond).String()
 		}
 		if cold[n.Sight.ID] {
@@ -122,11 +122,11 @@
 		return show(s, fmt.Errorf("a number is out of its bounds: --rooms from 2 to 100, --nodes and --gateways to 1000, --load to 10, --dark from 100ms to 10m, --flaps to 100, --part to 1"))
 	}
 	const begin, after = 15 * time.Second, 40 * time.Second
-	day := lab.RoomDay{Seed: r.Seed, Rooms: r.Rooms, Nodes: r.Nodes, Gateways: r.Gateways, Load: r.Load, Free: 0.35, ListLate: 5 * time.Second,
-		Settings: rooms.Settings{Spill: r.Spill, Burst: r.Burst}}
+	day := simulation.RoomDay{Seed: r.Seed, Rooms: r.Rooms, Nodes: r.Nodes, Gateways: r.Gateways, Load: r.Load, Free: 0.35, ListLate: 5 * time.Second,
+		Settings: zonefailover.Settings{Spill: r.Spill, Burst: r.Burst}}
 	at := begin
 	for range r.Flaps {
-		day.Events = append(day.Events, lab.RoomEvent{At: at, Gateway: -1, Dark: true}, lab.RoomEvent{At: at + r.Dark, Gateway: -1, Cold: true, Part: r.Part})
+		day.Events = append(day.Events, simulation.RoomEvent{At: at, Gateway: -1, Dark: true}, simulation.RoomEvent{At: at + r.Dark, Gateway: -1, Cold: true, Part: r.Part})
 		at += 2 * r.Dark
 	}
 	day.Length = at + after
@@ -140,7 +140,7 @@
 		if err != nil {
 			return err
 		}
-		var sum lab.RoomSecond
+		var sum simulation.RoomSecond
 		var lineSpilt, linePush []float64
 		mostSpilt, darkSpilt := 0.0, 0.0
 		for second, one := range result.Seconds {
--- a/cmd/reachpulley/rules.go
+++ b/cmd/reachpulley/rules.go
@@ -13,10 +13,10 @@
 	"text/tabwriter"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/config"
 	"reachpulley/internal/rules"
 	"reachpulley/internal/rules/expression"
+	"reachpulley/scheduler"
 )
 
 // errFound says that a command did its work and found what is wrong.
@@ -46,7 +46,7 @@
 	return set, nil
 }
 
-func (c *rulesCommands) settings(s streams) (decide.Settings, error) {
+func (c *rulesCommands) settings(s streams) (scheduler.Settings, error) {
 	getenv := s.getenv
 	if c.Settings != "" {
 		getenv = func(name string) string {
@@ -58,7 +58,7 @@
 	}
 	conf, err := config.Load(getenv)
 	if err != nil {
-		return decide.Settings{}, fmt.Errorf("settings: %w", err)
+		return scheduler.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	return conf.Settings, nil
 }
--- a/cmd/reachpulley/show.go
+++ b/cmd/reachpulley/show.go
@@ -4,12 +4,12 @@
 	"errors"
 	"fmt"
 
-	"reachpulley/internal/tomlfile"
+	"reachpulley/internal/configfile"
 )
 
 // show writes an error for a person, each fault of a file with its line and a caret under the place.
 func show(s streams, err error) error {
-	var faults tomlfile.Faults
+	var faults configfile.Faults
 	if !errors.As(err, &faults) {
 		fmt.Fprintln(s.err, err)
 	}
--- a/cmd/reachpulley/storm.go
+++ b/cmd/reachpulley/storm.go
@@ -7,8 +7,8 @@
 
 	"github.com/guptarohit/asciigraph"
 
-	"reachpulley/internal/lab"
-	"reachpulley/internal/retry"
+	"reachpulley/internal/retrybudget"
+	"reachpulley/internal/simulation"
 )
 
 // stormCommand plays a metastable failure in simulated time.
@@ -26,15 +26,15 @@
 
 // Run plays the same storms as a plain proxy, by the decisions alone, and by them with budgets.
 func (c stormCommand) Run(s streams) error {
-	make := lab.SharedStorm
+	make := simulation.SharedStorm
 	if c.Nodes {
-		make = lab.NodeStorm
+		make = simulation.NodeStorm
 	}
 	kinds := []struct {
 		name  string
 		plain bool
-		retry retry.Settings
-	}{{name: "plain proxy", plain: true}, {name: "no budgets"}, {name: "budgets", retry: retry.Settings{Share: c.Share, Trickle: c.Trickle, Burst: 10, Cells: 1024}}}
+		retry retrybudget.Settings
+	}{{name: "plain proxy", plain: true}, {name: "no budgets"}, {name: "budgets", retry: retrybudget.Settings{Share: c.Share, Trickle: c.Trickle, Burst: 10, Cells: 1024}}}
 	if key, err := kinds[2].retry.Check(); err != nil {
 		return show(s, fmt.Errorf("--%s: %w", key, err))
 	}
--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Benchlink hosts instances of the decision module for the simulator: it routes the events read from
+// Simadapter hosts instances of the scheduler for the simulator: it routes the events read from
 // standard input and writes the actions to standard output. It decides nothing.
 package main
 
@@ -7,21 +7,21 @@
 	"io"
 	"os"
 
-	"reachpulley/decide"
-	"reachpulley/internal/wire"
+	"reachpulley/internal/simprotocol"
+	"reachpulley/scheduler"
 )
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // serve answers every batch of r on w until r ends between batches.
 func serve(r io.Reader, w io.Writer) error {
-	in, out := wire.NewDecoder(r), wire.NewEncoder(w)
-	hosted := map[int]*decide.Scheduler{}
+	in, out := simprotocol.NewDecoder(r), simprotocol.NewEncoder(w)
+	hosted := map[int]*scheduler.Scheduler{}
 	for {
 		batch, err := in.Next()
 		if err == io.EOF {
@@ -42,9 +42,9 @@
 }
 
 // route hands one event to its instance.
-func route(hosted map[int]*decide.Scheduler, batch wire.Batch, e *wire.Event, out *wire.Encoder) error {
-	if e.Kind == wire.Start {
-		s, err := decide.New(e.Settings, e.Seed, wire.Instance{E: out, Number: e.Instance})
+func route(hosted map[int]*scheduler.Scheduler, batch simprotocol.Batch, e *simprotocol.Event, out *simprotocol.Encoder) error {
+	if e.Kind == simprotocol.Start {
+		s, err := scheduler.New(e.Settings, e.Seed, simprotocol.Instance{E: out, Number: e.Instance})
 		if err != nil {
 			out.Fault(e.Instance, err.Error())
 			return nil
@@ -57,21 +57,21 @@
 		return fmt.Errorf("at clock %v: event for instance %d before its init", batch.Now, e.Instance)
 	}
 	switch e.Kind {
-	case wire.Stop:
+	case simprotocol.Stop:
 		delete(hosted, e.Instance)
-	case wire.Members:
+	case simprotocol.Members:
 		s.Members(batch.Now, e.Membership)
-	case wire.Arrival:
+	case simprotocol.Arrival:
 		s.Arrived(batch.Now, e.Request)
-	case wire.Probed:
+	case simprotocol.Probed:
 		s.Probed(batch.Now, e.Probe)
-	case wire.Began:
+	case simprotocol.Began:
 		s.Began(batch.Now, e.Outcome.ID, e.Outcome.Attempt)
-	case wire.Left:
+	case simprotocol.Left:
 		s.Left(batch.Now, e.ID)
-	case wire.Ended:
+	case simprotocol.Ended:
 		s.Ended(batch.Now, e.Outcome)
-	case wire.TimerFired:
+	case simprotocol.TimerFired:
 		s.Timer(batch.Now, e.Timer)
 	}
 	return nil
--- a/internal/apitest/api_test.go
+++ b/internal/apitest/api_test.go
@@ -14,13 +14,13 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/santhosh-tekuri/jsonschema/v6"
 
-	"reachpulley/decide"
 	"reachpulley/internal/discovery"
 	"reachpulley/internal/exchange"
-	"reachpulley/internal/front/httpfront"
+	"reachpulley/internal/frontend/httpfrontend"
 	"reachpulley/internal/proto/httpmsg"
 	"reachpulley/internal/rules"
-	"reachpulley/internal/rules/live"
+	"reachpulley/internal/rules/engine"
+	"reachpulley/scheduler"
 )
 
 // answering is a core that gives every request the same answer.
@@ -58,13 +58,13 @@
 
 // A limit that is reached answers 429, as described, and with a time to come back.
 func TestLimitsKeepToTheDescription(t *testing.T) {
-	settings := decide.Settings{Classes: []decide.Class{{Name: "read"}}, Plans: []decide.Plan{{Name: "gold"}}}
+	settings := scheduler.Settings{Classes: []scheduler.Class{{Name: "read"}}, Plans: []scheduler.Plan{{Name: "gold"}}}
 	set, err := rules.Parse("rules", []byte("[[limit]]\nname = 'all'\nkey = '\"\"'\nrate = 1\nburst = 1\n"), settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := slog.New(slog.DiscardHandler)
-	ruled := live.New(log)
+	ruled := engine.New(log)
 	if err := ruled.Swap(set, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	front := httpfront.New(httpfront.Options{Settings: settings, Core: answering{Reply: &httpmsg.Reply{}}, Rules: ruled, Log: log})
+	front := httpfrontend.New(httpfrontend.Options{Settings: settings, Core: answering{Reply: &httpmsg.Reply{}}, Rules: ruled, Log: log})
 	for _, want := range []int{200, 429} {
 		r, w := request("GET", piece), httptest.NewRecorder()
 		route, params, err := router.FindRoute(r)
@@ -141,9 +141,9 @@
 			if err := openapi3filter.ValidateRequest(t.Context(), in); (err != nil) != c.faulty {
 				t.Errorf("by the description: %v", err)
 			}
-			settings := decide.Settings{Classes: []decide.Class{{Name: "read"}}, Plans: []decide.Plan{{Name: "gold"}}}
+			settings := scheduler.Settings{Classes: []scheduler.Class{{Name: "read"}}, Plans: []scheduler.Plan{{Name: "gold"}}}
 			w := httptest.NewRecorder()
-			httpfront.New(httpfront.Options{Settings: settings, Core: c.core, Log: slog.New(slog.DiscardHandler)}).ServeHTTP(w, c.request)
+			httpfrontend.New(httpfrontend.Options{Settings: settings, Core: c.core, Log: slog.New(slog.DiscardHandler)}).ServeHTTP(w, c.request)
 			if w.Code != c.status {
 				t.Errorf("status %d, want %d", w.Code, c.status)
 			}
--- a/internal/back/httpback/answer.go
+++ b/internal/backend/httpbackend/answer.go
@@ -1,4 +1,4 @@
-package httpback
+package httpbackend
 
 import (
 	"bufio"
--- a/internal/back/httpback/httpback.go
+++ b/internal/backend/httpbackend/httpback.go
@@ -1,5 +1,5 @@
-// Package httpback carries attempts and probes to storage nodes that speak the platform's HTTP.
-package httpback
+// Package httpbackend carries attempts and probes to storage nodes that speak the platform's HTTP.
+package httpbackend
 
 import (
 	"bytes"
@@ -16,11 +16,11 @@
 
 	"golang.org/x/sync/semaphore"
 
-	"reachpulley/decide"
-	"reachpulley/internal/core"
 	"reachpulley/internal/discovery"
+	"reachpulley/internal/eventloop"
 	"reachpulley/internal/exchange"
 	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/scheduler"
 )
 
 const (
@@ -28,7 +28,7 @@
 	probeTime = 250 * time.Millisecond
 )
 
-// Back is a core.Back. Each attempt is one goroutine that owns its connection from the pool's get to its put
+// Back is a eventloop.Back. Each attempt is one goroutine that owns its connection from the pool's get to its put
 // or discard.
 type Back struct {
 	pool      *pool
@@ -41,7 +41,7 @@
 // Options are what a Back needs.
 type Options struct {
 	Directory discovery.Places
-	Allowed   decide.Allowed    // with its times
+	Allowed   scheduler.Allowed // with its times
 	Sockets   int               // connections to nodes that it may hold
 	Memory    int64             // bytes that long answers may take while they are read; one may always
 	Dial      dialFunc          // nil: the network
@@ -75,7 +75,7 @@
 }
 
 // Start begins an attempt.
-func (b *Back) Start(ctx context.Context, a core.Attempt, report func(core.Report)) {
+func (b *Back) Start(ctx context.Context, a eventloop.Attempt, report func(eventloop.Report)) {
 	go func() {
 		r, err := b.attempt(ctx, a)
 		if err != nil {
@@ -85,8 +85,8 @@
 	}()
 }
 
-func (b *Back) attempt(ctx context.Context, a core.Attempt) (core.Report, error) {
-	unrun := core.Report{Result: decide.ConnectFailed, Use: -1}
+func (b *Back) attempt(ctx context.Context, a eventloop.Attempt) (eventloop.Report, error) {
+	unrun := eventloop.Report{Result: scheduler.ConnectFailed, Use: -1}
 	payload, ok := a.Exchange.Payload.(*httpmsg.Request)
 	if !ok {
 		return unrun, fmt.Errorf("payload %T is not for a node that speaks HTTP", a.Exchange.Payload)
@@ -94,14 +94,14 @@
 	c, err := b.connect(ctx, a.Node)
 	if err != nil {
 		if errors.Is(err, errBudget) || ctx.Err() != nil { // that tells nothing of the node
-			unrun.Result = decide.Moot
+			unrun.Result = scheduler.Moot
 		}
 		return unrun, err
 	}
 	began := time.Now()
 	if !a.May(began) {
 		b.pool.put(c)
-		unrun.Result = decide.Moot
+		unrun.Result = scheduler.Moot
 		return unrun, errors.New("it may not begin any more")
 	}
 	header := payload.Header.Clone()
@@ -116,11 +116,11 @@
 	resp, body, written, err := b.roundTrip(ctx, c, req)
 	if err != nil {
 		// The last byte decides: before it the node cannot have begun, after it nobody knows.
-		result := decide.Reset
+		result := scheduler.Reset
 		if !written {
-			result = decide.ConnectFailed
+			result = scheduler.ConnectFailed
 		}
-		return core.Report{Result: core.GivenUp(ctx, result), Use: -1}, err
+		return eventloop.Report{Result: eventloop.GivenUp(ctx, result), Use: -1}, err
 	}
 	r := answer(resp, body, payload.Described)
 	r.Took = time.Since(began)
@@ -176,7 +176,7 @@
 	Request  *httpmsg.Request
 	Node     string
 	Number   int // of the attempt
-	Result   decide.Result
+	Result   scheduler.Result
 	Status   int
 	Header   http.Header
 	Body     []byte
@@ -184,9 +184,9 @@
 }
 
 // answer reads what a node said, as its description has it.
-func answer(resp *http.Response, body []byte, described httpmsg.Described) core.Report {
-	r := core.Report{
-		Result: decide.Errored, Use: httpmsg.Figure(resp.Header, httpmsg.UsedHeader, -100) / 100,
+func answer(resp *http.Response, body []byte, described httpmsg.Described) eventloop.Report {
+	r := eventloop.Report{
+		Result: scheduler.Errored, Use: httpmsg.Figure(resp.Header, httpmsg.UsedHeader, -100) / 100,
 		Others: httpmsg.Figure(resp.Header, httpmsg.OthersHeader, 0),
 		Load:   parseLoad([]byte(resp.Header.Get(httpmsg.LoadHeader))),
 	}
@@ -196,37 +196,37 @@
 	}
 	switch reading {
 	case httpmsg.ForClient:
-		r.Result, r.Reply = decide.Served, &httpmsg.Reply{Status: resp.StatusCode, Header: resp.Header, Body: body}
+		r.Result, r.Reply = scheduler.Served, &httpmsg.Reply{Status: resp.StatusCode, Header: resp.Header, Body: body}
 		return r
 	case httpmsg.NeverRan:
-		r.Result = decide.Full
+		r.Result = scheduler.Full
 		return r
 	case httpmsg.MayHaveRun:
 		return r
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		r.Result, r.Reply = decide.Served, &httpmsg.Reply{Header: resp.Header, Body: body}
+		r.Result, r.Reply = scheduler.Served, &httpmsg.Reply{Header: resp.Header, Body: body}
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if resp.Header.Get(httpmsg.NotRunHeader) == "1" { // without it the work may have begun
-			r.Result = decide.Full
+			r.Result = scheduler.Full
 		}
 	}
 	return r
 }
 
 // Probe asks a node for its load.
-func (b *Back) Probe(node string, report func(decide.ProbeResult)) {
+func (b *Back) Probe(node string, report func(scheduler.ProbeResult)) {
 	go func() {
 		began := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), probeTime)
 		defer cancel()
 		load, err := b.probe(ctx, node)
-		report(decide.ProbeResult{Node: node, Served: err == nil, Latency: time.Since(began), Load: load})
+		report(scheduler.ProbeResult{Node: node, Served: err == nil, Latency: time.Since(began), Load: load})
 	}()
 }
 
-func (b *Back) probe(ctx context.Context, node string) (*decide.Load, error) {
+func (b *Back) probe(ctx context.Context, node string) (*scheduler.Load, error) {
 	c, err := b.connect(ctx, node)
 	if err != nil {
 		return nil, err
@@ -244,7 +244,7 @@
 }
 
 // parseLoad reads a load report; nil where there is none that can be read, and below zero what it does not tell.
-func parseLoad(text []byte) *decide.Load {
+func parseLoad(text []byte) *scheduler.Load {
 	report := struct {
 		InFlight *float64 `json:"inflight"`
 		Queue    *float64 `json:"queue"`
@@ -253,7 +253,7 @@
 	if len(text) == 0 || json.Unmarshal(text, &report) != nil {
 		return nil
 	}
-	l := &decide.Load{InFlight: -1, Queued: -1, Busy: -1}
+	l := &scheduler.Load{InFlight: -1, Queued: -1, Busy: -1}
 	for into, x := range map[*float64]*float64{&l.InFlight: report.InFlight, &l.Queued: report.Queue, &l.Busy: report.Util} {
 		switch {
 		case x == nil:
--- a/internal/back/httpback/httpback_test.go
+++ b/internal/backend/httpbackend/httpback_test.go
@@ -1,4 +1,4 @@
-package httpback
+package httpbackend
 
 import (
 	"bufio"
@@ -17,12 +17,12 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachpulley/decide"
-	"reachpulley/internal/core"
 	"reachpulley/internal/discovery"
+	"reachpulley/internal/eventloop"
 	"reachpulley/internal/exchange"
 	"reachpulley/internal/proto/httpmsg"
-	"reachpulley/internal/scenario"
+	"reachpulley/internal/scenariotest"
+	"reachpulley/scheduler"
 )
 
 // directory has a node n and a node m until one is told to drain.
@@ -37,27 +37,27 @@
 
 // play runs a script before a Back with two sockets. "back send NODE" starts an attempt; the results, in order,
 // must be those wanted.
-func play(t *testing.T, script string, prepare func(s *scenario.Stage, d *directory), want ...decide.Result) {
+func play(t *testing.T, script string, prepare func(s *scenariotest.Stage, d *directory), want ...scheduler.Result) {
 	t.Helper()
-	var got []decide.Result
+	var got []scheduler.Result
 	var mu sync.Mutex
-	scenario.Run(t, script, func(s *scenario.Stage) func() {
+	scenariotest.Run(t, script, func(s *scenariotest.Stage) func() {
 		d := &directory{}
 		b := New(Options{Directory: d, Sockets: 2,
-			Allowed: decide.Allowed{ConnectWithin: 250 * time.Millisecond, IdleWithin: 15 * time.Second}, Dial: s.Network.Dial, Log: slog.New(slog.DiscardHandler)})
+			Allowed: scheduler.Allowed{ConnectWithin: 250 * time.Millisecond, IdleWithin: 15 * time.Second}, Dial: s.Network.Dial, Log: slog.New(slog.DiscardHandler)})
 		ctx, cancel := context.WithCancel(context.Background())
 		attempts, drop := context.WithCancel(context.Background())
 		ended := make(chan bool)
 		go func() { b.Run(ctx); close(ended) }()
-		s.Server("n", "n:1", scenario.HTTP{})
-		s.Server("m", "m:1", scenario.HTTP{})
+		s.Server("n", "n:1", scenariotest.HTTP{})
+		s.Server("m", "m:1", scenariotest.HTTP{})
 		s.Control("back", "cancel", drop)
 		for _, node := range []string{"n", "m"} {
 			s.Control("back", node, func() {
-				x := exchange.New(decide.Request{ID: "r"}, time.Now().Add(time.Second), &httpmsg.Request{
+				x := exchange.New(scheduler.Request{ID: "r"}, time.Now().Add(time.Second), &httpmsg.Request{
 					Method: "GET", URL: &url.URL{Path: "/x"}, Header: http.Header{}})
-				b.Start(attempts, core.Attempt{Exchange: x, Node: node, Deadline: x.Deadline},
-					func(r core.Report) {
+				b.Start(attempts, eventloop.Attempt{Exchange: x, Node: node, Deadline: x.Deadline},
+					func(r eventloop.Report) {
 						mu.Lock()
 						defer mu.Unlock()
 						got = append(got, r.Result)
@@ -72,39 +72,39 @@
 	}
 }
 
-func nothing(*scenario.Stage, *directory) {}
+func nothing(*scenariotest.Stage, *directory) {}
 
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		does string
-		want decide.Result
+		want scheduler.Result
 	}{
-		"served":             {"n send 200 yes", decide.Served},
-		"an error":           {"n send 500", decide.Errored},
-		"turned away":        {"n send 503 X-Not-Run=1", decide.Full},
-		"over at the node":   {"n send 504 X-Not-Run=1", decide.Full},
-		"turned away by who": {"n send 503", decide.Errored},
-		"anything else":      {"n send 404 X-Not-Run=1", decide.Errored},
-		"broken":             {"n close", decide.Reset},
-		"half an answer":     {"n send raw HTTP/1.1 200 OK\\nContent-Length: 9\\n\\nhalf\nn close", decide.Reset},
-		"nonsense":           {"n send raw hello\\n\\n", decide.Reset},
-		"half a MB":          {"n send raw HTTP/1.1 200 OK\\nContent-Length: 500000\\n\\n" + strings.Repeat("x", 500000), decide.Served},
+		"served":             {"n send 200 yes", scheduler.Served},
+		"an error":           {"n send 500", scheduler.Errored},
+		"turned away":        {"n send 503 X-Not-Run=1", scheduler.Full},
+		"over at the node":   {"n send 504 X-Not-Run=1", scheduler.Full},
+		"turned away by who": {"n send 503", scheduler.Errored},
+		"anything else":      {"n send 404 X-Not-Run=1", scheduler.Errored},
+		"broken":             {"n close", scheduler.Reset},
+		"half an answer":     {"n send raw HTTP/1.1 200 OK\\nContent-Length: 9\\n\\nhalf\nn close", scheduler.Reset},
+		"nonsense":           {"n send raw hello\\n\\n", scheduler.Reset},
+		"half a MB":          {"n send raw HTTP/1.1 200 OK\\nContent-Length: 500000\\n\\n" + strings.Repeat("x", 500000), scheduler.Served},
 		"an answer in pieces": {"n send raw HTTP/1.1 200 OK\\nContent-Length: 3\\n\\ny\nwait 90ms\nn send raw e\nwait 90ms\nn send raw s",
-			decide.Served},
-		"a 1xx answer ahead": {"n send raw HTTP/1.1 103 Early\\n\\nHTTP/1.1 200 OK\\nContent-Length: 1\\n\\ny", decide.Served},
+			scheduler.Served},
+		"a 1xx answer ahead": {"n send raw HTTP/1.1 103 Early\\n\\nHTTP/1.1 200 OK\\nContent-Length: 1\\n\\ny", scheduler.Served},
 		// Spoilt answers: nothing is served of them, and their connection goes, though the node would keep it.
-		"1xx answers without end": {"n send raw " + strings.Repeat("HTTP/1.1 103 Early\\n\\n", 9) + "\nn expect end", decide.Reset},
-		"a head without end":      {"n send raw HTTP/1.1 200 OK\\nX: " + strings.Repeat("x", mostHead) + "\nn expect end", decide.Reset},
-		"a length below 0":        {"n send raw HTTP/1.1 200 OK\\nContent-Length: -1\\n\\n\nn expect end", decide.Reset},
-		"two lengths":             {"n send raw HTTP/1.1 200 OK\\nContent-Length: 1\\nContent-Length: 2\\n\\nxx\nn expect end", decide.Reset},
-		"a length and chunks":     {"n send raw HTTP/1.1 200 OK\\nContent-Length: 1\\nTransfer-Encoding: chunked\\n\\n0\\n\\n\nn expect end", decide.Reset},
-		"3 GB claimed":            {"n send raw HTTP/1.1 200 OK\\nContent-Length: 3000000000\\n\\nxx\nn expect end\nwithin 1ms", decide.Reset},
+		"1xx answers without end": {"n send raw " + strings.Repeat("HTTP/1.1 103 Early\\n\\n", 9) + "\nn expect end", scheduler.Reset},
+		"a head without end":      {"n send raw HTTP/1.1 200 OK\\nX: " + strings.Repeat("x", mostHead) + "\nn expect end", scheduler.Reset},
+		"a length below 0":        {"n send raw HTTP/1.1 200 OK\\nContent-Length: -1\\n\\n\nn expect end", scheduler.Reset},
+		"two lengths":             {"n send raw HTTP/1.1 200 OK\\nContent-Length: 1\\nContent-Length: 2\\n\\nxx\nn expect end", scheduler.Reset},
+		"a length and chunks":     {"n send raw HTTP/1.1 200 OK\\nContent-Length: 1\\nTransfer-Encoding: chunked\\n\\n0\\n\\n\nn expect end", scheduler.Reset},
+		"3 GB claimed":            {"n send raw HTTP/1.1 200 OK\\nContent-Length: 3000000000\\n\\nxx\nn expect end\nwithin 1ms", scheduler.Reset},
 		"chunks without end": {"n send raw HTTP/1.1 200 OK\\nTransfer-Encoding: chunked\\n\\n500000\\n" + strings.Repeat("x", 0x500000) +
-			"\nn expect end", decide.Reset},
-		"a length that is too much": {"n send raw HTTP/1.1 200 OK\\nContent-Length: 9\\n\\nhalf\nwait 101ms\nn expect end", decide.Reset},
-		"half a head":               {"n send raw HTTP/1.1 200\nwait 101ms\nn expect end", decide.Reset},
-		"another protocol":          {"n send raw HTTP/1.1 101 Go\\n\\n\nn expect end", decide.Reset},
-		"called off":                {"back send cancel\nn expect end", decide.Canceled},
+			"\nn expect end", scheduler.Reset},
+		"a length that is too much": {"n send raw HTTP/1.1 200 OK\\nContent-Length: 9\\n\\nhalf\nwait 101ms\nn expect end", scheduler.Reset},
+		"half a head":               {"n send raw HTTP/1.1 200\nwait 101ms\nn expect end", scheduler.Reset},
+		"another protocol":          {"n send raw HTTP/1.1 101 Go\\n\\n\nn expect end", scheduler.Reset},
+		"called off":                {"back send cancel\nn expect end", scheduler.Canceled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			play(t, "back send n\nn expect GET /x\n"+c.does, nothing, c.want)
@@ -114,10 +114,10 @@
 
 // An attempt's connection is up, and what was true when it was sent no longer is: not a byte of it may go out.
 func TestNothingBeginsTooLate(t *testing.T) {
-	for name, does := range map[string]func(x *exchange.Exchange, a *core.Attempt){
-		"the client has left":      func(x *exchange.Exchange, _ *core.Attempt) { x.Leave() },
-		"repeats are not dropped":  func(_ *exchange.Exchange, a *core.Attempt) { a.Begin = time.Now() },
-		"nobody waits any more":    func(_ *exchange.Exchange, a *core.Attempt) { a.Deadline = time.Now() },
+	for name, does := range map[string]func(x *exchange.Exchange, a *eventloop.Attempt){
+		"the client has left":      func(x *exchange.Exchange, _ *eventloop.Attempt) { x.Leave() },
+		"repeats are not dropped":  func(_ *exchange.Exchange, a *eventloop.Attempt) { a.Begin = time.Now() },
+		"nobody waits any more":    func(_ *exchange.Exchange, a *eventloop.Attempt) { a.Deadline = time.Now() },
 		"nothing of this has come": nil,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -126,22 +126,22 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			x := exchange.New(decide.Request{ID: "r"}, time.Now().Add(time.Minute), &httpmsg.Request{Method: "GET", URL: &url.URL{Path: "/x"}, Header: http.Header{}})
-			a := core.Attempt{Exchange: x, Node: "n", Deadline: x.Deadline}
+			x := exchange.New(scheduler.Request{ID: "r"}, time.Now().Add(time.Minute), &httpmsg.Request{Method: "GET", URL: &url.URL{Path: "/x"}, Header: http.Header{}})
+			a := eventloop.Attempt{Exchange: x, Node: "n", Deadline: x.Deadline}
 			up, change := make(chan bool), make(chan bool)
-			b := New(Options{Directory: &directory{}, Sockets: 2, Allowed: decide.Allowed{ConnectWithin: time.Minute, IdleWithin: time.Minute}, Log: slog.New(slog.DiscardHandler),
+			b := New(Options{Directory: &directory{}, Sockets: 2, Allowed: scheduler.Allowed{ConnectWithin: time.Minute, IdleWithin: time.Minute}, Log: slog.New(slog.DiscardHandler),
 				Dial: func(context.Context, string, string) (net.Conn, error) {
 					c, err := net.Dial("tcp", l.Addr().String())
 					up <- true
 					<-change
 					return c, err
 				}})
-			reported := make(chan core.Report, 1)
+			reported := make(chan eventloop.Report, 1)
 			if does == nil {
-				b.Start(t.Context(), a, func(r core.Report) { reported <- r })
+				b.Start(t.Context(), a, func(r eventloop.Report) { reported <- r })
 			} else {
 				does(x, &a) // the attempt is a value: what is to pass meanwhile is in it from the begin
-				b.Start(t.Context(), a, func(r core.Report) { reported <- r })
+				b.Start(t.Context(), a, func(r eventloop.Report) { reported <- r })
 			}
 			<-up
 			close(change)
@@ -155,12 +155,12 @@
 					t.Fatal(err)
 				}
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-				if r := <-reported; r.Result != decide.Served {
+				if r := <-reported; r.Result != scheduler.Served {
 					t.Error(r.Result)
 				}
 				return
 			}
-			if r := <-reported; r.Result != decide.Moot {
+			if r := <-reported; r.Result != scheduler.Moot {
 				t.Errorf("result %v, want that it was not sent", r.Result)
 			}
 			b.pool.end()
@@ -181,30 +181,30 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			play(t, "back send n\nn expect GET /x\n"+script+"\nback send n\nn expect GET /x\nn send 200 own", nothing,
-				decide.Served, decide.Served)
+				scheduler.Served, scheduler.Served)
 		})
 	}
 	// The next request is there when the second copy comes, some milliseconds late. From then on the node's connections are used once.
 	play(t, "back send n\nn expect GET /x\nn send raw "+answer+"one\nback send n\nwait 3ms\nn expect nothing\nn send raw "+answer+"two\nn expect end\n"+
-		"wait 2ms\nn expect GET /x\nn send raw "+answer+"own\nn expect end", nothing, decide.Served, decide.Served)
+		"wait 2ms\nn expect GET /x\nn send raw "+answer+"own\nn expect end", nothing, scheduler.Served, scheduler.Served)
 }
 
 func TestNothingBegins(t *testing.T) {
 	t.Run("no node", func(t *testing.T) {
-		play(t, "back send n", func(s *scenario.Stage, d *directory) { s.Network.Listen("n:1").Close() }, decide.ConnectFailed)
+		play(t, "back send n", func(s *scenariotest.Stage, d *directory) { s.Network.Listen("n:1").Close() }, scheduler.ConnectFailed)
 	})
 	t.Run("a drain", func(t *testing.T) {
-		play(t, "back send n\nn expect nothing", func(s *scenario.Stage, d *directory) { d.drain("n") }, decide.ConnectFailed)
+		play(t, "back send n\nn expect nothing", func(s *scenariotest.Stage, d *directory) { d.drain("n") }, scheduler.ConnectFailed)
 	})
 	// The dial outlasts the notice of a drain: the send would count from its first byte, after it.
 	t.Run("a drain while the connection comes up", func(t *testing.T) {
-		play(t, "back send n\nwait 50ms\ndirectory send drain\nwait 100ms\nn expect nothing", func(s *scenario.Stage, d *directory) {
+		play(t, "back send n\nwait 50ms\ndirectory send drain\nwait 100ms\nn expect nothing", func(s *scenariotest.Stage, d *directory) {
 			s.Network.Delay = 100 * time.Millisecond
 			s.Control("directory", "drain", func() { d.drain("n") })
-		}, decide.ConnectFailed)
+		}, scheduler.ConnectFailed)
 	})
 	t.Run("a connection that never comes up", func(t *testing.T) {
-		play(t, "back send n\nwait 251ms\nn expect nothing", func(s *scenario.Stage, d *directory) { s.Network.Delay = time.Minute }, decide.ConnectFailed)
+		play(t, "back send n\nwait 251ms\nn expect nothing", func(s *scenariotest.Stage, d *directory) { s.Network.Delay = time.Minute }, scheduler.ConnectFailed)
 	})
 }
 
@@ -224,18 +224,18 @@
 		wait 249ms
 		n expect nothing
 		`
-	play(t, both+`wait 2ms`, nothing, decide.Served, decide.Moot, decide.Canceled, decide.Canceled)
+	play(t, both+`wait 2ms`, nothing, scheduler.Served, scheduler.Moot, scheduler.Canceled, scheduler.Canceled)
 	play(t, both+`m send 200 one
 		m expect end
 		n expect GET /x
-		n send 200 two`, nothing, decide.Served, decide.Served, decide.Served, decide.Canceled)
+		n send 200 two`, nothing, scheduler.Served, scheduler.Served, scheduler.Served, scheduler.Canceled)
 	// One that gives its turn up leaves it to the next.
 	play(t, both+`back send n
 		wait 2ms
 		n expect nothing
 		m send 200 one
 		m expect end
-		n expect GET /x`, nothing, decide.Served, decide.Moot, decide.Served, decide.Canceled, decide.Canceled)
+		n expect GET /x`, nothing, scheduler.Served, scheduler.Moot, scheduler.Served, scheduler.Canceled, scheduler.Canceled)
 }
 
 // Nodes come with ever new ids: nothing is kept of those that are not used any more.
@@ -265,16 +265,16 @@
 
 // A slow way to a node is not the node's latency.
 func TestTookLeavesTheWayOut(t *testing.T) {
-	var r core.Report
-	scenario.Run(t, "back send n\nwait 100ms\nn expect GET /x\nwait 50ms\nn send 200 yes", func(s *scenario.Stage) func() {
+	var r eventloop.Report
+	scenariotest.Run(t, "back send n\nwait 100ms\nn expect GET /x\nwait 50ms\nn send 200 yes", func(s *scenariotest.Stage) func() {
 		s.Network.Delay = 100 * time.Millisecond
 		b := New(Options{Directory: &directory{}, Sockets: 2, Dial: s.Network.Dial, Log: slog.New(slog.DiscardHandler),
-			Allowed: decide.Allowed{ConnectWithin: time.Second, IdleWithin: time.Second}})
-		s.Server("n", "n:1", scenario.HTTP{})
+			Allowed: scheduler.Allowed{ConnectWithin: time.Second, IdleWithin: time.Second}})
+		s.Server("n", "n:1", scenariotest.HTTP{})
 		s.Control("back", "n", func() {
-			x := exchange.New(decide.Request{}, time.Now().Add(time.Second), &httpmsg.Request{Method: "GET",
+			x := exchange.New(scheduler.Request{}, time.Now().Add(time.Second), &httpmsg.Request{Method: "GET",
 				URL: &url.URL{Path: "/x"}, Header: http.Header{}})
-			b.Start(context.Background(), core.Attempt{Exchange: x, Node: "n", Deadline: x.Deadline}, func(got core.Report) { r = got })
+			b.Start(context.Background(), eventloop.Attempt{Exchange: x, Node: "n", Deadline: x.Deadline}, func(got eventloop.Report) { r = got })
 		})
 		return b.pool.end
 	})
@@ -289,12 +289,12 @@
 	h.Set(httpmsg.OthersHeader, "3")
 	h.Set(httpmsg.LoadHeader, `{"inflight":7,"queue":2}`)
 	got := answer(&http.Response{StatusCode: 200, Header: h}, nil, nil)
-	want := core.Report{Result: decide.Served, Reply: &httpmsg.Reply{Header: h}, Use: 0.85, Others: 3,
-		Load: &decide.Load{InFlight: 7, Queued: 2, Busy: -1}}
+	want := eventloop.Report{Result: scheduler.Served, Reply: &httpmsg.Reply{Header: h}, Use: 0.85, Others: 3,
+		Load: &scheduler.Load{InFlight: 7, Queued: 2, Busy: -1}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	for text, want := range map[string]*decide.Load{
+	for text, want := range map[string]*scheduler.Load{
 		`{"inflight":0}`:              {Queued: -1, Busy: -1},
 		`{"inflight":-3,"queue":2}`:   nil,
 		`{"inflight":1,"queue":1e99}`: nil,
@@ -327,14 +327,14 @@
 					return &breaking{near, far, body[max(0, len(body)-1):]}, nil
 				}
 				b := New(Options{Directory: &directory{}, Sockets: 1, Dial: dial, Log: slog.New(slog.DiscardHandler),
-					Allowed: decide.Allowed{ConnectWithin: time.Second, IdleWithin: time.Second}})
-				x := exchange.New(decide.Request{}, time.Now().Add(time.Minute), &httpmsg.Request{
+					Allowed: scheduler.Allowed{ConnectWithin: time.Second, IdleWithin: time.Second}})
+				x := exchange.New(scheduler.Request{}, time.Now().Add(time.Minute), &httpmsg.Request{
 					Method: "PUT", URL: &url.URL{Path: "/x"}, Header: http.Header{}, Body: []byte(body)})
-				got := make(chan decide.Result, 1)
-				b.Start(t.Context(), core.Attempt{Exchange: x, Node: "n", Deadline: x.Deadline},
-					func(r core.Report) { got <- r.Result })
-				if r := <-got; r != decide.Reset {
-					t.Errorf("result %v, want %v", r, decide.Reset)
+				got := make(chan scheduler.Result, 1)
+				b.Start(t.Context(), eventloop.Attempt{Exchange: x, Node: "n", Deadline: x.Deadline},
+					func(r eventloop.Report) { got <- r.Result })
+				if r := <-got; r != scheduler.Reset {
+					t.Errorf("result %v, want %v", r, scheduler.Reset)
 				}
 				time.Sleep(2 * time.Second)
 			})
--- a/internal/back/httpback/pool.go
+++ b/internal/backend/httpbackend/pool.go
@@ -1,4 +1,4 @@
-package httpback
+package httpbackend
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"reachpulley/internal/peek"
+	"reachpulley/internal/socketpeek"
 )
 
 const (
@@ -149,7 +149,7 @@
 	c.SetReadDeadline(past)
 	quiet := <-c.quiet
 	c.SetReadDeadline(time.Time{})
-	return quiet && c.r.Buffered() == 0 && !peek.Ready(c.Conn)
+	return quiet && c.r.Buffered() == 0 && !socketpeek.Ready(c.Conn)
 }
 
 // reserve counts a new connection. Where the budget is used up, the connection idle for longest makes room; where
--- a/internal/back/iscsiback/iscsiback.go
+++ b/internal/backend/iscsiinitiator/iscsiback.go
@@ -1,6 +1,6 @@
-// Package iscsiback carries attempts to storage nodes that speak iSCSI: it is an initiator after RFC 7143 with
+// Package iscsiinitiator carries attempts to storage nodes that speak iSCSI: it is an initiator after RFC 7143 with
 // one session a node, on which many commands are out at a time.
-package iscsiback
+package iscsiinitiator
 
 import (
 	"context"
@@ -12,15 +12,15 @@
 	"sync"
 	"time"
 
-	"reachpulley/decide"
-	"reachpulley/internal/core"
 	"reachpulley/internal/discovery"
+	"reachpulley/internal/eventloop"
 	"reachpulley/internal/proto/iscsi"
+	"reachpulley/scheduler"
 )
 
 const sweepTime = time.Second
 
-// Back is a core.Back. It owns the sessions; each gives its connection back where its run ends.
+// Back is a eventloop.Back. It owns the sessions; each gives its connection back where its run ends.
 type Back struct {
 	directory discovery.Places
 	dial      dialFunc
@@ -41,10 +41,10 @@
 // Options are what a Back needs.
 type Options struct {
 	Directory discovery.Places
-	Allowed   decide.Allowed // with its times
-	Initiator string         // its name
-	Target    string         // the name of the nodes' target
-	Sockets   int            // sessions that it may hold
+	Allowed   scheduler.Allowed // with its times
+	Initiator string            // its name
+	Target    string            // the name of the nodes' target
+	Sockets   int               // sessions that it may hold
 	Dial      dialFunc
 	Log       *slog.Logger
 }
@@ -136,11 +136,11 @@
 }
 
 // Start begins an attempt.
-func (b *Back) Start(ctx context.Context, a core.Attempt, report func(core.Report)) {
+func (b *Back) Start(ctx context.Context, a eventloop.Attempt, report func(eventloop.Report)) {
 	go func() { report(b.attempt(ctx, a)) }()
 }
 
-func (b *Back) attempt(ctx context.Context, a core.Attempt) core.Report {
+func (b *Back) attempt(ctx context.Context, a eventloop.Attempt) eventloop.Report {
 	command, ok := a.Exchange.Payload.(*iscsi.Command)
 	if !ok {
 		return b.unsent(ctx, a, fmt.Errorf("payload %T is not for a node that speaks iSCSI", a.Exchange.Payload))
@@ -150,9 +150,9 @@
 		return b.unsent(ctx, a, err)
 	}
 	if !a.May(time.Now()) {
-		return core.Report{Result: decide.Moot, Use: -1}
+		return eventloop.Report{Result: scheduler.Moot, Use: -1}
 	}
-	c := &call{command: command, done: make(chan core.Report, 1)}
+	c := &call{command: command, done: make(chan eventloop.Report, 1)}
 	tag, err := s.start(ctx, c)
 	if err != nil {
 		return b.unsent(ctx, a, err)
@@ -165,20 +165,20 @@
 	if !s.abort(tag) { // its end has come in the same moment
 		return <-c.done
 	}
-	return core.Report{Result: core.GivenUp(ctx, decide.Canceled), Use: -1}
+	return eventloop.Report{Result: eventloop.GivenUp(ctx, scheduler.Canceled), Use: -1}
 }
 
 // unsent reports on an attempt of which nothing went out.
-func (b *Back) unsent(ctx context.Context, a core.Attempt, err error) core.Report {
+func (b *Back) unsent(ctx context.Context, a eventloop.Attempt, err error) eventloop.Report {
 	b.log.Debug("attempt", "id", a.Exchange.Request.ID, "n", a.Number, "node", a.Node, "err", err)
-	result := decide.ConnectFailed
+	result := scheduler.ConnectFailed
 	if errors.Is(err, errWindow) || errors.Is(err, errBudget) { // the node is well
-		result = decide.Full
+		result = scheduler.Full
 	}
-	return core.Report{Result: core.GivenUp(ctx, result), Use: -1}
+	return eventloop.Report{Result: eventloop.GivenUp(ctx, result), Use: -1}
 }
 
 // Probe tells nothing: the subset has no load reports.
-func (b *Back) Probe(node string, report func(decide.ProbeResult)) {
-	report(decide.ProbeResult{Node: node})
+func (b *Back) Probe(node string, report func(scheduler.ProbeResult)) {
+	report(scheduler.ProbeResult{Node: node})
 }
--- a/internal/back/iscsiback/iscsiback_test.go
+++ b/internal/backend/iscsiinitiator/iscsiback_test.go
@@ -1,4 +1,4 @@
-package iscsiback
+package iscsiinitiator
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 	"testing/synctest"
 	"time"
 
-	"reachpulley/decide"
-	"reachpulley/internal/core"
 	"reachpulley/internal/discovery"
+	"reachpulley/internal/eventloop"
 	"reachpulley/internal/exchange"
 	"reachpulley/internal/proto/iscsi"
+	"reachpulley/scheduler"
 )
 
 type everywhere struct{}
@@ -47,18 +47,18 @@
 // The connection breaks while a command is written. Once all of it is out it may have run, though the writer cannot
 // know yet; a fault of the write itself is no proof that nothing ran, as the session may be gone by then.
 func TestBrokenWhileACommandIsWritten(t *testing.T) {
-	for takes, want := range map[bool]decide.Result{true: decide.Reset, false: decide.Reset} {
+	for takes, want := range map[bool]scheduler.Result{true: scheduler.Reset, false: scheduler.Reset} {
 		synctest.Test(t, func(t *testing.T) {
 			dial := func(context.Context, string, string) (net.Conn, error) {
 				near, far := net.Pipe()
 				return &breaking{near, far, takes}, nil
 			}
 			b := New(Options{Directory: everywhere{}, Sockets: 1, Dial: dial, Log: slog.New(slog.DiscardHandler),
-				Allowed: decide.Allowed{ConnectWithin: time.Second, IdleWithin: time.Second}})
-			x := exchange.New(decide.Request{}, time.Now().Add(time.Minute), &iscsi.Command{Blocks: 1, BlockSize: 512})
-			got := make(chan decide.Result, 1)
-			b.Start(t.Context(), core.Attempt{Exchange: x, Node: "n", Deadline: x.Deadline},
-				func(r core.Report) { got <- r.Result })
+				Allowed: scheduler.Allowed{ConnectWithin: time.Second, IdleWithin: time.Second}})
+			x := exchange.New(scheduler.Request{}, time.Now().Add(time.Minute), &iscsi.Command{Blocks: 1, BlockSize: 512})
+			got := make(chan scheduler.Result, 1)
+			b.Start(t.Context(), eventloop.Attempt{Exchange: x, Node: "n", Deadline: x.Deadline},
+				func(r eventloop.Report) { got <- r.Result })
 			if r := <-got; r != want {
 				t.Errorf("takes %v: result %v, want %v", takes, r, want)
 			}
--- a/internal/back/iscsiback/session.go
+++ b/internal/backend/iscsiinitiator/session.go
@@ -1,4 +1,4 @@
-package iscsiback
+package iscsiinitiator
 
 import (
 	"bufio"
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"reachpulley/decide"
-	"reachpulley/internal/core"
+	"reachpulley/internal/eventloop"
 	"reachpulley/internal/proto/httpmsg"
 	"reachpulley/internal/proto/iscsi"
+	"reachpulley/scheduler"
 )
 
 const (
@@ -53,7 +53,7 @@
 	sent    time.Time
 	written bool // its PDU has not failed to go out whole: it may run
 	data    []byte
-	done    chan core.Report // has room for the one report
+	done    chan eventloop.Report // has room for the one report
 }
 
 func newSession(b *Back, node, address string) *session {
@@ -83,11 +83,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.calls {
-		result := decide.Reset
+		result := scheduler.Reset
 		if !c.written {
-			result = decide.ConnectFailed
+			result = scheduler.ConnectFailed
 		}
-		c.done <- core.Report{Result: result, Use: -1} // it has room
+		c.done <- eventloop.Report{Result: result, Use: -1} // it has room
 	}
 	if len(s.calls) > 0 {
 		s.back.log.Info("iscsi session lost", "node", s.node, "out", len(s.calls), "err", err)
@@ -354,13 +354,13 @@
 	if c == nil {
 		return
 	}
-	r := core.Report{Result: decide.Errored, Use: -1}
+	r := eventloop.Report{Result: scheduler.Errored, Use: -1}
 	switch {
 	case !whole:
 	case status == iscsi.Good && (c.command.Write || len(c.data) == c.command.Length()):
-		r.Result, r.Reply = decide.Served, &iscsi.Reply{Data: c.data}
+		r.Result, r.Reply = scheduler.Served, &iscsi.Reply{Data: c.data}
 	case status == iscsi.Busy || status == iscsi.TaskSetFull: // the node says that it has not begun
-		r.Result = decide.Full
+		r.Result = scheduler.Full
 	}
 	c.done <- r
 }
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture/capturetest"
+	"reachpulley/scheduler"
 )
 
 // Every run draws the same cases.
@@ -224,10 +224,10 @@
 		t.Fatal(err)
 	}
 	now := time.Hour
-	r.Members(now, decide.Membership{Kind: decide.Whole})
+	r.Members(now, scheduler.Membership{Kind: scheduler.Whole})
 	for i := range 1000 { // nobody takes them, so they wait
 		now += time.Millisecond
-		r.Arrived(now, decide.Request{ID: fmt.Sprint("waits-", i), Volume: fmt.Sprint("v", i), Units: 1, Patience: time.Minute, Hosts: 1})
+		r.Arrived(now, scheduler.Request{ID: fmt.Sprint("waits-", i), Volume: fmt.Sprint("v", i), Units: 1, Patience: time.Minute, Hosts: 1})
 		if held := r.held + cap(r.part); held > 2*most {
 			t.Fatalf("%d bytes are held of %d", held, most)
 		}
@@ -287,7 +287,7 @@
 		}
 		if next, err := p.upcoming(); step.Number%997 == 0 && err == nil && next.At > step.Event.At {
 			got, err := At(bytes.NewReader(c), step.Event.At)
-			if diff := cmp.Diff(p.Scheduler().Snapshot(), got, cmpopts.IgnoreUnexported(decide.Snapshot{})); err != nil || diff != "" {
+			if diff := cmp.Diff(p.Scheduler().Snapshot(), got, cmpopts.IgnoreUnexported(scheduler.Snapshot{})); err != nil || diff != "" {
 				t.Fatalf("%v %s", err, diff)
 			}
 			checked++
@@ -346,7 +346,7 @@
 				var s Scheduler
 				var err error
 				if options == nil {
-					s, err = decide.New(settings, 1, w)
+					s, err = scheduler.New(settings, 1, w)
 				} else {
 					s, err = NewRecorder(settings, 1, *options, w)
 				}
@@ -369,17 +369,17 @@
 func BenchmarkSnapshot(b *testing.B) {
 	for _, volumes := range []int{10, 100, 1000, 10_000} {
 		b.Run(fmt.Sprint(volumes, " volumes"), func(b *testing.B) {
-			s, err := decide.New(settings, 1, capturetest.NewWorld(1))
+			s, err := scheduler.New(settings, 1, capturetest.NewWorld(1))
 			if err != nil {
 				b.Fatal(err)
 			}
-			var list decide.Membership
+			var list scheduler.Membership
 			for n := range 24 {
-				list.Nodes = append(list.Nodes, decide.Node{ID: fmt.Sprint("node-", n), Shard: n % 3, Size: 1})
+				list.Nodes = append(list.Nodes, scheduler.Node{ID: fmt.Sprint("node-", n), Shard: n % 3, Size: 1})
 			}
 			s.Members(time.Hour, list)
 			for i := range volumes {
-				s.Arrived(time.Hour, decide.Request{ID: fmt.Sprint("request-", i), Volume: fmt.Sprint("volume-", i), Units: 2, Shard: i % 3, Patience: time.Second, Hosts: 2})
+				s.Arrived(time.Hour, scheduler.Request{ID: fmt.Sprint("request-", i), Volume: fmt.Sprint("volume-", i), Units: 2, Shard: i % 3, Patience: time.Second, Hosts: 2})
 			}
 			var bytes []byte
 			for b.Loop() {
@@ -424,7 +424,7 @@
 			return
 		}
 		w := capturetest.WorldAt(1, r.State.Now)
-		s, err := decide.Resume(settings, r.State, w)
+		s, err := scheduler.Resume(settings, r.State, w)
 		if err != nil {
 			return
 		}
--- a/internal/capture/capturetest/day.go
+++ b/internal/capture/capturetest/day.go
@@ -6,27 +6,27 @@
 	"math/rand/v2"
 	"time"
 
-	"reachpulley/decide"
-	"reachpulley/internal/retry"
-	"reachpulley/internal/rooms"
+	"reachpulley/internal/retrybudget"
+	"reachpulley/internal/zonefailover"
+	"reachpulley/scheduler"
 )
 
 const ms = time.Millisecond
 
 // Settings have a class of each kind of repeats, a limited plan, cold nodes and a budget.
-var Settings = decide.Settings{
+var Settings = scheduler.Settings{
 	Siblings: 2, Zones: []string{"a", "b"}, MustAsk: true,
-	Classes: []decide.Class{{Name: "read", Aim: 300 * ms, Deadline: 1500 * ms, Worth: 3},
-		{Name: "write", Aim: 400 * ms, Deadline: 2500 * ms, Worth: 2, Repeats: decide.Keyed, RepeatGroup: decide.GroupShard, RepeatFor: 4 * time.Second, Writes: true},
-		{Name: "once", Aim: 400 * ms, Deadline: 2500 * ms, Worth: 2, Repeats: decide.Unsafe, Writes: true, Ordered: true}},
-	Plans: []decide.Plan{{Name: "gold", Rate: 50, Reserve: 20, Weight: 2, Price: 1, Limit: 80, Burst: 40}, {Name: "tin", Rate: 10, Weight: 1, Price: 0.5}},
-	Rules: decide.Rules{DrainGrace: 250 * ms, ColdFrom: 0.18, WarmWithin: 17 * time.Second, ColdWindow: 3 * time.Second, ColdUnits: 76, ColdMultiple: 4,
+	Classes: []scheduler.Class{{Name: "read", Aim: 300 * ms, Deadline: 1500 * ms, Worth: 3},
+		{Name: "write", Aim: 400 * ms, Deadline: 2500 * ms, Worth: 2, Repeats: scheduler.Keyed, RepeatGroup: scheduler.GroupShard, RepeatFor: 4 * time.Second, Writes: true},
+		{Name: "once", Aim: 400 * ms, Deadline: 2500 * ms, Worth: 2, Repeats: scheduler.Unsafe, Writes: true, Ordered: true}},
+	Plans: []scheduler.Plan{{Name: "gold", Rate: 50, Reserve: 20, Weight: 2, Price: 1, Limit: 80, Burst: 40}, {Name: "tin", Rate: 10, Weight: 1, Price: 0.5}},
+	Rules: scheduler.Rules{DrainGrace: 250 * ms, ColdFrom: 0.18, WarmWithin: 17 * time.Second, ColdWindow: 3 * time.Second, ColdUnits: 76, ColdMultiple: 4,
 		BudgetWindow: 10 * time.Second, BudgetExtra: 10, BudgetShare: 0.1},
-	Allowed: decide.Allowed{Cancel: true, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 500 * ms, MaxAttempts: 4},
-	Sizes:   decide.Sizes{MeanUnits: 2, MostUnits: 8, ShareWorth: 0.4, SpareWorth: 0.1},
-	Rooms: rooms.Settings{Tiers: []int{0, 1}, Spill: 20, Burst: 16, Share: 1, Siblings: 2, ListLate: 2 * time.Second,
-		Work: []rooms.Work{{Class: 2, Plan: -1, Tiers: []int{rooms.Forbidden, 0}}}},
-	Retry: retry.Settings{Share: 0.5, Least: 0.05, Trickle: 1, Burst: 5, Cells: 16},
+	Allowed: scheduler.Allowed{Cancel: true, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 500 * ms, MaxAttempts: 4},
+	Sizes:   scheduler.Sizes{MeanUnits: 2, MostUnits: 8, ShareWorth: 0.4, SpareWorth: 0.1},
+	Rooms: zonefailover.Settings{Tiers: []int{0, 1}, Spill: 20, Burst: 16, Share: 1, Siblings: 2, ListLate: 2 * time.Second,
+		Work: []zonefailover.Work{{Class: 2, Plan: -1, Tiers: []int{zonefailover.Forbidden, 0}}}},
+	Retry: retrybudget.Settings{Share: 0.5, Least: 0.05, Trickle: 1, Burst: 5, Cells: 16},
 }
 
 // operations are what requests are called by; the first is not described.
@@ -35,7 +35,7 @@
 // World carries actions out at random: attempts end sometime, timers go off.
 type World struct {
 	random *rand.Rand
-	open   []decide.Outcome
+	open   []scheduler.Outcome
 	timers []timer
 	now    time.Duration
 	tries  map[string]int
@@ -51,11 +51,11 @@
 
 // Scheduler is what is told the events.
 type Scheduler interface {
-	Arrived(now time.Duration, q decide.Request)
+	Arrived(now time.Duration, q scheduler.Request)
 	Left(now time.Duration, id string)
-	Ended(now time.Duration, o decide.Outcome)
-	Members(now time.Duration, m decide.Membership)
-	Caution(now time.Duration, c decide.Caution)
+	Ended(now time.Duration, o scheduler.Outcome)
+	Members(now time.Duration, m scheduler.Membership)
+	Caution(now time.Duration, c scheduler.Caution)
 	Timer(now time.Duration, key uint64)
 }
 
@@ -65,7 +65,7 @@
 }
 
 func (w *World) Send(id, node string, _ time.Duration) {
-	w.open = append(w.open, decide.Outcome{ID: id, Attempt: w.tries[id], Node: node, Use: -1})
+	w.open = append(w.open, scheduler.Outcome{ID: id, Attempt: w.tries[id], Node: node, Use: -1})
 	w.tries[id]++
 }
 func (w *World) Cancel(string, int)           {}
@@ -92,10 +92,10 @@
 		}
 		switch pick(12) {
 		case 0:
-			m := decide.Membership{Kind: decide.ListKind(pick(4))}
+			m := scheduler.Membership{Kind: scheduler.ListKind(pick(4))}
 			for n := range 6 {
 				if pick(4) > 0 {
-					m.Nodes = append(m.Nodes, decide.Node{ID: fmt.Sprint("n", n), Zone: n % 2, Shard: n % 3, Phase: decide.Phase(pick(5) / 3), Size: 1,
+					m.Nodes = append(m.Nodes, scheduler.Node{ID: fmt.Sprint("n", n), Zone: n % 2, Shard: n % 3, Phase: scheduler.Phase(pick(5) / 3), Size: 1,
 						StartedAt: time.Duration(pick(2)) * w.now})
 				}
 			}
@@ -104,13 +104,13 @@
 			r.Left(w.now, fmt.Sprint(pick(i+1)))
 		case 2, 3, 4, 5:
 			volume := pick(5) // its plan and its hosts stay what they are
-			r.Arrived(w.now, decide.Request{ID: fmt.Sprint(i), Class: pick(3), Plan: volume % 2, Volume: fmt.Sprint("v", volume), Key: fmt.Sprint("k", pick(9)),
+			r.Arrived(w.now, scheduler.Request{ID: fmt.Sprint(i), Class: pick(3), Plan: volume % 2, Volume: fmt.Sprint("v", volume), Key: fmt.Sprint("k", pick(9)),
 				Units: float64(1 + pick(8)), Shard: pick(4) - 1, Patience: time.Duration(1+pick(2500)) * ms, Hosts: 1 + volume%2,
-				Operation: operations[pick(3)], Bound: decide.Bound{Repeats: decide.Repeats(pick(9) / 4), Group: decide.Group(pick(3)),
+				Operation: operations[pick(3)], Bound: scheduler.Bound{Repeats: scheduler.Repeats(pick(9) / 4), Group: scheduler.Group(pick(3)),
 					For: time.Duration(1+pick(4000)) * ms}})
 		case 6:
 			if pick(4) == 0 {
-				c := decide.Caution{Operation: operations[1+pick(2)], Level: decide.Care(pick(int(decide.CareAvoid) + 1))}
+				c := scheduler.Caution{Operation: operations[1+pick(2)], Level: scheduler.Care(pick(int(scheduler.CareAvoid) + 1))}
 				if pick(3) > 0 {
 					c.Node = fmt.Sprint("n", pick(6))
 				}
@@ -121,12 +121,12 @@
 				j := pick(len(w.open))
 				o := w.open[j]
 				w.open = append(w.open[:j], w.open[j+1:]...)
-				if o.Result = decide.Served; pick(4) == 0 {
-					o.Result = decide.Result(pick(int(decide.Moot) + 1))
+				if o.Result = scheduler.Served; pick(4) == 0 {
+					o.Result = scheduler.Result(pick(int(scheduler.Moot) + 1))
 				}
 				o.Latency = time.Duration(1+pick(300)) * ms
 				o.Use, o.Others = w.random.Float64()*2-0.5, float64(pick(5))
-				o.Done = o.Result == decide.Served
+				o.Done = o.Result == scheduler.Served
 				r.Ended(w.now, o)
 			}
 		}
--- a/internal/capture/event.go
+++ b/internal/capture/event.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // Kind tells what a Record holds.
@@ -52,47 +52,47 @@
 
 // Record is one event or action. Fields that its kind has no use for are zero and take no room when it is written.
 type Record struct {
-	Kind    Kind                `cbor:"1,keyasint"`
-	At      time.Duration       `cbor:"2,keyasint,omitempty"` // of an event; actions belong to the event before them
-	ID      string              `cbor:"3,keyasint,omitempty"`
-	Node    string              `cbor:"4,keyasint,omitempty"`
-	Attempt int                 `cbor:"5,keyasint,omitempty"`
-	Span    time.Duration       `cbor:"6,keyasint,omitempty"` // a send's time-out, a refusal's advice, a timer's time
-	Key     uint64              `cbor:"7,keyasint,omitempty"` // of a timer; of a Snapshot, how many events were before it
-	Text    string              `cbor:"8,keyasint,omitempty"`
-	Request *decide.Request     `cbor:"9,keyasint,omitempty"`
-	Outcome *decide.Outcome     `cbor:"10,keyasint,omitempty"`
-	Probed  *decide.ProbeResult `cbor:"11,keyasint,omitempty"`
-	Members *decide.Membership  `cbor:"12,keyasint,omitempty"`
-	Lost    int                 `cbor:"13,keyasint,omitempty"` // records, of a Gap
-	State   *decide.Snapshot    `cbor:"14,keyasint,omitempty"` // of a Snapshot
-	Learned *decide.Learned     `cbor:"15,keyasint,omitempty"` // of a Recalled
-	Caution *decide.Caution     `cbor:"16,keyasint,omitempty"`
+	Kind    Kind                   `cbor:"1,keyasint"`
+	At      time.Duration          `cbor:"2,keyasint,omitempty"` // of an event; actions belong to the event before them
+	ID      string                 `cbor:"3,keyasint,omitempty"`
+	Node    string                 `cbor:"4,keyasint,omitempty"`
+	Attempt int                    `cbor:"5,keyasint,omitempty"`
+	Span    time.Duration          `cbor:"6,keyasint,omitempty"` // a send's time-out, a refusal's advice, a timer's time
+	Key     uint64                 `cbor:"7,keyasint,omitempty"` // of a timer; of a Snapshot, how many events were before it
+	Text    string                 `cbor:"8,keyasint,omitempty"`
+	Request *scheduler.Request     `cbor:"9,keyasint,omitempty"`
+	Outcome *scheduler.Outcome     `cbor:"10,keyasint,omitempty"`
+	Probed  *scheduler.ProbeResult `cbor:"11,keyasint,omitempty"`
+	Members *scheduler.Membership  `cbor:"12,keyasint,omitempty"`
+	Lost    int                    `cbor:"13,keyasint,omitempty"` // records, of a Gap
+	State   *scheduler.Snapshot    `cbor:"14,keyasint,omitempty"` // of a Snapshot
+	Learned *scheduler.Learned     `cbor:"15,keyasint,omitempty"` // of a Recalled
+	Caution *scheduler.Caution     `cbor:"16,keyasint,omitempty"`
 }
 
 // Head is what a replay needs beside the snapshots.
 type Head struct {
-	Version  int             `cbor:"1,keyasint"`
-	Program  string          `cbor:"2,keyasint"`
-	Seed     uint64          `cbor:"3,keyasint"`
-	Settings decide.Settings `cbor:"4,keyasint"`
-	Origin   int64           `cbor:"5,keyasint,omitempty"` // Unix time, in nanoseconds, at which the Scheduler's clock reads 0; 0: unknown
+	Version  int                `cbor:"1,keyasint"`
+	Program  string             `cbor:"2,keyasint"`
+	Seed     uint64             `cbor:"3,keyasint"`
+	Settings scheduler.Settings `cbor:"4,keyasint"`
+	Origin   int64              `cbor:"5,keyasint,omitempty"` // Unix time, in nanoseconds, at which the Scheduler's clock reads 0; 0: unknown
 }
 
-// Version of the format that this program writes and the only one that it reads. It changes whenever decide.SnapshotVersion does.
+// Version of the format that this program writes and the only one that it reads. It changes whenever scheduler.SnapshotVersion does.
 const Version = 5
 
-// Scheduler is what the decisions are told; *decide.Scheduler is one.
+// Scheduler is what the decisions are told; *scheduler.Scheduler is one.
 type Scheduler interface {
-	Arrived(now time.Duration, q decide.Request)
+	Arrived(now time.Duration, q scheduler.Request)
 	Left(now time.Duration, id string)
-	Ended(now time.Duration, o decide.Outcome)
-	Probed(now time.Duration, p decide.ProbeResult)
-	Members(now time.Duration, m decide.Membership)
+	Ended(now time.Duration, o scheduler.Outcome)
+	Probed(now time.Duration, p scheduler.ProbeResult)
+	Members(now time.Duration, m scheduler.Membership)
 	Timer(now time.Duration, key uint64)
 	Began(now time.Duration, id string, attempt int)
-	Recall(now time.Duration, l decide.Learned)
-	Caution(now time.Duration, c decide.Caution)
+	Recall(now time.Duration, l scheduler.Learned)
+	Caution(now time.Duration, c scheduler.Caution)
 }
 
 // Tell has a Scheduler take an event.
@@ -123,7 +123,7 @@
 }
 
 // Actions gives each action that is called for as a record.
-func Actions(add func(Record)) decide.Actions { return told{add} }
+func Actions(add func(Record)) scheduler.Actions { return told{add} }
 
 // told gives actions as records.
 type told struct{ add func(Record) }
--- a/internal/capture/hash.go
+++ b/internal/capture/hash.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"io"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // LeastKey is the length of a key for Hash, in bytes, below which names could be found by trying all keys.
@@ -57,7 +57,7 @@
 	}
 }
 
-func (h hasher) record(r *Record, settings decide.Settings) error {
+func (h hasher) record(r *Record, settings scheduler.Settings) error {
 	if r.ID != "" {
 		r.ID = h.id(r.ID)
 	}
@@ -78,11 +78,11 @@
 	return err
 }
 
-func (h hasher) request(q *decide.Request) {
+func (h hasher) request(q *scheduler.Request) {
 	q.ID, q.Volume, q.Key = h.id(q.ID), h.volume(q.Volume), h.data(q.Key)
 }
 
-func (h hasher) learned(l *decide.Learned) {
+func (h hasher) learned(l *scheduler.Learned) {
 	for i := range l.Volumes {
 		l.Volumes[i].Name = h.volume(l.Volumes[i].Name)
 	}
@@ -92,7 +92,7 @@
 }
 
 // state gives a state with other names, its parts in the order that it has with them: a Scheduler that goes on from it says which.
-func (h hasher) state(s *decide.Snapshot, settings decide.Settings) (*decide.Snapshot, error) {
+func (h hasher) state(s *scheduler.Snapshot, settings scheduler.Settings) (*scheduler.Snapshot, error) {
 	for i := range s.Volumes {
 		s.Volumes[i].Name = h.volume(s.Volumes[i].Name)
 	}
@@ -106,7 +106,7 @@
 		s.GivenUp[i].Volume, s.GivenUp[i].Key = h.volume(s.GivenUp[i].Volume), h.data(s.GivenUp[i].Key)
 	}
 	h.learned(&s.Recalled)
-	one, err := decide.Resume(settings, s, told{func(Record) {}})
+	one, err := scheduler.Resume(settings, s, told{func(Record) {}})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/capture/model/model.go
+++ b/internal/capture/invariants/model.go
@@ -1,14 +1,14 @@
-// Package model checks a capture against the rules of its deployment. It knows nothing of how the decisions are made: it follows what was
+// Package invariants checks a capture against the rules of its deployment. It knows nothing of how the decisions are made: it follows what was
 // told and done, and names what no rule allows.
-package model
+package invariants
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
+	"reachpulley/scheduler"
 )
 
 // Rule is a rule that a capture is checked against.
@@ -52,15 +52,15 @@
 
 // Checker follows a capture. Its tables hold what is open and what ended lately.
 type Checker struct {
-	set      decide.Settings
+	set      scheduler.Settings
 	nodes    map[string]*node
 	requests map[string]*request
 	order    []*request // as they came, for what is overdue and what is forgotten
 	volumes  map[string]*volume
-	keys     map[string][]*request     // of ordered classes, as accepted
-	taken    []time.Duration           // arrivals within the budget's window
-	extra    []time.Duration           // further attempts within it
-	cares    map[[2]string]decide.Care // by operation and node
+	keys     map[string][]*request        // of ordered classes, as accepted
+	taken    []time.Duration              // arrivals within the budget's window
+	extra    []time.Duration              // further attempts within it
+	cares    map[[2]string]scheduler.Care // by operation and node
 	now      time.Duration
 	sweptAt  time.Duration
 	event    uint64
@@ -69,7 +69,7 @@
 }
 
 type node struct {
-	decide.Node
+	scheduler.Node
 	coldSince time.Duration
 	sent      []sending
 }
@@ -80,9 +80,9 @@
 }
 
 type request struct {
-	decide.Request
-	class    *decide.Class
-	bound    decide.Bound // by class, description and cautions
+	scheduler.Request
+	class    *scheduler.Class
+	bound    scheduler.Bound // by class, description and cautions
 	at       time.Duration
 	answered bool
 	left     bool
@@ -107,7 +107,7 @@
 }
 
 // New makes a Checker by a capture's settings.
-func New(settings decide.Settings) *Checker {
+func New(settings scheduler.Settings) *Checker {
 	c := &Checker{set: settings, Checked: map[Rule]int{}}
 	c.reset()
 	return c
@@ -116,33 +116,33 @@
 func (c *Checker) reset() {
 	c.nodes, c.requests, c.volumes, c.keys = map[string]*node{}, map[string]*request{}, map[string]*volume{}, map[string][]*request{}
 	c.order, c.taken, c.extra = nil, nil, nil
-	c.cares = map[[2]string]decide.Care{}
+	c.cares = map[[2]string]scheduler.Care{}
 }
 
 // bound is how far a request may be repeated: as far as both class and description allow.
-func (c *Checker) bound(q decide.Request) decide.Bound {
+func (c *Checker) bound(q scheduler.Request) scheduler.Bound {
 	class := c.set.Classes[q.Class]
-	b := decide.Bound{Repeats: class.Repeats, Group: class.RepeatGroup, For: class.RepeatFor}
+	b := scheduler.Bound{Repeats: class.Repeats, Group: class.RepeatGroup, For: class.RepeatFor}
 	switch {
 	case q.Bound.Repeats > b.Repeats:
 		return q.Bound
-	case q.Bound.Repeats < b.Repeats || b.Repeats != decide.Keyed:
+	case q.Bound.Repeats < b.Repeats || b.Repeats != scheduler.Keyed:
 		return b
 	}
 	b.For = min(b.For, q.Bound.For)
 	switch {
-	case b.Group == decide.GroupAll:
+	case b.Group == scheduler.GroupAll:
 		b.Group = q.Bound.Group
-	case q.Bound.Group != decide.GroupAll && q.Bound.Group != b.Group:
-		return decide.Bound{Repeats: decide.Unsafe}
+	case q.Bound.Group != scheduler.GroupAll && q.Bound.Group != b.Group:
+		return scheduler.Bound{Repeats: scheduler.Unsafe}
 	}
 	return b
 }
 
 // care is what was told of an operation at a node, or at all of them.
-func (c *Checker) care(r *request, node string) decide.Care {
+func (c *Checker) care(r *request, node string) scheduler.Care {
 	if r.Operation == "" {
-		return decide.CareNone
+		return scheduler.CareNone
 	}
 	return max(c.cares[[2]string{r.Operation, ""}], c.cares[[2]string{r.Operation, node}])
 }
@@ -175,7 +175,7 @@
 }
 
 // begin takes over what was open at a snapshot; what happened before it is not known.
-func (c *Checker) begin(from *decide.Snapshot) {
+func (c *Checker) begin(from *scheduler.Snapshot) {
 	c.reset()
 	for i, n := range from.Nodes {
 		if i < from.Listed {
@@ -241,7 +241,7 @@
 	}
 }
 
-func (c *Checker) arrived(q decide.Request) {
+func (c *Checker) arrived(q scheduler.Request) {
 	if c.requests[q.ID] != nil && !c.requests[q.ID].answered || q.Class < 0 || q.Class >= len(c.set.Classes) {
 		return // it is not accepted
 	}
@@ -250,18 +250,18 @@
 	c.add(&request{Request: q, class: &c.set.Classes[q.Class], bound: c.bound(q), at: c.now, open: map[int]bool{}, ran: map[int]run{}})
 }
 
-func (c *Checker) ended(o decide.Outcome) {
+func (c *Checker) ended(o scheduler.Outcome) {
 	r := c.requests[o.ID]
 	if r == nil || !r.open[o.Attempt] {
 		return
 	}
 	delete(r.open, o.Attempt)
 	switch o.Result {
-	case decide.Full:
-		if c.care(r, o.Node) < decide.CareRepeats { // otherwise nobody believes it
+	case scheduler.Full:
+		if c.care(r, o.Node) < scheduler.CareRepeats { // otherwise nobody believes it
 			delete(r.ran, o.Attempt)
 		}
-	case decide.ConnectFailed, decide.Moot:
+	case scheduler.ConnectFailed, scheduler.Moot:
 		delete(r.ran, o.Attempt)
 	}
 	if o.Done && !r.answered {
@@ -270,8 +270,8 @@
 }
 
 // members follows the list as the decisions are told to: a whole one removes what it does not name.
-func (c *Checker) members(m decide.Membership) {
-	if m.Kind == decide.Refused {
+func (c *Checker) members(m scheduler.Membership) {
+	if m.Kind == scheduler.Refused {
 		return
 	}
 	named := map[string]bool{}
@@ -288,8 +288,8 @@
 		n.Node = e
 	}
 	for id, n := range c.nodes {
-		if m.Kind != decide.Changes && !named[id] {
-			n.Phase = decide.Removed
+		if m.Kind != scheduler.Changes && !named[id] {
+			n.Phase = scheduler.Removed
 		}
 	}
 }
@@ -320,9 +320,9 @@
 
 // refused checks that a refusal, which calls another try harmless, is true.
 func (c *Checker) refused(r *request) {
-	harmless := len(r.ran) == 0 || r.bound.Repeats == decide.Safe || r.bound.Repeats == decide.Keyed && r.bound.Group == decide.GroupAll
+	harmless := len(r.ran) == 0 || r.bound.Repeats == scheduler.Safe || r.bound.Repeats == scheduler.Keyed && r.bound.Group == scheduler.GroupAll
 	for _, before := range r.ran {
-		harmless = harmless && c.care(r, before.node) < decide.CareRepeats
+		harmless = harmless && c.care(r, before.node) < scheduler.CareRepeats
 	}
 	c.asked(Repeat, harmless, r.ID, "", "refused, though an attempt may have run")
 }
@@ -334,7 +334,7 @@
 		return
 	}
 	c.asked(Answer, !r.answered, id, name, "sent after its answer")
-	c.asked(Drain, n.Phase == decide.Up, id, name, "sent to a node that drains or is gone")
+	c.asked(Drain, n.Phase == scheduler.Up, id, name, "sent to a node that drains or is gone")
 	c.repeat(r, n)
 	c.inOrder(r)
 	c.limit(r)
@@ -356,15 +356,15 @@
 	}
 	c.asked(Repeat, len(r.open) == 0, r.ID, n.ID, "a second copy beside one that is out")
 	for _, before := range r.ran {
-		c.asked(Repeat, c.care(r, before.node) < decide.CareRepeats && c.care(r, n.ID) < decide.CareRepeats, r.ID, n.ID, "a repeat of %q, which is distrusted", r.Operation)
+		c.asked(Repeat, c.care(r, before.node) < scheduler.CareRepeats && c.care(r, n.ID) < scheduler.CareRepeats, r.ID, n.ID, "a repeat of %q, which is distrusted", r.Operation)
 		allowed := true
 		switch r.bound.Repeats {
-		case decide.Unsafe:
+		case scheduler.Unsafe:
 			allowed = false
-		case decide.Keyed:
+		case scheduler.Keyed:
 			group := r.bound.Group
-			allowed = c.now < before.at+r.bound.For && (group == decide.GroupAll || group == decide.GroupZone && before.zone == n.Zone ||
-				group == decide.GroupShard && before.shard == n.Shard)
+			allowed = c.now < before.at+r.bound.For && (group == scheduler.GroupAll || group == scheduler.GroupZone && before.zone == n.Zone ||
+				group == scheduler.GroupShard && before.shard == n.Shard)
 		}
 		c.asked(Repeat, allowed, r.ID, n.ID, "an attempt of %v before may have run, and class %q forbids this one", c.now-before.at, r.class.Name)
 	}
--- a/internal/capture/model/model_test.go
+++ b/internal/capture/invariants/model_test.go
@@ -1,4 +1,4 @@
-package model
+package invariants
 
 import (
 	"bytes"
@@ -10,9 +10,9 @@
 
 	"pgregory.net/rapid"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
 	"reachpulley/internal/capture/capturetest"
+	"reachpulley/scheduler"
 )
 
 func init() {
@@ -74,38 +74,38 @@
 	e.At = time.Hour + time.Duration(at)*ms
 	step := &capture.Step{Number: uint64(len(s.steps)), Event: &e, Actions: actions}
 	if len(s.steps) == 0 {
-		step.From = &decide.Snapshot{}
+		step.From = &scheduler.Snapshot{}
 	}
 	s.steps = append(s.steps, step)
 	return s
 }
 
-func list(phase decide.Phase, started time.Duration) capture.Record {
-	return capture.Record{Kind: capture.Members, Members: &decide.Membership{Kind: decide.Whole, Nodes: []decide.Node{
+func list(phase scheduler.Phase, started time.Duration) capture.Record {
+	return capture.Record{Kind: capture.Members, Members: &scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{
 		{ID: "n", Phase: phase, StartedAt: started}, {ID: "far", Zone: 1, Shard: 1}}}}
 }
 
 func came(id string, class int, units float64) capture.Record {
-	return capture.Record{Kind: capture.Arrived, Request: &decide.Request{ID: id, Operation: "op", Class: class, Volume: "v", Key: "k", Units: units, Patience: time.Second, Hosts: 1}}
+	return capture.Record{Kind: capture.Arrived, Request: &scheduler.Request{ID: id, Operation: "op", Class: class, Volume: "v", Key: "k", Units: units, Patience: time.Second, Hosts: 1}}
 }
 
 // described is a read that its description forbids to repeat.
 func described(id string) capture.Record {
 	r := came(id, read, 1)
-	r.Request.Bound.Repeats = decide.Unsafe
+	r.Request.Bound.Repeats = scheduler.Unsafe
 	return r
 }
 
-func caution(level decide.Care) capture.Record {
-	return capture.Record{Kind: capture.Cautioned, Caution: &decide.Caution{Operation: "op", Level: level}}
+func caution(level scheduler.Care) capture.Record {
+	return capture.Record{Kind: capture.Cautioned, Caution: &scheduler.Caution{Operation: "op", Level: level}}
 }
 
 func send(id, node string) capture.Record {
 	return capture.Record{Kind: capture.Send, ID: id, Node: node}
 }
 
-func ended(id string, attempt int, result decide.Result) capture.Record {
-	return capture.Record{Kind: capture.Ended, Outcome: &decide.Outcome{ID: id, Attempt: attempt, Node: "n", Result: result, Done: result == decide.Served}}
+func ended(id string, attempt int, result scheduler.Result) capture.Record {
+	return capture.Record{Kind: capture.Ended, Outcome: &scheduler.Outcome{ID: id, Attempt: attempt, Node: "n", Result: result, Done: result == scheduler.Served}}
 }
 
 func refuse(id string) capture.Record { return capture.Record{Kind: capture.Refuse, ID: id} }
@@ -124,42 +124,42 @@
 		s    *script
 		want Rule // empty: none
 	}{
-		"served": {new(script).told(0, list(decide.Up, 0)).told(1, came("a", read, 1), send("a", "n")).told(9, ended("a", 0, decide.Served)), ""},
-		"answered twice": {new(script).told(0, list(decide.Up, 0)).told(1, came("a", read, 1), send("a", "n")).
-			told(9, ended("a", 0, decide.Served)).told(10, timer, refuse("a")), Answer},
+		"served": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", read, 1), send("a", "n")).told(9, ended("a", 0, scheduler.Served)), ""},
+		"answered twice": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", read, 1), send("a", "n")).
+			told(9, ended("a", 0, scheduler.Served)).told(10, timer, refuse("a")), Answer},
 		"not answered":        {new(script).told(0, came("a", read, 1)).told(1500, timer), Answer},
 		"answered late":       {new(script).told(0, came("a", read, 1)).told(1120, timer, refuse("a")), Answer},
 		"its client has left": {new(script).told(0, came("a", read, 1)).told(5, capture.Record{Kind: capture.Left, ID: "a"}).told(1500, timer), ""},
-		"a stream goes on": {new(script).told(0, list(decide.Up, 0)).told(1, came("a", read, 1), send("a", "n")).
-			told(9, capture.Record{Kind: capture.Began, ID: "a"}).told(5000, ended("a", 0, decide.Served)), ""},
-		"sent after the answer": {new(script).told(0, list(decide.Up, 0)).told(1, came("a", read, 1), refuse("a"), send("a", "n")), Answer},
-		"sent to a drain":       {new(script).told(0, list(decide.Draining, 0)).told(1, came("a", read, 1), send("a", "n")), Drain},
-		"sent to what is gone": {new(script).told(0, list(decide.Up, 0)).
-			told(1, capture.Record{Kind: capture.Members, Members: &decide.Membership{Kind: decide.Whole}}).told(2, came("a", read, 1), send("a", "n")), Drain},
+		"a stream goes on": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", read, 1), send("a", "n")).
+			told(9, capture.Record{Kind: capture.Began, ID: "a"}).told(5000, ended("a", 0, scheduler.Served)), ""},
+		"sent after the answer": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", read, 1), refuse("a"), send("a", "n")), Answer},
+		"sent to a drain":       {new(script).told(0, list(scheduler.Draining, 0)).told(1, came("a", read, 1), send("a", "n")), Drain},
+		"sent to what is gone": {new(script).told(0, list(scheduler.Up, 0)).
+			told(1, capture.Record{Kind: capture.Members, Members: &scheduler.Membership{Kind: scheduler.Whole}}).told(2, came("a", read, 1), send("a", "n")), Drain},
 		"sent to an unknown":   {new(script).told(0, came("a", read, 1), send("a", "x")), Known},
-		"sent for an unknown":  {new(script).told(0, list(decide.Up, 0), send("a", "n")), Known},
-		"a second copy":        {new(script).told(0, list(decide.Up, 0)).told(1, came("a", read, 1), send("a", "n"), send("a", "far")), Repeat},
-		"again after an error": {new(script).told(0, list(decide.Up, 0)).told(1, came("a", read, 1), send("a", "n")).told(9, ended("a", 0, decide.Errored), send("a", "far")).told(10, timer, refuse("a")), ""},
-		"a write goes elsewhere": {new(script).told(0, list(decide.Up, 0)).told(1, came("a", write, 1), send("a", "n")).
-			told(9, ended("a", 0, decide.Reset), send("a", "far")), Repeat},
-		"a write that never ran goes elsewhere": {new(script).told(0, list(decide.Up, 0)).told(1, came("a", write, 1), send("a", "n")).
-			told(9, ended("a", 0, decide.ConnectFailed), send("a", "far")).told(10, ended("a", 1, decide.Served)), ""},
-		"what may run once runs twice": {new(script).told(0, list(decide.Up, 0)).told(1, came("a", once, 1), send("a", "n")).
-			told(9, ended("a", 0, decide.TimedOut), send("a", "n")), Repeat},
-		"a distrusted operation is repeated": {new(script).told(0, list(decide.Up, 0)).told(0, caution(decide.CareRepeats)).told(1, came("a", read, 1), send("a", "n")).
-			told(9, ended("a", 0, decide.Errored), send("a", "far")), Repeat},
-		"nobody believes that it has not run": {new(script).told(0, list(decide.Up, 0)).told(0, caution(decide.CareRepeats)).told(1, came("a", read, 1), send("a", "n")).
-			told(9, ended("a", 0, decide.Full), refuse("a")), Repeat},
-		"a doubted operation is repeated": {new(script).told(0, list(decide.Up, 0)).told(0, caution(decide.CareCopies)).told(1, came("a", read, 1), send("a", "n")).
-			told(9, ended("a", 0, decide.Errored), send("a", "far")).told(10, timer, refuse("a")), ""},
-		"its description forbids it": {new(script).told(0, list(decide.Up, 0)).told(1, described("a"), send("a", "n")).told(9, ended("a", 0, decide.Errored), send("a", "far")), Repeat},
-		"refused, and may have run":  {new(script).told(0, list(decide.Up, 0)).told(1, came("a", once, 1), send("a", "n")).told(9, ended("a", 0, decide.Errored), refuse("a")), Repeat},
-		"out of order":               {new(script).told(0, list(decide.Up, 0)).told(1, came("a", once, 1), send("a", "n")).told(2, came("b", once, 1), send("b", "n")), Order},
-		"beyond the limit": {new(script).told(0, list(decide.Up, 0)).told(1, came("a", read, 39), send("a", "n")).
+		"sent for an unknown":  {new(script).told(0, list(scheduler.Up, 0), send("a", "n")), Known},
+		"a second copy":        {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", read, 1), send("a", "n"), send("a", "far")), Repeat},
+		"again after an error": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", read, 1), send("a", "n")).told(9, ended("a", 0, scheduler.Errored), send("a", "far")).told(10, timer, refuse("a")), ""},
+		"a write goes elsewhere": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", write, 1), send("a", "n")).
+			told(9, ended("a", 0, scheduler.Reset), send("a", "far")), Repeat},
+		"a write that never ran goes elsewhere": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", write, 1), send("a", "n")).
+			told(9, ended("a", 0, scheduler.ConnectFailed), send("a", "far")).told(10, ended("a", 1, scheduler.Served)), ""},
+		"what may run once runs twice": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", once, 1), send("a", "n")).
+			told(9, ended("a", 0, scheduler.TimedOut), send("a", "n")), Repeat},
+		"a distrusted operation is repeated": {new(script).told(0, list(scheduler.Up, 0)).told(0, caution(scheduler.CareRepeats)).told(1, came("a", read, 1), send("a", "n")).
+			told(9, ended("a", 0, scheduler.Errored), send("a", "far")), Repeat},
+		"nobody believes that it has not run": {new(script).told(0, list(scheduler.Up, 0)).told(0, caution(scheduler.CareRepeats)).told(1, came("a", read, 1), send("a", "n")).
+			told(9, ended("a", 0, scheduler.Full), refuse("a")), Repeat},
+		"a doubted operation is repeated": {new(script).told(0, list(scheduler.Up, 0)).told(0, caution(scheduler.CareCopies)).told(1, came("a", read, 1), send("a", "n")).
+			told(9, ended("a", 0, scheduler.Errored), send("a", "far")).told(10, timer, refuse("a")), ""},
+		"its description forbids it": {new(script).told(0, list(scheduler.Up, 0)).told(1, described("a"), send("a", "n")).told(9, ended("a", 0, scheduler.Errored), send("a", "far")), Repeat},
+		"refused, and may have run":  {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", once, 1), send("a", "n")).told(9, ended("a", 0, scheduler.Errored), refuse("a")), Repeat},
+		"out of order":               {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", once, 1), send("a", "n")).told(2, came("b", once, 1), send("b", "n")), Order},
+		"beyond the limit": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", read, 39), send("a", "n")).
 			told(2, came("b", read, 5), send("b", "far")), Limit},
-		"within the limit, a second later": {new(script).told(0, list(decide.Up, 0)).told(1, came("a", read, 39), send("a", "n")).told(9, ended("a", 0, decide.Served)).
-			told(1002, came("b", read, 5), send("b", "far")).told(1010, ended("b", 0, decide.Served)), ""},
-		"a cold node is pushed over": {new(script).told(0, list(decide.Up, time.Hour-ms)).told(1, came("a", read, 400), send("a", "n")), Cold},
+		"within the limit, a second later": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", read, 39), send("a", "n")).told(9, ended("a", 0, scheduler.Served)).
+			told(1002, came("b", read, 5), send("b", "far")).told(1010, ended("b", 0, scheduler.Served)), ""},
+		"a cold node is pushed over": {new(script).told(0, list(scheduler.Up, time.Hour-ms)).told(1, came("a", read, 400), send("a", "n")), Cold},
 	} {
 		checker := New(capturetest.Settings)
 		var found []Breach
@@ -176,11 +176,11 @@
 }
 
 func TestBudget(t *testing.T) {
-	s := new(script).told(0, list(decide.Up, 0))
+	s := new(script).told(0, list(scheduler.Up, 0))
 	for i := range 15 {
 		id := string(rune('a' + i))
 		s.told(1+i, came(id, read, 0), send(id, "n"))
-		s.told(1+i, ended(id, 0, decide.Errored), send(id, "n"))
+		s.told(1+i, ended(id, 0, scheduler.Errored), send(id, "n"))
 	}
 	checker := New(capturetest.Settings)
 	for i, step := range s.steps {
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // How a Recorder divides what it keeps. Every part begins with a Snapshot, from which it can be replayed alone.
@@ -56,7 +56,7 @@
 // actions out. It keeps what was last in memory, and hands all of it to a Sink. It is used by the Scheduler's own goroutine and never
 // waits for anybody.
 type Recorder struct {
-	*decide.Scheduler
+	*scheduler.Scheduler
 	head    Head
 	options Options
 
@@ -75,19 +75,19 @@
 	handedAt time.Duration
 	refusing bool   // the sink did not take a piece of this part: the rest of it is of no use there
 	scratch  Record // what is being added, with the parts below: nothing is allocated for it
-	request  decide.Request
-	outcome  decide.Outcome
+	request  scheduler.Request
+	outcome  scheduler.Outcome
 	missed   int // records that the sink did not take since the last piece that it took
 }
 
 // NewRecorder makes a Scheduler that is recorded.
-func NewRecorder(settings decide.Settings, seed uint64, options Options, actions decide.Actions) (*Recorder, error) {
+func NewRecorder(settings scheduler.Settings, seed uint64, options Options, actions scheduler.Actions) (*Recorder, error) {
 	r := &Recorder{head: Head{Version: Version, Program: options.Program, Seed: seed, Settings: settings}, options: options}
 	if !options.Origin.IsZero() {
 		r.head.Origin = options.Origin.UnixNano()
 	}
 	var err error
-	if r.Scheduler, err = decide.New(settings, seed, both{told{r.add}, actions}); err != nil {
+	if r.Scheduler, err = scheduler.New(settings, seed, both{told{r.add}, actions}); err != nil {
 		return nil, err
 	}
 	r.begin(0)
@@ -218,8 +218,8 @@
 	return out, err
 }
 
-// Arrived is as in decide.Scheduler, and so are the others.
-func (r *Recorder) Arrived(now time.Duration, q decide.Request) {
+// Arrived is as in scheduler.Scheduler, and so are the others.
+func (r *Recorder) Arrived(now time.Duration, q scheduler.Request) {
 	r.request = q
 	r.event(Record{Kind: Arrived, At: now, Request: &r.request})
 	r.Scheduler.Arrived(now, q)
@@ -232,20 +232,20 @@
 }
 
 // Ended records an attempt's end.
-func (r *Recorder) Ended(now time.Duration, o decide.Outcome) {
+func (r *Recorder) Ended(now time.Duration, o scheduler.Outcome) {
 	r.outcome = o
 	r.event(Record{Kind: Ended, At: now, Outcome: &r.outcome})
 	r.Scheduler.Ended(now, o)
 }
 
 // Probed records a probe's end.
-func (r *Recorder) Probed(now time.Duration, p decide.ProbeResult) {
+func (r *Recorder) Probed(now time.Duration, p scheduler.ProbeResult) {
 	r.event(Record{Kind: Probed, At: now, Probed: &p})
 	r.Scheduler.Probed(now, p)
 }
 
 // Members records news of the list of nodes.
-func (r *Recorder) Members(now time.Duration, m decide.Membership) {
+func (r *Recorder) Members(now time.Duration, m scheduler.Membership) {
 	r.event(Record{Kind: Members, At: now, Members: &m})
 	r.Scheduler.Members(now, m)
 }
@@ -263,13 +263,13 @@
 }
 
 // Recall records what an earlier life had learned.
-func (r *Recorder) Recall(now time.Duration, l decide.Learned) {
+func (r *Recorder) Recall(now time.Duration, l scheduler.Learned) {
 	r.event(Record{Kind: Recalled, At: now, Learned: &l})
 	r.Scheduler.Recall(now, l)
 }
 
 // Caution records how carefully an operation is to be handled.
-func (r *Recorder) Caution(now time.Duration, c decide.Caution) {
+func (r *Recorder) Caution(now time.Duration, c scheduler.Caution) {
 	r.event(Record{Kind: Cautioned, At: now, Caution: &c})
 	r.Scheduler.Caution(now, c)
 }
@@ -282,7 +282,7 @@
 // both records an action and hands it on.
 type both struct {
 	told
-	out decide.Actions
+	out scheduler.Actions
 }
 
 func (b both) Send(id, node string, timeout time.Duration) {
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -7,7 +7,7 @@
 	"io"
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // Difference is the first place at which a replay does something else than was recorded.
@@ -41,8 +41,8 @@
 type Step struct {
 	Number  uint64 // of the event in the recorder's life, from 0
 	Event   *Record
-	Actions []Record         // that were recorded
-	From    *decide.Snapshot // the state before it, where that was taken from the capture: at the begin, and after a gap
+	Actions []Record            // that were recorded
+	From    *scheduler.Snapshot // the state before it, where that was taken from the capture: at the begin, and after a gap
 }
 
 // Player plays a capture, event by event, on a Scheduler of this program.
@@ -50,11 +50,11 @@
 	in        *Reader
 	events    int    // played
 	number    uint64 // of the next event
-	scheduler *decide.Scheduler
+	scheduler *scheduler.Scheduler
 	replayed  []Record // of the last event
 	ahead     *Record  // read and not yet given
 	before    []Record
-	from      *decide.Snapshot
+	from      *scheduler.Snapshot
 	Gaps      int // met so far
 	Lost      int // records, in them
 }
@@ -63,7 +63,7 @@
 func NewPlayer(c *Reader) *Player { return &Player{in: c} }
 
 // Scheduler is the state after the last step.
-func (p *Player) Scheduler() *decide.Scheduler { return p.scheduler }
+func (p *Player) Scheduler() *scheduler.Scheduler { return p.scheduler }
 
 // Next plays the next event and compares what it calls for with what was recorded, byte for byte, and states with recorded ones. The error is
 // io.EOF at the end, a *Difference where they differ, and otherwise names the place where the capture can't be read on.
@@ -153,7 +153,7 @@
 		p.scheduler = nil
 	}
 	if p.scheduler == nil {
-		p.scheduler, err = decide.Resume(p.in.Head.Settings, recorded.State, told{func(r Record) { p.replayed = append(p.replayed, r) }})
+		p.scheduler, err = scheduler.Resume(p.in.Head.Settings, recorded.State, told{func(r Record) { p.replayed = append(p.replayed, r) }})
 		p.number, p.from = recorded.Key, recorded.State
 		return err
 	}
@@ -203,7 +203,7 @@
 var ErrGap = errors.New("records were lost")
 
 // At plays until a time, from the nearest snapshot before it, and gives the state then. The source is read twice.
-func At(source io.ReadSeeker, at time.Duration) (*decide.Snapshot, error) {
+func At(source io.ReadSeeker, at time.Duration) (*scheduler.Snapshot, error) {
 	c, err := NewReader(source)
 	if err != nil {
 		return nil, err
--- a/internal/capture/replaytest/replaytest.go
+++ b/internal/capture/replaytest/replaytest.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"reachpulley/internal/capture"
-	"reachpulley/internal/capture/model"
+	"reachpulley/internal/capture/invariants"
 )
 
 // Twice plays a capture two times, every action as recorded, and has the model of the rules follow it. It gives the number of events.
@@ -19,7 +19,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		player, checker := capture.NewPlayer(c), model.New(c.Head.Settings)
+		player, checker := capture.NewPlayer(c), invariants.New(c.Head.Settings)
 		for events = 0; ; events++ {
 			step, err := player.Next()
 			if errors.Is(err, io.EOF) {
--- a/internal/capture/segment/writer.go
+++ b/internal/capture/segment/writer.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"reachpulley/internal/capture"
-	"reachpulley/internal/disk"
+	"reachpulley/internal/filesystem"
 )
 
 // What waits for the disk is bounded by both.
@@ -23,7 +23,7 @@
 
 // Options are a Writer's surroundings.
 type Options struct {
-	FS        disk.FS
+	FS        filesystem.FS
 	Directory string
 	Names     Names
 	Limits    Limits
@@ -38,7 +38,7 @@
 	waiting atomic.Int64 // bytes
 
 	segments []held
-	file     disk.File // nil: none is open
+	file     filesystem.File // nil: none is open
 	number   uint64
 	size     int64 // of what is whole
 	openedAt time.Time
--- a/internal/capture/segment/writer_test.go
+++ b/internal/capture/segment/writer_test.go
@@ -15,9 +15,9 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
-	"reachpulley/internal/disk/disktest"
+	"reachpulley/internal/filesystem/filesystemtest"
+	"reachpulley/scheduler"
 )
 
 func init() { flag.Set("rapid.seed", "1") }
@@ -26,12 +26,12 @@
 
 var names = NamesOf("gate 1")
 
-var settings = decide.Settings{Siblings: 1, Classes: []decide.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1}}}
+var settings = scheduler.Settings{Siblings: 1, Classes: []scheduler.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1}}}
 
 // bench is a recorder on a writer on a disk of the test's.
 type bench struct {
 	t   *testing.T
-	fs  *disktest.FS
+	fs  *filesystemtest.FS
 	w   *Writer
 	r   *capture.Recorder
 	now time.Duration
@@ -42,7 +42,7 @@
 // nothing carries no action out.
 var nothing = capture.Actions(func(capture.Record) {})
 
-func newBench(t *testing.T, fs *disktest.FS, limits Limits) *bench {
+func newBench(t *testing.T, fs *filesystemtest.FS, limits Limits) *bench {
 	t.Helper()
 	b := &bench{t: t, fs: fs}
 	var err error
@@ -63,7 +63,7 @@
 	for range events / 2 {
 		b.now += 100 * time.Millisecond
 		b.n++
-		b.r.Arrived(b.now, decide.Request{ID: fmt.Sprint("request-", b.n), Volume: fmt.Sprint("volume-", b.n%7), Units: 1, Patience: time.Second})
+		b.r.Arrived(b.now, scheduler.Request{ID: fmt.Sprint("request-", b.n), Volume: fmt.Sprint("volume-", b.n%7), Units: 1, Patience: time.Second})
 		b.r.Left(b.now, fmt.Sprint("request-", b.n))
 		b.drain()
 	}
@@ -82,7 +82,7 @@
 }
 
 // played replays every segment that is on a disk; a cut at the end of the newest is all that may be wrong with them.
-func played(t *testing.T, fs *disktest.FS) (events, gaps int) {
+func played(t *testing.T, fs *filesystemtest.FS) (events, gaps int) {
 	t.Helper()
 	list, _ := fs.List("d")
 	var all bytes.Buffer
@@ -120,7 +120,7 @@
 
 func TestRotateBySizeAndAge(t *testing.T) {
 	for name, limits := range map[string]Limits{"size": {Size: 3000, Age: time.Hour, Total: 1 << 20}, "age": {Size: 1 << 20, Age: 20 * time.Second, Total: 1 << 24}} {
-		b := newBench(t, disktest.New(), limits)
+		b := newBench(t, filesystemtest.New(), limits)
 		b.run(3000)
 		b.finish()
 		if n, gaps := played(t, b.fs); len(b.w.segments) < 3 || n != 3000 || gaps > 0 {
@@ -131,7 +131,7 @@
 
 // The oldest go first, what is left stays within the bound and replays.
 func TestTotalIsBounded(t *testing.T) {
-	b := newBench(t, disktest.New(), Limits{Size: 3000, Age: time.Hour, Total: 20_000})
+	b := newBench(t, filesystemtest.New(), Limits{Size: 3000, Age: time.Hour, Total: 20_000})
 	b.run(6000)
 	b.finish()
 	list, _ := b.fs.List("d")
@@ -145,7 +145,7 @@
 	}
 }
 
-func (o Options) on(fs *disktest.FS) Options { o.FS = fs; return o }
+func (o Options) on(fs *filesystemtest.FS) Options { o.FS = fs; return o }
 
 // pieces keeps what it is offered.
 type pieces struct{ all []capture.Piece }
@@ -156,7 +156,7 @@
 func TestPowerLossAtEveryByte(t *testing.T) {
 	limits := Limits{Size: 1500, Age: time.Hour, Total: 1 << 20}
 	recorded := &pieces{}
-	b := newBench(t, disktest.New(), limits)
+	b := newBench(t, filesystemtest.New(), limits)
 	var err error
 	if b.r, err = capture.NewRecorder(settings, 1, capture.Options{Most: 8 << 10, Sink: recorded}, nothing); err != nil {
 		t.Fatal(err)
@@ -165,7 +165,7 @@
 	b.r.Flush(b.now)
 	last, segments := 0, 0
 	for kill := 0; last < 70; kill++ {
-		fs := disktest.New()
+		fs := filesystemtest.New()
 		fs.Kill = kill
 		w, err := New(Options{FS: fs, Directory: "d", Names: names, Limits: limits, Log: slog.New(slog.DiscardHandler), Now: func() time.Time { return time.Unix(0, 0) }})
 		if err != nil {
@@ -211,7 +211,7 @@
 
 // A full disk ends the recording with a line, is asked seldom, and after it has room again the gap is told.
 func TestFullDisk(t *testing.T) {
-	fs := disktest.New()
+	fs := filesystemtest.New()
 	fs.Room = 6000
 	b := newBench(t, fs, Limits{Size: 1 << 20, Age: time.Hour, Total: 1 << 21})
 	b.run(3000)
@@ -231,7 +231,7 @@
 // After a failed sync nobody knows what the segment holds: it is given up at what was known to last.
 func TestFailedSync(t *testing.T) {
 	for at := 1; at < 40; at++ {
-		fs := disktest.New()
+		fs := filesystemtest.New()
 		fs.FailSync = at
 		b := newBench(t, fs, Limits{Size: 1 << 20, Age: time.Hour, Total: 1 << 21})
 		b.run(2000)
@@ -251,11 +251,11 @@
 
 // A writer that does not keep up costs records, never the recorder's time; what is lost is told.
 func TestSlowDisk(t *testing.T) {
-	b := newBench(t, disktest.New(), Limits{Size: 1 << 20, Age: time.Hour, Total: 1 << 24})
+	b := newBench(t, filesystemtest.New(), Limits{Size: 1 << 20, Age: time.Hour, Total: 1 << 24})
 	for range 3000 {
 		b.now += 2 * time.Second
 		b.n++
-		b.r.Arrived(b.now, decide.Request{ID: fmt.Sprint(b.n), Volume: "v", Units: 1, Patience: time.Second})
+		b.r.Arrived(b.now, scheduler.Request{ID: fmt.Sprint(b.n), Volume: "v", Units: 1, Patience: time.Second})
 		b.r.Left(b.now, fmt.Sprint(b.n)) // or the state would outgrow the memory
 	}
 	if len(b.w.queue) > mostWaiting || b.w.waiting.Load() > mostWaitingBytes {
@@ -274,7 +274,7 @@
 
 // What is not ours is left alone.
 func TestForeignFiles(t *testing.T) {
-	fs := disktest.New()
+	fs := filesystemtest.New()
 	fs.Put("d/"+names.Name(7), []byte("something that somebody else has put here"))
 	fs.Put("d/notes.txt", []byte("mine"))
 	b := newBench(t, fs, Limits{Size: 1 << 20, Age: time.Hour, Total: 1 << 21})
@@ -289,7 +289,7 @@
 }
 
 func TestRunWritesWhatWasOffered(t *testing.T) {
-	b := newBench(t, disktest.New(), Limits{Size: 1 << 20, Age: time.Hour, Total: 1 << 21})
+	b := newBench(t, filesystemtest.New(), Limits{Size: 1 << 20, Age: time.Hour, Total: 1 << 21})
 	ctx, cancel := context.WithCancel(context.Background())
 	b.w.o.Now = time.Now // the bench's is its own goroutine's
 	done := make(chan struct{})
@@ -361,7 +361,7 @@
 	head = head[:len(head)-100]
 	for b.Loop() {
 		b.StopTimer()
-		fs := disktest.New()
+		fs := filesystemtest.New()
 		fs.Put("d/"+names.Name(1), head)
 		b.StartTimer()
 		if _, err := New(Options{FS: fs, Directory: "d", Names: names, Limits: Limits{Size: 8 << 20, Age: time.Hour, Total: 64 << 20}, Log: slog.New(slog.DiscardHandler)}); err != nil {
--- a/internal/capture/shrink/shrink.go
+++ b/internal/capture/shrink/shrink.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
-	"reachpulley/internal/capture/model"
+	"reachpulley/internal/capture/invariants"
+	"reachpulley/scheduler"
 )
 
 // Property is what must still happen.
@@ -38,8 +38,8 @@
 	p.kind, p.id, _ = strings.Cut(text, "=")
 	switch p.kind {
 	case breach:
-		if p.id != "" && !slices.Contains(model.Rules, model.Rule(p.id)) {
-			return p, fmt.Errorf("there is no rule %q; the rules are %q", p.id, model.Rules)
+		if p.id != "" && !slices.Contains(invariants.Rules, invariants.Rule(p.id)) {
+			return p, fmt.Errorf("there is no rule %q; the rules are %q", p.id, invariants.Rules)
 		}
 		return p, nil
 	case crash:
@@ -60,7 +60,7 @@
 // Case is a begin and events that follow it.
 type Case struct {
 	Head   capture.Head
-	Begin  *decide.Snapshot
+	Begin  *scheduler.Snapshot
 	Events []capture.Record
 }
 
@@ -104,7 +104,7 @@
 func (c *Case) play(p Property) (records []capture.Record, held bool, err error) {
 	records = append(records, capture.Record{Kind: capture.Snapshot, At: c.Begin.Now, State: c.Begin})
 	var actions []capture.Record
-	s, err := decide.Resume(c.Head.Settings, c.Begin, capture.Actions(func(r capture.Record) { actions = append(actions, r) }))
+	s, err := scheduler.Resume(c.Head.Settings, c.Begin, capture.Actions(func(r capture.Record) { actions = append(actions, r) }))
 	if err != nil {
 		return nil, false, err
 	}
@@ -116,7 +116,7 @@
 			}
 		}
 	}()
-	checker := model.New(c.Head.Settings)
+	checker := invariants.New(c.Head.Settings)
 	for i := range c.Events {
 		actions = actions[:0]
 		if err := capture.Tell(s, &c.Events[i]); err != nil {
@@ -132,9 +132,9 @@
 	return records, held, nil
 }
 
-func (p Property) holds(step *capture.Step, breaches []model.Breach) bool {
+func (p Property) holds(step *capture.Step, breaches []invariants.Breach) bool {
 	if p.kind == breach {
-		return slices.ContainsFunc(breaches, func(b model.Breach) bool { return p.id == "" || string(b.Rule) == p.id })
+		return slices.ContainsFunc(breaches, func(b invariants.Breach) bool { return p.id == "" || string(b.Rule) == p.id })
 	}
 	return slices.ContainsFunc(step.Actions, func(a capture.Record) bool {
 		if a.ID != p.id {
--- a/internal/capture/shrink/shrink_test.go
+++ b/internal/capture/shrink/shrink_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
 	"reachpulley/internal/capture/capturetest"
+	"reachpulley/scheduler"
 )
 
 // day is a random day as a case.
@@ -96,7 +96,7 @@
 // A crash can be kept: here by an event that tells nothing.
 func TestCrash(t *testing.T) {
 	one := day(t, 2)
-	broken := capture.Record{Kind: capture.Arrived, At: one.Events[50].At, Request: &decide.Request{ID: "x", Volume: "v0", Patience: time.Second, Plan: 0, Hosts: 1}}
+	broken := capture.Record{Kind: capture.Arrived, At: one.Events[50].At, Request: &scheduler.Request{ID: "x", Volume: "v0", Patience: time.Second, Plan: 0, Hosts: 1}}
 	one.Events = append(one.Events[:50:50], append([]capture.Record{broken}, one.Events[50:]...)...)
 	if held, err := one.Holds(property(t, "crash")); held || err != nil {
 		t.Error(held, err)
--- a/internal/capture/tally/plot.go
+++ b/internal/capture/summary/plot.go
@@ -1,4 +1,4 @@
-package tally
+package summary
 
 import (
 	"fmt"
--- a/internal/capture/tally/tally.go
+++ b/internal/capture/summary/tally.go
@@ -1,5 +1,5 @@
-// Package tally counts what became of the requests of a capture.
-package tally
+// Package summary counts what became of the requests of a capture.
+package summary
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"text/tabwriter"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
+	"reachpulley/scheduler"
 )
 
 // Fate is what became of a request.
@@ -44,10 +44,10 @@
 // Tally counts a capture's requests, those that arrived within it.
 type Tally struct {
 	Classes []Class
-	Results map[string]map[decide.Result]int // of attempts, by node
+	Results map[string]map[scheduler.Result]int // of attempts, by node
 	Seconds map[int64]*Second
 	Open    int // that have no end
-	set     decide.Settings
+	set     scheduler.Settings
 	open    map[string]opened
 }
 
@@ -59,8 +59,8 @@
 }
 
 // New makes an empty one.
-func New(set decide.Settings) *Tally {
-	return &Tally{set: set, Classes: make([]Class, len(set.Classes)), Results: map[string]map[decide.Result]int{}, Seconds: map[int64]*Second{}, open: map[string]opened{}}
+func New(set scheduler.Settings) *Tally {
+	return &Tally{set: set, Classes: make([]Class, len(set.Classes)), Results: map[string]map[scheduler.Result]int{}, Seconds: map[int64]*Second{}, open: map[string]opened{}}
 }
 
 // Add counts a record; now is the time of the event that it belongs to.
@@ -77,10 +77,10 @@
 	case capture.Ended:
 		o := r.Outcome
 		if t.Results[o.Node] == nil {
-			t.Results[o.Node] = map[decide.Result]int{}
+			t.Results[o.Node] = map[scheduler.Result]int{}
 		}
 		t.Results[o.Node][o.Result]++
-		if o.Done && o.Result == decide.Served {
+		if o.Done && o.Result == scheduler.Served {
 			t.answered(o.ID, now)
 		}
 	case capture.Left:
@@ -166,7 +166,7 @@
 	slices.Sort(nodes)
 	for _, node := range nodes {
 		fmt.Fprintf(out, "%s\t", node)
-		for result := decide.Served; result <= decide.Moot; result++ {
+		for result := scheduler.Served; result <= scheduler.Moot; result++ {
 			fmt.Fprintf(out, "%d\t", t.Results[node][result])
 		}
 		fmt.Fprintln(out)
--- a/internal/capture/tally/tally_test.go
+++ b/internal/capture/summary/tally_test.go
@@ -1,13 +1,13 @@
-package tally
+package summary
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
 	"reachpulley/internal/capture/capturetest"
+	"reachpulley/scheduler"
 )
 
 const ms = time.Millisecond
@@ -15,11 +15,11 @@
 func TestTally(t *testing.T) {
 	all := New(capturetest.Settings)
 	came := func(id string, at time.Duration) {
-		all.Add(&capture.Record{Kind: capture.Arrived, At: at, Request: &decide.Request{ID: id, Units: 1}}, at)
+		all.Add(&capture.Record{Kind: capture.Arrived, At: at, Request: &scheduler.Request{ID: id, Units: 1}}, at)
 		all.Add(&capture.Record{Kind: capture.Send, ID: id, Node: "n"}, at)
 	}
 	served := func(id string, at time.Duration) {
-		all.Add(&capture.Record{Kind: capture.Ended, At: at, Outcome: &decide.Outcome{ID: id, Node: "n", Result: decide.Served, Done: true}}, at)
+		all.Add(&capture.Record{Kind: capture.Ended, At: at, Outcome: &scheduler.Outcome{ID: id, Node: "n", Result: scheduler.Served, Done: true}}, at)
 	}
 	for _, id := range []string{"good", "slow", "refused", "failed", "left", "open"} {
 		came(id, 0)
@@ -37,7 +37,7 @@
 	if c.Quantile(0.4) != 20*ms || c.Quantile(0.99) != 301*ms || (&Class{}).Quantile(0.5) != 0 {
 		t.Error(c.Latencies)
 	}
-	if all.Seconds[1].Ended[Failed] != 1 || all.Seconds[0].Ended[InAim] != 1 || all.Results["n"][decide.Served] != 3 {
+	if all.Seconds[1].Ended[Failed] != 1 || all.Seconds[0].Ended[InAim] != 1 || all.Results["n"][scheduler.Served] != 3 {
 		t.Errorf("%+v %+v", all.Seconds, all.Results)
 	}
 	var out strings.Builder
--- a/internal/capture/story/story.go
+++ b/internal/capture/timeline/story.go
@@ -1,5 +1,5 @@
-// Package story tells in words what a capture holds of one request, and how things stood at a time.
-package story
+// Package timeline tells in words what a capture holds of one request, and how things stood at a time.
+package timeline
 
 import (
 	"cmp"
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
+	"reachpulley/scheduler"
 )
 
 // Clock words times: of the wall clock where the capture tells its origin, otherwise of the Scheduler's.
@@ -71,9 +71,9 @@
 	w       io.Writer
 	id      string
 	clock   Clock
-	set     decide.Settings
+	set     scheduler.Settings
 	came    time.Duration
-	request *decide.Request
+	request *scheduler.Request
 	timer   uint64 // of its patience
 	sends   int
 	lines   int
@@ -103,7 +103,7 @@
 		if err != nil {
 			return err
 		}
-		var before *decide.Snapshot
+		var before *scheduler.Snapshot
 		if number == concerns[0] {
 			before, concerns = p.Scheduler().Snapshot(), concerns[1:]
 		}
@@ -155,7 +155,7 @@
 	t.lines++
 }
 
-func (t *teller) step(step *capture.Step, before *decide.Snapshot) {
+func (t *teller) step(step *capture.Step, before *scheduler.Snapshot) {
 	e := step.Event
 	if t.request == nil {
 		for i := range before.Requests { // it came before the capture begins
@@ -187,7 +187,7 @@
 	}
 }
 
-func (t *teller) words(q *decide.Request) string {
+func (t *teller) words(q *scheduler.Request) string {
 	plan := "no plan"
 	if q.Plan >= 0 && q.Plan < len(t.set.Plans) {
 		plan = "plan " + t.set.Plans[q.Plan].Name
@@ -197,16 +197,16 @@
 		class = "class " + t.set.Classes[q.Class].Name
 	}
 	where := fmt.Sprintf("shard %d", q.Shard)
-	if q.Shard == decide.AnyShard {
+	if q.Shard == scheduler.AnyShard {
 		where = "any shard"
 	}
 	return fmt.Sprintf("%s, %s, volume %s, %g units, %s, its client waits %v", class, plan, q.Volume, q.Units, where, q.Patience)
 }
 
-var results = map[decide.Result]string{decide.Served: "was served", decide.Errored: "ended with an error of the node; it may have run",
-	decide.Full: "was turned away unseen, as the node was full", decide.TimedOut: "got no answer in time; it may have run",
-	decide.ConnectFailed: "found no connection; it never ran", decide.Reset: "lost its connection; it may have run",
-	decide.Canceled: "was withdrawn; it may have run", decide.Moot: "was not sent any more"}
+var results = map[scheduler.Result]string{scheduler.Served: "was served", scheduler.Errored: "ended with an error of the node; it may have run",
+	scheduler.Full: "was turned away unseen, as the node was full", scheduler.TimedOut: "got no answer in time; it may have run",
+	scheduler.ConnectFailed: "found no connection; it never ran", scheduler.Reset: "lost its connection; it may have run",
+	scheduler.Canceled: "was withdrawn; it may have run", scheduler.Moot: "was not sent any more"}
 
 func (t *teller) ended(e *capture.Record) {
 	o := e.Outcome
@@ -217,7 +217,7 @@
 	t.say(e.At, "Attempt %d at %s %s, after %v%s.", o.Attempt+1, o.Node, results[o.Result], o.Latency.Round(time.Millisecond), done)
 }
 
-func (t *teller) action(a *capture.Record, step *capture.Step, before *decide.Snapshot) {
+func (t *teller) action(a *capture.Record, step *capture.Step, before *scheduler.Snapshot) {
 	at := step.Event.At
 	switch a.Kind {
 	case capture.Send:
@@ -251,8 +251,8 @@
 var tierNames = [...]string{"within its volume's reserve", "beyond its volume's reserve"}
 
 // place tells where the request stood before the event.
-func (t *teller) place(s *decide.Snapshot) {
-	i := slices.IndexFunc(s.Requests, func(r decide.SnapshotRequest) bool { return r.Request.ID == t.id })
+func (t *teller) place(s *scheduler.Snapshot) {
+	i := slices.IndexFunc(s.Requests, func(r scheduler.SnapshotRequest) bool { return r.Request.ID == t.id })
 	if i < 0 {
 		return
 	}
@@ -272,17 +272,17 @@
 }
 
 // choices tells how the nodes that have its data stood before the event.
-func (t *teller) choices(s *decide.Snapshot, at time.Duration) {
+func (t *teller) choices(s *scheduler.Snapshot, at time.Duration) {
 	copied := *s
 	copied.Now = max(s.Now, at)
-	one, err := decide.Resume(t.set, &copied, capture.Actions(func(capture.Record) {}))
+	one, err := scheduler.Resume(t.set, &copied, capture.Actions(func(capture.Record) {}))
 	if err != nil {
 		fmt.Fprintf(t.w, "    %v\n", err)
 		return
 	}
 	all := one.Explain(*t.request)
-	all = slices.DeleteFunc(all, func(c decide.Choice) bool { return c.Bars == "it has not the data" })
-	slices.SortStableFunc(all, func(a, b decide.Choice) int {
+	all = slices.DeleteFunc(all, func(c scheduler.Choice) bool { return c.Bars == "it has not the data" })
+	slices.SortStableFunc(all, func(a, b scheduler.Choice) int {
 		return cmp.Or(cmp.Compare(a.Phase, b.Phase), cmp.Compare(a.Expected, b.Expected))
 	})
 	out := tabwriter.NewWriter(t.w, 0, 0, 2, ' ', 0)
@@ -300,7 +300,7 @@
 type Only struct{ Nodes, Volumes []string }
 
 // Around words what is about a difference: the state of the request, the node and the volume that it is about.
-func Around(s *decide.Snapshot, clock Clock, set decide.Settings, d *capture.Difference, w io.Writer) error {
+func Around(s *scheduler.Snapshot, clock Clock, set scheduler.Settings, d *capture.Difference, w io.Writer) error {
 	var ids []string
 	only := &Only{}
 	for _, r := range []*capture.Record{d.Told, d.Recorded, d.Replayed} {
@@ -332,7 +332,7 @@
 }
 
 // State words a snapshot: a table of the nodes, then of the volumes; only those that are asked for, or all where only is nil.
-func State(s *decide.Snapshot, clock Clock, set decide.Settings, only *Only, w io.Writer) error {
+func State(s *scheduler.Snapshot, clock Clock, set scheduler.Settings, only *Only, w io.Writer) error {
 	fmt.Fprintf(w, "%s: %d requests are open, %d of them without a node\n", clock.Say(s.Now), len(s.Requests), len(s.Homeless))
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "node\tphase\tshard\tcap\tout\tattempts\twaiting\tlatency\tunloaded\tqueue\trate\tfailures\theld for\tcold for")
--- a/internal/capture/story/story_test.go
+++ b/internal/capture/timeline/story_test.go
@@ -1,4 +1,4 @@
-package story
+package timeline
 
 import (
 	"bytes"
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
 	"reachpulley/internal/capture/capturetest"
+	"reachpulley/scheduler"
 )
 
 const ms = time.Millisecond
@@ -25,16 +25,16 @@
 		t.Fatal(err)
 	}
 	at := func(n int) time.Duration { return time.Hour + time.Duration(n)*ms }
-	q := func(id string, units float64) decide.Request {
-		return decide.Request{ID: id, Volume: "v", Units: units, Patience: time.Second, Hosts: 1, Shard: decide.AnyShard}
+	q := func(id string, units float64) scheduler.Request {
+		return scheduler.Request{ID: id, Volume: "v", Units: units, Patience: time.Second, Hosts: 1, Shard: scheduler.AnyShard}
 	}
-	r.Members(at(0), decide.Membership{Kind: decide.Whole, Nodes: []decide.Node{{ID: "n"}, {ID: "m", Phase: decide.Draining}}})
+	r.Members(at(0), scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "n"}, {ID: "m", Phase: scheduler.Draining}}})
 	r.Arrived(at(10), q("first", 2))
-	r.Ended(at(15), decide.Outcome{ID: "first", Node: "n", Result: decide.ConnectFailed, Latency: 5 * ms, Use: -1})
+	r.Ended(at(15), scheduler.Outcome{ID: "first", Node: "n", Result: scheduler.ConnectFailed, Latency: 5 * ms, Use: -1})
 	for n := 40; n < 80; n += 5 {
 		r.Timer(at(n), 0)
 	}
-	r.Ended(at(90), decide.Outcome{ID: "first", Attempt: 1, Node: "n", Result: decide.Served, Latency: 35 * ms, Done: true, Use: -1})
+	r.Ended(at(90), scheduler.Outcome{ID: "first", Attempt: 1, Node: "n", Result: scheduler.Served, Latency: 35 * ms, Done: true, Use: -1})
 	for i := range 30 { // the plan's store of the limit holds 20 for this life
 		r.Arrived(at(100), q(fmt.Sprint("many-", i), 1))
 	}
--- a/internal/capture/trigger/trigger.go
+++ b/internal/capture/trigger/trigger.go
@@ -4,9 +4,9 @@
 import (
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
 	"reachpulley/internal/rules/expression"
+	"reachpulley/scheduler"
 )
 
 // Second is what happened within a second of the recorder's clock, as conditions name it.
@@ -49,7 +49,7 @@
 type Watcher struct {
 	rules   []Rule
 	states  []state
-	classes []decide.Class
+	classes []scheduler.Class
 	begun   time.Duration // of the second
 	second  Second
 	open    map[string]opened
@@ -64,12 +64,12 @@
 }
 
 type node struct {
-	phase decide.Phase
+	phase scheduler.Phase
 	sent  bool
 }
 
 // New makes a Watcher.
-func New(rules []Rule, set decide.Settings) *Watcher {
+func New(rules []Rule, set scheduler.Settings) *Watcher {
 	return &Watcher{rules: rules, states: make([]state, len(rules)), classes: set.Classes, open: map[string]opened{}, nodes: map[string]*node{}, second: Second{Tightest: without}}
 }
 
@@ -117,16 +117,16 @@
 	}
 }
 
-func (w *Watcher) ended(o *decide.Outcome, now time.Duration) {
+func (w *Watcher) ended(o *scheduler.Outcome, now time.Duration) {
 	s := &w.second
 	switch o.Result {
-	case decide.Errored, decide.Reset:
+	case scheduler.Errored, scheduler.Reset:
 		s.Errors++
-	case decide.ConnectFailed:
+	case scheduler.ConnectFailed:
 		s.Unreachable++
-	case decide.Full:
+	case scheduler.Full:
 		s.Full++
-	case decide.Served:
+	case scheduler.Served:
 		if !o.Done {
 			return
 		}
@@ -149,15 +149,15 @@
 	return one, ok
 }
 
-func (w *Watcher) members(m *decide.Membership) {
-	if m.Kind == decide.Refused {
+func (w *Watcher) members(m *scheduler.Membership) {
+	if m.Kind == scheduler.Refused {
 		return
 	}
-	if m.Kind != decide.Changes {
+	if m.Kind != scheduler.Changes {
 		clear(w.nodes)
 	}
 	for _, e := range m.Nodes {
-		if e.Phase == decide.Removed {
+		if e.Phase == scheduler.Removed {
 			delete(w.nodes, e.ID)
 			continue
 		}
@@ -188,7 +188,7 @@
 	s := &w.second
 	s.Open = len(w.open)
 	for _, n := range w.nodes {
-		if n.phase == decide.Up {
+		if n.phase == scheduler.Up {
 			s.Nodes++
 			if !n.sent && s.Sent > 0 {
 				s.LeftOut++
--- a/internal/capture/trigger/trigger_test.go
+++ b/internal/capture/trigger/trigger_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
 	"reachpulley/internal/capture/capturetest"
 	"reachpulley/internal/rules/expression"
+	"reachpulley/scheduler"
 )
 
 func rule(t *testing.T, name, when string) Rule {
@@ -41,20 +41,20 @@
 			}
 		}
 	}
-	list := &decide.Membership{Kind: decide.Whole, Nodes: []decide.Node{{ID: "a"}, {ID: "b"}}}
+	list := &scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "a"}, {ID: "b"}}}
 	tell(time.Hour, capture.Record{Kind: capture.Members, Members: list})
 	for step := range 200 { // twenty seconds
 		now := time.Hour + time.Duration(step)*100*ms
 		second := step / 10
 		for i := range 2 {
 			id := fmt.Sprint(step, "-", i)
-			tell(now, capture.Record{Kind: capture.Arrived, Request: &decide.Request{ID: id, Patience: time.Second}})
+			tell(now, capture.Record{Kind: capture.Arrived, Request: &scheduler.Request{ID: id, Patience: time.Second}})
 			switch {
 			case second >= 5 && second < 14:
 				tell(now, capture.Record{Kind: capture.Refuse, ID: id})
 			default:
 				tell(now, capture.Record{Kind: capture.Send, ID: id, Node: "a"}, capture.Record{Kind: capture.Send, ID: id, Node: []string{"a", "b"}[min(i, max(0, 1-second/17))]},
-					capture.Record{Kind: capture.Ended, Outcome: &decide.Outcome{ID: id, Result: decide.Served, Done: true}})
+					capture.Record{Kind: capture.Ended, Outcome: &scheduler.Outcome{ID: id, Result: scheduler.Served, Done: true}})
 			}
 		}
 	}
--- a/internal/capture/whatif/whatif.go
+++ b/internal/capture/whatif/whatif.go
@@ -15,15 +15,15 @@
 	"slices"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
-	"reachpulley/internal/capture/tally"
+	"reachpulley/internal/capture/summary"
+	"reachpulley/scheduler"
 )
 
 // Day is what a capture tells of the world: what came from outside, and how nodes answered.
 type Day struct {
 	Head     capture.Head
-	Recorded *tally.Tally // what became of the requests as recorded
+	Recorded *summary.Tally // what became of the requests as recorded
 	outside  []capture.Record
 	answers  map[string][]answer // by node, in the order of their sending
 	all      []answer
@@ -34,12 +34,12 @@
 type answer struct {
 	sentAt  time.Duration
 	units   float64
-	outcome decide.Outcome
+	outcome scheduler.Outcome
 }
 
 // Read reads a capture whole. What was open at its begin is left out.
 func Read(c *capture.Reader) (*Day, error) {
-	d := &Day{Head: c.Head, Recorded: tally.New(c.Head.Settings), answers: map[string][]answer{}}
+	d := &Day{Head: c.Head, Recorded: summary.New(c.Head.Settings), answers: map[string][]answer{}}
 	type attempt struct {
 		id     string
 		number int
@@ -69,7 +69,7 @@
 		case capture.Ended:
 			key := attempt{r.Outcome.ID, r.Outcome.Attempt}
 			at, ok := sent[key]
-			if !ok || r.Outcome.Result == decide.Canceled || r.Outcome.Result == decide.Moot { // these tell of the decisions, not of the node
+			if !ok || r.Outcome.Result == scheduler.Canceled || r.Outcome.Result == scheduler.Moot { // these tell of the decisions, not of the node
 				continue
 			}
 			delete(sent, key)
@@ -101,7 +101,7 @@
 	i, _ := slices.BinarySearchFunc(list, at, func(a answer, t time.Duration) int { return cmp.Compare(a.sentAt, t) })
 	from := min(max(0, i-nearAnswers/2), max(0, len(list)-nearAnswers))
 	one := list[from+random.IntN(min(nearAnswers, len(list)-from))]
-	if one.outcome.Result == decide.Served && one.units > 0 && units > 0 {
+	if one.outcome.Result == scheduler.Served && one.units > 0 && units > 0 {
 		one.outcome.Latency = time.Duration(float64(one.outcome.Latency) * units / one.units)
 	}
 	return one
@@ -112,7 +112,7 @@
 	at       time.Duration
 	sequence int
 	key      uint64 // of a timer, where outcome is nil
-	outcome  *decide.Outcome
+	outcome  *scheduler.Outcome
 }
 
 type agenda []due
@@ -139,13 +139,13 @@
 	tries    map[string]int
 	units    map[string]float64
 	open     map[string]bool // requests without a final answer
-	out      *tally.Tally
+	out      *summary.Tally
 }
 
 // Play plays the day by settings and gives what would have become of its requests.
-func (d *Day) Play(settings decide.Settings) (*tally.Tally, error) {
-	r := &run{day: d, random: rand.New(rand.NewPCG(d.Head.Seed, 1)), tries: map[string]int{}, units: map[string]float64{}, open: map[string]bool{}, out: tally.New(settings)}
-	s, err := decide.New(settings, d.Head.Seed, actions{r})
+func (d *Day) Play(settings scheduler.Settings) (*summary.Tally, error) {
+	r := &run{day: d, random: rand.New(rand.NewPCG(d.Head.Seed, 1)), tries: map[string]int{}, units: map[string]float64{}, open: map[string]bool{}, out: summary.New(settings)}
+	s, err := scheduler.New(settings, d.Head.Seed, actions{r})
 	if err != nil {
 		return nil, err
 	}
@@ -169,7 +169,7 @@
 // settle is for how long after the last record requests may still end.
 const settle = 5 * time.Second
 
-func (r *run) outside(s *decide.Scheduler, e capture.Record) {
+func (r *run) outside(s *scheduler.Scheduler, e capture.Record) {
 	switch e.Kind {
 	case capture.Arrived:
 		r.open[e.Request.ID], r.units[e.Request.ID] = true, e.Request.Units
@@ -190,13 +190,13 @@
 	}
 }
 
-func (r *run) happens(s *decide.Scheduler, next due) {
+func (r *run) happens(s *scheduler.Scheduler, next due) {
 	if next.outcome == nil {
 		s.Timer(r.now, next.key)
 		return
 	}
 	o := *next.outcome
-	if o.Result == decide.Served {
+	if o.Result == scheduler.Served {
 		o.Done = r.open[o.ID]
 	}
 	if o.Done {
@@ -207,7 +207,7 @@
 	s.Ended(r.now, o)
 }
 
-func (r *run) at(after time.Duration, key uint64, o *decide.Outcome) {
+func (r *run) at(after time.Duration, key uint64, o *scheduler.Outcome) {
 	r.sequence++
 	heap.Push(&r.agenda, due{r.now + max(0, after), r.sequence, key, o})
 }
@@ -230,7 +230,7 @@
 	for i := range r.agenda {
 		if o := r.agenda[i].outcome; o != nil && o.ID == id && o.Attempt == attempt {
 			gone := *o
-			gone.Result, gone.Latency = decide.Canceled, 0
+			gone.Result, gone.Latency = scheduler.Canceled, 0
 			heap.Remove(&r.agenda, i)
 			r.at(0, 0, &gone)
 			return
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,9 +13,9 @@
 	"strconv"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/discovery"
-	"reachpulley/internal/wire"
+	"reachpulley/internal/simprotocol"
+	"reachpulley/scheduler"
 )
 
 // The environment's variables.
@@ -45,7 +45,7 @@
 	Seed      uint64
 	Limits    Limits
 	Known     *discovery.List // nil: none
-	Settings  decide.Settings
+	Settings  scheduler.Settings
 }
 
 // Limits bound what the gateway may use.
@@ -136,7 +136,7 @@
 	if len(f.Settings) == 0 {
 		return nil, errors.New("settings: is missing")
 	}
-	if c.Settings, err = wire.ParseSettings(f.Settings); err != nil {
+	if c.Settings, err = simprotocol.ParseSettings(f.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", named(err))
 	}
 	c.Settings.Agent = !c.Settings.MustAsk // on sockets, what is pushed has to be watched, too
@@ -153,15 +153,15 @@
 }
 
 // Settings reads settings alone, from a file of this form or from its "settings".
-func Settings(text []byte) (decide.Settings, error) {
+func Settings(text []byte) (scheduler.Settings, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
-		return decide.Settings{}, named(err)
+		return scheduler.Settings{}, named(err)
 	}
 	if len(f.Settings) == 0 {
 		f.Settings = text
 	}
-	set, err := wire.ParseSettings(f.Settings)
+	set, err := simprotocol.ParseSettings(f.Settings)
 	if err != nil {
 		return set, fmt.Errorf("settings: %w", named(err))
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachpulley/decide"
-	"reachpulley/internal/tomlfile"
+	"reachpulley/internal/configfile"
+	"reachpulley/scheduler"
 )
 
 const whole = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff","limits":{"sockets":100},` +
@@ -126,7 +126,7 @@
 		t.Fatal(err)
 	}
 	o, err := LoadOperator(func(name string) string { return map[string]string{envOperator: path}[name] }, c.Settings)
-	var faults tomlfile.Faults
+	var faults configfile.Faults
 	if errors.As(err, &faults) {
 		for i := range faults {
 			faults[i].File = "f"
@@ -223,7 +223,7 @@
 	if len(o.Contracts.Book.Entries()) != 3 || set.Retry.Share != 0.2 || !set.Rooms.On() || len(set.Rooms.Work) != 1 {
 		t.Errorf("%+v", set)
 	}
-	if _, err := decide.New(set, 1, nil); err != nil {
+	if _, err := scheduler.New(set, 1, nil); err != nil {
 		t.Error(err)
 	}
 }
@@ -245,7 +245,7 @@
 		if got := fmt.Sprint(o.Rooms.Settings.Tiers, " ", o.Rooms.Settings.Work); got != want {
 			t.Errorf("%q: %s, want %s", text, got, want)
 		}
-		if set := o.Settings(decide.Settings{}); !set.Rooms.On() || set.Rooms.Spill != 20 {
+		if set := o.Settings(scheduler.Settings{}); !set.Rooms.On() || set.Rooms.Spill != 20 {
 			t.Errorf("%+v", set.Rooms)
 		}
 	}
@@ -262,7 +262,7 @@
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
-	if o, err := operatorFaults(t, "[rooms]\nspill = 5.0\n"); err != nil || len(o.Settings(decide.Settings{}).Rooms.Tiers) > 0 {
+	if o, err := operatorFaults(t, "[rooms]\nspill = 5.0\n"); err != nil || len(o.Settings(scheduler.Settings{}).Rooms.Tiers) > 0 {
 		t.Errorf("on without being enabled: %v", err)
 	}
 }
@@ -280,12 +280,12 @@
 }
 
 func TestOperatorFileThatIsNamedMustBeThere(t *testing.T) {
-	if o, err := LoadOperator(none, decide.Settings{}); err != nil || o.ISCSI != nil {
+	if o, err := LoadOperator(none, scheduler.Settings{}); err != nil || o.ISCSI != nil {
 		t.Errorf("without a file: %v, %v", o, err)
 	}
 	for _, c := range []struct{ variable, value, want string }{
 		{envOperator, "/nowhere.toml", envOperator + ": "}, {envLog, "loud", envLog + ": "}} {
-		_, err := LoadOperator(func(name string) string { return map[string]string{c.variable: c.value}[name] }, decide.Settings{})
+		_, err := LoadOperator(func(name string) string { return map[string]string{c.variable: c.value}[name] }, scheduler.Settings{})
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.variable, err)
 		}
--- a/internal/config/contracts.go
+++ b/internal/config/contracts.go
@@ -5,12 +5,12 @@
 	"fmt"
 	"strings"
 
-	"reachpulley/decide"
+	"reachpulley/internal/configfile"
 	"reachpulley/internal/contract"
-	"reachpulley/internal/contract/book"
-	"reachpulley/internal/contract/live"
-	"reachpulley/internal/retry"
-	"reachpulley/internal/tomlfile"
+	"reachpulley/internal/contract/catalog"
+	"reachpulley/internal/contract/registry"
+	"reachpulley/internal/retrybudget"
+	"reachpulley/scheduler"
 )
 
 // Contracts is the table [contracts].
@@ -25,7 +25,7 @@
 	Distrust    string   `toml:"distrust"` // what a node that contradicts its description comes to at worst
 	Doubts      string   `toml:"doubts"`   // file in which doubts are kept for people and the next start; empty: none
 
-	Book *book.Book `toml:"-"` // what the files hold; nil: none
+	Book *catalog.Book `toml:"-"` // what the files hold; nil: none
 }
 
 // What is done with calls that nothing describes, and at the worst with nodes that contradict what does.
@@ -39,20 +39,20 @@
 
 var defaultContracts = Contracts{Undescribed: Careful, Rate: 10, Burst: 20, Open: 16, Sample: 0.01, Distrust: DistrustAvoid}
 
-var defaultRetry = retry.Settings{Least: 0, Trickle: 0.5, Burst: 10, Cells: 1024}
+var defaultRetry = retrybudget.Settings{Least: 0, Trickle: 0.5, Burst: 10, Cells: 1024}
 
 // Options are the table in the terms of what holds the descriptions in force.
-func (c *Contracts) Options() live.Options {
-	return live.Options{Refuse: c.Undescribed == Refuse, Rate: c.Rate, Burst: c.Burst, Open: c.Open}
+func (c *Contracts) Options() registry.Options {
+	return registry.Options{Refuse: c.Undescribed == Refuse, Rate: c.Rate, Burst: c.Burst, Open: c.Open}
 }
 
 // Most is how carefully a node is handled at worst.
-func (c *Contracts) Most() decide.Care {
-	return map[string]decide.Care{DistrustLog: decide.CareNone, DistrustCare: decide.CareRepeats, DistrustAvoid: decide.CareAvoid}[c.Distrust]
+func (c *Contracts) Most() scheduler.Care {
+	return map[string]scheduler.Care{DistrustLog: scheduler.CareNone, DistrustCare: scheduler.CareRepeats, DistrustAvoid: scheduler.CareAvoid}[c.Distrust]
 }
 
 // load reads the descriptions; their faults join those of the operator's file.
-func (c *Contracts) load(k checker, settings decide.Settings) {
+func (c *Contracts) load(k checker, settings scheduler.Settings) {
 	k.unless(c.Undescribed == Careful || c.Undescribed == Refuse, "undescribed", "%q is neither %s nor %s", c.Undescribed, Careful, Refuse)
 	k.unless(c.Distrust == DistrustLog || c.Distrust == DistrustCare || c.Distrust == DistrustAvoid, "distrust", "%q is not %s, %s or %s", c.Distrust, DistrustLog, DistrustCare, DistrustAvoid)
 	k.unless(c.Rate >= 0 && c.Rate <= 1e6, "rate", "%v is not from 0 to 1000000", c.Rate)
@@ -81,16 +81,16 @@
 		if key == "" {
 			key = "contracts.files"
 		}
-		*k.faults = append(*k.faults, tomlfile.Fault{File: f.Place.File, Line: f.Place.Line, Key: key, Message: f.Message})
+		*k.faults = append(*k.faults, configfile.Fault{File: f.Place.File, Line: f.Place.Line, Key: key, Message: f.Message})
 	}
 }
 
 // Describe loads descriptions, checks them, and holds them against settings. All that is wrong comes as contract.Faults.
-func Describe(files []string, settings decide.Settings) (*book.Book, error) {
+func Describe(files []string, settings scheduler.Settings) (*catalog.Book, error) {
 	return describe(files, settings, true)
 }
 
-func describe(files []string, settings decide.Settings, schemas bool) (*book.Book, error) {
+func describe(files []string, settings scheduler.Settings, schemas bool) (*catalog.Book, error) {
 	all, err := contract.Load(files...)
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 	if !schemas { // nobody asks for them
 		contract.DropSchemas(all)
 	}
-	b, faults := book.New(all, settings)
+	b, faults := catalog.New(all, settings)
 	if len(faults) > 0 {
 		return nil, faults
 	}
--- a/internal/config/front.go
+++ b/internal/config/front.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"slices"
 
-	"reachpulley/decide"
-	"reachpulley/internal/front/iscsifront"
-	"reachpulley/internal/tomlfile"
+	"reachpulley/internal/configfile"
+	"reachpulley/internal/frontend/iscsitarget"
+	"reachpulley/scheduler"
 )
 
 // What holds where the table is silent.
@@ -24,16 +24,16 @@
 
 // Front is the table [iscsi], the second front's configuration.
 type Front struct {
-	Listen      string            `toml:"listen"`
-	Enabled     bool              `toml:"enabled"`
-	Target      string            `toml:"target"`
-	Sessions    int               `toml:"sessions"`
-	Depth       int               `toml:"depth"`
-	Nodes       string            `toml:"nodes"`
-	Description string            `toml:"description"`
-	NodeTarget  string            `toml:"node_target"`
-	UnitList    []unit            `toml:"unit"`
-	Units       []iscsifront.Unit `toml:"-"` // the list in the terms of the settings
+	Listen      string             `toml:"listen"`
+	Enabled     bool               `toml:"enabled"`
+	Target      string             `toml:"target"`
+	Sessions    int                `toml:"sessions"`
+	Depth       int                `toml:"depth"`
+	Nodes       string             `toml:"nodes"`
+	Description string             `toml:"description"`
+	NodeTarget  string             `toml:"node_target"`
+	UnitList    []unit             `toml:"unit"`
+	Units       []iscsitarget.Unit `toml:"-"` // the list in the terms of the settings
 }
 
 type unit struct {
@@ -57,9 +57,9 @@
 
 // checker gathers the faults of a table.
 type checker struct {
-	file   *tomlfile.Document
+	file   *configfile.Document
 	table  string
-	faults *tomlfile.Faults
+	faults *configfile.Faults
 }
 
 // unless notes a fault at a key of the table where good does not hold.
@@ -76,7 +76,7 @@
 	}
 }
 
-func (f *Front) check(c checker, settings decide.Settings) {
+func (f *Front) check(c checker, settings scheduler.Settings) {
 	c.address("listen", f.Listen)
 	c.unless(f.Target != "", "target", "is missing")
 	c.unless(f.Sessions >= 1 && f.Sessions <= mostSessions, "sessions", "%d is not from 1 to %d", f.Sessions, mostSessions)
@@ -95,13 +95,13 @@
 }
 
 // check turns a unit into the terms of the settings.
-func (u unit) check(c checker, settings decide.Settings) iscsifront.Unit {
+func (u unit) check(c checker, settings scheduler.Settings) iscsitarget.Unit {
 	class := func(name string) int {
-		return slices.IndexFunc(settings.Classes, func(c decide.Class) bool { return c.Name == name })
+		return slices.IndexFunc(settings.Classes, func(c scheduler.Class) bool { return c.Name == name })
 	}
-	is := iscsifront.Unit{
+	is := iscsitarget.Unit{
 		LUN: uint16(u.LUN), Volume: u.Volume, ReadClass: class(u.ReadClass), WriteClass: class(u.WriteClass),
-		Plan:  slices.IndexFunc(settings.Plans, func(p decide.Plan) bool { return p.Name == u.Plan }),
+		Plan:  slices.IndexFunc(settings.Plans, func(p scheduler.Plan) bool { return p.Name == u.Plan }),
 		Shard: u.Shard, Hosts: cmp.Or(u.Hosts, 1), BlockSize: uint32(cmp.Or(u.BlockSize, defaultBlockSize)),
 		Blocks: uint64(u.Blocks), UnitBytes: cmp.Or(u.UnitBytes, defaultUnitBytes),
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -8,11 +8,11 @@
 	"log/slog"
 	"time"
 
-	"reachpulley/decide"
-	"reachpulley/internal/front/httpfront"
-	"reachpulley/internal/retry"
+	"reachpulley/internal/configfile"
+	"reachpulley/internal/frontend/httpfrontend"
+	"reachpulley/internal/retrybudget"
 	"reachpulley/internal/rules"
-	"reachpulley/internal/tomlfile"
+	"reachpulley/scheduler"
 )
 
 // The operator's file, the variable that names another, and the one that sets the level of the log.
@@ -32,9 +32,9 @@
 	Capture Capture `toml:"capture"`
 	Restart Restart `toml:"restart"`
 
-	Contracts Contracts      `toml:"contracts"`
-	Retry     retry.Settings `toml:"retry"`
-	Rooms     Rooms          `toml:"rooms"`
+	Contracts Contracts            `toml:"contracts"`
+	Retry     retrybudget.Settings `toml:"retry"`
+	Rooms     Rooms                `toml:"rooms"`
 }
 
 // Rules is the table [rules].
@@ -63,20 +63,20 @@
 
 // DefaultOperator is what holds without a file.
 func DefaultOperator() *Operator {
-	return &Operator{H2C: defaultH2C, Capture: defaultCapture, Restart: defaultRestart, Contracts: defaultContracts, Retry: defaultRetry, Rooms: defaultRooms, Log: Log{Format: LogJSON, Level: "info"}, Rules: Rules{Head: httpfront.DefaultHead}}
+	return &Operator{H2C: defaultH2C, Capture: defaultCapture, Restart: defaultRestart, Contracts: defaultContracts, Retry: defaultRetry, Rooms: defaultRooms, Log: Log{Format: LogJSON, Level: "info"}, Rules: Rules{Head: httpfrontend.DefaultHead}}
 }
 
 // LoadOperator reads the operator's file; without one, all is off. All faults of the file come as one
-// tomlfile.Faults.
-func LoadOperator(getenv func(string) string, settings decide.Settings) (*Operator, error) {
+// configfile.Faults.
+func LoadOperator(getenv func(string) string, settings scheduler.Settings) (*Operator, error) {
 	o := DefaultOperator()
 	o.ISCSI = &Front{Sessions: defaultSessions, Depth: defaultDepth, Nodes: NodesHTTP}
 	named := getenv(envOperator)
-	file, err := tomlfile.Read(cmp.Or(named, operatorFile))
+	file, err := configfile.Read(cmp.Or(named, operatorFile))
 	if errors.Is(err, fs.ErrNotExist) && named == "" {
-		file, err = tomlfile.Parse(operatorFile, nil)
+		file, err = configfile.Parse(operatorFile, nil)
 	}
-	var faults tomlfile.Faults
+	var faults configfile.Faults
 	switch {
 	case errors.As(err, &faults):
 		return nil, faults
@@ -110,7 +110,7 @@
 }
 
 // Settings are the platform's settings with what the operator's file adds to them.
-func (o *Operator) Settings(s decide.Settings) decide.Settings {
+func (o *Operator) Settings(s scheduler.Settings) scheduler.Settings {
 	if o.Contracts.Book != nil {
 		s = o.Contracts.Book.Settings(s)
 	}
@@ -125,7 +125,7 @@
 }
 
 // load reads the rule files; their faults join those of the operator's file.
-func (r *Rules) load(c checker, settings decide.Settings) {
+func (r *Rules) load(c checker, settings scheduler.Settings) {
 	c.unless(r.Head >= 4<<10 && r.Head <= 1<<20, "head", "%d is not from %d to %d", r.Head, 4<<10, 1<<20)
 	c.unless(r.Shadow == "" || r.File != "", "shadow", "there are no rules in force to compare with")
 	for key, path := range map[string]string{"file": r.File, "shadow": r.Shadow} {
@@ -133,7 +133,7 @@
 			continue
 		}
 		set, err := rules.Load(path, settings)
-		var faults tomlfile.Faults
+		var faults configfile.Faults
 		if errors.As(err, &faults) {
 			*c.faults = append(*c.faults, faults...)
 			continue
--- a/internal/config/rooms.go
+++ b/internal/config/rooms.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"reachpulley/decide"
-	"reachpulley/internal/rooms"
+	"reachpulley/internal/zonefailover"
+	"reachpulley/scheduler"
 )
 
 // Rooms is the table [rooms].
@@ -21,7 +21,7 @@
 	ListLate time.Duration `toml:"list_late"` // for which the list of nodes may not tell yet that one has started anew
 	Work     []RoomWork    `toml:"work"`
 
-	Settings rooms.Settings `toml:"-"` // the table in the terms of the settings
+	Settings zonefailover.Settings `toml:"-"` // the table in the terms of the settings
 }
 
 // RoomWork is a block [[rooms.work]]: a preference of a class or plan of its own.
@@ -37,7 +37,7 @@
 const mostTiers = 16
 
 // check turns the table into the terms of the settings.
-func (r *Rooms) check(c checker, settings decide.Settings) {
+func (r *Rooms) check(c checker, settings scheduler.Settings) {
 	if !r.Enabled {
 		return
 	}
@@ -59,17 +59,17 @@
 	if len(prefer) == 0 {
 		prefer = own
 	}
-	r.Settings = rooms.Settings{Tiers: tiers(c, "prefer", prefer, nil, settings.Zones), Spill: r.Spill, Burst: r.Burst, Share: r.Share, Siblings: sharing,
+	r.Settings = zonefailover.Settings{Tiers: tiers(c, "prefer", prefer, nil, settings.Zones), Spill: r.Spill, Burst: r.Burst, Share: r.Share, Siblings: sharing,
 		ListLate: r.ListLate}
 	for i, w := range r.Work {
 		within := checker{c.file, fmt.Sprintf("%s.work[%d]", c.table, i), c.faults}
-		one := rooms.Work{Class: -1, Plan: -1}
+		one := zonefailover.Work{Class: -1, Plan: -1}
 		if w.Class != "" {
-			one.Class = slices.IndexFunc(settings.Classes, func(k decide.Class) bool { return k.Name == w.Class })
+			one.Class = slices.IndexFunc(settings.Classes, func(k scheduler.Class) bool { return k.Name == w.Class })
 			within.unless(one.Class >= 0, "class", "the settings have no %q", w.Class)
 		}
 		if w.Plan != "" {
-			one.Plan = slices.IndexFunc(settings.Plans, func(p decide.Plan) bool { return p.Name == w.Plan })
+			one.Plan = slices.IndexFunc(settings.Plans, func(p scheduler.Plan) bool { return p.Name == w.Plan })
 			within.unless(one.Plan >= 0, "plan", "the settings have no %q", w.Plan)
 		}
 		mine := w.Prefer
@@ -77,7 +77,7 @@
 			mine = prefer
 		}
 		one.Tiers = tiers(within, "prefer", mine, w.Forbid, settings.Zones)
-		within.unless(slices.ContainsFunc(one.Tiers, func(t int) bool { return t != rooms.Forbidden }), "forbid", "no room is left")
+		within.unless(slices.ContainsFunc(one.Tiers, func(t int) bool { return t != zonefailover.Forbidden }), "forbid", "no room is left")
 		r.Settings.Work = append(r.Settings.Work, one)
 	}
 }
@@ -104,7 +104,7 @@
 		room := slices.Index(zones, name)
 		c.unless(room >= 0, "forbid", "the settings have no room %q", name)
 		if room >= 0 {
-			out[room] = rooms.Forbidden
+			out[room] = zonefailover.Forbidden
 		}
 	}
 	return out
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/configfile/tomlfile.go
@@ -1,6 +1,6 @@
-// Package tomlfile reads the operator's TOML files. All faults of a file are found in one reading, and each names
+// Package configfile reads the operator's TOML files. All faults of a file are found in one reading, and each names
 // the file, the line, the column and the key.
-package tomlfile
+package configfile
 
 import (
 	"errors"
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/configfile/tomlfile_test.go
@@ -1,4 +1,4 @@
-package tomlfile
+package configfile
 
 import (
 	"errors"
--- a/internal/contract/book/book.go
+++ b/internal/contract/catalog/book.go
@@ -1,6 +1,6 @@
-// Package book holds descriptions against the settings: which class each operation's calls belong to, how far they may be repeated, and what
+// Package catalog holds descriptions against the settings: which class each operation's calls belong to, how far they may be repeated, and what
 // is done with calls that nothing describes. It decides this once, when descriptions load, and does no I/O.
-package book
+package catalog
 
 import (
 	"cmp"
@@ -13,9 +13,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"reachpulley/decide"
 	"reachpulley/internal/contract"
 	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/scheduler"
 )
 
 // MostMade bounds the classes that descriptions may make: what is learned of a class needs requests of it.
@@ -26,13 +26,13 @@
 	Op    *contract.Operation // nil: nothing describes the call
 	Name  string              // by which the decisions know the operation; the same over reloads
 	Class int                 // the class of its calls, where neither they nor a rule say
-	Bound decide.Bound        // what it allows, whatever the class
+	Bound scheduler.Bound     // what it allows, whatever the class
 }
 
 // Book is all operations. It never changes.
 type Book struct {
-	Undescribed Entry          // of calls that nothing describes
-	Made        []decide.Class // by descriptions that name no class but aim and deadline; they follow those of the settings
+	Undescribed Entry             // of calls that nothing describes
+	Made        []scheduler.Class // by descriptions that name no class but aim and deadline; they follow those of the settings
 
 	described []*contract.Operation // all that it was made of
 	router    *contract.Router
@@ -44,19 +44,19 @@
 // UndescribedName is what the decisions call what nothing describes.
 const UndescribedName = "undescribed"
 
-var groups = map[contract.Group]decide.Group{contract.All: decide.GroupAll, contract.Room: decide.GroupZone, contract.Rack: decide.GroupShard}
+var groups = map[contract.Group]scheduler.Group{contract.All: scheduler.GroupAll, contract.Room: scheduler.GroupZone, contract.Rack: scheduler.GroupShard}
 
-var repeats = map[contract.Repeats]decide.Repeats{contract.Safe: decide.Safe, contract.Keyed: decide.Keyed, contract.Unsafe: decide.Unsafe}
+var repeats = map[contract.Repeats]scheduler.Repeats{contract.Safe: scheduler.Safe, contract.Keyed: scheduler.Keyed, contract.Unsafe: scheduler.Unsafe}
 
 // New makes a Book of operations that contract.Check has found nothing wrong with. All contradictions to the settings come at once.
-func New(all []*contract.Operation, settings decide.Settings) (*Book, contract.Faults) {
+func New(all []*contract.Operation, settings scheduler.Settings) (*Book, contract.Faults) {
 	b := &Book{described: all, entries: map[*contract.Operation]*Entry{}, commands: map[string]*Entry{}, Undescribed: Entry{Name: UndescribedName, Class: Strictest(settings.Classes),
-		Bound: decide.Bound{Repeats: decide.Unsafe}}}
+		Bound: scheduler.Bound{Repeats: scheduler.Unsafe}}}
 	var faults contract.Faults
-	made := map[decide.Class]int{}
+	made := map[scheduler.Class]int{}
 	for _, o := range all {
 		e := &Entry{Op: o, Name: o.Call(), Class: b.Undescribed.Class,
-			Bound: decide.Bound{Repeats: repeats[o.Repeats]}}
+			Bound: scheduler.Bound{Repeats: repeats[o.Repeats]}}
 		if o.Repeats == contract.Keyed {
 			e.Bound.Group, e.Bound.For = groups[o.KeyGroup], o.KeyFor
 		}
@@ -68,7 +68,7 @@
 		}
 		switch {
 		case o.Class != "":
-			e.Class = slices.IndexFunc(settings.Classes, func(c decide.Class) bool { return c.Name == o.Class })
+			e.Class = slices.IndexFunc(settings.Classes, func(c scheduler.Class) bool { return c.Name == o.Class })
 			for _, message := range contradictions(o, e, settings) {
 				faults = append(faults, contract.Fault{Place: o.Place, Message: message})
 			}
@@ -97,10 +97,10 @@
 }
 
 // Strictest is the class that allows least: of those that allow the fewest repeats, one that writes, and then the one that is waited for least.
-func Strictest(classes []decide.Class) int {
+func Strictest(classes []scheduler.Class) int {
 	best := 0
 	for i, c := range classes {
-		writes := func(c decide.Class) int {
+		writes := func(c scheduler.Class) int {
 			if c.Writes {
 				return 1
 			}
@@ -114,7 +114,7 @@
 }
 
 // contradictions tells where a description allows what the class that it names does not. Less is no contradiction.
-func contradictions(o *contract.Operation, e *Entry, settings decide.Settings) (out []string) {
+func contradictions(o *contract.Operation, e *Entry, settings scheduler.Settings) (out []string) {
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	if e.Class < 0 {
 		e.Class = 0
@@ -122,11 +122,11 @@
 		return out
 	}
 	c := settings.Classes[e.Class]
-	words := map[decide.Repeats]contract.Repeats{decide.Safe: contract.Safe, decide.Keyed: contract.Keyed, decide.Unsafe: contract.Unsafe}
+	words := map[scheduler.Repeats]contract.Repeats{scheduler.Safe: contract.Safe, scheduler.Keyed: contract.Keyed, scheduler.Unsafe: contract.Unsafe}
 	switch {
 	case e.Bound.Repeats < c.Repeats:
 		add("it is called %s, and its class %q is %s", o.Repeats, c.Name, words[c.Repeats])
-	case e.Bound.Repeats == decide.Keyed && c.Repeats == decide.Keyed:
+	case e.Bound.Repeats == scheduler.Keyed && c.Repeats == scheduler.Keyed:
 		if e.Bound.For > c.RepeatFor {
 			add("its key is called known for %v, and in its class %q it is for %v", e.Bound.For, c.Name, c.RepeatFor)
 		}
@@ -137,15 +137,15 @@
 	if o.Deadline > c.Deadline {
 		add("its deadline, %v, is longer than that of its class %q, %v", o.Deadline, c.Name, c.Deadline)
 	}
-	if e.Bound.Repeats != decide.Safe && o.Method != http.MethodGet && o.Method != http.MethodHead && !c.Writes {
+	if e.Bound.Repeats != scheduler.Safe && o.Method != http.MethodGet && o.Method != http.MethodHead && !c.Writes {
 		add("its class %q only reads, and %s that is not safe writes", c.Name, o.Method)
 	}
 	return out
 }
 
 // classOf makes a class of what a description says.
-func classOf(o *contract.Operation, bound decide.Bound, known []decide.Class) decide.Class {
-	c := decide.Class{Aim: o.Aim, Deadline: o.Deadline, Worth: cmp.Or(o.Worth, 1), Repeats: bound.Repeats, RepeatGroup: bound.Group, RepeatFor: bound.For,
+func classOf(o *contract.Operation, bound scheduler.Bound, known []scheduler.Class) scheduler.Class {
+	c := scheduler.Class{Aim: o.Aim, Deadline: o.Deadline, Worth: cmp.Or(o.Worth, 1), Repeats: bound.Repeats, RepeatGroup: bound.Group, RepeatFor: bound.For,
 		Writes: o.Method != http.MethodGet && o.Method != http.MethodHead}
 	for i, k := range known { // late answers earn no more than in any class that the settings have
 		if i == 0 || k.LateShare < c.LateShare {
@@ -163,12 +163,12 @@
 }
 
 // Again makes the Book anew, for other settings.
-func (b *Book) Again(settings decide.Settings) (*Book, contract.Faults) {
+func (b *Book) Again(settings scheduler.Settings) (*Book, contract.Faults) {
 	return New(b.described, settings)
 }
 
 // Settings are settings with the classes that descriptions make.
-func (b *Book) Settings(s decide.Settings) decide.Settings {
+func (b *Book) Settings(s scheduler.Settings) scheduler.Settings {
 	s.Classes = append(slices.Clip(s.Classes), b.Made...)
 	return s
 }
@@ -286,12 +286,12 @@
 	}
 	switch {
 	case o.Shard.Any:
-		p.Shard, p.HasShard = decide.AnyShard, true
+		p.Shard, p.HasShard = scheduler.AnyShard, true
 	case o.Shard.Fixed:
 		p.Shard, p.HasShard = o.Shard.Number, true
 	case o.Shard.Where.In != "":
 		text := o.Value(c, parameters, o.Shard.Where)
-		if p.Shard, err = strconv.Atoi(text); err != nil || p.Shard < decide.AnyShard {
+		if p.Shard, err = strconv.Atoi(text); err != nil || p.Shard < scheduler.AnyShard {
 			return p, fmt.Errorf("%s: %v: %q is no shard", o.Call(), o.Shard.Where, text)
 		}
 		p.HasShard = true
--- a/internal/contract/book/book_test.go
+++ b/internal/contract/catalog/book_test.go
@@ -1,4 +1,4 @@
-package book
+package catalog
 
 import (
 	"flag"
@@ -12,20 +12,20 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"reachpulley/decide"
 	"reachpulley/internal/contract"
 	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/scheduler"
 )
 
 func init() { flag.Set("rapid.seed", "1") }
 
 // settings have the classes of the platform's, and one that allows no repeat.
-var settings = decide.Settings{Siblings: 1, Zones: []string{"a", "b"}, Sizes: decide.Sizes{MeanUnits: 2, MostUnits: 8},
-	Classes: []decide.Class{{Name: "sheet-read", Aim: 300 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 3, LateShare: 0.15},
-		{Name: "entry-write", Aim: 400 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 2, Repeats: decide.Keyed,
-			RepeatGroup: decide.GroupShard, RepeatFor: 4 * time.Second, Writes: true}},
-	Plans:   []decide.Plan{{Name: "plain", Rate: 100, Weight: 1, Price: 1}},
-	Allowed: decide.Allowed{Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 4}}
+var settings = scheduler.Settings{Siblings: 1, Zones: []string{"a", "b"}, Sizes: scheduler.Sizes{MeanUnits: 2, MostUnits: 8},
+	Classes: []scheduler.Class{{Name: "sheet-read", Aim: 300 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 3, LateShare: 0.15},
+		{Name: "entry-write", Aim: 400 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 2, Repeats: scheduler.Keyed,
+			RepeatGroup: scheduler.GroupShard, RepeatFor: 4 * time.Second, Writes: true}},
+	Plans:   []scheduler.Plan{{Name: "plain", Rate: 100, Weight: 1, Price: 1}},
+	Allowed: scheduler.Allowed{Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 4}}
 
 func load(t testing.TB, path string) *Book {
 	t.Helper()
@@ -141,7 +141,7 @@
 	if len(faults) > 0 || len(b.Made) != 3 || len(b.Settings(settings).Classes) != 5 || len(settings.Classes) != 2 {
 		t.Errorf("%v, %d made", faults, len(b.Made))
 	}
-	if _, err := decide.New(b.Settings(settings), 1, nil); err != nil {
+	if _, err := scheduler.New(b.Settings(settings), 1, nil); err != nil {
 		t.Error(err)
 	}
 	for i, o := range all {
@@ -153,11 +153,11 @@
 }
 
 func TestStrictest(t *testing.T) {
-	for want, classes := range [][]decide.Class{
-		{{Repeats: decide.Keyed}},
-		{{}, {Repeats: decide.Keyed}, {}},
-		{{Repeats: decide.Keyed, Deadline: 1}, {}, {Repeats: decide.Keyed, Writes: true, Deadline: 2}},
-		{{Repeats: decide.Unsafe, Deadline: 3}, {Repeats: decide.Unsafe, Deadline: 2}, {Repeats: decide.Keyed}, {Repeats: decide.Unsafe, Deadline: 1}},
+	for want, classes := range [][]scheduler.Class{
+		{{Repeats: scheduler.Keyed}},
+		{{}, {Repeats: scheduler.Keyed}, {}},
+		{{Repeats: scheduler.Keyed, Deadline: 1}, {}, {Repeats: scheduler.Keyed, Writes: true, Deadline: 2}},
+		{{Repeats: scheduler.Unsafe, Deadline: 3}, {Repeats: scheduler.Unsafe, Deadline: 2}, {Repeats: scheduler.Keyed}, {Repeats: scheduler.Unsafe, Deadline: 1}},
 	} {
 		if got := Strictest(classes); got != want {
 			t.Errorf("%d of %+v", got, classes)
@@ -170,11 +170,11 @@
 	random *rand.Rand
 	sent   map[string][]string // nodes by request
 	ran    map[string][]int    // attempts of it that may have run, by number
-	open   []decide.Outcome
+	open   []scheduler.Outcome
 }
 
 func (w *world) Send(id, node string, _ time.Duration) {
-	w.open = append(w.open, decide.Outcome{ID: id, Node: node, Attempt: len(w.sent[id]), Use: -1})
+	w.open = append(w.open, scheduler.Outcome{ID: id, Node: node, Attempt: len(w.sent[id]), Use: -1})
 	w.sent[id] = append(w.sent[id], node)
 }
 func (w *world) Cancel(string, int)             {}
@@ -211,25 +211,25 @@
 		}
 		e, _ := b.Find(&contract.Call{Method: "PUT", Path: "/api/1/2"}, nil)
 		w := &world{random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), sent: map[string][]string{}, ran: map[string][]int{}}
-		s, err := decide.New(b.Settings(settings), 1, w)
+		s, err := scheduler.New(b.Settings(settings), 1, w)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Minute
-		s.Members(now, decide.Membership{Kind: decide.Whole, Nodes: []decide.Node{{ID: "a0"}, {ID: "a1"}, {ID: "b0", Zone: 1, Shard: 1}, {ID: "b1", Zone: 1, Shard: 1}}})
+		s.Members(now, scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "a0"}, {ID: "a1"}, {ID: "b0", Zone: 1, Shard: 1}, {ID: "b1", Zone: 1, Shard: 1}}})
 		const write = 1 // a platform's client says X-Class: entry-write
 		for i := range 60 {
 			now += time.Duration(w.random.IntN(40)) * time.Millisecond
 			s.Timer(now, 0)
-			s.Arrived(now, decide.Request{ID: fmt.Sprint(i), Class: write, Volume: "v", Key: fmt.Sprint(i), Units: 1, Shard: w.random.IntN(3) - 1, Hosts: 1,
+			s.Arrived(now, scheduler.Request{ID: fmt.Sprint(i), Class: write, Volume: "v", Key: fmt.Sprint(i), Units: 1, Shard: w.random.IntN(3) - 1, Hosts: 1,
 				Patience: 2 * time.Second, Operation: e.Name, Bound: e.Bound})
 			for len(w.open) > 0 && w.random.IntN(4) > 0 {
 				o := w.open[0]
 				w.open = w.open[1:]
-				o.Result = decide.Result(w.random.IntN(int(decide.Moot) + 1))
-				o.Done = o.Result == decide.Served
+				o.Result = scheduler.Result(w.random.IntN(int(scheduler.Moot) + 1))
+				o.Done = o.Result == scheduler.Served
 				switch o.Result {
-				case decide.Full, decide.ConnectFailed, decide.Moot:
+				case scheduler.Full, scheduler.ConnectFailed, scheduler.Moot:
 				default:
 					w.ran[o.ID] = append(w.ran[o.ID], o.Attempt)
 				}
@@ -241,7 +241,7 @@
 				continue
 			}
 			further++
-			if e.Bound.Repeats == decide.Unsafe {
+			if e.Bound.Repeats == scheduler.Unsafe {
 				t.Fatalf("%s ran %d times, and its description is %s", id, len(ran), e.Name)
 			}
 			for _, number := range ran {
--- a/internal/contract/observe/doubts.go
+++ b/internal/contract/conformance/doubts.go
@@ -1,4 +1,4 @@
-package observe
+package conformance
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"log/slog"
 	"time"
 
-	"reachpulley/internal/disk"
+	"reachpulley/internal/filesystem"
 	"reachpulley/internal/trust"
 )
 
@@ -23,8 +23,8 @@
 }
 
 // ReadDoubts reads a file of doubts. Unknown fields are a fault: whoever wrote them knew more.
-func ReadDoubts(f disk.FS, path string) (d Doubts, err error) {
-	text, err := disk.Read(f, path, mostFile)
+func ReadDoubts(f filesystem.FS, path string) (d Doubts, err error) {
+	text, err := filesystem.Read(f, path, mostFile)
 	if err != nil {
 		return d, err
 	}
@@ -39,14 +39,14 @@
 
 // Store keeps doubts in a file. Keep never blocks; Run writes, and owns the file.
 type Store struct {
-	fs    disk.FS
+	fs    filesystem.FS
 	path  string
 	log   *slog.Logger
 	newer chan Doubts // holds one: what is newer takes its place
 }
 
 // NewStore makes a Store for a file.
-func NewStore(f disk.FS, path string, log *slog.Logger) *Store {
+func NewStore(f filesystem.FS, path string, log *slog.Logger) *Store {
 	return &Store{fs: f, path: path, log: log, newer: make(chan Doubts, 1)}
 }
 
@@ -82,7 +82,7 @@
 	write := func(d Doubts) {
 		text, err := json.MarshalIndent(d, "", "  ")
 		if err == nil {
-			err = disk.Replace(s.fs, s.path, append(text, '\n'))
+			err = filesystem.Replace(s.fs, s.path, append(text, '\n'))
 		}
 		if (err != nil) != failing { // told at each change
 			failing = err != nil
--- a/internal/contract/observe/look.go
+++ b/internal/contract/conformance/look.go
@@ -1,6 +1,6 @@
-// Package observe compares what nodes do with what descriptions say of it. What is seen in answers is read here without I/O, with the time passed in; package trust
+// Package conformance compares what nodes do with what descriptions say of it. What is seen in answers is read here without I/O, with the time passed in; package trust
 // weighs it, and Observer does both beside the answers' way.
-package observe
+package conformance
 
 import (
 	"bytes"
@@ -13,14 +13,14 @@
 	"github.com/cespare/xxhash/v2"
 
 	"reachpulley/internal/contract"
-	"reachpulley/internal/contract/book"
+	"reachpulley/internal/contract/catalog"
 	"reachpulley/internal/proto/httpmsg"
 	"reachpulley/internal/trust"
 )
 
 // Seen is one answer of a node to a described call. Nothing of it is changed.
 type Seen struct {
-	Entry   *book.Entry
+	Entry   *catalog.Entry
 	Request *httpmsg.Request
 	Volume  string
 	Node    string
--- a/internal/contract/observe/look_test.go
+++ b/internal/contract/conformance/look_test.go
@@ -1,4 +1,4 @@
-package observe
+package conformance
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/contract"
-	"reachpulley/internal/contract/book"
+	"reachpulley/internal/contract/catalog"
 	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/scheduler"
 )
 
 const described = `
@@ -34,15 +34,15 @@
       responses: {"201": {description: stored}}
 `
 
-func bookOf(t testing.TB, text string) *book.Book {
+func bookOf(t testing.TB, text string) *catalog.Book {
 	t.Helper()
 	all, faults := contract.Parse("d.yaml", []byte(text))
 	if len(faults) == 0 {
 		faults, _ = contract.Check(all)
 	}
-	var b *book.Book
+	var b *catalog.Book
 	if len(faults) == 0 {
-		b, faults = book.New(all, decide.Settings{Classes: []decide.Class{{Name: "c", Aim: time.Second, Deadline: time.Minute}}})
+		b, faults = catalog.New(all, scheduler.Settings{Classes: []scheduler.Class{{Name: "c", Aim: time.Second, Deadline: time.Minute}}})
 	}
 	if len(faults) > 0 {
 		t.Fatal(faults)
@@ -51,7 +51,7 @@
 }
 
 // seen words an answer: "500ms n1 PUT /s/1?k=1 K=7 -> 201 X-Repeated=1 body".
-func seen(t testing.TB, b *book.Book, words string) (time.Duration, *Seen) {
+func seen(t testing.TB, b *catalog.Book, words string) (time.Duration, *Seen) {
 	t.Helper()
 	asked, answer, _ := strings.Cut(words, " -> ")
 	parts := strings.Fields(asked)
--- a/internal/contract/observe/observer.go
+++ b/internal/contract/conformance/observer.go
@@ -1,4 +1,4 @@
-package observe
+package conformance
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"sync/atomic"
 	"time"
 
-	"reachpulley/decide"
-	"reachpulley/internal/back/httpback"
-	"reachpulley/internal/contract/book"
+	"reachpulley/internal/backend/httpbackend"
+	"reachpulley/internal/contract/catalog"
 	"reachpulley/internal/trust"
+	"reachpulley/scheduler"
 )
 
 const (
@@ -23,11 +23,11 @@
 
 // Options are what an Observer needs.
 type Options struct {
-	Sample float64              // share of the answers whose bodies are held against their schemas
-	Most   decide.Care          // that distrust may come to
-	Tell   func(decide.Caution) // takes what is to be handled otherwise; it must not block
-	Keep   func([]trust.Doubt)  // takes all doubts whenever one changes; it is called from Run alone. nil: nobody does
-	Clock  func() time.Duration // nil: the time since the Observer was made
+	Sample float64                 // share of the answers whose bodies are held against their schemas
+	Most   scheduler.Care          // that distrust may come to
+	Tell   func(scheduler.Caution) // takes what is to be handled otherwise; it must not block
+	Keep   func([]trust.Doubt)     // takes all doubts whenever one changes; it is called from Run alone. nil: nobody does
+	Clock  func() time.Duration    // nil: the time since the Observer was made
 	Log    *slog.Logger
 }
 
@@ -74,8 +74,8 @@
 }
 
 // Observe takes an answer. It never blocks, and keeps what it is told until it was looked at.
-func (o *Observer) Observe(a httpback.Observation) {
-	e, ok := a.Request.Described.(*book.Entry)
+func (o *Observer) Observe(a httpbackend.Observation) {
+	e, ok := a.Request.Described.(*catalog.Entry)
 	if !ok || e.Op == nil {
 		return
 	}
@@ -140,7 +140,7 @@
 // tell gives out what changed: to the decisions, to the log as events in the form of api/asyncapi.yaml, and to whoever keeps the doubts.
 func (o *Observer) tell(changes []trust.Change) {
 	for _, c := range changes {
-		o.options.Tell(decide.Caution{Operation: c.Operation, Node: c.Node, Level: c.Level})
+		o.options.Tell(scheduler.Caution{Operation: c.Operation, Node: c.Node, Level: c.Level})
 		o.options.Log.Warn("an operation is trusted otherwise", "event", eventOf(c))
 	}
 	if len(changes) > 0 && o.options.Keep != nil {
--- a/internal/contract/observe/observer_test.go
+++ b/internal/contract/conformance/observer_test.go
@@ -1,4 +1,4 @@
-package observe
+package conformance
 
 import (
 	"bytes"
@@ -15,29 +15,29 @@
 	"github.com/google/go-cmp/cmp"
 	"go.uber.org/goleak"
 
-	"reachpulley/decide"
-	"reachpulley/internal/back/httpback"
-	"reachpulley/internal/disk"
-	"reachpulley/internal/disk/disktest"
+	"reachpulley/internal/backend/httpbackend"
 	"reachpulley/internal/exchange"
+	"reachpulley/internal/filesystem"
+	"reachpulley/internal/filesystem/filesystemtest"
 	"reachpulley/internal/trust"
+	"reachpulley/scheduler"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func observation(t testing.TB, words string) httpback.Observation {
+func observation(t testing.TB, words string) httpbackend.Observation {
 	_, s := seen(t, bookOf(t, described), words)
 	s.Request.Described = s.Entry
-	return httpback.Observation{Exchange: exchange.New(decide.Request{Volume: "v"}, time.Time{}, s.Request), Request: s.Request, Node: s.Node, Status: s.Status,
+	return httpbackend.Observation{Exchange: exchange.New(scheduler.Request{Volume: "v"}, time.Time{}, s.Request), Request: s.Request, Node: s.Node, Status: s.Status,
 		Header: s.Header, Body: s.Body, Took: s.Took}
 }
 
 // Whoever answers is never held up: what finds no room is counted and forgotten. What was told is looked at once there is time, and the decisions hear of it.
 func TestObserverNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var told []decide.Caution
+		var told []scheduler.Caution
 		var log bytes.Buffer
-		o := New(Options{Most: decide.CareRepeats, Tell: func(c decide.Caution) { told = append(told, c) }, Log: slog.New(slog.NewTextHandler(&log, nil))}, nil, 0)
+		o := New(Options{Most: scheduler.CareRepeats, Tell: func(c scheduler.Caution) { told = append(told, c) }, Log: slog.New(slog.NewTextHandler(&log, nil))}, nil, 0)
 		a := observation(t, "0s n PUT /s/1 K=1 -> 201 X-Not-Run=1")
 		for range mostWaiting + 50 {
 			o.Observe(a)
@@ -50,7 +50,7 @@
 		time.Sleep(reportEvery + time.Second)
 		cancel()
 		synctest.Wait()
-		want := []decide.Caution{{Operation: "PUT /s/{x}", Node: "n", Level: decide.CareCopies}, {Operation: "PUT /s/{x}", Node: "n", Level: decide.CareRepeats}}
+		want := []scheduler.Caution{{Operation: "PUT /s/{x}", Node: "n", Level: scheduler.CareCopies}, {Operation: "PUT /s/{x}", Node: "n", Level: scheduler.CareRepeats}}
 		if diff := cmp.Diff(want, told); diff != "" {
 			t.Error(diff)
 		}
@@ -64,7 +64,7 @@
 func TestSchemasHaveTheirShareOfTheTime(t *testing.T) {
 	now := time.Hour
 	looks := 0
-	o := New(Options{Sample: 1, Tell: func(decide.Caution) {}, Log: slog.New(slog.DiscardHandler), Clock: func() time.Duration {
+	o := New(Options{Sample: 1, Tell: func(scheduler.Caution) {}, Log: slog.New(slog.DiscardHandler), Clock: func() time.Duration {
 		if looks++; looks > 1 && looks%3 == 0 { // the reading after the look: it took 10 ms
 			now += 10 * time.Millisecond
 		}
@@ -87,7 +87,7 @@
 func TestDoubtsAreKept(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "doubts.json")
 	doubt := trust.Doubt{Operation: "PUT /s/{x}", Node: "n", State: "distrusted", Level: "avoided", HoldMs: 30_000, Weight: 12, Worst: "repeat-ran", Counts: map[string]int{"repeat-ran": 3}, Answers: 9}
-	write := func(fs disk.FS, log *bytes.Buffer, rounds int) {
+	write := func(fs filesystem.FS, log *bytes.Buffer, rounds int) {
 		s := NewStore(fs, path, slog.New(slog.NewTextHandler(log, nil)))
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan bool)
@@ -99,29 +99,29 @@
 		<-ended
 	}
 	var log bytes.Buffer
-	write(disk.OS{}, &log, 3)
-	doubts, age := NewStore(disk.OS{}, path, slog.New(slog.DiscardHandler)).Load()
+	write(filesystem.OS{}, &log, 3)
+	doubts, age := NewStore(filesystem.OS{}, path, slog.New(slog.DiscardHandler)).Load()
 	if diff := cmp.Diff([]trust.Doubt{doubt}, doubts); diff != "" || age > time.Minute {
 		t.Errorf("%v %s", age, diff)
 	}
-	var told []decide.Caution
-	o := New(Options{Most: decide.CareAvoid, Tell: func(c decide.Caution) { told = append(told, c) }, Log: slog.New(slog.DiscardHandler)}, doubts, age)
+	var told []scheduler.Caution
+	o := New(Options{Most: scheduler.CareAvoid, Tell: func(c scheduler.Caution) { told = append(told, c) }, Log: slog.New(slog.DiscardHandler)}, doubts, age)
 	if len(told) > 0 {
 		t.Error("told before the decisions can take it")
 	}
-	if o.Begin(); len(told) != 1 || told[0].Level != decide.CareAvoid {
+	if o.Begin(); len(told) != 1 || told[0].Level != scheduler.CareAvoid {
 		t.Errorf("%+v", told)
 	}
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if doubts, _ := NewStore(disk.OS{}, path, slog.New(slog.NewTextHandler(&log, nil))).Load(); doubts != nil || !strings.Contains(log.String(), "set aside") {
+	if doubts, _ := NewStore(filesystem.OS{}, path, slog.New(slog.NewTextHandler(&log, nil))).Load(); doubts != nil || !strings.Contains(log.String(), "set aside") {
 		t.Errorf("%v %s", doubts, log.String())
 	}
 	if _, err := os.Stat(path + ".set-aside"); err != nil {
 		t.Error(err)
 	}
-	full := disktest.New()
+	full := filesystemtest.New()
 	full.Kill = 0
 	log.Reset()
 	write(full, &log, 1)
@@ -135,7 +135,7 @@
 	a := observation(b, `0s n GET /s/1 -> 200 Content-Type=application/json {"hours":7}`)
 	for _, sample := range []float64{0, 0.01, 0.1, 1} {
 		b.Run(fmt.Sprint("sample ", sample), func(b *testing.B) {
-			o := New(Options{Sample: sample, Tell: func(decide.Caution) {}, Log: slog.New(slog.DiscardHandler)}, nil, 0)
+			o := New(Options{Sample: sample, Tell: func(scheduler.Caution) {}, Log: slog.New(slog.DiscardHandler)}, nil, 0)
 			b.ReportAllocs()
 			for b.Loop() {
 				o.Observe(a)
@@ -145,7 +145,7 @@
 		})
 	}
 	b.Run("on the answer's way", func(b *testing.B) {
-		o := New(Options{Sample: 1, Tell: func(decide.Caution) {}, Log: slog.New(slog.DiscardHandler)}, nil, 0)
+		o := New(Options{Sample: 1, Tell: func(scheduler.Caution) {}, Log: slog.New(slog.DiscardHandler)}, nil, 0)
 		b.ReportAllocs()
 		for b.Loop() {
 			o.Observe(a)
--- a/internal/contract/live/live.go
+++ b/internal/contract/registry/live.go
@@ -1,6 +1,6 @@
-// Package live holds the descriptions that are in force, and counts what they do not describe. It is for many goroutines; what is decided, packages
+// Package registry holds the descriptions that are in force, and counts what they do not describe. It is for many goroutines; what is decided, packages
 // book and limits decide.
-package live
+package registry
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"golang.org/x/time/rate"
 
 	"reachpulley/internal/contract"
-	"reachpulley/internal/contract/book"
-	"reachpulley/internal/limits"
+	"reachpulley/internal/contract/catalog"
+	"reachpulley/internal/ratelimit"
 )
 
 // Options say what is done with calls that nothing describes.
@@ -35,12 +35,12 @@
 // Contracts are in force from one Swap to the next.
 type Contracts struct {
 	log     *slog.Logger
-	current atomic.Pointer[book.Book]
+	current atomic.Pointer[catalog.Book]
 	clock   func() time.Duration
 	options Options
 
 	mu          sync.Mutex // for what is below
-	limiter     *limits.Limiter
+	limiter     *ratelimit.Limiter
 	undescribed int // since the last report
 	limited     int
 	sample      rate.Sometimes
@@ -52,17 +52,17 @@
 	began := time.Now()
 	c := &Contracts{log: log, options: o, clock: func() time.Duration { return time.Since(began) },
 		sample: rate.Sometimes{First: samples, Interval: reportEvery}}
-	var defs []limits.Definition
+	var defs []ratelimit.Definition
 	if o.Rate > 0 || o.Open > 0 {
-		defs = []limits.Definition{{Name: book.UndescribedName, Rate: o.Rate, Burst: max(1, o.Burst), Open: o.Open, Keys: limits.LeastKeys}}
+		defs = []ratelimit.Definition{{Name: catalog.UndescribedName, Rate: o.Rate, Burst: max(1, o.Burst), Open: o.Open, Keys: ratelimit.LeastKeys}}
 	}
 	var err error
-	c.limiter, err = limits.New(defs)
+	c.limiter, err = ratelimit.New(defs)
 	return c, err
 }
 
 // Swap puts a book in force, whole; nil: none. Requests under way keep theirs.
-func (c *Contracts) Swap(b *book.Book, refuse bool) {
+func (c *Contracts) Swap(b *catalog.Book, refuse bool) {
 	c.mu.Lock()
 	c.options.Refuse = refuse
 	c.mu.Unlock()
@@ -77,11 +77,11 @@
 
 // Said is what descriptions say of one request. End gives back what it holds; a nil Said has nothing.
 type Said struct {
-	*book.Entry
+	*catalog.Entry
 	Call       contract.Call
 	Parameters []string
 	home       *Contracts
-	grant      limits.Grant
+	grant      ratelimit.Grant
 	taken      bool
 }
 
@@ -113,7 +113,7 @@
 }
 
 // Command gives what descriptions say of a READ or WRITE of the second front; nil where they say nothing of it.
-func (c *Contracts) Command(lun int, write bool) *book.Entry {
+func (c *Contracts) Command(lun int, write bool) *catalog.Entry {
 	if c == nil {
 		return nil
 	}
@@ -146,7 +146,7 @@
 	if c.options.Rate == 0 && c.options.Open == 0 {
 		return nil
 	}
-	v := c.limiter.Take(c.clock(), []limits.Ask{{Limit: 0, Key: book.UndescribedName}})
+	v := c.limiter.Take(c.clock(), []ratelimit.Ask{{Limit: 0, Key: catalog.UndescribedName}})
 	if !v.Taken {
 		c.limited++
 		return Limited{v.RetryAfter}
--- a/internal/contract/live/live_test.go
+++ b/internal/contract/registry/live_test.go
@@ -1,4 +1,4 @@
-package live
+package registry
 
 import (
 	"errors"
@@ -8,19 +8,19 @@
 	"testing/synctest"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/contract"
-	"reachpulley/internal/contract/book"
+	"reachpulley/internal/contract/catalog"
+	"reachpulley/scheduler"
 )
 
-func books(t testing.TB, files ...string) *book.Book {
+func books(t testing.TB, files ...string) *catalog.Book {
 	t.Helper()
 	all, err := contract.Load(files...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, faults := book.New(all, decide.Settings{Classes: []decide.Class{{Name: "sheet-read", Aim: time.Second, Deadline: 2 * time.Second},
-		{Name: "entry-write", Aim: time.Second, Deadline: 2 * time.Second, Repeats: decide.Keyed, RepeatGroup: decide.GroupShard, RepeatFor: 4 * time.Second, Writes: true}}})
+	b, faults := catalog.New(all, scheduler.Settings{Classes: []scheduler.Class{{Name: "sheet-read", Aim: time.Second, Deadline: 2 * time.Second},
+		{Name: "entry-write", Aim: time.Second, Deadline: 2 * time.Second, Repeats: scheduler.Keyed, RepeatGroup: scheduler.GroupShard, RepeatFor: 4 * time.Second, Writes: true}}})
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -44,7 +44,7 @@
 		var held []*Said
 		for i := range 3 {
 			s, err := c.Begin(contract.Call{Method: "GET", Path: "/x/" + strings.Repeat("y", 500)})
-			if held = append(held, s); (err != nil) != (i == 2) || s.Bound.Repeats != decide.Unsafe {
+			if held = append(held, s); (err != nil) != (i == 2) || s.Bound.Repeats != scheduler.Unsafe {
 				t.Fatalf("%d: %v", i, err)
 			}
 			var limited Limited
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // Places tells where a node is.
@@ -40,10 +40,10 @@
 		d.nodes = make(map[string]Place, len(hosts))
 	}
 	for _, h := range hosts {
-		if phases[h.Health] == decide.Removed { // ids are new all the time: what is gone must not pile up
+		if phases[h.Health] == scheduler.Removed { // ids are new all the time: what is gone must not pile up
 			delete(d.nodes, h.Host)
 			continue
 		}
-		d.nodes[h.Host] = Place{Address: h.Dial, Up: phases[h.Health] == decide.Up}
+		d.nodes[h.Host] = Place{Address: h.Dial, Up: phases[h.Health] == scheduler.Up}
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/scheduler"
 )
 
 // News counts as told 6 s after a watch fell silent, and after discovery could be reached. In this time what is broken
@@ -34,7 +34,7 @@
 	ctx       context.Context
 	zones     []string
 	startedAt func(unixMilli int64) time.Duration
-	tell      func(decide.Membership)
+	tell      func(scheduler.Membership)
 	log       *slog.Logger
 	http      *http.Client
 	directory Directory
@@ -61,7 +61,7 @@
 	Address   string                                                               // of discovery
 	Zones     []string                                                             // as the settings name them
 	StartedAt func(unixMilli int64) time.Duration                                  // the core's clock
-	Tell      func(decide.Membership)                                              // takes what is learned; it must not block
+	Tell      func(scheduler.Membership)                                           // takes what is learned; it must not block
 	Dial      func(ctx context.Context, network, address string) (net.Conn, error) // nil: the network
 	Log       *slog.Logger
 }
@@ -91,7 +91,7 @@
 func (c *Client) Directory() *Directory { return &c.directory }
 
 // Remember takes the list that the gateway held in an earlier life.
-func (c *Client) Remember(l *List) { c.take(c.ctx, l, decide.Remembered, 0) }
+func (c *Client) Remember(l *List) { c.take(c.ctx, l, scheduler.Remembered, 0) }
 
 // Move follows discovery to another address: the old watch ends, and the new address is watched at once. The list that
 // is held stays until news comes.
@@ -132,7 +132,7 @@
 		c.mu.Unlock()
 		if at.ctx.Err() == nil { // else it was broken off here
 			c.log.Log(c.ctx, c.severity(err), "discovery does not answer", "err", err)
-			c.tell(decide.Membership{Kind: decide.Refused})
+			c.tell(scheduler.Membership{Kind: scheduler.Refused})
 		}
 	}()
 }
@@ -189,9 +189,9 @@
 		if err != nil {
 			return err
 		}
-		kind := decide.Changes
+		kind := scheduler.Changes
 		if l.Whole {
-			kind = decide.Whole
+			kind = scheduler.Whole
 		}
 		c.take(at.ctx, l, kind, seq)
 	}
@@ -219,7 +219,7 @@
 // list is older than the version it was asked from comes of a discovery that counts anew; were that dropped, nothing
 // would be heard ever after.
 // What came from an address that discovery has left is dropped, too: its call has ended.
-func (c *Client) take(call context.Context, l *List, kind decide.ListKind, askedFrom int64) {
+func (c *Client) take(call context.Context, l *List, kind scheduler.ListKind, askedFrom int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	anew := l.Whole && l.Seq < askedFrom
@@ -228,5 +228,5 @@
 	}
 	c.seq, c.failing = l.Seq, ""
 	c.directory.update(l.Whole, l.Hosts)
-	c.tell(decide.Membership{Kind: kind, Nodes: l.nodes(c.zones, c.startedAt)})
+	c.tell(scheduler.Membership{Kind: kind, Nodes: l.nodes(c.zones, c.startedAt)})
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachpulley/decide"
-	"reachpulley/internal/scenario"
+	"reachpulley/internal/scenariotest"
+	"reachpulley/scheduler"
 )
 
 const (
@@ -75,11 +75,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got []string
-			scenario.Run(t, c.script, func(s *scenario.Stage) func() {
+			scenariotest.Run(t, c.script, func(s *scenariotest.Stage) func() {
 				ctx, cancel := context.WithCancel(context.Background())
 				o := Options{Address: "d:1", Dial: s.Network.Dial, Log: slog.New(slog.DiscardHandler),
 					StartedAt: func(int64) time.Duration { return 0 },
-					Tell: func(m decide.Membership) {
+					Tell: func(m scheduler.Membership) {
 						words := fmt.Sprint(int(m.Kind))
 						for _, n := range m.Nodes {
 							words += fmt.Sprintf(" %s:%d", n.ID, n.Phase)
@@ -90,8 +90,8 @@
 					o.Patience = 125 * time.Millisecond
 				}
 				client := New(ctx, o)
-				s.Server("d", "d:1", scenario.HTTP{})
-				s.Server("e", "e:1", scenario.HTTP{})
+				s.Server("d", "d:1", scenariotest.HTTP{})
+				s.Server("e", "e:1", scenariotest.HTTP{})
 				s.Control("client", "move", func() { client.Move("e:1") })
 				s.Control("client", "watch", client.Watch)
 				s.Control("client", "take", func() {
@@ -99,7 +99,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					client.take(ctx, l, decide.Changes, 0)
+					client.take(ctx, l, scheduler.Changes, 0)
 					if client.Directory().Lookup("n").Up {
 						t.Error("the directory sends to a node that drains")
 					}
@@ -121,11 +121,11 @@
 func TestFaultIsLoggedOnce(t *testing.T) {
 	var log strings.Builder
 	bad := index + "0\n" + answers + "{]\\n\nd expect end\nclient send watch\n"
-	scenario.Run(t, "client send watch\n"+bad+bad+bad+index+"0\n"+answers+up+"\\n{]\\n\nd expect end\n", func(s *scenario.Stage) func() {
+	scenariotest.Run(t, "client send watch\n"+bad+bad+bad+index+"0\n"+answers+up+"\\n{]\\n\nd expect end\n", func(s *scenariotest.Stage) func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		client := New(ctx, Options{Address: "d:1", Dial: s.Network.Dial, Log: slog.New(slog.NewTextHandler(&log, nil)),
-			StartedAt: func(int64) time.Duration { return 0 }, Tell: func(decide.Membership) {}})
-		s.Server("d", "d:1", scenario.HTTP{})
+			StartedAt: func(int64) time.Duration { return 0 }, Tell: func(scheduler.Membership) {}})
+		s.Server("d", "d:1", scenariotest.HTTP{})
 		s.Control("client", "watch", client.Watch)
 		return cancel
 	})
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // List is a version of the list of nodes, or what changed in it, as discovery writes it.
@@ -27,7 +27,7 @@
 	BornMs int64   `json:"born_ms"`
 }
 
-var phases = map[string]decide.Phase{"up": decide.Up, "draining": decide.Draining, "removed": decide.Removed}
+var phases = map[string]scheduler.Phase{"up": scheduler.Up, "draining": scheduler.Draining, "removed": scheduler.Removed}
 
 // ParseList reads a list and names what is wrong with it.
 func ParseList(text []byte) (*List, error) {
@@ -43,7 +43,7 @@
 		if !ok {
 			return nil, fmt.Errorf("hosts[%d].health: unknown state %q", i, h.Health)
 		}
-		if _, _, err := net.SplitHostPort(h.Dial); err != nil && phase != decide.Removed {
+		if _, _, err := net.SplitHostPort(h.Dial); err != nil && phase != scheduler.Removed {
 			return nil, fmt.Errorf("hosts[%d].dial: %w", i, err)
 		}
 	}
@@ -51,10 +51,10 @@
 }
 
 // nodes turns a list into the core's terms. A node's start is converted to the core's clock here, once.
-func (l *List) nodes(zones []string, startedAt func(unixMilli int64) time.Duration) []decide.Node {
-	nodes := make([]decide.Node, 0, len(l.Hosts))
+func (l *List) nodes(zones []string, startedAt func(unixMilli int64) time.Duration) []scheduler.Node {
+	nodes := make([]scheduler.Node, 0, len(l.Hosts))
 	for _, h := range l.Hosts {
-		nodes = append(nodes, decide.Node{
+		nodes = append(nodes, scheduler.Node{
 			ID: h.Host, Zone: slices.Index(zones, h.Site), Shard: h.Block, Phase: phases[h.Health],
 			Size: h.Share, StartedAt: startedAt(h.BornMs),
 		})
--- a/internal/core/core.go
+++ b/internal/eventloop/core.go
@@ -1,6 +1,6 @@
-// Package core runs the decisions of package decide in real time. It knows no wire: fronts open exchanges,
+// Package eventloop runs the decisions of package scheduler in real time. It knows no wire: fronts open exchanges,
 // backs carry attempts, discovery brings the list of nodes, and all of them post events to one loop.
-package core
+package eventloop
 
 import (
 	"cmp"
@@ -10,9 +10,9 @@
 	"log/slog"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
 	"reachpulley/internal/exchange"
+	"reachpulley/scheduler"
 )
 
 // Back carries attempts and probes to the nodes. Its methods are called by the loop and must not block.
@@ -21,7 +21,7 @@
 	// TimedOut or Canceled, and nothing of it is on its way to the node once report has been called.
 	Start(ctx context.Context, a Attempt, report func(Report))
 	// Probe asks a node for its load and calls report exactly once.
-	Probe(node string, report func(decide.ProbeResult))
+	Probe(node string, report func(scheduler.ProbeResult))
 }
 
 // Lister watches the list of nodes. Watch must not block; what it brings comes in by Members.
@@ -44,11 +44,11 @@
 
 // Report is how an attempt ended, as its back saw it.
 type Report struct {
-	Result decide.Result
+	Result scheduler.Result
 	Reply  any     // for Served
-	Use    float64 // as in decide.Outcome
+	Use    float64 // as in scheduler.Outcome
 	Others float64
-	Load   *decide.Load
+	Load   *scheduler.Load
 	Took   time.Duration // from the request's first byte to the answer's last; 0: as long as the attempt
 }
 
@@ -57,20 +57,20 @@
 func (r Report) latency(out time.Duration) time.Duration { return cmp.Or(r.Took, out) }
 
 // GivenUp is the result of an attempt that ended with result, unless it was given up: then it is that.
-func GivenUp(ctx context.Context, result decide.Result) decide.Result {
+func GivenUp(ctx context.Context, result scheduler.Result) scheduler.Result {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return decide.TimedOut
+		return scheduler.TimedOut
 	case ctx.Err() != nil:
-		return decide.Canceled
+		return scheduler.Canceled
 	}
 	return result
 }
 
-// scheduler is a Scheduler, recorded or not.
-type scheduler interface {
+// decider is a Scheduler, recorded or not.
+type decider interface {
 	capture.Scheduler
-	Snapshot() *decide.Snapshot
+	Snapshot() *scheduler.Snapshot
 	BeginWithin(id string) (within time.Duration, bound bool)
 }
 
@@ -82,7 +82,7 @@
 	lister  Lister
 	limit   int // attempts a request may have; 0: no limit
 	box     *mailbox
-	sched   scheduler
+	sched   decider
 	record  *capture.Recorder // nil: nothing is recorded
 	crashed func(capture.Kept)
 	timers  timerHeap
@@ -105,7 +105,7 @@
 }
 
 // New makes a Loop that decides by settings; nothing is recorded where rec.Most is 0.
-func New(settings decide.Settings, seed uint64, clock Clock, back Back, lister Lister, rec capture.Options, log *slog.Logger) (*Loop, error) {
+func New(settings scheduler.Settings, seed uint64, clock Clock, back Back, lister Lister, rec capture.Options, log *slog.Logger) (*Loop, error) {
 	l := &Loop{
 		clock: clock, log: log, back: back, lister: lister, limit: settings.Allowed.MaxAttempts,
 		box: newMailbox(), entries: map[string]*entry{},
@@ -117,7 +117,7 @@
 		l.sched = l.record
 		return l, err
 	}
-	sched, err := decide.New(settings, seed, actions{l})
+	sched, err := scheduler.New(settings, seed, actions{l})
 	l.sched = sched
 	return l, err
 }
@@ -130,15 +130,17 @@
 }
 
 // Recall takes over what an earlier life had learned. It is called before anything else is told.
-func (l *Loop) Recall(learned decide.Learned) {
+func (l *Loop) Recall(learned scheduler.Learned) {
 	l.box.post(func() { l.sched.Recall(l.clock.Now(), learned) })
 }
 
 // Snapshot has done called with the state, within the loop: it must not block. It holds the loop up while the state is copied.
-func (l *Loop) Snapshot(done func(*decide.Snapshot)) { l.box.post(func() { done(l.sched.Snapshot()) }) }
+func (l *Loop) Snapshot(done func(*scheduler.Snapshot)) {
+	l.box.post(func() { done(l.sched.Snapshot()) })
+}
 
 // State is the state after the loop's end.
-func (l *Loop) State() *decide.Snapshot { return l.sched.Snapshot() }
+func (l *Loop) State() *scheduler.Snapshot { return l.sched.Snapshot() }
 
 // Note has something told beside what is recorded; without a recorder it is not.
 func (l *Loop) Note(text string) {
@@ -154,12 +156,12 @@
 }
 
 // Members brings news of the list of nodes.
-func (l *Loop) Members(m decide.Membership) {
+func (l *Loop) Members(m scheduler.Membership) {
 	l.box.post(func() { l.sched.Members(l.clock.Now(), m) })
 }
 
 // Caution tells how carefully an operation is to be handled.
-func (l *Loop) Caution(c decide.Caution) {
+func (l *Loop) Caution(c scheduler.Caution) {
 	l.box.post(func() { l.sched.Caution(l.clock.Now(), c) })
 }
 
@@ -255,12 +257,12 @@
 	o := e.open[number]
 	o.cancel()
 	delete(e.open, number)
-	if r.Result == decide.Served {
+	if r.Result == scheduler.Served {
 		l.end(e, exchange.Answer{Verdict: exchange.Served, Reply: r.Reply})
 	}
 	l.drop(e)
 	now := l.clock.Now()
-	l.sched.Ended(now, decide.Outcome{
+	l.sched.Ended(now, scheduler.Outcome{
 		ID: e.x.Request.ID, Attempt: number, Node: o.node, Result: r.Result, Latency: r.latency(now - o.sentAt),
 		Done: e.over, Use: r.Use, Others: r.Others, Load: r.Load,
 	})
@@ -299,7 +301,7 @@
 	// Reports are posted, never handed in at once: the Scheduler is still within the call that sends.
 	report := func(r Report) { l.box.post(func() { l.ended(e, number, r) }) }
 	if e.over || !now.Before(deadline) || l.limit > 0 && number >= l.limit {
-		report(Report{Result: decide.Moot, Use: -1})
+		report(Report{Result: scheduler.Moot, Use: -1})
 		return
 	}
 	attempt := Attempt{Exchange: e.x, Number: number, Node: node, Deadline: deadline}
@@ -325,7 +327,7 @@
 
 func (a actions) Probe(node string) {
 	l := a.l
-	l.back.Probe(node, func(p decide.ProbeResult) { l.box.post(func() { l.sched.Probed(l.clock.Now(), p) }) })
+	l.back.Probe(node, func(p scheduler.ProbeResult) { l.box.post(func() { l.sched.Probed(l.clock.Now(), p) }) })
 }
 
 func (a actions) SetTimer(after time.Duration, key uint64) {
--- a/internal/core/core_test.go
+++ b/internal/eventloop/core_test.go
@@ -1,4 +1,4 @@
-package core
+package eventloop
 
 import (
 	"bytes"
@@ -13,10 +13,10 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
 	"reachpulley/internal/capture/replaytest"
 	"reachpulley/internal/exchange"
+	"reachpulley/scheduler"
 )
 
 // fakeBack keeps what it was asked for; a test reports on it.
@@ -32,24 +32,24 @@
 	b.started, b.ctxs = append(b.started, report), append(b.ctxs, ctx)
 }
 
-func (b *fakeBack) Probe(string, func(decide.ProbeResult)) {}
+func (b *fakeBack) Probe(string, func(scheduler.ProbeResult)) {}
 
 type fakeLister struct{ watches int }
 
 func (l *fakeLister) Watch() { l.watches++ }
 
-var testSettings = decide.Settings{Siblings: 1, MustAsk: true, Classes: []decide.Class{
+var testSettings = scheduler.Settings{Siblings: 1, MustAsk: true, Classes: []scheduler.Class{
 	{Name: "read", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1},
-	{Name: "once", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1, Repeats: decide.Unsafe}},
-	Plans:   []decide.Plan{{Reserve: 99, Weight: 1, Price: 1}},
-	Allowed: decide.Allowed{Cancel: true, MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: time.Second}}
+	{Name: "once", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1, Repeats: scheduler.Unsafe}},
+	Plans:   []scheduler.Plan{{Reserve: 99, Weight: 1, Price: 1}},
+	Allowed: scheduler.Allowed{Cancel: true, MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: time.Second}}
 
 // bench runs a loop with one node in fake time, and replays what was recorded meanwhile.
 func bench(t *testing.T, test func(l *Loop, b *fakeBack)) { benchWith(t, testSettings, test) }
 
 func init() { replaytest.Warm() }
 
-func benchWith(t *testing.T, settings decide.Settings, test func(l *Loop, b *fakeBack)) {
+func benchWith(t *testing.T, settings scheduler.Settings, test func(l *Loop, b *fakeBack)) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &fakeBack{}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -59,7 +59,7 @@
 		}
 		ended := make(chan bool)
 		go func() { l.Run(ctx); close(ended) }()
-		l.Members(decide.Membership{Kind: decide.Whole, Nodes: []decide.Node{{ID: "n"}}})
+		l.Members(scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "n"}}})
 		test(l, b)
 		cancel()
 		<-ended
@@ -72,7 +72,7 @@
 }
 
 func submit(l *Loop, id string, class int) *exchange.Exchange {
-	x := exchange.New(decide.Request{ID: id, Class: class, Volume: "v", Units: 1, Hosts: 1}, time.Now().Add(time.Second), nil)
+	x := exchange.New(scheduler.Request{ID: id, Class: class, Volume: "v", Units: 1, Hosts: 1}, time.Now().Add(time.Second), nil)
 	l.Open(x)
 	synctest.Wait()
 	return x
@@ -92,16 +92,16 @@
 func TestOneAnswerForEachRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		class    int
-		reports  []decide.Result
+		reports  []scheduler.Result
 		want     string
 		attempts int
 	}{
-		"served":                            {0, []decide.Result{decide.Served}, "served yes", 1},
-		"never ran, then served":            {1, []decide.Result{decide.Full, decide.Served}, "served yes", 2},
-		"may have run":                      {1, []decide.Result{decide.Reset}, "failed <nil>", 1},
-		"may have run, safe to repeat":      {0, []decide.Result{decide.Reset, decide.Served}, "served yes", 2},
-		"no attempt is left":                {0, []decide.Result{decide.Reset, decide.Reset}, "refused <nil>", 2},
-		"the node cannot be reached at all": {1, []decide.Result{decide.ConnectFailed, decide.ConnectFailed}, "refused <nil>", 2},
+		"served":                            {0, []scheduler.Result{scheduler.Served}, "served yes", 1},
+		"never ran, then served":            {1, []scheduler.Result{scheduler.Full, scheduler.Served}, "served yes", 2},
+		"may have run":                      {1, []scheduler.Result{scheduler.Reset}, "failed <nil>", 1},
+		"may have run, safe to repeat":      {0, []scheduler.Result{scheduler.Reset, scheduler.Served}, "served yes", 2},
+		"no attempt is left":                {0, []scheduler.Result{scheduler.Reset, scheduler.Reset}, "refused <nil>", 2},
+		"the node cannot be reached at all": {1, []scheduler.Result{scheduler.ConnectFailed, scheduler.ConnectFailed}, "refused <nil>", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bench(t, func(l *Loop, b *fakeBack) {
@@ -139,11 +139,11 @@
 			t.Error("an attempt goes on")
 		}
 		// A reply that comes too late changes nothing.
-		b.started[1](Report{Result: decide.Served, Reply: "yes"})
+		b.started[1](Report{Result: scheduler.Served, Reply: "yes"})
 		if told(late) != "failed <nil>" || len(l.entries) != 1 {
 			t.Errorf("%s, %d entries", told(late), len(l.entries))
 		}
-		b.started[0](Report{Result: decide.Canceled})
+		b.started[0](Report{Result: scheduler.Canceled})
 		if synctest.Wait(); len(l.entries) != 0 {
 			t.Error("an exchange is kept")
 		}
@@ -191,8 +191,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Members(decide.Membership{Kind: decide.Whole, Nodes: []decide.Node{{ID: "n"}}})
-	l.Open(exchange.New(decide.Request{ID: "last", Volume: "v", Units: 1, Hosts: 1}, time.Now().Add(time.Minute), nil))
+	l.Members(scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "n"}}})
+	l.Open(exchange.New(scheduler.Request{ID: "last", Volume: "v", Units: 1, Hosts: 1}, time.Now().Add(time.Minute), nil))
 	func() {
 		defer func() {
 			if recover() != "broken" {
@@ -224,9 +224,9 @@
 // Failures of the past, each recorded and played again by bench: a surge of one plan beside another, and a cold start under load.
 func TestPastFailures(t *testing.T) {
 	settings := testSettings
-	settings.Plans = []decide.Plan{{Name: "surging", Reserve: 5, Weight: 1, Price: 1, Limit: 60, Burst: 40}, {Name: "calm", Reserve: 99, Weight: 1, Price: 1}}
-	settings.Rules = decide.Rules{ColdFrom: 0.18, WarmWithin: 17 * time.Second, ColdWindow: 3 * time.Second, ColdUnits: 30, ColdMultiple: 4}
-	settings.Sizes = decide.Sizes{MeanUnits: 1, MostUnits: 4}
+	settings.Plans = []scheduler.Plan{{Name: "surging", Reserve: 5, Weight: 1, Price: 1, Limit: 60, Burst: 40}, {Name: "calm", Reserve: 99, Weight: 1, Price: 1}}
+	settings.Rules = scheduler.Rules{ColdFrom: 0.18, WarmWithin: 17 * time.Second, ColdWindow: 3 * time.Second, ColdUnits: 30, ColdMultiple: 4}
+	settings.Sizes = scheduler.Sizes{MeanUnits: 1, MostUnits: 4}
 	load := func(l *Loop, b *fakeBack) {
 		answered := 0
 		// All but the latest few are answered. The list is copied, as the loop adds to it as soon as one is.
@@ -236,7 +236,7 @@
 			reports := slices.Clone(b.started[answered:until])
 			b.mu.Unlock()
 			for _, report := range reports {
-				report(Report{Result: decide.Served, Reply: "yes", Use: -1})
+				report(Report{Result: scheduler.Served, Reply: "yes", Use: -1})
 			}
 			answered = until
 		}
@@ -245,7 +245,7 @@
 			if i > 200 {
 				plan = 1 - plan
 			}
-			x := exchange.New(decide.Request{ID: fmt.Sprint(i), Plan: plan, Volume: fmt.Sprint("v", plan), Units: 1, Hosts: 1, Shard: decide.AnyShard}, time.Now().Add(time.Second), nil)
+			x := exchange.New(scheduler.Request{ID: fmt.Sprint(i), Plan: plan, Volume: fmt.Sprint("v", plan), Units: 1, Hosts: 1, Shard: scheduler.AnyShard}, time.Now().Add(time.Second), nil)
 			l.Open(x)
 			time.Sleep(2 * time.Millisecond)
 			synctest.Wait()
@@ -263,7 +263,7 @@
 	t.Run("surge", func(t *testing.T) { benchWith(t, settings, load) })
 	t.Run("cold start", func(t *testing.T) {
 		benchWith(t, settings, func(l *Loop, b *fakeBack) {
-			l.Members(decide.Membership{Kind: decide.Changes, Nodes: []decide.Node{{ID: "n", StartedAt: l.clock.Now()}}})
+			l.Members(scheduler.Membership{Kind: scheduler.Changes, Nodes: []scheduler.Node{{ID: "n", StartedAt: l.clock.Now()}}})
 			load(l, b)
 		})
 	})
--- a/internal/core/mailbox.go
+++ b/internal/eventloop/mailbox.go
@@ -1,4 +1,4 @@
-package core
+package eventloop
 
 import "sync"
 
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // Verdict is how a request ended for its client.
@@ -34,9 +34,9 @@
 // Exchange is one request from the moment it is taken until it is answered or its client has left. The front
 // that makes it owns it; nothing in it needs to be given back.
 type Exchange struct {
-	Request  decide.Request // the facts on which is decided; Patience is set when the core takes it
-	Deadline time.Time      // when the client gives up
-	Payload  any            // what a back sends; it must not be changed
+	Request  scheduler.Request // the facts on which is decided; Patience is set when the core takes it
+	Deadline time.Time         // when the client gives up
+	Payload  any               // what a back sends; it must not be changed
 
 	once   sync.Once
 	done   chan struct{}
@@ -46,7 +46,7 @@
 }
 
 // New makes an Exchange.
-func New(request decide.Request, deadline time.Time, payload any) *Exchange {
+func New(request scheduler.Request, deadline time.Time, payload any) *Exchange {
 	x := &Exchange{Request: request, Deadline: deadline, Payload: payload, done: make(chan struct{})}
 	x.client, x.leave = context.WithCancel(context.Background())
 	return x
--- a/internal/disk/disk.go
+++ b/internal/filesystem/disk.go
@@ -1,6 +1,6 @@
-// Package disk is the little of a file system that state on disk needs, behind an interface: tests give one that loses what was not
+// Package filesystem is the little of a file system that state on disk needs, behind an interface: tests give one that loses what was not
 // synced, runs out of space, and fails to sync.
-package disk
+package filesystem
 
 import (
 	"errors"
--- a/internal/disk/disktest/disktest.go
+++ b/internal/filesystem/filesystemtest/disktest.go
@@ -1,5 +1,5 @@
-// Package disktest is a file system for tests that fails as disks do.
-package disktest
+// Package filesystemtest is a file system for tests that fails as disks do.
+package filesystemtest
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"sync"
 	"syscall"
 
-	"reachpulley/internal/disk"
+	"reachpulley/internal/filesystem"
 )
 
 // Errors of a disk.
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// Create is as in disk.FS, and so are the others.
-func (f *FS) Create(name string) (disk.File, error) {
+// Create is as in filesystem.FS, and so are the others.
+func (f *FS) Create(name string) (filesystem.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.dead {
@@ -149,15 +149,15 @@
 }
 
 // List lists what is in a directory.
-func (f *FS) List(directory string) (list []disk.Info, err error) {
+func (f *FS) List(directory string) (list []filesystem.Info, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, one := range f.now {
 		if filepath.Dir(name) == filepath.Clean(directory) {
-			list = append(list, disk.Info{Name: filepath.Base(name), Size: int64(len(one.written))})
+			list = append(list, filesystem.Info{Name: filepath.Base(name), Size: int64(len(one.written))})
 		}
 	}
-	slices.SortFunc(list, func(a, b disk.Info) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b filesystem.Info) int { return strings.Compare(a.Name, b.Name) })
 	return list, nil
 }
 
