--- a/internal/front/h2front/bench_test.go
+++ b/internal/frontend/h2frontend/bench_test.go
@@ -1,4 +1,4 @@
-package h2front_test
+package h2frontend_test
 
 import (
 	"context"
@@ -17,12 +17,12 @@
 
 	"golang.org/x/net/http2"
 
-	"reachpulley/decide"
 	"reachpulley/internal/admission"
 	"reachpulley/internal/exchange"
-	"reachpulley/internal/front/h2front"
-	"reachpulley/internal/front/httpfront"
+	"reachpulley/internal/frontend/h2frontend"
+	"reachpulley/internal/frontend/httpfrontend"
 	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/scheduler"
 )
 
 // prompt is a core that answers at once, with a megabyte to keys that begin with b, and never to those with c.
@@ -44,8 +44,8 @@
 // fronts starts both HTTP fronts on loopback, before the same core.
 func fronts(b *testing.B) (one, two string, stop func()) {
 	log := slog.New(slog.DiscardHandler)
-	front := httpfront.New(httpfront.Options{Core: prompt{}, Log: log, Settings: decide.Settings{
-		Classes: []decide.Class{{Name: "read", Deadline: time.Minute}}, Plans: []decide.Plan{{Name: "gold"}}}})
+	front := httpfrontend.New(httpfrontend.Options{Core: prompt{}, Log: log, Settings: scheduler.Settings{
+		Classes: []scheduler.Class{{Name: "read", Deadline: time.Minute}}, Plans: []scheduler.Plan{{Name: "gold"}}}})
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -54,8 +54,8 @@
 		return l
 	}
 	l1, l2 := listen(), listen()
-	first := httpfront.NewServer(front, l1, 10_000, httpfront.DefaultHead, log)
-	second, err := h2front.New(h2front.Options{Carrier: front, Head: 16 << 10, Log: log, Admission: admission.Config{AtCore: 100_000, PerConnection: 200,
+	first := httpfrontend.NewServer(front, l1, 10_000, httpfrontend.DefaultHead, log)
+	second, err := h2frontend.New(h2frontend.Options{Carrier: front, Head: 16 << 10, Log: log, Admission: admission.Config{AtCore: 100_000, PerConnection: 200,
 		PerClient: 100_000, Streams: 200, LeastStreams: 200, Connections: 5000, Memory: 1 << 30, ConnMemory: 64 << 20, Stall: time.Minute}})
 	if err != nil {
 		b.Fatal(err)
@@ -140,7 +140,7 @@
 				if err != nil {
 					return
 				}
-				c := h2front.NewFrames(conn)
+				c := h2frontend.NewFrames(conn)
 				for id := uint32(1); id < 2000 && ctx.Err() == nil; id += 2 {
 					ask(c, id, "c"+key[1:])
 					if c.Reset(id) != nil {
@@ -198,7 +198,7 @@
 				b.Fatal(err)
 			}
 			slow = append(slow, conn)
-			c := h2front.NewFrames(conn)
+			c := h2frontend.NewFrames(conn)
 			for id := uint32(1); id < 20; id += 2 {
 				ask(c, id, "b"+key[1:])
 			}
@@ -215,7 +215,7 @@
 }
 
 // ask writes a request for a key.
-func ask(c *h2front.Frames, id uint32, key string) {
+func ask(c *h2frontend.Frames, id uint32, key string) {
 	c.Request(id, "GET", "/api/00000003b4d60021/"+key, httpmsg.IDHeader, fmt.Sprint(id), httpmsg.ClassHeader, "read",
 		httpmsg.PlanHeader, "gold", httpmsg.DeadlineHeader, "10000m", httpmsg.PlacementHeader, "units=2,shard=5,hosts=3")
 }
@@ -235,13 +235,13 @@
 	for b.Loop() {
 		before := used()
 		var conns []net.Conn
-		var frames []*h2front.Frames
+		var frames []*h2frontend.Frames
 		for range n {
 			conn, err := net.Dial("tcp", two)
 			if err != nil {
 				b.Fatal(err)
 			}
-			frames = append(frames, h2front.NewFrames(conn))
+			frames = append(frames, h2frontend.NewFrames(conn))
 			conns = append(conns, conn)
 		}
 		time.Sleep(300 * time.Millisecond)
--- a/internal/front/h2front/conn.go
+++ b/internal/frontend/h2frontend/conn.go
@@ -1,4 +1,4 @@
-package h2front
+package h2frontend
 
 import (
 	"bufio"
--- a/internal/front/h2front/server.go
+++ b/internal/frontend/h2frontend/server.go
@@ -1,7 +1,7 @@
-// Package h2front is a front for clients that speak HTTP/2 without TLS, with prior knowledge (RFC 9113, section 3.3). It
+// Package h2frontend is a front for clients that speak HTTP/2 without TLS, with prior knowledge (RFC 9113, section 3.3). It
 // owns frames, streams and windows; what a request means and how it is answered is the first front's business, and who
 // is admitted is that of package admission.
-package h2front
+package h2frontend
 
 import (
 	"context"
--- a/internal/front/h2front/server_test.go
+++ b/internal/frontend/h2frontend/server_test.go
@@ -1,4 +1,4 @@
-package h2front
+package h2frontend
 
 import (
 	"bufio"
@@ -20,7 +20,7 @@
 	"golang.org/x/net/http2"
 
 	"reachpulley/internal/admission"
-	"reachpulley/internal/scenario"
+	"reachpulley/internal/scenariotest"
 )
 
 var admits = admission.Config{AtCore: 128, PerConnection: 100, PerClient: 128, Streams: 100, LeastStreams: 4, Connections: 20, Memory: 4 << 20,
@@ -59,7 +59,7 @@
 // stage is a server within a test's fake time, and ways to reach it.
 type stage struct {
 	t       *testing.T
-	net     scenario.Network
+	net     scenariotest.Network
 	server  *Server
 	carrier *carrier
 }
--- a/internal/front/httpfront/ahead_test.go
+++ b/internal/frontend/httpfrontend/ahead_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpfrontend
 
 import (
 	"bufio"
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/exchange"
 	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/scheduler"
 )
 
 // In whatever pieces requests come, what is handed on at once is of one request.
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	log := slog.New(slog.DiscardHandler)
-	settings := decide.Settings{Classes: []decide.Class{{Name: "c", Deadline: time.Minute}}, Plans: []decide.Plan{{Name: "p"}}}
+	settings := scheduler.Settings{Classes: []scheduler.Class{{Name: "c", Deadline: time.Minute}}, Plans: []scheduler.Plan{{Name: "p"}}}
 	s = NewServer(New(Options{Settings: settings, Core: core, Log: log}), l, 20, DefaultHead, log)
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve() }()
--- a/internal/front/httpfront/bench_test.go
+++ b/internal/frontend/httpfrontend/bench_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpfrontend
 
 import (
 	"log/slog"
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/exchange"
 	"reachpulley/internal/proto/httpmsg"
 	"reachpulley/internal/rules"
-	"reachpulley/internal/rules/live"
+	"reachpulley/internal/rules/engine"
+	"reachpulley/scheduler"
 )
 
 // prompt answers at once.
@@ -25,9 +25,9 @@
 // BenchmarkFront is the first front's way of one request without a wire: as it is with no rules at all, with the rules
 // turned off, and with the example's rules and limits for a request of the platform and one of an old client.
 func BenchmarkFront(b *testing.B) {
-	settings := decide.Settings{
-		Classes: []decide.Class{{Name: "sheet-read", Deadline: time.Second}, {Name: "entry-write", Deadline: time.Second, Writes: true, Repeats: decide.Keyed}},
-		Plans:   []decide.Plan{{Name: "standard"}}}
+	settings := scheduler.Settings{
+		Classes: []scheduler.Class{{Name: "sheet-read", Deadline: time.Second}, {Name: "entry-write", Deadline: time.Second, Writes: true, Repeats: scheduler.Keyed}},
+		Plans:   []scheduler.Plan{{Name: "standard"}}}
 	text, err := os.ReadFile("../../../examples/rules.toml")
 	if err != nil {
 		b.Fatal(err)
@@ -37,7 +37,7 @@
 		b.Fatal(err)
 	}
 	log := slog.New(slog.DiscardHandler)
-	off, on := live.New(log), live.New(log)
+	off, on := engine.New(log), engine.New(log)
 	if err := on.Swap(set, nil); err != nil {
 		b.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	old := func(i int) *http.Request { return httptest.NewRequest("GET", "/api/bridge/sheets/7", nil) }
 	for _, c := range []struct {
 		name    string
-		rules   *live.Rules
+		rules   *engine.Rules
 		request func(int) *http.Request
 	}{{"none", nil, platform}, {"off", off, platform}, {"on/platform", on, platform}, {"on/old-client", on, old}} {
 		b.Run(c.name, func(b *testing.B) {
--- a/internal/front/httpfront/clients.go
+++ b/internal/frontend/httpfrontend/clients.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpfrontend
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"reachpulley/internal/peek"
+	"reachpulley/internal/socketpeek"
 )
 
 const (
@@ -201,7 +201,7 @@
 }
 
 // rests tells whether nothing has come that was not looked at.
-func (c *client) rests() bool { return !c.waiting() && !peek.Ready(c.Conn) }
+func (c *client) rests() bool { return !c.waiting() && !socketpeek.Ready(c.Conn) }
 
 // leave ends what is sent, and has what still comes read and dropped until the client ends it, too: a close over unread
 // bytes would reset the connection, and an answer that is still on its way would be lost. It is called with home's lock.
--- a/internal/front/httpfront/counts_test.go
+++ b/internal/frontend/httpfrontend/counts_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpfrontend
 
 import (
 	"net"
--- a/internal/front/httpfront/facts.go
+++ b/internal/frontend/httpfrontend/facts.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpfrontend
 
 import (
 	"errors"
@@ -9,14 +9,14 @@
 	"strings"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/contract"
-	"reachpulley/internal/contract/book"
-	contracts "reachpulley/internal/contract/live"
+	"reachpulley/internal/contract/catalog"
+	contracts "reachpulley/internal/contract/registry"
 	"reachpulley/internal/proto/httpmsg"
 	"reachpulley/internal/rules"
+	"reachpulley/internal/rules/engine"
 	"reachpulley/internal/rules/expression"
-	"reachpulley/internal/rules/live"
+	"reachpulley/scheduler"
 )
 
 // decisive are the headers by which is decided; two of a kind would leave open which one holds.
@@ -28,7 +28,7 @@
 
 // taken is what a request holds from its begin to its end, and what nodes' answers to it mean.
 type taken struct {
-	ruled *live.Request
+	ruled *engine.Request
 	said  *contracts.Said
 }
 
@@ -55,7 +55,7 @@
 
 // take finds out what the decisions need to know of a request, and asks the limits. What rules and descriptions gave is put into header, which
 // goes to the node. What is held must be ended, whatever the error.
-func (t *transport) take(r *http.Request, header http.Header, now time.Time) (q decide.Request, patience time.Duration, held taken, err error) {
+func (t *transport) take(r *http.Request, header http.Header, now time.Time) (q scheduler.Request, patience time.Duration, held taken, err error) {
 	for _, name := range decisive {
 		if len(r.Header[name]) > 1 {
 			return q, 0, held, fmt.Errorf("%s: is there more than once", name)
@@ -130,7 +130,7 @@
 var none rules.Result
 
 // facts puts together what all sources say.
-func (t *transport) facts(r *http.Request, from sources, header http.Header) (q decide.Request, patience time.Duration, err error) {
+func (t *transport) facts(r *http.Request, from sources, header http.Header) (q scheduler.Request, patience time.Duration, err error) {
 	res, platform := from.rules, from.platform
 	if q.ID = r.Header.Get(httpmsg.IDHeader); q.ID == "" {
 		if platform {
@@ -155,7 +155,7 @@
 		// The file left the method open. A write that counted as a read would be repeated freely.
 		return q, 0, fmt.Errorf("rule %s: class %q only reads, and %s writes", res.By[rules.Class].Name, class.Name, r.Method)
 	}
-	var place book.Place
+	var place catalog.Place
 	if from.said != nil {
 		if place, err = from.said.Place(&from.said.Call, from.said.Parameters, int(max(0, r.ContentLength)), t.set.Sizes.MostUnits); err != nil {
 			return q, 0, err
@@ -186,7 +186,7 @@
 }
 
 // patience finds how long the client waits. Nobody waits for longer than the class does, or the operation, whatever a client says.
-func (t *transport) patience(r *http.Request, from sources, class *decide.Class) (patience time.Duration, err error) {
+func (t *transport) patience(r *http.Request, from sources, class *scheduler.Class) (patience time.Duration, err error) {
 	given := r.Header.Get(httpmsg.DeadlineHeader)
 	most := class.Deadline
 	if from.said != nil && from.said.Deadline() > 0 {
@@ -206,13 +206,13 @@
 }
 
 // keyed sees to it that what may be repeated by its key alone has one: otherwise a repeat would not be known as one.
-func (t *transport) keyed(r *http.Request, from sources, q *decide.Request, class *decide.Class, header http.Header) error {
+func (t *transport) keyed(r *http.Request, from sources, q *scheduler.Request, class *scheduler.Class, header http.Header) error {
 	key, named := r.Header.Get(httpmsg.KeyHeader), httpmsg.KeyHeader
 	if from.rules.Use(rules.Idempotency, key != "") {
 		key = from.rules.Idempotency
 		header.Set(httpmsg.KeyHeader, key)
 	}
-	if class.Bound().Narrowed(q.Bound).Repeats != decide.Keyed {
+	if class.Bound().Narrowed(q.Bound).Repeats != scheduler.Keyed {
 		return nil
 	}
 	if from.said != nil && from.said.Op != nil && from.said.Op.Repeats == contract.Keyed {
@@ -248,7 +248,7 @@
 }
 
 // where finds volume and key.
-func (t *transport) where(r *http.Request, from sources, place book.Place, q *decide.Request) error {
+func (t *transport) where(r *http.Request, from sources, place catalog.Place, q *scheduler.Request) error {
 	var ok bool
 	q.Volume, q.Key, ok = splitPath(r.URL.Path)
 	volume, key := ok, ok
@@ -271,7 +271,7 @@
 }
 
 // placement finds units, shard and hosts.
-func (t *transport) placement(r *http.Request, from sources, place book.Place, q *decide.Request) (err error) {
+func (t *transport) placement(r *http.Request, from sources, place catalog.Place, q *scheduler.Request) (err error) {
 	given, res := r.Header.Get(httpmsg.PlacementHeader), from.rules
 	q.Hosts = 1
 	units, shard := given != "", given != ""
--- a/internal/front/httpfront/httpfront.go
+++ b/internal/frontend/httpfrontend/httpfront.go
@@ -1,5 +1,5 @@
-// Package httpfront is the gateway's front for clients that speak the platform's HTTP.
-package httpfront
+// Package httpfrontend is the gateway's front for clients that speak the platform's HTTP.
+package httpfrontend
 
 import (
 	"bytes"
@@ -17,11 +17,11 @@
 	"sync/atomic"
 	"time"
 
-	"reachpulley/decide"
-	contracts "reachpulley/internal/contract/live"
+	contracts "reachpulley/internal/contract/registry"
 	"reachpulley/internal/exchange"
 	"reachpulley/internal/proto/httpmsg"
-	"reachpulley/internal/rules/live"
+	"reachpulley/internal/rules/engine"
+	"reachpulley/scheduler"
 )
 
 // Core decides on exchanges.
@@ -32,10 +32,10 @@
 // Front serves clients: ReverseProxy does the HTTP, and its RoundTripper turns each request into an exchange.
 type Front struct {
 	core    Core
-	set     decide.Settings
+	set     scheduler.Settings
 	classes map[string]int
 	plans   map[string]int
-	rules   *live.Rules
+	rules   *engine.Rules
 	newID   func() string
 
 	contracts *contracts.Contracts
@@ -49,9 +49,9 @@
 
 // Options are what a Front is made of.
 type Options struct {
-	Settings decide.Settings
+	Settings scheduler.Settings
 	Core     Core
-	Rules    *live.Rules   // nil: none
+	Rules    *engine.Rules // nil: none
 	NewID    func() string // for requests that bear no id, where rules take them
 	Log      *slog.Logger
 
@@ -63,7 +63,7 @@
 func New(o Options) *Front {
 	settings, log := o.Settings, o.Log
 	f := &Front{core: o.Core, set: settings, rules: o.Rules, newID: o.NewID, classes: map[string]int{}, plans: map[string]int{}}
-	f.contracts, f.plan = o.Contracts, slices.IndexFunc(settings.Plans, func(p decide.Plan) bool { return p.Name == o.Plan })
+	f.contracts, f.plan = o.Contracts, slices.IndexFunc(settings.Plans, func(p scheduler.Plan) bool { return p.Name == o.Plan })
 	for i, c := range settings.Classes {
 		f.classes[c.Name] = i
 	}
@@ -272,7 +272,7 @@
 
 // turnAway words why a request is not taken.
 func turnAway(r *http.Request, err error) *http.Response {
-	var refusal live.Refusal
+	var refusal engine.Refusal
 	var limited contracts.Limited
 	after := time.Duration(0)
 	switch {
--- a/internal/front/httpfront/server_test.go
+++ b/internal/frontend/httpfrontend/server_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpfrontend
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/exchange"
 	"reachpulley/internal/proto/httpmsg"
-	"reachpulley/internal/scenario"
+	"reachpulley/internal/scenariotest"
+	"reachpulley/scheduler"
 )
 
 // deaf is a core that answers only requests whose id is "now".
@@ -43,7 +43,7 @@
 // buffer of its own.
 func TestDeadlineAndBuffers(t *testing.T) {
 	core := &served{}
-	front := New(Options{Settings: decide.Settings{Classes: []decide.Class{{Name: "c", Deadline: time.Second}}, Plans: []decide.Plan{{Name: "p"}}},
+	front := New(Options{Settings: scheduler.Settings{Classes: []scheduler.Class{{Name: "c", Deadline: time.Second}}, Plans: []scheduler.Plan{{Name: "p"}}},
 		Core: core, Log: slog.New(slog.DiscardHandler)})
 	r := httptest.NewRequest("GET", "/api/00000003b4d60021/7f3a9c21e0b4d655", nil)
 	for _, h := range strings.Split(strings.Replace(facts, "9000m", "3600000m", 1), `\n`) {
@@ -238,13 +238,13 @@
 			a expect 400 X-Deadline: "-9m" is not a time such as 480m or 480000u`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			scenario.Run(t, script, func(s *scenario.Stage) func() {
+			scenariotest.Run(t, script, func(s *scenariotest.Stage) func() {
 				for _, name := range []string{"a", "b", "c", "d", "e"} {
-					s.Client(name, "gate:1", scenario.HTTP{Shows: []string{"Connection"}})
+					s.Client(name, "gate:1", scenariotest.HTTP{Shows: []string{"Connection"}})
 				}
 				log := slog.New(slog.DiscardHandler)
-				settings := decide.Settings{Classes: []decide.Class{{Name: "c"}, {Name: "keyed", Repeats: decide.Keyed}},
-					Plans: []decide.Plan{{Name: "p"}}, Sizes: decide.Sizes{MostUnits: 8}}
+				settings := scheduler.Settings{Classes: []scheduler.Class{{Name: "c"}, {Name: "keyed", Repeats: scheduler.Keyed}},
+					Plans: []scheduler.Plan{{Name: "p"}}, Sizes: scheduler.Sizes{MostUnits: 8}}
 				server := NewServer(New(Options{Settings: settings, Core: deaf{}, Log: log}), s.Network.Listen("gate:1"), 4, DefaultHead, log)
 				ended := make(chan error)
 				go func() { ended <- server.Serve() }()
--- a/internal/front/iscsifront/target.go
+++ b/internal/frontend/iscsitarget/target.go
@@ -1,6 +1,6 @@
-// Package iscsifront is the gateway's front for clients that speak iSCSI: a target after RFC 7143 whose READs
+// Package iscsitarget is the gateway's front for clients that speak iSCSI: a target after RFC 7143 whose READs
 // and WRITEs go through the same core as the platform's requests. README.md lists the subset.
-package iscsifront
+package iscsitarget
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"sync"
 	"time"
 
-	"reachpulley/decide"
-	contracts "reachpulley/internal/contract/live"
+	contracts "reachpulley/internal/contract/registry"
 	"reachpulley/internal/exchange"
 	"reachpulley/internal/proto/iscsi"
-	"reachpulley/internal/rules/live"
+	"reachpulley/internal/rules/engine"
+	"reachpulley/scheduler"
 )
 
 // Core decides on exchanges.
@@ -25,7 +25,7 @@
 
 // Translator words a command for the nodes and reads what they reply.
 type Translator interface {
-	Request(q decide.Request, c *iscsi.Command) (payload any, err error)
+	Request(q scheduler.Request, c *iscsi.Command) (payload any, err error)
 	Data(reply any) ([]byte, error)
 }
 
@@ -47,9 +47,9 @@
 type Options struct {
 	Name       string // of the target
 	Units      []Unit
-	Classes    []decide.Class
-	Plans      []decide.Plan
-	Rules      *live.Rules          // nil: no limits
+	Classes    []scheduler.Class
+	Plans      []scheduler.Plan
+	Rules      *engine.Rules        // nil: no limits
 	Contracts  *contracts.Contracts // nil: none
 	Sessions   int                  // most at a time
 	Depth      int                  // most commands outstanding in a session
@@ -196,13 +196,13 @@
 }
 
 // request gives the facts of a command on a unit.
-func (u *Unit) request(id string, c *iscsi.Command) decide.Request {
+func (u *Unit) request(id string, c *iscsi.Command) scheduler.Request {
 	class := u.ReadClass
 	if c.Write {
 		class = u.WriteClass
 	}
 	units := max(1, (c.Length()+u.UnitBytes-1)/u.UnitBytes)
-	return decide.Request{ID: id, Class: class, Plan: u.Plan, Volume: u.Volume, Key: fmt.Sprintf("%016x", c.LBA),
+	return scheduler.Request{ID: id, Class: class, Plan: u.Plan, Volume: u.Volume, Key: fmt.Sprintf("%016x", c.LBA),
 		Units: float64(units), Shard: u.Shard, Hosts: u.Hosts}
 }
 
@@ -210,7 +210,7 @@
 type Native struct{}
 
 // Request passes the command on.
-func (Native) Request(_ decide.Request, c *iscsi.Command) (any, error) { return c, nil }
+func (Native) Request(_ scheduler.Request, c *iscsi.Command) (any, error) { return c, nil }
 
 // Data gives what a node read.
 func (Native) Data(reply any) ([]byte, error) {
--- a/internal/front/iscsifront/target_test.go
+++ b/internal/frontend/iscsitarget/target_test.go
@@ -1,4 +1,4 @@
-package iscsifront
+package iscsitarget
 
 import (
 	"errors"
--- a/internal/front/iscsifront/task.go
+++ b/internal/frontend/iscsitarget/task.go
@@ -1,4 +1,4 @@
-package iscsifront
+package iscsitarget
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"strconv"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/exchange"
 	"reachpulley/internal/proto/httpmsg"
 	"reachpulley/internal/proto/iscsi"
+	"reachpulley/internal/rules/engine"
 	"reachpulley/internal/rules/expression"
-	"reachpulley/internal/rules/live"
+	"reachpulley/scheduler"
 )
 
 // task is a READ or WRITE that is outstanding. Its goroutine owns its exchange.
@@ -153,7 +153,7 @@
 }
 
 // perform carries a task through the core and answers it, unless it is aborted.
-func (s *session) perform(t *task, request decide.Request) {
+func (s *session) perform(t *task, request scheduler.Request) {
 	late := time.NewTimer(time.Until(t.deadline))
 	defer late.Stop()
 	select {
@@ -181,7 +181,7 @@
 }
 
 // admit asks the limits, as every front does. Nothing has gone to a node by then.
-func (s *session) admit(t *task, q decide.Request) (*live.Request, error) {
+func (s *session) admit(t *task, q scheduler.Request) (*engine.Request, error) {
 	if s.target.Rules == nil || !s.target.Rules.InForce() {
 		return nil, nil
 	}
@@ -197,7 +197,7 @@
 
 // verdictOf tells how a command ends that was not admitted: a limit's refusal is harmless to repeat, a fault stays one.
 func verdictOf(err error) exchange.Verdict {
-	if errors.As(err, new(live.Refusal)) {
+	if errors.As(err, new(engine.Refusal)) {
 		return exchange.Refused
 	}
 	return exchange.Failed
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -12,9 +12,9 @@
 	"reachpulley/internal/capture"
 	"reachpulley/internal/capture/segment"
 	"reachpulley/internal/capture/trigger"
-	"reachpulley/internal/core"
-	"reachpulley/internal/disk"
-	"reachpulley/internal/front/httpfront"
+	"reachpulley/internal/eventloop"
+	"reachpulley/internal/filesystem"
+	"reachpulley/internal/frontend/httpfrontend"
 )
 
 // version is what the build recorded of the program.
@@ -27,7 +27,7 @@
 
 // capturing writes what was recorded whenever it is asked to, until ctx ends. The loop only hands it out: it does not wait for the
 // disk.
-func capturing(ctx context.Context, g Options, loop *core.Loop) {
+func capturing(ctx context.Context, g Options, loop *eventloop.Loop) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -58,10 +58,10 @@
 const noteEvery = time.Second
 
 // noting has captures tell what never reached the decisions, until ctx ends: without it, a crowd that holds all connections looks like a quiet hour.
-func noting(ctx context.Context, server *httpfront.Server, loop *core.Loop) {
+func noting(ctx context.Context, server *httpfrontend.Server, loop *eventloop.Loop) {
 	tick := time.NewTicker(noteEvery)
 	defer tick.Stop()
-	var last httpfront.Counts
+	var last httpfrontend.Counts
 	for {
 		select {
 		case <-ctx.Done():
@@ -107,7 +107,7 @@
 	c := &g.Operator.Capture
 	path, size, err := save(c.Directory, g.Config.Name, triggeredName+one.name, one.kept)
 	if err == nil {
-		err = removeOldest(disk.OS{}, c.Directory, string(segment.NamesOf(g.Config.Name)), c.Kept)
+		err = removeOldest(filesystem.OS{}, c.Directory, string(segment.NamesOf(g.Config.Name)), c.Kept)
 	}
 	if err != nil {
 		g.Log.Error("a trigger's capture could not be written", "trigger", one.name, "err", err)
@@ -119,12 +119,12 @@
 const triggeredName = "trigger-"
 
 // removeOldest leaves so many captures of triggers; their names sort by time.
-func removeOldest(f disk.FS, directory, prefix string, most int) error {
+func removeOldest(f filesystem.FS, directory, prefix string, most int) error {
 	list, err := f.List(directory)
 	if err != nil {
 		return err
 	}
-	list = slices.DeleteFunc(list, func(i disk.Info) bool {
+	list = slices.DeleteFunc(list, func(i filesystem.Info) bool {
 		return !strings.HasPrefix(i.Name, prefix) || !strings.Contains(i.Name, "-"+triggeredName) || !strings.HasSuffix(i.Name, ".capture")
 	})
 	for ; len(list) > most; list = list[1:] {
@@ -142,7 +142,7 @@
 		return "", 0, err
 	}
 	path = filepath.Join(directory, fmt.Sprintf("%s%s-%s.capture", segment.NamesOf(name), time.Now().UTC().Format("20060102T150405.000000000"), why))
-	return path, len(file), disk.Replace(disk.OS{}, path, file)
+	return path, len(file), filesystem.Replace(filesystem.OS{}, path, file)
 }
 
 // recording says what is recorded, and where. The writer is nil where nothing goes to a disk by itself.
@@ -166,7 +166,7 @@
 	if c.Memory == 0 || c.Disk == 0 {
 		return options, nil, triggered, nil
 	}
-	writer, err = segment.New(segment.Options{FS: disk.OS{}, Directory: c.Directory, Names: segment.NamesOf(g.Config.Name), Limits: c.Limits(), Now: time.Now, Log: g.Log})
+	writer, err = segment.New(segment.Options{FS: filesystem.OS{}, Directory: c.Directory, Names: segment.NamesOf(g.Config.Name), Limits: c.Limits(), Now: time.Now, Log: g.Log})
 	if err != nil {
 		return options, nil, nil, fmt.Errorf("capture.directory: %w", err)
 	}
--- a/internal/gateway/capture_test.go
+++ b/internal/gateway/capture_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"reachpulley/internal/config"
-	"reachpulley/internal/disk/disktest"
+	"reachpulley/internal/filesystem/filesystemtest"
 )
 
 // What a trigger kept in the last moment of a gateway is written before it ends.
@@ -31,7 +31,7 @@
 
 // Captures of triggers stay within their number, the oldest going first; nothing else goes.
 func TestRemoveOldest(t *testing.T) {
-	f := disktest.New()
+	f := filesystemtest.New()
 	for i := range 5 {
 		f.Put(fmt.Sprintf("d/decisions-g-2026120%d-trigger-late.capture", i), nil)
 	}
--- a/internal/gateway/contracts_fleet_test.go
+++ b/internal/gateway/contracts_fleet_test.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"reachpulley/internal/config"
-	"reachpulley/internal/contract/observe"
-	"reachpulley/internal/disk"
-	"reachpulley/internal/scenario"
+	"reachpulley/internal/contract/conformance"
+	"reachpulley/internal/filesystem"
+	"reachpulley/internal/scenariotest"
 )
 
 const fleetSheets = `
@@ -119,7 +119,7 @@
 			kept := filepath.Join(t.TempDir(), "doubts.json")
 			var log bytes.Buffer
 			synctest.Test(t, func(t *testing.T) {
-				var network scenario.Network
+				var network scenariotest.Network
 				var list []string
 				var servers []*http.Server
 				stores := make([]*storer, nodes)
@@ -213,7 +213,7 @@
 				ends.Wait()
 			})
 			told(t, log.String())
-			d, err := observe.ReadDoubts(disk.OS{}, kept)
+			d, err := conformance.ReadDoubts(filesystem.OS{}, kept)
 			switch {
 			case c.want == "" && err == nil:
 				t.Errorf("doubts of an honest fleet: %+v", d.Doubts)
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -9,13 +9,13 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/santhosh-tekuri/jsonschema/v6"
 
-	"reachpulley/decide"
 	"reachpulley/internal/apitest"
 	"reachpulley/internal/config"
 	"reachpulley/internal/contract"
-	"reachpulley/internal/contract/book"
-	"reachpulley/internal/contract/observe"
-	"reachpulley/internal/scenario"
+	"reachpulley/internal/contract/catalog"
+	"reachpulley/internal/contract/conformance"
+	"reachpulley/internal/scenariotest"
+	"reachpulley/scheduler"
 )
 
 // sheets describes what the nodes of the scenarios do, and leaves out what nobody may rely on.
@@ -54,7 +54,7 @@
  "read": {"action": "receive", "channel": {"$ref": "#/channels/r"}, "x-contract": {"repeats": "safe"}}}}`
 
 // describe gives the descriptions of a scenario as the operator's file does.
-func describe(t *testing.T, text string, settings decide.Settings, change func(*config.Contracts)) config.Contracts {
+func describe(t *testing.T, text string, settings scheduler.Settings, change func(*config.Contracts)) config.Contracts {
 	t.Helper()
 	c := config.DefaultOperator().Contracts
 	c.Plan, c.Rate, c.Burst, c.Sample = "gold", 1, 1, 1
@@ -68,7 +68,7 @@
 		faults, _ = contract.Check(all)
 	}
 	if len(faults) == 0 {
-		c.Book, faults = book.New(all, settings)
+		c.Book, faults = catalog.New(all, settings)
 	}
 	if len(faults) > 0 {
 		t.Fatal(faults)
@@ -187,7 +187,7 @@
 			client expect 400 X-Request-Id is missing`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			log := play(t, script, nil, scenario.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Qos-Policy"}})
+			log := play(t, script, nil, scenariotest.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Qos-Policy"}})
 			if strings.Contains(name, "other classes") && !strings.Contains(log, "they wait for the next one") {
 				t.Error(log)
 			}
@@ -226,7 +226,7 @@
 			node send data-in tag=1 data=512*r
 			initiator expect data-in tag=1 offset=0 status=good data=512*r`,
 	} {
-		t.Run(name, func(t *testing.T) { play(t, login+script, secondFront(config.NodesISCSI), scenario.ISCSI{}) })
+		t.Run(name, func(t *testing.T) { play(t, login+script, secondFront(config.NodesISCSI), scenariotest.ISCSI{}) })
 	}
 }
 
@@ -258,7 +258,7 @@
 		node expect `+read+`
 		node send 500
 		client expect 502
-		node expect nothing`, nil, scenario.HTTP{})
+		node expect nothing`, nil, scenariotest.HTTP{})
 	kinds := told(t, log)
 	if diff := cmp.Diff([]string{"trusted doubted no second copies", "doubted distrusted avoided", "distrusted on probation no repeats"}, kinds); diff != "" {
 		t.Error(diff)
@@ -271,7 +271,7 @@
 	schema := apitest.Schemas(t, "../../api/asyncapi.yaml")("TrustChanged")
 	for line := range strings.Lines(log) {
 		var entry struct{ Event json.RawMessage }
-		var event observe.Event
+		var event conformance.Event
 		if err := json.Unmarshal([]byte(line), &entry); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gateway/failure_test.go
+++ b/internal/gateway/failure_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 
 	"reachpulley/internal/config"
-	"reachpulley/internal/scenario"
+	"reachpulley/internal/scenariotest"
 )
 
 // broken is a listener that fails for good.
@@ -20,7 +20,7 @@
 // A gateway whose first front can't serve ends with the reason, whatever other fronts it has: they used to keep it up for ever.
 func TestABrokenListenerEndsTheGateway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var network scenario.Network
+		var network scenariotest.Network
 		c, err := config.Parse([]byte(`{"listen":"gate:1","discovery":"disc:1","settings":`+settings+`}`), func(string) string { return "" })
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -6,24 +6,24 @@
 	"fmt"
 	"reflect"
 
-	"reachpulley/decide"
 	"reachpulley/internal/config"
-	"reachpulley/internal/contract/book"
-	contracts "reachpulley/internal/contract/live"
-	"reachpulley/internal/core"
+	"reachpulley/internal/contract/catalog"
+	contracts "reachpulley/internal/contract/registry"
 	"reachpulley/internal/discovery"
-	"reachpulley/internal/rules/live"
+	"reachpulley/internal/eventloop"
+	"reachpulley/internal/rules/engine"
+	"reachpulley/scheduler"
 )
 
 // following takes a new configuration whenever one is called for, during a stop too: until its end discovery may move,
 // and drains are told. A faulty one changes nothing. What a running gateway cannot change waits for its next start.
 type following struct {
 	g         Options
-	base      decide.Settings // the platform's, as they were at the start
+	base      scheduler.Settings // the platform's, as they were at the start
 	lister    *discovery.Client
-	ruled     *live.Rules
+	ruled     *engine.Rules
 	described *contracts.Contracts
-	loop      *core.Loop
+	loop      *eventloop.Loop
 }
 
 func (f following) run(ctx context.Context) {
@@ -76,7 +76,7 @@
 
 // book holds new descriptions against the settings that the gateway runs with, whatever the new ones are. The classes that descriptions make are a
 // part of them, so they can't change.
-func (f following) book(operator *config.Operator) (*book.Book, error) {
+func (f following) book(operator *config.Operator) (*catalog.Book, error) {
 	if operator.Contracts.Book == nil {
 		return nil, nil
 	}
@@ -84,7 +84,7 @@
 	if len(faults) > 0 {
 		return nil, faults
 	}
-	var made []decide.Class
+	var made []scheduler.Class
 	if b := f.g.Operator.Contracts.Book; b != nil {
 		made = b.Made
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,17 +15,17 @@
 	"sync"
 	"time"
 
-	"reachpulley/decide"
-	"reachpulley/internal/back/httpback"
-	"reachpulley/internal/back/iscsiback"
+	"reachpulley/internal/backend/httpbackend"
+	"reachpulley/internal/backend/iscsiinitiator"
 	"reachpulley/internal/config"
-	contracts "reachpulley/internal/contract/live"
-	"reachpulley/internal/core"
+	contracts "reachpulley/internal/contract/registry"
 	"reachpulley/internal/discovery"
-	"reachpulley/internal/front/h2front"
-	"reachpulley/internal/front/httpfront"
-	"reachpulley/internal/front/iscsifront"
-	"reachpulley/internal/rules/live"
+	"reachpulley/internal/eventloop"
+	"reachpulley/internal/frontend/h2frontend"
+	"reachpulley/internal/frontend/httpfrontend"
+	"reachpulley/internal/frontend/iscsitarget"
+	"reachpulley/internal/rules/engine"
+	"reachpulley/scheduler"
 )
 
 const (
@@ -119,19 +119,19 @@
 	}
 	forClients := int(clientSockets * float64(sockets))
 
-	clock := core.NewClock()
-	var loop *core.Loop
+	clock := eventloop.NewClock()
+	var loop *eventloop.Loop
 	lister := discovery.New(ctx, discovery.Options{
 		Patience: listPatience(c.Settings), Address: c.Discovery, Zones: c.Settings.Zones, StartedAt: clock.AtUnixMilli, Dial: g.Dial, Log: log,
-		Tell: func(m decide.Membership) { loop.Members(m) },
+		Tell: func(m scheduler.Membership) { loop.Members(m) },
 	})
-	watch := watching(g, func(c decide.Caution) { loop.Caution(c) })
-	back := httpback.New(httpback.Options{Observe: watch.Observe,
+	watch := watching(g, func(c scheduler.Caution) { loop.Caution(c) })
+	back := httpbackend.New(httpbackend.Options{Observe: watch.Observe,
 		Directory: lister.Directory(), Allowed: c.Settings.Allowed, Sockets: sockets - forClients,
 		Memory: int64(answerShare * float64(c.Limits.MemoryMB) * (1 << 20)), Dial: g.Dial, Log: log})
 	carriers := backs{http: back}
 	if second != nil && second.Nodes == config.NodesISCSI {
-		carriers.iscsi = iscsiback.New(iscsiback.Options{Directory: lister.Directory(), Allowed: c.Settings.Allowed,
+		carriers.iscsi = iscsiinitiator.New(iscsiinitiator.Options{Directory: lister.Directory(), Allowed: c.Settings.Allowed,
 			Initiator: second.Target, Target: second.NodeTarget, Sockets: nodeSessions,
 			Dial: g.Dial, Log: log})
 	}
@@ -139,13 +139,13 @@
 	if err != nil {
 		return err
 	}
-	loop, err = core.New(c.Settings, c.Seed, clock, carriers, lister, record, log)
+	loop, err = eventloop.New(c.Settings, c.Seed, clock, carriers, lister, record, log)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	store := warm(g, clock, loop) // before anything else is told to the loop
 	watch.Begin()
-	ruled := live.New(log)
+	ruled := engine.New(log)
 	if err := ruled.Swap(g.Operator.Rules.Set, g.Operator.Rules.ShadowSet); err != nil {
 		return fmt.Errorf("rules: %w", err)
 	}
@@ -154,7 +154,7 @@
 		return fmt.Errorf("contracts: %w", err)
 	}
 	described.Swap(g.Operator.Contracts.Book, g.Operator.Contracts.Undescribed == config.Refuse)
-	var target *iscsifront.Target
+	var target *iscsitarget.Target
 	if second != nil {
 		if target, err = newTarget(second, c.Settings, loop, ruled, described, log); err != nil {
 			return err
@@ -163,15 +163,15 @@
 	if c.Known != nil {
 		lister.Remember(c.Known)
 	}
-	front := httpfront.New(httpfront.Options{Settings: c.Settings, Core: loop, Rules: ruled, NewID: newIDs(), Log: log,
+	front := httpfrontend.New(httpfrontend.Options{Settings: c.Settings, Core: loop, Rules: ruled, NewID: newIDs(), Log: log,
 		Contracts: described, Plan: g.Operator.Contracts.Plan})
-	var h2 *h2front.Server
+	var h2 *h2frontend.Server
 	if h := g.Operator.H2C; h.Enabled {
-		if h2, err = h2front.New(h2front.Options{Carrier: front, Admission: h.Admission(), Seed: c.Seed, Head: h.Head, Log: log}); err != nil {
+		if h2, err = h2frontend.New(h2frontend.Options{Carrier: front, Admission: h.Admission(), Seed: c.Seed, Head: h.Head, Log: log}); err != nil {
 			return fmt.Errorf("h2c: %w", err)
 		}
 	}
-	server := httpfront.NewServer(front, g.Listener, forClients, g.Operator.Rules.Head, log)
+	server := httpfrontend.NewServer(front, g.Listener, forClients, g.Operator.Rules.Head, log)
 
 	var parts sync.WaitGroup
 	recorded, endRecording := context.WithCancel(context.Background())
@@ -250,7 +250,7 @@
 
 // listPatience is for how long an agent on this machine may be silent to a call: it answers at once, and what it has when it comes back from
 // silence counts as told in that moment, so that a call in vain must end within what is left for a drain. 0: it is no agent.
-func listPatience(set decide.Settings) time.Duration {
+func listPatience(set scheduler.Settings) time.Duration {
 	if !set.Agent {
 		return 0
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -21,8 +21,8 @@
 	"reachpulley/internal/apitest"
 	"reachpulley/internal/capture/replaytest"
 	"reachpulley/internal/config"
-	"reachpulley/internal/front/iscsifront"
-	"reachpulley/internal/scenario"
+	"reachpulley/internal/frontend/iscsitarget"
+	"reachpulley/internal/scenariotest"
 )
 
 const settings = `{"siblings":1,"membershipMode":"ask","ceilings":{"cancel":true,"maxAttempts":4,"retryAfter":true,` +
@@ -57,26 +57,26 @@
 )
 
 // play runs a script before a gateway with one node, n, and the given second front, and gives the gateway's log.
-func play(t *testing.T, script string, second *config.Front, node scenario.Speech, prepare ...func(*scenario.Stage)) string {
+func play(t *testing.T, script string, second *config.Front, node scenariotest.Speech, prepare ...func(*scenariotest.Stage)) string {
 	t.Helper()
 	var log bytes.Buffer
 	directory := t.TempDir()
-	scenario.Run(t, script, func(s *scenario.Stage) func() {
+	scenariotest.Run(t, script, func(s *scenariotest.Stage) func() {
 		c, err := config.Parse([]byte(`{"listen":"gate:1","discovery":"disc:1","seed":"1","known":`+
 			hosts(1, true, "n up")+`,"settings":`+settings+`}`), func(string) string { return "" })
 		if err != nil {
 			t.Fatal(err)
 		}
-		shows := scenario.HTTP{Shows: []string{"X-Request-Id", "Idempotency-Key", "Retry-After", "Connection"}}
+		shows := scenariotest.HTTP{Shows: []string{"X-Request-Id", "Idempotency-Key", "Retry-After", "Connection"}}
 		s.Client("client", "gate:1", shows)
 		s.Client("other", "gate:1", shows)
-		s.Client("initiator", "iscsi:1", scenario.ISCSI{})
-		s.Client("second", "iscsi:1", scenario.ISCSI{})
-		s.Client("other-initiator", "iscsi:1", scenario.ISCSI{})
-		s.Client("third", "iscsi:1", scenario.ISCSI{})
-		s.Client("fourth", "iscsi:1", scenario.ISCSI{})
-		s.Server("discovery", "disc:1", scenario.HTTP{})
-		s.Server("moved", "disc:2", scenario.HTTP{})
+		s.Client("initiator", "iscsi:1", scenariotest.ISCSI{})
+		s.Client("second", "iscsi:1", scenariotest.ISCSI{})
+		s.Client("other-initiator", "iscsi:1", scenariotest.ISCSI{})
+		s.Client("third", "iscsi:1", scenariotest.ISCSI{})
+		s.Client("fourth", "iscsi:1", scenariotest.ISCSI{})
+		s.Server("discovery", "disc:1", scenariotest.HTTP{})
+		s.Server("moved", "disc:2", scenariotest.HTTP{})
 		s.Server("node", "n:1", node)
 		for _, p := range prepare {
 			p(s)
@@ -162,7 +162,7 @@
 	}
 }
 
-var nodeHTTP = scenario.HTTP{Shows: []string{"X-Request-Id", "Idempotency-Key"}}
+var nodeHTTP = scenariotest.HTTP{Shows: []string{"X-Request-Id", "Idempotency-Key"}}
 
 func TestHTTPFront(t *testing.T) {
 	for name, script := range map[string]string{
@@ -288,11 +288,11 @@
 
 // secondFront has one unit of 1,000 blocks whose writes may run once, and another whose writes carry a key.
 func secondFront(nodes string) *config.Front {
-	unit := iscsifront.Unit{Volume: "00000003b4d60021", ReadClass: 0, WriteClass: 2, Hosts: 1, BlockSize: 512, Blocks: 1000, UnitBytes: 8192}
+	unit := iscsitarget.Unit{Volume: "00000003b4d60021", ReadClass: 0, WriteClass: 2, Hosts: 1, BlockSize: 512, Blocks: 1000, UnitBytes: 8192}
 	keyed := unit
 	keyed.LUN, keyed.WriteClass = 1, 1
 	return &config.Front{Target: "iqn.gate", Sessions: 2, Depth: 4, Nodes: nodes, Description: "../../api/openapi.yaml",
-		NodeTarget: "iqn.node", Units: []iscsifront.Unit{unit, keyed}}
+		NodeTarget: "iqn.node", Units: []iscsitarget.Unit{unit, keyed}}
 }
 
 func TestSecondFront(t *testing.T) {
@@ -470,7 +470,7 @@
 			initiator close
 			node expect task-request ref=1`,
 	} {
-		t.Run(name, func(t *testing.T) { play(t, script, secondFront(config.NodesISCSI), scenario.ISCSI{}) })
+		t.Run(name, func(t *testing.T) { play(t, script, secondFront(config.NodesISCSI), scenariotest.ISCSI{}) })
 	}
 }
 
@@ -483,12 +483,12 @@
 		initiator expect response tag=1 status=busy
 		wait 5s
 		initiator expect nothing`,
-		secondFront(config.NodesISCSI), scenario.ISCSI{}, func(s *scenario.Stage) { s.Network.Listen("n:1").Close() })
+		secondFront(config.NodesISCSI), scenariotest.ISCSI{}, func(s *scenariotest.Stage) { s.Network.Listen("n:1").Close() })
 }
 
 func TestSecondFrontBeforeHTTPNodes(t *testing.T) {
 	const object = "/api/00000003b4d60021/0000000000000008"
-	speech := scenario.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Qos-Policy"}}
+	speech := scenariotest.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Qos-Policy"}}
 	play(t, login+`
 		initiator send command tag=1 sn=1 lun=1 write=8+1 data=512*w
 		node expect PUT `+object+` X-Class=write X-Placement=units=1,shard=0,hosts=1 X-Qos-Policy=gold `+strings.Repeat("w", 512)+`
@@ -667,7 +667,7 @@
 			wait 2s
 			initiator expect end`,
 	} {
-		t.Run(name, func(t *testing.T) { play(t, script, secondFront(config.NodesISCSI), scenario.ISCSI{}) })
+		t.Run(name, func(t *testing.T) { play(t, script, secondFront(config.NodesISCSI), scenariotest.ISCSI{}) })
 	}
 }
 
@@ -794,7 +794,7 @@
 		node expect command tag=2 lun=0 write=8+1 data=512*w
 		node close
 		initiator expect response tag=2 status=check-condition sense=b/44/00
-		initiator close`, secondFront(config.NodesISCSI), scenario.ISCSI{})
+		initiator close`, secondFront(config.NodesISCSI), scenariotest.ISCSI{})
 	schema := apitest.Schemas(t, "../../api/asyncapi.yaml")
 	names := map[string]string{"session-opened": "SessionOpened", "session-closed": "SessionClosed", "command-ended": "CommandEnded"}
 	var kinds []string
@@ -827,5 +827,5 @@
 		client send `+once+`r1 hello
 		wait 479ms
 		node expect nothing
-		client expect 503 Retry-After=0.101`, secondFront(config.NodesISCSI), scenario.ISCSI{})
+		client expect 503 Retry-After=0.101`, secondFront(config.NodesISCSI), scenariotest.ISCSI{})
 }
--- a/internal/gateway/h2c_test.go
+++ b/internal/gateway/h2c_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"reachpulley/internal/scenario"
+	"reachpulley/internal/scenariotest"
 )
 
 // h2 is what a tablet sends, up to its own part.
@@ -99,8 +99,8 @@
 			tablet expect data 1 end one`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, "tablet send preface\n"+script, nil, nodeHTTP, func(s *scenario.Stage) {
-				s.Client("tablet", "h2:1", &scenario.H2{Shows: []string{"retry-after"}})
+			play(t, "tablet send preface\n"+script, nil, nodeHTTP, func(s *scenariotest.Stage) {
+				s.Client("tablet", "h2:1", &scenariotest.H2{Shows: []string{"retry-after"}})
 			})
 		})
 	}
--- a/internal/gateway/order_test.go
+++ b/internal/gateway/order_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachpulley/internal/scenario"
+	"reachpulley/internal/scenariotest"
 )
 
 // Who says what, in this order: the request's own headers, rules, the description of its operation. A rule may go before the headers; nothing goes before
@@ -53,7 +53,7 @@
 			node expect nothing`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, script, nil, scenario.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Qos-Policy"}})
+			play(t, script, nil, scenariotest.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Qos-Policy"}})
 		})
 	}
 }
--- a/internal/gateway/restart.go
+++ b/internal/gateway/restart.go
@@ -5,29 +5,29 @@
 	"log/slog"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
 	"reachpulley/internal/capture/segment"
-	"reachpulley/internal/core"
-	"reachpulley/internal/disk"
-	"reachpulley/internal/restart"
+	"reachpulley/internal/eventloop"
+	"reachpulley/internal/filesystem"
+	"reachpulley/internal/warmrestart"
+	"reachpulley/scheduler"
 )
 
 // warm takes over what an earlier life of this gateway had learned, and gives the store in which this life's state is kept; nil where
 // the operator has not switched it on.
-func warm(g Options, clock core.Clock, loop *core.Loop) *restart.Store {
+func warm(g Options, clock eventloop.Clock, loop *eventloop.Loop) *warmrestart.Store {
 	r := g.Operator.Restart
 	if r.Directory == "" {
 		return nil
 	}
-	store := &restart.Store{FS: disk.OS{}, Path: restart.Path(r.Directory, segment.Safe(g.Config.Name)), Log: g.Log}
+	store := &warmrestart.Store{FS: filesystem.OS{}, Path: warmrestart.Path(r.Directory, segment.Safe(g.Config.Name)), Log: g.Log}
 	state, taken := store.Load(g.Config.Settings)
 	if state == nil {
 		g.Log.Info("no state of an earlier life is known")
 		return store
 	}
 	now, age := clock.Now(), time.Since(taken)
-	belief := restart.Believe(state, g.Config.Settings, now, age, now-age-state.Now)
+	belief := warmrestart.Believe(state, g.Config.Settings, now, age, now-age-state.Now)
 	loop.Recall(belief.Learned)
 	g.Log.Info("an earlier life's state was taken over", "age", age.Round(time.Millisecond), "nodes", len(belief.Learned.Nodes), "known", belief.Nodes,
 		"weight", belief.Faded, "volumes", len(belief.Learned.Volumes))
@@ -35,10 +35,10 @@
 }
 
 // keeping writes the state now and then until the loop has ended, and what it then was. It alone uses the store.
-func keeping(ended context.Context, g Options, clock core.Clock, loop *core.Loop, store *restart.Store) {
+func keeping(ended context.Context, g Options, clock eventloop.Clock, loop *eventloop.Loop, store *warmrestart.Store) {
 	head := capture.Head{Version: capture.Version, Program: version(), Seed: g.Config.Seed, Settings: g.Config.Settings}
 	failing := false
-	save := func(state *decide.Snapshot) {
+	save := func(state *scheduler.Snapshot) {
 		head.Origin = clock.Origin().UnixNano() // the wall clock may have been set
 		err := store.Save(head, state)
 		if (err != nil) != failing { // told at each change, not every few seconds
@@ -55,8 +55,8 @@
 			return
 		case <-every.C:
 		}
-		got := make(chan *decide.Snapshot, 1)
-		loop.Snapshot(func(s *decide.Snapshot) { got <- s })
+		got := make(chan *scheduler.Snapshot, 1)
+		loop.Snapshot(func(s *scheduler.Snapshot) { got <- s })
 		select {
 		case <-ended.Done():
 			save(loop.State())
--- a/internal/gateway/rooms_test.go
+++ b/internal/gateway/rooms_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"reachpulley/internal/config"
-	"reachpulley/internal/rooms"
-	"reachpulley/internal/scenario"
+	"reachpulley/internal/scenariotest"
+	"reachpulley/internal/zonefailover"
 )
 
 const roomSettings = `{"siblings":3,"zone":0,"tickMs":1,"membershipMode":"push","dcs":["a","b"],"ceilings":{"cancel":true,"maxAttempts":4,"retryAfter":true,"probes":true,` +
@@ -30,7 +30,7 @@
 // machine is a stand-in for a node in a room: two workers, a start that is cold, and silence. It listens again only when it is back, so that dials meanwhile hang.
 type machine struct {
 	name    string
-	network *scenario.Network
+	network *scenariotest.Network
 
 	mu       sync.Mutex
 	server   *http.Server
@@ -145,7 +145,7 @@
 // end all nodes serve again.
 func TestARoomIsLostAndRegained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var network scenario.Network
+		var network scenariotest.Network
 		var machines []*machine
 		var list []string
 		for i := range 6 {
@@ -169,7 +169,7 @@
 				t.Fatal(err)
 			}
 			operator := config.DefaultOperator()
-			operator.Rooms.Settings = rooms.Settings{Tiers: []int{0, 1}, Spill: spill, Burst: burst, Siblings: 3, ListLate: 0}
+			operator.Rooms.Settings = zonefailover.Settings{Tiers: []int{0, 1}, Spill: spill, Burst: burst, Siblings: 3, ListLate: 0}
 			g := Options{Config: conf, Operator: operator, Listener: network.Listen(address), Dial: network.Dial, Log: slog.New(slog.DiscardHandler)}
 			ends.Go(func() {
 				if err := Serve(stop, g); err != nil {
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -3,10 +3,10 @@
 import (
 	"testing"
 
-	"reachpulley/decide"
 	"reachpulley/internal/config"
 	"reachpulley/internal/rules"
-	"reachpulley/internal/scenario"
+	"reachpulley/internal/scenariotest"
+	"reachpulley/scheduler"
 )
 
 // ruleFiles are the rules of the scenarios: "old" is in force from the start, the others after a reload.
@@ -95,7 +95,7 @@
 `,
 }
 
-func ruleSet(t *testing.T, text string, settings decide.Settings) *rules.Set {
+func ruleSet(t *testing.T, text string, settings scheduler.Settings) *rules.Set {
 	if text == "" {
 		return nil
 	}
@@ -127,7 +127,7 @@
 		node expect command tag=2 lun=0 read=8+1
 		node send data-in tag=2 data=512*r
 		initiator expect data-in tag=4 offset=0 status=good data=512*r`,
-		secondFront(config.NodesISCSI), scenario.ISCSI{})
+		secondFront(config.NodesISCSI), scenariotest.ISCSI{})
 }
 
 // An old client bears none of the platform's headers; each of its requests has one answer.
@@ -246,7 +246,7 @@
 			node expect end`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, script, nil, scenario.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Project", "X-Qos-Policy"}})
+			play(t, script, nil, scenariotest.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Project", "X-Qos-Policy"}})
 		})
 	}
 }
--- a/internal/gateway/second.go
+++ b/internal/gateway/second.go
@@ -7,28 +7,28 @@
 	"math/rand/v2"
 	"sync/atomic"
 
-	"reachpulley/decide"
-	"reachpulley/internal/back/iscsiback"
+	"reachpulley/internal/backend/iscsiinitiator"
 	"reachpulley/internal/config"
-	contracts "reachpulley/internal/contract/live"
-	"reachpulley/internal/core"
-	"reachpulley/internal/front/iscsifront"
+	contracts "reachpulley/internal/contract/registry"
+	"reachpulley/internal/eventloop"
+	"reachpulley/internal/frontend/iscsitarget"
 	"reachpulley/internal/proto/iscsi"
-	"reachpulley/internal/rules/live"
-	"reachpulley/internal/translate"
+	"reachpulley/internal/rules/engine"
+	"reachpulley/internal/scsihttp"
+	"reachpulley/scheduler"
 )
 
 // newTarget makes the second front.
-func newTarget(f *config.Front, settings decide.Settings, loop *core.Loop, ruled *live.Rules, described *contracts.Contracts, log *slog.Logger) (*iscsifront.Target, error) {
-	var translator iscsifront.Translator = iscsifront.Native{}
+func newTarget(f *config.Front, settings scheduler.Settings, loop *eventloop.Loop, ruled *engine.Rules, described *contracts.Contracts, log *slog.Logger) (*iscsitarget.Target, error) {
+	var translator iscsitarget.Translator = iscsitarget.Native{}
 	if f.Nodes == config.NodesHTTP {
-		t, err := translate.Load(f.Description, settings)
+		t, err := scsihttp.Load(f.Description, settings)
 		if err != nil {
 			return nil, fmt.Errorf("iscsi.description: %w", err)
 		}
 		translator = t
 	}
-	return iscsifront.New(iscsifront.Options{
+	return iscsitarget.New(iscsitarget.Options{
 		Name: f.Target, Units: f.Units, Classes: settings.Classes, Plans: settings.Plans, Rules: ruled, Contracts: described, Sessions: f.Sessions, Depth: f.Depth, Core: loop,
 		Translator: translator, NewID: newIDs(), Log: log,
 	}), nil
@@ -40,25 +40,25 @@
 	return func() string { return fmt.Sprintf("%08x%08x", life, count.Add(1)) }
 }
 
-// backs is the core.Back that hands each attempt to the back that knows its payload. Where the nodes speak iSCSI,
+// backs is the eventloop.Back that hands each attempt to the back that knows its payload. Where the nodes speak iSCSI,
 // what came as HTTP has no node to go to: it ends as never begun.
 type backs struct {
-	http  core.Back
-	iscsi *iscsiback.Back // nil where the nodes speak HTTP
+	http  eventloop.Back
+	iscsi *iscsiinitiator.Back // nil where the nodes speak HTTP
 }
 
-func (b backs) Start(ctx context.Context, a core.Attempt, report func(core.Report)) {
+func (b backs) Start(ctx context.Context, a eventloop.Attempt, report func(eventloop.Report)) {
 	switch _, native := a.Exchange.Payload.(*iscsi.Command); {
 	case b.iscsi == nil && !native:
 		b.http.Start(ctx, a, report)
 	case b.iscsi != nil && native:
 		b.iscsi.Start(ctx, a, report)
 	default:
-		report(core.Report{Result: decide.ConnectFailed, Use: -1})
+		report(eventloop.Report{Result: scheduler.ConnectFailed, Use: -1})
 	}
 }
 
-func (b backs) Probe(node string, report func(decide.ProbeResult)) {
+func (b backs) Probe(node string, report func(scheduler.ProbeResult)) {
 	if b.iscsi != nil {
 		b.iscsi.Probe(node, report)
 		return
--- a/internal/gateway/sockets_test.go
+++ b/internal/gateway/sockets_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"reachpulley/internal/config"
-	"reachpulley/internal/rooms"
+	"reachpulley/internal/zonefailover"
 )
 
 // A room that falls silent on real sockets: its connections stay open, and new ones come up, as the kernel takes them, and hear nothing. Nothing here is
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	operator := config.DefaultOperator()
-	operator.Rooms.Settings = rooms.Settings{Tiers: []int{0, 1}, Spill: 1000, Burst: 100, Siblings: 1}
+	operator.Rooms.Settings = zonefailover.Settings{Tiers: []int{0, 1}, Spill: 1000, Burst: 100, Siblings: 1}
 	stop, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() {
--- a/internal/gateway/stored_test.go
+++ b/internal/gateway/stored_test.go
@@ -13,14 +13,14 @@
 	"testing"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
 	"reachpulley/internal/capture/capturetest"
-	"reachpulley/internal/capture/model"
-	"reachpulley/internal/contract/observe"
-	"reachpulley/internal/disk"
-	"reachpulley/internal/restart"
+	"reachpulley/internal/capture/invariants"
+	"reachpulley/internal/contract/conformance"
+	"reachpulley/internal/filesystem"
 	"reachpulley/internal/trust"
+	"reachpulley/internal/warmrestart"
+	"reachpulley/scheduler"
 )
 
 // The files under testdata/format5 were written by commit 6bf5e3d, before its names were changed: a real gateway before the
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	player, checker := capture.NewPlayer(reader), model.New(reader.Head.Settings)
+	player, checker := capture.NewPlayer(reader), invariants.New(reader.Head.Settings)
 	for {
 		step, err := player.Next()
 		if errors.Is(err, io.EOF) {
@@ -128,7 +128,7 @@
 	}
 	for _, stored := range []struct {
 		name     string
-		settings decide.Settings
+		settings scheduler.Settings
 		nodes    int // that are remembered
 		known    int // of them beyond what the guards need
 		volumes  int
@@ -137,13 +137,13 @@
 		{"state-random.capture", capturetest.Settings, 4, 4, 5},
 	} {
 		t.Run(stored.name, func(t *testing.T) {
-			store := &restart.Store{FS: disk.OS{}, Path: filepath.Join(storedDirectory, stored.name), Log: slog.New(slog.DiscardHandler)}
+			store := &warmrestart.Store{FS: filesystem.OS{}, Path: filepath.Join(storedDirectory, stored.name), Log: slog.New(slog.DiscardHandler)}
 			state, _ := store.Load(stored.settings)
 			if state == nil {
 				t.Fatal("it could not be read")
 			}
 			const now, age = time.Hour, 3 * time.Second
-			belief := restart.Believe(state, stored.settings, now, age, now-age-state.Now)
+			belief := warmrestart.Believe(state, stored.settings, now, age, now-age-state.Now)
 			if nodes, volumes := len(belief.Learned.Nodes), len(belief.Learned.Volumes); nodes != stored.nodes || belief.Nodes != stored.known || volumes != stored.volumes {
 				t.Errorf("%d nodes, %d of them known, %d volumes", nodes, belief.Nodes, volumes)
 			}
@@ -154,11 +154,11 @@
 // The stored trust file is read and taken over whole, and written again it has the same JSON.
 func TestStoredTrustFileIsRestoredFrom(t *testing.T) {
 	content := storedFile(t, "distrust.json")
-	file, err := observe.ReadDoubts(disk.OS{}, filepath.Join(storedDirectory, "distrust.json"))
+	file, err := conformance.ReadDoubts(filesystem.OS{}, filepath.Join(storedDirectory, "distrust.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	changes, err := trust.New(decide.CareAvoid).Recall(time.Hour, file.Doubts, time.Second)
+	changes, err := trust.New(scheduler.CareAvoid).Recall(time.Hour, file.Doubts, time.Second)
 	if err != nil || len(file.Doubts) != 2 || len(changes) != 2 {
 		t.Errorf("%d records, %d changes, %v", len(file.Doubts), len(changes), err)
 	}
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -5,31 +5,31 @@
 	"sync"
 	"time"
 
-	"reachpulley/decide"
-	"reachpulley/internal/contract/observe"
-	"reachpulley/internal/disk"
+	"reachpulley/internal/contract/conformance"
+	"reachpulley/internal/filesystem"
 	"reachpulley/internal/trust"
+	"reachpulley/scheduler"
 )
 
 // watcher holds what nodes do against descriptions, and keeps what comes of it.
 type watcher struct {
-	*observe.Observer
-	store *observe.Store // nil: doubts are not kept
+	*conformance.Observer
+	store *conformance.Store // nil: doubts are not kept
 }
 
 // watching makes it, with the doubts of an earlier life where they were kept: they are told by Begin.
-func watching(g Options, tell func(decide.Caution)) watcher {
+func watching(g Options, tell func(scheduler.Caution)) watcher {
 	c := g.Operator.Contracts
 	w := watcher{}
-	o := observe.Options{Sample: c.Sample, Most: c.Most(), Tell: tell, Log: g.Log}
+	o := conformance.Options{Sample: c.Sample, Most: c.Most(), Tell: tell, Log: g.Log}
 	var doubts []trust.Doubt
 	var age time.Duration
 	if c.Doubts != "" {
-		w.store = observe.NewStore(disk.OS{}, c.Doubts, g.Log)
+		w.store = conformance.NewStore(filesystem.OS{}, c.Doubts, g.Log)
 		doubts, age = w.store.Load()
 		o.Keep = w.store.Keep
 	}
-	w.Observer = observe.New(o, doubts, age)
+	w.Observer = conformance.New(o, doubts, age)
 	return w
 }
 
--- a/internal/limits/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -1,4 +1,4 @@
-package limits
+package ratelimit
 
 import (
 	"runtime"
--- a/internal/limits/limits.go
+++ b/internal/ratelimit/limits.go
@@ -1,7 +1,7 @@
-// Package limits bounds what each key may ask for: requests a second with a burst, and requests open at once. Keys
+// Package ratelimit bounds what each key may ask for: requests a second with a burst, and requests open at once. Keys
 // are whatever an expression gives; ever new ones cost no more memory than was set aside. It has no clock, no lock and
 // does no I/O: its caller passes the time and calls from one goroutine at a time.
-package limits
+package ratelimit
 
 import (
 	"errors"
--- a/internal/retry/retry.go
+++ b/internal/retrybudget/retry.go
@@ -1,7 +1,7 @@
-// Package retry bounds further attempts by what they earn: a budget for each operation and group of nodes that first attempts fill and
+// Package retrybudget bounds further attempts by what they earn: a budget for each operation and group of nodes that first attempts fill and
 // further ones spend. Where further attempts are served the budget is wide; where they are not, it closes to a trickle, so that a storm of
 // failures does not become a storm of attempts. It has no clock, no lock and does no I/O.
-package retry
+package retrybudget
 
 import (
 	"errors"
--- a/internal/retry/retry_test.go
+++ b/internal/retrybudget/retry_test.go
@@ -1,4 +1,4 @@
-package retry
+package retrybudget
 
 import (
 	"flag"
--- a/internal/rules/live/live.go
+++ b/internal/rules/engine/live.go
@@ -1,6 +1,6 @@
-// Package live holds the rules that are in force: the set by which requests are taken, a second one in its shadow,
+// Package registry holds the rules that are in force: the set by which requests are taken, a second one in its shadow,
 // the limits and what went wrong. It is for many goroutines; the decisions themselves are in packages rules and limits.
-package live
+package engine
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"golang.org/x/time/rate"
 
-	"reachpulley/internal/limits"
+	"reachpulley/internal/ratelimit"
 	"reachpulley/internal/rules"
 	"reachpulley/internal/rules/expression"
 )
@@ -31,7 +31,7 @@
 	clock   func() time.Duration
 
 	mu      sync.Mutex // for what is below
-	limiter *limits.Limiter
+	limiter *ratelimit.Limiter
 	counts  map[count]int
 	sample  rate.Sometimes
 }
@@ -44,7 +44,7 @@
 // New makes Rules that hold none.
 func New(log *slog.Logger) *Rules {
 	began := time.Now()
-	l, err := limits.New(nil)
+	l, err := ratelimit.New(nil)
 	if err != nil {
 		panic(err) // there is nothing that could be faulty
 	}
@@ -55,7 +55,7 @@
 // Swap puts a set in force, whole; nil: none. Requests under way keep theirs. Limits whose definition stays keep what
 // they counted.
 func (r *Rules) Swap(set, shadow *rules.Set) error {
-	var defs []limits.Definition
+	var defs []ratelimit.Definition
 	if set != nil {
 		defs = set.Limits()
 	}
@@ -87,7 +87,7 @@
 	home  *Rules
 	eval  *rules.Evaluation
 	set   *rules.Set
-	grant limits.Grant
+	grant ratelimit.Grant
 	taken bool
 }
 
@@ -156,7 +156,7 @@
 
 // Take asks the limits. The error is a Refusal, or a rules.RuleFault where a limit's key can't be computed.
 func (q *Request) Take(class, plan, volume string) error {
-	var held [limits.MostAsks]limits.Ask
+	var held [ratelimit.MostAsks]ratelimit.Ask
 	asks, faults, err := q.eval.Asks(class, plan, volume, held[:0])
 	q.evaluated()
 	q.home.note(faults, err)
--- a/internal/rules/live/live_test.go
+++ b/internal/rules/engine/live_test.go
@@ -1,4 +1,4 @@
-package live
+package engine
 
 import (
 	"bytes"
@@ -13,12 +13,12 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachpulley/decide"
 	"reachpulley/internal/rules"
 	"reachpulley/internal/rules/expression"
+	"reachpulley/scheduler"
 )
 
-var settings = decide.Settings{Classes: []decide.Class{{Name: "read"}, {Name: "write", Writes: true}}, Plans: []decide.Plan{{Name: "gold"}}}
+var settings = scheduler.Settings{Classes: []scheduler.Class{{Name: "read"}, {Name: "write", Writes: true}}, Plans: []scheduler.Plan{{Name: "gold"}}}
 
 func parse(t *testing.T, text string) *rules.Set {
 	t.Helper()
--- a/internal/rules/evaluate.go
+++ b/internal/rules/evaluate.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"reachpulley/internal/limits"
+	"reachpulley/internal/ratelimit"
 	"reachpulley/internal/rules/expression"
 )
 
@@ -115,7 +115,7 @@
 
 // Asks gives the limits that count a request of the given class, plan and volume, with their keys. The error is a
 // RuleFault: the request is to be refused.
-func (e *Evaluation) Asks(class, plan, volume string, asks []limits.Ask) ([]limits.Ask, []RuleFault, error) {
+func (e *Evaluation) Asks(class, plan, volume string, asks []ratelimit.Ask) ([]ratelimit.Ask, []RuleFault, error) {
 	var faults []RuleFault
 	e.w.SetDecided(class, plan, volume)
 	for i, l := range e.set.limits {
@@ -146,7 +146,7 @@
 		case fault != nil:
 			faults = append(faults, *fault)
 		case holds:
-			asks = append(asks, limits.Ask{Limit: i, Key: key})
+			asks = append(asks, ratelimit.Ask{Limit: i, Key: key})
 		}
 	}
 	return asks, faults, nil
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"reachpulley/internal/limits"
+	"reachpulley/internal/ratelimit"
 	"reachpulley/internal/rules/expression"
 )
 
@@ -66,7 +66,7 @@
 		if res.Has[Plan] {
 			plan = s.settings.Plans[res.Plan].Name
 		}
-		var asks []limits.Ask
+		var asks []ratelimit.Ask
 		if asks, _, err = e.Asks(class, plan, res.Volume, nil); err == nil {
 			for _, a := range asks {
 				x.Limits[s.limits[a.Limit].Name] = a.Key
--- a/internal/rules/fuzz_test.go
+++ b/internal/rules/fuzz_test.go
@@ -5,7 +5,7 @@
 	"os"
 	"testing"
 
-	"reachpulley/internal/tomlfile"
+	"reachpulley/internal/configfile"
 )
 
 // Whatever stands in a rule file, loading it gives a set or faults with places; and a set takes any request.
@@ -22,7 +22,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse("r", []byte(text), settings)
 		if err != nil {
-			var faults tomlfile.Faults
+			var faults configfile.Faults
 			if !errors.As(err, &faults) || len(faults) == 0 {
 				t.Fatalf("%v", err)
 			}
--- a/internal/rules/load.go
+++ b/internal/rules/load.go
@@ -11,10 +11,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"reachpulley/decide"
-	"reachpulley/internal/limits"
+	"reachpulley/internal/configfile"
+	"reachpulley/internal/ratelimit"
 	"reachpulley/internal/rules/expression"
-	"reachpulley/internal/tomlfile"
+	"reachpulley/scheduler"
 )
 
 // DefaultBudget is the worst cost of a set, in reckoned nanoseconds a request, where the file names none.
@@ -85,9 +85,9 @@
 	faultSkips   = "skip"   // the rule does not apply, and the next is tried
 )
 
-// Load reads a rule file. Its errors are tomlfile.Faults, all at once.
-func Load(path string, settings decide.Settings) (*Set, error) {
-	file, err := tomlfile.Read(path)
+// Load reads a rule file. Its errors are configfile.Faults, all at once.
+func Load(path string, settings scheduler.Settings) (*Set, error) {
+	file, err := configfile.Read(path)
 	if err != nil {
 		return nil, err
 	}
@@ -95,8 +95,8 @@
 }
 
 // Parse is Load for a text.
-func Parse(path string, text []byte, settings decide.Settings) (*Set, error) {
-	file, err := tomlfile.Parse(path, text)
+func Parse(path string, text []byte, settings scheduler.Settings) (*Set, error) {
+	file, err := configfile.Parse(path, text)
 	if err != nil {
 		return nil, err
 	}
@@ -105,14 +105,14 @@
 
 // compiler gathers a set and the faults of its file.
 type compiler struct {
-	file   *tomlfile.Document
+	file   *configfile.Document
 	doc    document
 	set    *Set
 	scope  expression.Scope
-	faults tomlfile.Faults
+	faults configfile.Faults
 }
 
-func compile(file *tomlfile.Document, settings decide.Settings) (*Set, error) {
+func compile(file *configfile.Document, settings scheduler.Settings) (*Set, error) {
 	c := &compiler{file: file, doc: document{Version: 1, Budget: DefaultBudget, OnFault: faultRefuses, Sizes: expression.DefaultSizes}}
 	sum := xxhash.New()
 	sum.Write(file.Text())
@@ -206,7 +206,7 @@
 		default:
 			c.fault(key+".per", "%q is neither %s nor %s", e.Per, perTier, perGateway)
 		}
-		l.def = limits.Definition{Name: e.Name, Rate: e.Rate / parts, Burst: e.Burst, Open: e.Open, Parent: e.Parent, Keys: cmp.Or(e.Keys, defaultKeys)}
+		l.def = ratelimit.Definition{Name: e.Name, Rate: e.Rate / parts, Burst: e.Burst, Open: e.Open, Parent: e.Parent, Keys: cmp.Or(e.Keys, defaultKeys)}
 		if e.Burst > 0 {
 			l.def.Burst = max(1, e.Burst/parts)
 		}
@@ -215,11 +215,11 @@
 		}
 		c.set.limits = append(c.set.limits, l)
 	}
-	if len(c.doc.Limit) > limits.MostAsks {
-		c.fault("limit", "%d limits are more than the %d that a request may be held to", len(c.doc.Limit), limits.MostAsks)
+	if len(c.doc.Limit) > ratelimit.MostAsks {
+		c.fault("limit", "%d limits are more than the %d that a request may be held to", len(c.doc.Limit), ratelimit.MostAsks)
 		return
 	}
-	if i, err := limits.Check(c.set.Limits()); err != nil {
+	if i, err := ratelimit.Check(c.set.Limits()); err != nil {
 		c.fault(fmt.Sprintf("limit[%d]", i), "%v", err)
 	}
 }
@@ -234,7 +234,7 @@
 		}
 		for name := range t.Gives {
 			if !slices.Contains(fieldNames(), name) {
-				c.fault(key+".gives."+name, "no rule gives %q%s", name, tomlfile.DidYouMean(name, fieldNames()))
+				c.fault(key+".gives."+name, "no rule gives %q%s", name, configfile.DidYouMean(name, fieldNames()))
 			}
 		}
 		c.set.Cases = append(c.set.Cases, Case{t.Name, f})
@@ -284,7 +284,7 @@
 	}
 	names := slices.Concat(expression.Names(), slices.Collect(maps.Keys(c.scope.Lets)), slices.Collect(maps.Keys(c.scope.Constants)))
 	slices.Sort(names)
-	return tomlfile.DidYouMean(word, names)
+	return configfile.DidYouMean(word, names)
 }
 
 func (c *compiler) lets() {
@@ -343,7 +343,7 @@
 	}
 	stage := slices.Index(stageNames[:], e.Stage)
 	if stage < 0 {
-		c.fault(key+".stage", "%q is none of %s%s", e.Stage, strings.Join(stageNames[:], ", "), tomlfile.DidYouMean(e.Stage, stageNames[:]))
+		c.fault(key+".stage", "%q is none of %s%s", e.Stage, strings.Join(stageNames[:], ", "), configfile.DidYouMean(e.Stage, stageNames[:]))
 		return r
 	}
 	r.Stage = Stage(stage)
@@ -362,7 +362,7 @@
 		f := Field(slices.IndexFunc(fieldTable[:], func(f field) bool { return f.name == name }))
 		at := key + ".set." + name
 		if f < 0 {
-			c.fault(at, "no rule can set %q%s", name, tomlfile.DidYouMean(name, fieldNames()))
+			c.fault(at, "no rule can set %q%s", name, configfile.DidYouMean(name, fieldNames()))
 			continue
 		}
 		if fieldTable[f].stage != r.Stage {
@@ -395,7 +395,7 @@
 func (c *compiler) nearSetting(f Field, value any) string {
 	of := map[Field]map[string]int{Class: c.set.classes, Plan: c.set.plans}[f]
 	word, _ := value.(string)
-	return tomlfile.DidYouMean(word, slices.Sorted(maps.Keys(of)))
+	return configfile.DidYouMean(word, slices.Sorted(maps.Keys(of)))
 }
 
 // contradiction refuses a class that only reads for a method that writes: its requests would count as harmless to
@@ -514,7 +514,7 @@
 }
 
 // dearest points at the expression that costs most.
-func (c *compiler) dearest() (f tomlfile.Fault) {
+func (c *compiler) dearest() (f configfile.Fault) {
 	most := -1
 	look := func(key string, p *expression.Program) {
 		if p == nil {
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -6,9 +6,9 @@
 import (
 	"time"
 
-	"reachpulley/decide"
-	"reachpulley/internal/limits"
+	"reachpulley/internal/ratelimit"
 	"reachpulley/internal/rules/expression"
+	"reachpulley/scheduler"
 )
 
 // Stage is a step of the evaluation. Stages run in their order, and in each the first rule that matches wins. After
@@ -86,7 +86,7 @@
 // limitRule says which requests a limit counts, and by which key.
 type limitRule struct {
 	Rule // its condition and place
-	def  limits.Definition
+	def  ratelimit.Definition
 	key  *expression.Program
 }
 
@@ -112,7 +112,7 @@
 	letNames []string
 	seed     uint64
 	budget   int
-	settings decide.Settings
+	settings scheduler.Settings
 	classes  map[string]int
 	plans    map[string]int
 	pool     pool
@@ -122,8 +122,8 @@
 func (s *Set) Len() int { return len(s.rules) }
 
 // Limits are the definitions of the limits, in the order by which asks number them.
-func (s *Set) Limits() []limits.Definition {
-	defs := make([]limits.Definition, len(s.limits))
+func (s *Set) Limits() []ratelimit.Definition {
+	defs := make([]ratelimit.Definition, len(s.limits))
 	for i, l := range s.limits {
 		defs[i] = l.def
 	}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -11,15 +11,15 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachpulley/decide"
+	"reachpulley/internal/configfile"
 	"reachpulley/internal/rules/expression"
-	"reachpulley/internal/tomlfile"
+	"reachpulley/scheduler"
 )
 
-var settings = decide.Settings{
-	Classes: []decide.Class{{Name: "sheet-read"}, {Name: "entry-write", Writes: true, Repeats: decide.Keyed}},
-	Plans:   []decide.Plan{{Name: "standard"}, {Name: "gold"}},
-	Sizes:   decide.Sizes{MostUnits: 8},
+var settings = scheduler.Settings{
+	Classes: []scheduler.Class{{Name: "sheet-read"}, {Name: "entry-write", Writes: true, Repeats: scheduler.Keyed}},
+	Plans:   []scheduler.Plan{{Name: "standard"}, {Name: "gold"}},
+	Sizes:   scheduler.Sizes{MostUnits: 8},
 }
 
 func parse(t testing.TB, text string) *Set {
@@ -198,7 +198,7 @@
 				}
 				return
 			}
-			var faults tomlfile.Faults
+			var faults configfile.Faults
 			if !errors.As(err, &faults) || len(faults) != 1 || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("%v", err)
 			}
@@ -215,7 +215,7 @@
   heder("X-B")'''
 set.class = '"none"'
 `), settings)
-	var faults tomlfile.Faults
+	var faults configfile.Faults
 	errors.As(err, &faults)
 	want := `r.toml:6:3: rule[0].when: unknown name heder; did you mean "header"?
       heder("X-B")'''
--- a/internal/scenario/scenario.go
+++ b/internal/scenariotest/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario is the small language in which the tests of the network code are written, and the helper on
+// Package scenariotest is the small language in which the tests of the network code are written, and the helper on
 // which all of them run. A scenario is a script; each line names an actor and what it does:
 //
 //	client send GET /api/... id=1     the actor writes a message
@@ -12,7 +12,7 @@
 //
 // Scripts run in the fake time of testing/synctest on connections within the process. The words of a message
 // are the business of the actor's Speech.
-package scenario
+package scenariotest
 
 import (
 	"bufio"
--- a/internal/translate/translate.go
+++ b/internal/scsihttp/translate.go
@@ -1,6 +1,6 @@
-// Package translate words SCSI commands as HTTP operations. Which operation stands for a command, and what it
+// Package scsihttp words SCSI commands as HTTP operations. Which operation stands for a command, and what it
 // takes, is read from an OpenAPI description of the storage nodes.
-package translate
+package scsihttp
 
 import (
 	"fmt"
@@ -11,9 +11,9 @@
 
 	"github.com/getkin/kin-openapi/openapi3"
 
-	"reachpulley/decide"
 	"reachpulley/internal/proto/httpmsg"
 	"reachpulley/internal/proto/iscsi"
+	"reachpulley/scheduler"
 )
 
 // extension marks an operation with the SCSI command that it stands for.
@@ -23,7 +23,7 @@
 
 // HTTP translates for nodes that an OpenAPI description describes.
 type HTTP struct {
-	settings    decide.Settings
+	settings    scheduler.Settings
 	read, write *operation
 }
 
@@ -34,7 +34,7 @@
 }
 
 // Load reads a description and checks that it has all that both commands need.
-func Load(path string, settings decide.Settings) (*HTTP, error) {
+func Load(path string, settings scheduler.Settings) (*HTTP, error) {
 	doc, err := openapi3.NewLoader().LoadFromFile(path)
 	if err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 
 // learn takes an operation's parameters; what is required must be a value that a command has.
 func (o *operation) learn(lists ...openapi3.Parameters) error {
-	known := values(decide.Settings{}, decide.Request{}, &iscsi.Command{})
+	known := values(scheduler.Settings{}, scheduler.Request{}, &iscsi.Command{})
 	for _, list := range lists {
 		for _, ref := range list {
 			p := ref.Value
@@ -82,7 +82,7 @@
 }
 
 // values are the parameters that a command can fill.
-func values(s decide.Settings, q decide.Request, c *iscsi.Command) map[string]string {
+func values(s scheduler.Settings, q scheduler.Request, c *iscsi.Command) map[string]string {
 	v := map[string]string{
 		"volume": q.Volume, "key": q.Key, "lba": strconv.FormatUint(c.LBA, 10),
 		"blocks": strconv.Itoa(int(c.Blocks)), "length": strconv.Itoa(c.Length()), httpmsg.IDHeader: q.ID,
@@ -91,7 +91,7 @@
 	}
 	if q.Class < len(s.Classes) {
 		v[httpmsg.ClassHeader] = s.Classes[q.Class].Name
-		if s.Classes[q.Class].Repeats == decide.Keyed {
+		if s.Classes[q.Class].Repeats == scheduler.Keyed {
 			v[httpmsg.KeyHeader] = q.ID
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 // Request words a command as a request to a node.
-func (t *HTTP) Request(q decide.Request, c *iscsi.Command) (any, error) {
+func (t *HTTP) Request(q scheduler.Request, c *iscsi.Command) (any, error) {
 	o := t.read
 	if c.Write {
 		o = t.write
--- a/internal/translate/translate_test.go
+++ b/internal/scsihttp/translate_test.go
@@ -1,4 +1,4 @@
-package translate
+package scsihttp
 
 import (
 	"os"
@@ -8,15 +8,15 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachpulley/decide"
 	"reachpulley/internal/proto/httpmsg"
 	"reachpulley/internal/proto/iscsi"
+	"reachpulley/scheduler"
 )
 
 const described = "../../api/openapi.yaml"
 
-var settings = decide.Settings{Plans: []decide.Plan{{Name: "gold"}},
-	Classes: []decide.Class{{Name: "read"}, {Name: "write", Repeats: decide.Keyed}}}
+var settings = scheduler.Settings{Plans: []scheduler.Plan{{Name: "gold"}},
+	Classes: []scheduler.Class{{Name: "read"}, {Name: "write", Repeats: scheduler.Keyed}}}
 
 func TestCommandsBecomeOperations(t *testing.T) {
 	tr, err := Load(described, settings)
@@ -27,7 +27,7 @@
 		"GET /api/00000003b4d60021/0000000000000008 gold read":       {LBA: 8, Blocks: 1, BlockSize: 512},
 		"PUT /api/00000003b4d60021/0000000000000008 gold write id w": {LBA: 8, Blocks: 1, BlockSize: 512, Write: true, Data: []byte("w")},
 	} {
-		q := decide.Request{ID: "id", Volume: "00000003b4d60021", Key: "0000000000000008", Units: 1, Shard: 3, Hosts: 1}
+		q := scheduler.Request{ID: "id", Volume: "00000003b4d60021", Key: "0000000000000008", Units: 1, Shard: 3, Hosts: 1}
 		if c.Write {
 			q.Class = 1
 		}
--- a/internal/wire/decode.go
+++ b/internal/simprotocol/decode.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the tab-separated lines of the simulator. It decides nothing.
-package wire
+// Package simprotocol reads and writes the tab-separated lines of the simulator. It decides nothing.
+package simprotocol
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // Kind tells which fields of an Event are set.
@@ -35,12 +35,12 @@
 	Kind       Kind
 	Instance   int
 	Seed       uint64
-	Settings   decide.Settings
-	Membership decide.Membership
-	Request    decide.Request
-	Probe      decide.ProbeResult
+	Settings   scheduler.Settings
+	Membership scheduler.Membership
+	Request    scheduler.Request
+	Probe      scheduler.ProbeResult
 	ID         string
-	Outcome    decide.Outcome
+	Outcome    scheduler.Outcome
 	Timer      uint64
 }
 
@@ -56,7 +56,7 @@
 type Decoder struct {
 	r     *bufio.Reader
 	line  int
-	banks [bankCount][]decide.Node
+	banks [bankCount][]scheduler.Node
 	known [bankCount]bool
 }
 
@@ -149,7 +149,7 @@
 	if err != nil {
 		return fmt.Errorf("catalog: %w", err)
 	}
-	var nodes []decide.Node
+	var nodes []scheduler.Node
 	for i := int64(0); i < count; i++ {
 		tag, f, err := d.read()
 		if err == io.EOF || (err == nil && tag != "item") {
@@ -162,7 +162,7 @@
 		if !ok {
 			return errors.New("item: unknown phase")
 		}
-		n := decide.Node{
+		n := scheduler.Node{
 			ID: f.word("node"), Zone: int(f.optional("locality", 0)), Shard: int(f.number("cluster")), Phase: phase,
 			Size: f.optional("units", 1), StartedAt: millis(f.optional("cameUpMs", 0)),
 		}
@@ -176,13 +176,13 @@
 }
 
 var (
-	phaseWords = map[string]decide.Phase{"up": decide.Up, "draining": decide.Draining, "removed": decide.Removed}
-	listWords  = map[string]decide.ListKind{"remembered": decide.Remembered, "all": decide.Whole,
-		"changes": decide.Changes, "refused": decide.Refused}
-	resultWords = map[string]decide.Result{
-		"completed": decide.Served, "errored": decide.Errored, "saturated": decide.Full,
-		"overdue": decide.TimedOut, "refused_conn": decide.ConnectFailed, "severed": decide.Reset,
-		"recalled": decide.Canceled, "superseded": decide.Moot}
+	phaseWords = map[string]scheduler.Phase{"up": scheduler.Up, "draining": scheduler.Draining, "removed": scheduler.Removed}
+	listWords  = map[string]scheduler.ListKind{"remembered": scheduler.Remembered, "all": scheduler.Whole,
+		"changes": scheduler.Changes, "refused": scheduler.Refused}
+	resultWords = map[string]scheduler.Result{
+		"completed": scheduler.Served, "errored": scheduler.Errored, "saturated": scheduler.Full,
+		"overdue": scheduler.TimedOut, "refused_conn": scheduler.ConnectFailed, "severed": scheduler.Reset,
+		"recalled": scheduler.Canceled, "superseded": scheduler.Moot}
 )
 
 // event reads one event; an unknown tag is skipped.
@@ -205,7 +205,7 @@
 			return e, false, errors.New("unknown mode")
 		}
 		e.Membership.Kind = kind
-		if kind != decide.Refused {
+		if kind != scheduler.Refused {
 			bank, err := d.bank(f)
 			if err != nil {
 				return e, false, err
@@ -217,15 +217,15 @@
 		}
 	case "ingress":
 		e.Kind = Arrival
-		e.Request = decide.Request{
+		e.Request = scheduler.Request{
 			ID: f.word("opId"), Class: int(f.integer("priority")), Plan: int(f.optional("serviceLevel", 0)),
 			Volume: f.text("storeUser"), Key: f.text("blockKey"), Units: f.optional("costUnits", 1),
-			Shard: int(f.optional("homeCell", decide.AnyShard)), Patience: f.time("patienceLeftMs"),
+			Shard: int(f.optional("homeCell", scheduler.AnyShard)), Patience: f.time("patienceLeftMs"),
 			Hosts: int(f.optional("hosts", 1)),
 		}
 	case "echo":
 		e.Kind = Probed
-		e.Probe = decide.ProbeResult{Node: f.word("node"), Served: f.text("status") == "completed",
+		e.Probe = scheduler.ProbeResult{Node: f.word("node"), Served: f.text("status") == "completed",
 			Latency: f.time("rttMs"), Load: f.load("stats")}
 	case "ack_first":
 		e.Kind = Began
@@ -320,18 +320,18 @@
 
 func (f *fields) time(name string) time.Duration { return millis(f.number(name)) }
 
-func (f *fields) attempt() decide.Outcome {
-	return decide.Outcome{ID: f.word("opId"), Attempt: int(f.integer("n")), Node: f.word("node"),
+func (f *fields) attempt() scheduler.Outcome {
+	return scheduler.Outcome{ID: f.word("opId"), Attempt: int(f.integer("n")), Node: f.word("node"),
 		Latency: f.time("rttMs"), Use: -1}
 }
 
 // load reads a report such as rif:7,q:3.
-func (f *fields) load(name string) *decide.Load {
+func (f *fields) load(name string) *scheduler.Load {
 	text := f.text(name)
 	if text == "" {
 		return nil
 	}
-	l := &decide.Load{InFlight: -1, Queued: -1, Busy: -1}
+	l := &scheduler.Load{InFlight: -1, Queued: -1, Busy: -1}
 	for _, pair := range strings.Split(text, ",") {
 		k, v, _ := strings.Cut(pair, ":")
 		x, err := strconv.ParseFloat(v, 64)
--- a/internal/wire/encode.go
+++ b/internal/simprotocol/encode.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bufio"
@@ -44,7 +44,7 @@
 
 func oneLine(text string) string { return lineBreaks.Replace(text) }
 
-// Instance writes the actions of one instance; it is a decide.Actions.
+// Instance writes the actions of one instance; it is a scheduler.Actions.
 type Instance struct {
 	E      *Encoder
 	Number int
--- a/internal/wire/settings.go
+++ b/internal/simprotocol/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // conf mirrors the settings object of an init event; keys that it does not name are ignored.
@@ -80,18 +80,18 @@
 }
 
 var (
-	repeatsWords = map[string]decide.Repeats{
-		"idempotent": decide.Safe, "deduplicated": decide.Keyed, "at_most_once": decide.Unsafe}
-	groupWords = map[string]decide.Group{
-		"": decide.GroupAll, "all": decide.GroupAll, "zone": decide.GroupZone, "cell": decide.GroupShard}
-	reportWords = map[string]decide.Reports{
-		"": decide.NoReports, "off": decide.NoReports, "inline": decide.InAnswers, "on_probe": decide.InProbes}
+	repeatsWords = map[string]scheduler.Repeats{
+		"idempotent": scheduler.Safe, "deduplicated": scheduler.Keyed, "at_most_once": scheduler.Unsafe}
+	groupWords = map[string]scheduler.Group{
+		"": scheduler.GroupAll, "all": scheduler.GroupAll, "zone": scheduler.GroupZone, "cell": scheduler.GroupShard}
+	reportWords = map[string]scheduler.Reports{
+		"": scheduler.NoReports, "off": scheduler.NoReports, "inline": scheduler.InAnswers, "on_probe": scheduler.InProbes}
 )
 
 // ParseSettings reads the settings object of an init event, which a gateway finds in its configuration.
-func ParseSettings(text []byte) (decide.Settings, error) {
+func ParseSettings(text []byte) (scheduler.Settings, error) {
 	var c conf
-	var s decide.Settings
+	var s scheduler.Settings
 	if err := json.Unmarshal(text, &c); err != nil {
 		return s, fmt.Errorf("conf: %w", err)
 	}
@@ -102,9 +102,9 @@
 	if !ok {
 		return s, fmt.Errorf("conf: unknown report.via %q", c.Report.Via)
 	}
-	s = decide.Settings{
+	s = scheduler.Settings{
 		Siblings: c.Siblings, Zone: c.Zone, Zones: c.Dcs, Tick: millis(c.TickMs),
-		Rules: decide.Rules{
+		Rules: scheduler.Rules{
 			DrainGrace: millis(c.Contract.DrainGraceMs),
 			ColdFrom:   c.Contract.ColdFrom, WarmWithin: millis(c.Contract.WarmWithinMs),
 			ColdWindow: millis(c.Contract.OverloadForMs), ColdUnits: c.FamilyInfo.YoungLimit, ColdMultiple: c.Contract.FallMultiple,
@@ -112,13 +112,13 @@
 			BudgetWindow: millis(c.Contract.ResendSpanMs),
 			BudgetExtra:  c.Contract.MinExtra, BudgetShare: c.Contract.RepeatRatio,
 		},
-		Allowed: decide.Allowed{
+		Allowed: scheduler.Allowed{
 			Probes: c.Ceilings.Probes, Cancel: c.Ceilings.Cancel, SecondCopies: c.Ceilings.SecondCopies,
 			RetryAfter: c.Ceilings.RetryAfter, MaxRetryAfter: millis(c.Ceilings.MaxRetryAfterMs),
 			MaxAttempts: c.Ceilings.MaxAttempts, ConnectWithin: millis(c.Ceilings.DialTimeoutMs),
 			IdleWithin: millis(c.Ceilings.ConnIdleMs),
 		},
-		Sizes: decide.Sizes{
+		Sizes: scheduler.Sizes{
 			MeanUnits: c.FamilyInfo.MeanUnits, MostUnits: c.FamilyInfo.MostUnits,
 			ShareWorth: c.FamilyInfo.ShareWorth, SpareWorth: c.FamilyInfo.IdleWorth,
 		},
@@ -134,7 +134,7 @@
 		if !ok {
 			return s, fmt.Errorf("conf: class %q: unknown keyScope %q", k.Name, k.KeyScope)
 		}
-		s.Classes = append(s.Classes, decide.Class{
+		s.Classes = append(s.Classes, scheduler.Class{
 			Name: k.Name, Aim: millis(k.AimMs), AimStretch: k.AimStretch, Deadline: millis(k.DeadlineMs),
 			Worth: k.Points, LateShare: k.LateShare, Repeats: repeats, RepeatGroup: group,
 			RepeatFor: millis(k.WindowMs), Ordered: k.InTurn, Streamed: k.Stream,
@@ -142,7 +142,7 @@
 		})
 	}
 	for _, p := range c.Policies {
-		s.Plans = append(s.Plans, decide.Plan{
+		s.Plans = append(s.Plans, scheduler.Plan{
 			Name: p.Name, Rate: p.BaseRate, Reserve: p.Guaranteed, Limit: p.Cap, Burst: p.MostAtOnce,
 			Slack: p.LimitSlack, Weight: p.Proportion, Price: p.Price,
 		})
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 const confText = `{"siblings":3,"zone":2,"tickMs":2.0,"membershipMode":"ask","strange":[1],` +
@@ -71,12 +71,12 @@
 	if e[0].Kind != Start || e[0].Seed != 42 || s.Siblings != 3 || !s.MustAsk {
 		t.Errorf("settings: %+v", s)
 	}
-	wantClass := decide.Class{Name: "w", Aim: 300 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 2,
-		LateShare: 0.2, Repeats: decide.Keyed, RepeatGroup: decide.GroupShard, RepeatFor: 4 * time.Second, Ordered: true}
+	wantClass := scheduler.Class{Name: "w", Aim: 300 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 2,
+		LateShare: 0.2, Repeats: scheduler.Keyed, RepeatGroup: scheduler.GroupShard, RepeatFor: 4 * time.Second, Ordered: true}
 	if s.Classes[0] != wantClass {
 		t.Errorf("class: %+v", s.Classes[0])
 	}
-	wantPlan := decide.Plan{Name: "p", Rate: 3.6, Reserve: 1.8, Limit: 7.2, Burst: 9, Slack: 0.5, Weight: 3, Price: 0.8}
+	wantPlan := scheduler.Plan{Name: "p", Rate: 3.6, Reserve: 1.8, Limit: 7.2, Burst: 9, Slack: 0.5, Weight: 3, Price: 0.8}
 	if s.Plans[0] != wantPlan {
 		t.Errorf("plan: %+v", s.Plans[0])
 	}
@@ -84,17 +84,17 @@
 		t.Errorf("rules: %+v", s.Rules)
 	}
 	want := []Event{
-		{Kind: Members, Instance: 3, Membership: decide.Membership{Kind: decide.Remembered, Nodes: []decide.Node{
-			{ID: "na", Size: 1}, {ID: "nb", Zone: 1, Shard: 4, Phase: decide.Draining, Size: 1.5, StartedAt: 6100 * time.Millisecond}}}},
-		{Kind: Members, Instance: 3, Membership: decide.Membership{Kind: decide.Changes, Nodes: []decide.Node{
-			{ID: "nc", Shard: 1, Phase: decide.Removed, Size: 1}}}},
-		{Kind: Members, Instance: 3, Membership: decide.Membership{Kind: decide.Refused}},
-		{Kind: Arrival, Instance: 3, Request: decide.Request{ID: "t/a", Volume: "2b8e", Key: "91f0", Units: 2,
-			Shard: decide.AnyShard, Patience: 240 * time.Millisecond, Hosts: 3}},
-		{Kind: Probed, Instance: 3, Probe: decide.ProbeResult{Node: "na", Served: true, Latency: 1400 * time.Microsecond,
-			Load: &decide.Load{InFlight: 7, Queued: 3, Busy: -1}}},
-		{Kind: Began, Instance: 3, Outcome: decide.Outcome{ID: "t/a", Node: "na", Latency: 9250 * time.Microsecond, Use: -1}},
-		{Kind: Ended, Instance: 3, Outcome: decide.Outcome{ID: "t/a", Attempt: 1, Node: "na", Result: decide.Reset,
+		{Kind: Members, Instance: 3, Membership: scheduler.Membership{Kind: scheduler.Remembered, Nodes: []scheduler.Node{
+			{ID: "na", Size: 1}, {ID: "nb", Zone: 1, Shard: 4, Phase: scheduler.Draining, Size: 1.5, StartedAt: 6100 * time.Millisecond}}}},
+		{Kind: Members, Instance: 3, Membership: scheduler.Membership{Kind: scheduler.Changes, Nodes: []scheduler.Node{
+			{ID: "nc", Shard: 1, Phase: scheduler.Removed, Size: 1}}}},
+		{Kind: Members, Instance: 3, Membership: scheduler.Membership{Kind: scheduler.Refused}},
+		{Kind: Arrival, Instance: 3, Request: scheduler.Request{ID: "t/a", Volume: "2b8e", Key: "91f0", Units: 2,
+			Shard: scheduler.AnyShard, Patience: 240 * time.Millisecond, Hosts: 3}},
+		{Kind: Probed, Instance: 3, Probe: scheduler.ProbeResult{Node: "na", Served: true, Latency: 1400 * time.Microsecond,
+			Load: &scheduler.Load{InFlight: 7, Queued: 3, Busy: -1}}},
+		{Kind: Began, Instance: 3, Outcome: scheduler.Outcome{ID: "t/a", Node: "na", Latency: 9250 * time.Microsecond, Use: -1}},
+		{Kind: Ended, Instance: 3, Outcome: scheduler.Outcome{ID: "t/a", Attempt: 1, Node: "na", Result: scheduler.Reset,
 			Latency: 18500 * time.Microsecond, Done: true, Use: 0.85, Others: 3}},
 		{Kind: Left, Instance: 5, ID: "t/b"},
 		{Kind: TimerFired, Instance: 3, Timer: 77},
--- a/internal/lab/gateway.go
+++ b/internal/simulation/gateway.go
@@ -1,10 +1,10 @@
-package lab
+package simulation
 
 import (
 	"fmt"
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // Gateway carries out what decisions call for, in simulated time.
@@ -15,23 +15,23 @@
 	Sched  Scheduler
 	open   map[string]*exchange
 	number int
-	Cut    map[int]bool                    // rooms that it does not reach, and that don't reach it
-	Saw    func(q decide.Request, n *Node) // is told of each attempt; nil: nobody is
-	Sent   int                             // attempts
+	Cut    map[int]bool                       // rooms that it does not reach, and that don't reach it
+	Saw    func(q scheduler.Request, n *Node) // is told of each attempt; nil: nobody is
+	Sent   int                                // attempts
 }
 
-// Scheduler is what decides; *decide.Scheduler is one.
+// Scheduler is what decides; *scheduler.Scheduler is one.
 type Scheduler interface {
-	Arrived(now time.Duration, q decide.Request)
-	Members(now time.Duration, m decide.Membership)
+	Arrived(now time.Duration, q scheduler.Request)
+	Members(now time.Duration, m scheduler.Membership)
 	Left(now time.Duration, id string)
-	Probed(now time.Duration, p decide.ProbeResult)
-	Ended(now time.Duration, o decide.Outcome)
+	Probed(now time.Duration, p scheduler.ProbeResult)
+	Ended(now time.Duration, o scheduler.Outcome)
 	Timer(now time.Duration, key uint64)
 }
 
 type exchange struct {
-	request  decide.Request
+	request  scheduler.Request
 	until    time.Duration
 	attempts []*job
 	nodes    []*Node
@@ -49,13 +49,13 @@
 }
 
 // NewGateway makes a gateway that decides by settings and knows all nodes.
-func NewGateway(w *World, settings decide.Settings, nodes []*Node) (*Gateway, error) {
+func NewGateway(w *World, settings scheduler.Settings, nodes []*Node) (*Gateway, error) {
 	g := &Gateway{World: w, Nodes: map[string]*Node{}, Way: 2 * time.Millisecond, open: map[string]*exchange{}}
-	s, err := decide.New(settings, w.Random.Uint64(), g)
+	s, err := scheduler.New(settings, w.Random.Uint64(), g)
 	if err != nil {
 		return nil, err
 	}
-	list := decide.Membership{Kind: decide.Whole}
+	list := scheduler.Membership{Kind: scheduler.Whole}
 	for _, n := range nodes {
 		g.Nodes[n.ID] = n
 		list.Nodes = append(list.Nodes, n.Node)
@@ -66,7 +66,7 @@
 }
 
 // Ask has the gateway take a request; answer is called once.
-func (g *Gateway) Ask(q decide.Request, answer func(Answer)) (id string) {
+func (g *Gateway) Ask(q scheduler.Request, answer func(Answer)) (id string) {
 	g.number++
 	q.ID = fmt.Sprintf("%p-%d", g, g.number)
 	g.open[q.ID] = &exchange{request: q, until: g.World.Now + q.Patience, answer: answer, units: q.Units}
@@ -104,28 +104,28 @@
 	if g.Saw != nil {
 		g.Saw(x.request, n)
 	}
-	end := func(result decide.Result) {
+	end := func(result scheduler.Result) {
 		if x.ended[number] {
 			return
 		}
 		x.ended[number] = true
 		x.out--
-		if result == decide.Served {
+		if result == scheduler.Served {
 			g.end(id, Answer{Verdict: "served"})
 		}
-		g.Sched.Ended(g.World.Now, decide.Outcome{ID: id, Attempt: number, Node: node, Result: result, Latency: g.World.Now - began, Done: x.over, Use: -1})
+		g.Sched.Ended(g.World.Now, scheduler.Outcome{ID: id, Attempt: number, Node: node, Result: result, Latency: g.World.Now - began, Done: x.over, Use: -1})
 		g.drop(id, x)
 	}
-	g.World.After(x.until-g.World.Now, func() { end(decide.TimedOut) })
+	g.World.After(x.until-g.World.Now, func() { end(scheduler.TimedOut) })
 	if (n.Silent || g.Cut[n.Zone]) && g.World.Random.Float64() > warmShare {
-		g.World.After(connectWithin, func() { end(decide.ConnectFailed) })
+		g.World.After(connectWithin, func() { end(scheduler.ConnectFailed) })
 		return
 	}
 	if g.Cut[n.Zone] {
 		return
 	}
 	g.World.After(g.Way/2, func() {
-		x.attempts[number] = n.Take(id, x.units, func(result decide.Result) {
+		x.attempts[number] = n.Take(id, x.units, func(result scheduler.Result) {
 			g.World.After(g.Way/2, func() {
 				if !g.Cut[n.Zone] {
 					end(result)
@@ -150,7 +150,7 @@
 		if !x.ended[attempt] { // whoever hears it or not, the gateway is done with it
 			x.ended[attempt] = true
 			x.out--
-			g.Sched.Ended(g.World.Now, decide.Outcome{ID: id, Attempt: attempt, Node: n.ID, Result: decide.Canceled, Done: x.over, Use: -1})
+			g.Sched.Ended(g.World.Now, scheduler.Outcome{ID: id, Attempt: attempt, Node: n.ID, Result: scheduler.Canceled, Done: x.over, Use: -1})
 			g.drop(id, x)
 		}
 	})
@@ -167,7 +167,7 @@
 	n := g.Nodes[node]
 	g.World.After(g.Way, func() {
 		if !n.Silent && !g.Cut[n.Zone] {
-			g.Sched.Probed(g.World.Now, decide.ProbeResult{Node: node, Served: true, Latency: g.Way})
+			g.Sched.Probed(g.World.Now, scheduler.ProbeResult{Node: node, Served: true, Latency: g.Way})
 		}
 	})
 }
--- a/internal/lab/lab.go
+++ b/internal/simulation/lab.go
@@ -1,6 +1,6 @@
-// Package lab is a small laboratory in simulated time: nodes that queue, slow down and fail, gateways that decide by package decide, and clients that wait
+// Package simulation is a small laboratory in simulated time: nodes that queue, slow down and fail, gateways that decide by package scheduler, and clients that wait
 // for their answers and try again. It runs by the thousand in tests, and a run follows from its seed alone.
-package lab
+package simulation
 
 import (
 	"container/heap"
--- a/internal/lab/node.go
+++ b/internal/simulation/node.go
@@ -1,16 +1,16 @@
-package lab
+package simulation
 
 import (
 	"slices"
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // Node is a storage node: so many workers behind one queue. What has waited for longer than its patience is still worked on, and then ends as an error, as
 // in servers that look at their time-outs too late: that is what lets an overload feed itself.
 type Node struct {
-	decide.Node
+	scheduler.Node
 	World    *World
 	Workers  int
 	Queue    int           // requests that may wait; more are turned away unrun
@@ -103,7 +103,7 @@
 	for _, j := range append(n.waiting, n.out...) {
 		if !j.gone {
 			j.gone = true
-			n.World.After(0, func() { j.done(decide.Reset) })
+			n.World.After(0, func() { j.done(scheduler.Reset) })
 		}
 	}
 	n.waiting, n.out, n.busy = nil, nil, 0
@@ -115,11 +115,11 @@
 	units float64
 	came  time.Duration
 	gone  bool
-	done  func(decide.Result)
+	done  func(scheduler.Result)
 }
 
 // Take takes an attempt; done is called once.
-func (n *Node) Take(id string, units float64, done func(decide.Result)) *job {
+func (n *Node) Take(id string, units float64, done func(scheduler.Result)) *job {
 	j := &job{id: id, units: units, came: n.World.Now, done: done}
 	n.came(units)
 	if n.Silent { // until Break
@@ -127,7 +127,7 @@
 		return j
 	}
 	if len(n.waiting) >= n.Queue && n.busy >= n.Workers {
-		n.World.After(time.Millisecond, func() { done(decide.Full) })
+		n.World.After(time.Millisecond, func() { done(scheduler.Full) })
 		return j
 	}
 	n.waiting = append(n.waiting, j)
@@ -147,7 +147,7 @@
 		}
 	}
 	j.gone = true
-	n.World.After(0, func() { j.done(decide.Canceled) })
+	n.World.After(0, func() { j.done(scheduler.Canceled) })
 }
 
 // work has idle workers take what waits.
@@ -182,9 +182,9 @@
 			if !j.gone {
 				j.gone = true
 				if late {
-					j.done(decide.Errored)
+					j.done(scheduler.Errored)
 				} else {
-					j.done(decide.Served)
+					j.done(scheduler.Served)
 				}
 			}
 			n.work()
--- a/internal/lab/plain.go
+++ b/internal/simulation/plain.go
@@ -1,15 +1,15 @@
-package lab
+package simulation
 
 import (
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // plain is the way of a proxy that knows no load: each request goes out at once, and again at once whatever became of it, until its attempts or its time are used up.
 type plain struct {
 	world *World
-	out   decide.Actions
+	out   scheduler.Actions
 	node  map[int]string // by shard
 	most  int
 	open  map[string]*plainRequest
@@ -18,12 +18,12 @@
 }
 
 type plainRequest struct {
-	decide.Request
+	scheduler.Request
 	attempts int
 	until    time.Duration
 }
 
-func newPlain(w *World, out decide.Actions, nodes []*Node, most int) *plain {
+func newPlain(w *World, out scheduler.Actions, nodes []*Node, most int) *plain {
 	p := &plain{world: w, out: out, node: map[int]string{}, most: most, open: map[string]*plainRequest{}, due: map[uint64]string{}}
 	for _, n := range nodes {
 		p.node[n.Shard] = n.ID
@@ -34,13 +34,13 @@
 func (p *plain) send(r *plainRequest) {
 	r.attempts++
 	shard := r.Shard
-	if shard == decide.AnyShard {
+	if shard == scheduler.AnyShard {
 		shard = p.world.Random.IntN(len(p.node))
 	}
 	p.out.Send(r.ID, p.node[shard], 0)
 }
 
-func (p *plain) Arrived(now time.Duration, q decide.Request) {
+func (p *plain) Arrived(now time.Duration, q scheduler.Request) {
 	r := &plainRequest{Request: q, until: now + q.Patience}
 	p.open[q.ID] = r
 	p.timer++
@@ -49,19 +49,19 @@
 	p.send(r)
 }
 
-func (p *plain) Members(time.Duration, decide.Membership) {}
+func (p *plain) Members(time.Duration, scheduler.Membership) {}
 
-func (p *plain) Probed(time.Duration, decide.ProbeResult) {}
+func (p *plain) Probed(time.Duration, scheduler.ProbeResult) {}
 
 func (p *plain) Left(_ time.Duration, id string) { delete(p.open, id) }
 
-func (p *plain) Ended(now time.Duration, o decide.Outcome) {
+func (p *plain) Ended(now time.Duration, o scheduler.Outcome) {
 	r := p.open[o.ID]
 	if r == nil {
 		return
 	}
 	switch {
-	case o.Result == decide.Served:
+	case o.Result == scheduler.Served:
 		delete(p.open, o.ID)
 	case r.attempts >= p.most || now >= r.until:
 		delete(p.open, o.ID)
--- a/internal/lab/roomday.go
+++ b/internal/simulation/roomday.go
@@ -1,11 +1,11 @@
-package lab
+package simulation
 
 import (
 	"fmt"
 	"time"
 
-	"reachpulley/decide"
-	"reachpulley/internal/rooms"
+	"reachpulley/internal/zonefailover"
+	"reachpulley/scheduler"
 )
 
 // RoomDay is a day on which rooms are lost and come back.
@@ -18,10 +18,10 @@
 	Free     float64 // share of the requests that write new objects
 	Events   []RoomEvent
 	Length   time.Duration
-	Settings rooms.Settings // without tiers, siblings and list: they follow from the day; without a spill there is none
-	Off      bool           // the gateways don't look at rooms
-	Plain    bool           // they are plain proxies
-	ListLate time.Duration  // after which the list tells that a node has started anew
+	Settings zonefailover.Settings // without tiers, siblings and list: they follow from the day; without a spill there is none
+	Off      bool                  // the gateways don't look at rooms
+	Plain    bool                  // they are plain proxies
+	ListLate time.Duration         // after which the list tells that a node has started anew
 }
 
 // RoomEvent is a change in the world.
@@ -55,13 +55,13 @@
 const roomMs = time.Millisecond
 
 // roomSettings are those of the operators' deployment, with two classes.
-var roomSettings = decide.Settings{Tick: roomMs,
-	Classes: []decide.Class{{Name: "sheet-read", Aim: 300 * roomMs, Deadline: 1500 * roomMs, Worth: 3},
-		{Name: "entry-write", Aim: 400 * roomMs, Deadline: 2500 * roomMs, Worth: 2, Repeats: decide.Keyed, RepeatGroup: decide.GroupShard, RepeatFor: 4 * time.Second, Writes: true}},
-	Plans:   []decide.Plan{{Name: "standard", Rate: 100, Reserve: 120, Weight: 1, Price: 1.2}},
-	Rules:   decide.Rules{DrainGrace: 250 * roomMs, ColdFrom: 0.18, WarmWithin: 17 * time.Second, ColdWindow: 3 * time.Second, ColdMultiple: 4},
-	Allowed: decide.Allowed{Probes: true, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 4, ConnectWithin: connectWithin},
-	Sizes:   decide.Sizes{MeanUnits: 2, MostUnits: 8, ShareWorth: 0.4, SpareWorth: 0.1}}
+var roomSettings = scheduler.Settings{Tick: roomMs,
+	Classes: []scheduler.Class{{Name: "sheet-read", Aim: 300 * roomMs, Deadline: 1500 * roomMs, Worth: 3},
+		{Name: "entry-write", Aim: 400 * roomMs, Deadline: 2500 * roomMs, Worth: 2, Repeats: scheduler.Keyed, RepeatGroup: scheduler.GroupShard, RepeatFor: 4 * time.Second, Writes: true}},
+	Plans:   []scheduler.Plan{{Name: "standard", Rate: 100, Reserve: 120, Weight: 1, Price: 1.2}},
+	Rules:   scheduler.Rules{DrainGrace: 250 * roomMs, ColdFrom: 0.18, WarmWithin: 17 * time.Second, ColdWindow: 3 * time.Second, ColdMultiple: 4},
+	Allowed: scheduler.Allowed{Probes: true, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 4, ConnectWithin: connectWithin},
+	Sizes:   scheduler.Sizes{MeanUnits: 2, MostUnits: 8, ShareWorth: 0.4, SpareWorth: 0.1}}
 
 // Run plays it.
 func (d RoomDay) Run() (*RoomResult, error) {
@@ -70,7 +70,7 @@
 	day := &roomRun{RoomDay: d, world: w, result: r, began: w.Now, spilt: map[int][]arrival{}}
 	for room := range d.Rooms {
 		for i := range d.Nodes {
-			n := &Node{Node: decide.Node{ID: fmt.Sprintf("%c%d", 'a'+room, i), Zone: room, Shard: room*d.Nodes + i, Size: 1}, World: w, Workers: 2, Queue: 40, Work: 20 * roomMs, Speed: 1,
+			n := &Node{Node: scheduler.Node{ID: fmt.Sprintf("%c%d", 'a'+room, i), Zone: room, Shard: room*d.Nodes + i, Size: 1}, World: w, Workers: 2, Queue: 40, Work: 20 * roomMs, Speed: 1,
 				Cold: Cold{From: 0.18, Within: 17 * time.Second, Multiple: 4, Window: 3 * time.Second}, Effects: map[string]int{}}
 			day.nodes = append(day.nodes, n)
 		}
@@ -96,7 +96,7 @@
 			g.Sched = newPlain(w, g, day.nodes, set.Allowed.MaxAttempts)
 		}
 		g.Cut = map[int]bool{}
-		g.Saw = func(q decide.Request, n *Node) { day.saw(set.Zone, q, n) }
+		g.Saw = func(q scheduler.Request, n *Node) { day.saw(set.Zone, q, n) }
 		day.gateways = append(day.gateways, g)
 		w.After(0, func() { day.next(g) })
 	}
@@ -144,10 +144,10 @@
 
 // ask sends a request and, once, the client's retry.
 func (d *roomRun) ask(g *Gateway, tries int) {
-	q := decide.Request{Volume: fmt.Sprint("v", d.world.Random.IntN(40)), Key: fmt.Sprint(d.world.Random.IntN(1 << 30)), Units: float64(1 + d.world.Random.IntN(3)), Hosts: len(d.gateways),
+	q := scheduler.Request{Volume: fmt.Sprint("v", d.world.Random.IntN(40)), Key: fmt.Sprint(d.world.Random.IntN(1 << 30)), Units: float64(1 + d.world.Random.IntN(3)), Hosts: len(d.gateways),
 		Shard: d.world.Random.IntN(len(d.nodes))}
 	if d.world.Random.Float64() < d.Free {
-		q.Class, q.Shard = 1, decide.AnyShard
+		q.Class, q.Shard = 1, scheduler.AnyShard
 	}
 	q.Patience = roomSettings.Classes[q.Class].Deadline
 	came, answers := d.world.Now, 0
@@ -168,7 +168,7 @@
 		case "refused":
 			s.Refused++
 		default:
-			if s.Failed++; q.Shard == decide.AnyShard {
+			if s.Failed++; q.Shard == scheduler.AnyShard {
 				s.FreeLost++
 			}
 		}
@@ -190,11 +190,11 @@
 }
 
 // saw follows each attempt.
-func (d *roomRun) saw(home int, q decide.Request, n *Node) {
+func (d *roomRun) saw(home int, q scheduler.Request, n *Node) {
 	if d.world.Now > d.began+d.Length-10*time.Second {
 		d.result.ToNode[n.ID]++
 	}
-	if q.Shard == decide.AnyShard && n.Zone != home {
+	if q.Shard == scheduler.AnyShard && n.Zone != home {
 		d.spilt[home] = append(d.spilt[home], arrival{d.world.Now, q.Units})
 		d.second().Spilt += q.Units
 	}
@@ -237,7 +237,7 @@
 		n.Node.StartedAt = started
 		for _, g := range d.gateways { // discovery is late, to each in its own time
 			d.world.After(time.Duration(d.world.Random.Float64()*float64(d.ListLate)), func() {
-				g.Sched.Members(d.world.Now, decide.Membership{Kind: decide.Changes, Nodes: []decide.Node{n.Node}})
+				g.Sched.Members(d.world.Now, scheduler.Membership{Kind: scheduler.Changes, Nodes: []scheduler.Node{n.Node}})
 			})
 		}
 	}
--- a/internal/lab/roomday_test.go
+++ b/internal/simulation/roomday_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"flag"
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"reachpulley/decide"
-	"reachpulley/internal/rooms"
+	"reachpulley/internal/zonefailover"
+	"reachpulley/scheduler"
 )
 
 func init() {
@@ -32,7 +32,7 @@
 // lossOf is a day on which a room goes dark for 20 s and comes back.
 func lossOf(seed uint64, cold bool, part float64) RoomDay {
 	return RoomDay{Seed: seed, Rooms: 2, Nodes: 5, Gateways: 3, Load: 0.35, Free: 0.35, Length: 100 * time.Second, ListLate: 5 * time.Second,
-		Settings: rooms.Settings{Spill: 60, Burst: 24},
+		Settings: zonefailover.Settings{Spill: 60, Burst: 24},
 		Events:   []RoomEvent{{At: 15 * time.Second, Room: 0, Gateway: -1, Dark: true}, {At: 35 * time.Second, Room: 0, Gateway: -1, Cold: cold, Part: part}}}
 }
 
@@ -121,7 +121,7 @@
 // Without a bound nothing spills: what can't be served at home is refused.
 func TestNothingSpillsWithoutABound(t *testing.T) {
 	d := lossOf(4, true, 0)
-	d.Settings = rooms.Settings{}
+	d.Settings = zonefailover.Settings{}
 	r := play(t, d)
 	kept(t, "no bound", r)
 	for i, s := range r.Seconds {
@@ -137,7 +137,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d := RoomDay{Seed: rapid.Uint64().Draw(t, "seed"), Rooms: rapid.IntRange(2, 3).Draw(t, "rooms"), Nodes: rapid.IntRange(2, 5).Draw(t, "nodes"), Gateways: rapid.IntRange(2, 4).Draw(t, "gateways"),
 			Load: 0.1 + 0.15*float64(rapid.IntRange(0, 5).Draw(t, "load")), Free: 0.35, ListLate: time.Duration(rapid.IntRange(0, 8).Draw(t, "late")) * time.Second,
-			Settings: rooms.Settings{Spill: float64(rapid.IntRange(0, 8).Draw(t, "spill")) * 20, Burst: 32, Share: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "share")}}
+			Settings: zonefailover.Settings{Spill: float64(rapid.IntRange(0, 8).Draw(t, "spill")) * 20, Burst: 32, Share: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "share")}}
 		at := 5 * time.Second
 		for range rapid.IntRange(1, 3).Draw(t, "events") {
 			at += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * time.Millisecond
@@ -170,7 +170,7 @@
 
 // The check of the days is one that can fail: a request that ran at two nodes is told.
 func TestARequestThatRanTwiceIsTold(t *testing.T) {
-	d := &roomRun{result: &RoomResult{}, nodes: []*Node{{Node: decide.Node{ID: "a0"}, Effects: map[string]int{"r": 1}}, {Node: decide.Node{ID: "b0"}, Effects: map[string]int{"r": 1, "s": 1}}}}
+	d := &roomRun{result: &RoomResult{}, nodes: []*Node{{Node: scheduler.Node{ID: "a0"}, Effects: map[string]int{"r": 1}}, {Node: scheduler.Node{ID: "b0"}, Effects: map[string]int{"r": 1, "s": 1}}}}
 	d.conclude()
 	if len(d.result.Broken) != 1 || d.result.Broken[0] != "r ran at a0 and b0" {
 		t.Error(d.result.Broken)
--- a/internal/lab/storm.go
+++ b/internal/simulation/storm.go
@@ -1,10 +1,10 @@
-package lab
+package simulation
 
 import (
 	"time"
 
-	"reachpulley/decide"
-	"reachpulley/internal/retry"
+	"reachpulley/internal/retrybudget"
+	"reachpulley/scheduler"
 )
 
 // Storm is a metastable failure (N. Bronson et al., "Metastable failures in distributed systems", HotOS 2021): for a short time the nodes slow down, and then
@@ -20,9 +20,9 @@
 	Slow     time.Duration
 	Speed    float64 // of the nodes in it
 	Length   time.Duration
-	Retry    retry.Settings
+	Retry    retrybudget.Settings
 	Behind   float64 // calls a second of what all nodes share; 0: they share nothing
-	Plain    bool    // attempts are repeated at once, up to the settings' limit, without package decide
+	Plain    bool    // attempts are repeated at once, up to the settings' limit, without package scheduler
 }
 
 // NodeStorm is one of nodes that slow down themselves, loaded with two thirds of what they can do.
@@ -52,11 +52,11 @@
 	Recovered time.Duration // from the slow time's end until nine tenths of that were served in each of 5 s; -1: never
 }
 
-var stormSettings = decide.Settings{Siblings: 3, Tick: time.Millisecond,
-	Classes: []decide.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 1}},
-	Plans:   []decide.Plan{{Name: "plain", Rate: 1000, Weight: 1, Price: 1}},
-	Allowed: decide.Allowed{Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 4},
-	Sizes:   decide.Sizes{MeanUnits: 1, MostUnits: 1}}
+var stormSettings = scheduler.Settings{Siblings: 3, Tick: time.Millisecond,
+	Classes: []scheduler.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 1}},
+	Plans:   []scheduler.Plan{{Name: "plain", Rate: 1000, Weight: 1, Price: 1}},
+	Allowed: scheduler.Allowed{Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 4},
+	Sizes:   scheduler.Sizes{MeanUnits: 1, MostUnits: 1}}
 
 // Run plays it.
 func (s Storm) Run() (Result, error) {
@@ -65,7 +65,7 @@
 	settings.Siblings, settings.Retry = s.Gateways, s.Retry
 	var nodes []*Node
 	for i := range s.Nodes {
-		nodes = append(nodes, &Node{Node: decide.Node{ID: string(rune('a' + i)), Shard: i, Size: 1}, World: w, Workers: 2, Queue: 200, Work: 40 * time.Millisecond, Patience: 300 * time.Millisecond, Speed: 1})
+		nodes = append(nodes, &Node{Node: scheduler.Node{ID: string(rune('a' + i)), Shard: i, Size: 1}, World: w, Workers: 2, Queue: 200, Work: 40 * time.Millisecond, Patience: 300 * time.Millisecond, Speed: 1})
 	}
 	var behind *Behind
 	if s.Behind > 0 {
@@ -165,7 +165,7 @@
 	c.tries++
 	c.second().Asked++
 	answered := false
-	id := c.gateway.Ask(decide.Request{Volume: "v", Units: 1, Shard: c.shard, Patience: stormSettings.Classes[0].Deadline, Hosts: c.storm.Gateways, Key: c.key()}, func(a Answer) {
+	id := c.gateway.Ask(scheduler.Request{Volume: "v", Units: 1, Shard: c.shard, Patience: stormSettings.Classes[0].Deadline, Hosts: c.storm.Gateways, Key: c.key()}, func(a Answer) {
 		if answered {
 			return
 		}
--- a/internal/lab/storm_test.go
+++ b/internal/simulation/storm_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"testing"
@@ -6,10 +6,10 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachpulley/internal/retry"
+	"reachpulley/internal/retrybudget"
 )
 
-var budget = retry.Settings{Share: 0.2, Trickle: 0.5, Burst: 10, Cells: 1024}
+var budget = retrybudget.Settings{Share: 0.2, Trickle: 0.5, Burst: 10, Cells: 1024}
 
 // What all nodes share fails calls and does their work all the same. Without budgets, the attempts that a slow time leaves behind keep it failing for as long as anybody
 // looks; with them, as many are served as before within seconds.
--- a/internal/peek/peek.go
+++ b/internal/socketpeek/peek.go
@@ -1,5 +1,5 @@
-// Package peek looks at what waits unread on a connection, without a wait and without taking it.
-package peek
+// Package socketpeek looks at what waits unread on a connection, without a wait and without taking it.
+package socketpeek
 
 import (
 	"net"
--- a/internal/peek/peek_test.go
+++ b/internal/socketpeek/peek_test.go
@@ -1,4 +1,4 @@
-package peek
+package socketpeek
 
 import (
 	"net"
--- a/internal/trust/state.go
+++ b/internal/trust/state.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // Doubt is what is held of an operation at a node that is not trusted, as plain data: for people, and for the next start.
@@ -26,10 +26,10 @@
 }
 
 // levelNames are for people.
-var levelNames = [...]string{decide.CareNone: "as described", decide.CareCopies: "no second copies", decide.CareRepeats: "no repeats", decide.CareAvoid: "avoided"}
+var levelNames = [...]string{scheduler.CareNone: "as described", scheduler.CareCopies: "no second copies", scheduler.CareRepeats: "no repeats", scheduler.CareAvoid: "avoided"}
 
 // LevelName words a level.
-func LevelName(level decide.Care) string { return levelNames[level] }
+func LevelName(level scheduler.Care) string { return levelNames[level] }
 
 // Doubts gives all that is not trusted, in order.
 func (k *Keeper) Doubts(now time.Duration) (out []Doubt) {
--- a/internal/trust/trust.go
+++ b/internal/trust/trust.go
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // Evidence is what an answer tells of a node.
@@ -63,7 +63,7 @@
 func (s State) String() string { return stateNames[s] }
 
 // levels are what States cost.
-var levels = [...]decide.Care{Trusted: decide.CareNone, Doubted: decide.CareCopies, Probation: decide.CareRepeats, Distrusted: decide.CareAvoid}
+var levels = [...]scheduler.Care{Trusted: scheduler.CareNone, Doubted: scheduler.CareCopies, Probation: scheduler.CareRepeats, Distrusted: scheduler.CareAvoid}
 
 // Tuned values, all ours.
 const (
@@ -145,7 +145,7 @@
 	Version   string
 	From, To  State
 	Fleet     bool // most nodes of the version contradict the description, so it is what is wrong
-	Level     decide.Care
+	Level     scheduler.Care
 	Worst     Evidence
 	Counts    map[string]int // contradictions by kind, since the begin
 	Answers   int
@@ -154,16 +154,16 @@
 
 // Keeper holds all trust.
 type Keeper struct {
-	most    decide.Care // that distrust may come to
+	most    scheduler.Care // that distrust may come to
 	cells   map[key]*cell
-	fleets  map[fleetKey]*fleet // where a description is wrong, as it seems
-	told    map[key]decide.Care // levels as last given out; node "" is for all
+	fleets  map[fleetKey]*fleet    // where a description is wrong, as it seems
+	told    map[key]scheduler.Care // levels as last given out; node "" is for all
 	dropped int
 }
 
 // New makes a Keeper whose levels are most at most.
-func New(most decide.Care) *Keeper {
-	return &Keeper{most: most, cells: map[key]*cell{}, fleets: map[fleetKey]*fleet{}, told: map[key]decide.Care{}}
+func New(most scheduler.Care) *Keeper {
+	return &Keeper{most: most, cells: map[key]*cell{}, fleets: map[fleetKey]*fleet{}, told: map[key]scheduler.Care{}}
 }
 
 // Hear takes an answer's evidence and gives what changes by it.
@@ -371,12 +371,12 @@
 func (k *Keeper) level(now time.Duration, c *cell) *Change {
 	level := min(levels[c.state], k.most)
 	if f := k.fleets[fleetKey{c.key.operation, c.version}]; f != nil {
-		level = min(level, decide.CareRepeats) // there is no other node to go to
+		level = min(level, scheduler.CareRepeats) // there is no other node to go to
 	}
 	if k.told[c.key] == level {
 		return nil
 	}
-	if k.told[c.key] = level; level == decide.CareNone {
+	if k.told[c.key] = level; level == scheduler.CareNone {
 		delete(k.told, c.key)
 	}
 	one := k.change(now, c)
@@ -451,14 +451,14 @@
 
 // wide gives an operation's change at all nodes: it is careful as long as any version contradicts its description.
 func (k *Keeper) wide(now time.Duration, t *tally) Change {
-	level := decide.CareNone
+	level := scheduler.CareNone
 	for at := range k.fleets {
 		if at.operation == t.at.operation {
-			level = min(decide.CareRepeats, k.most)
+			level = min(scheduler.CareRepeats, k.most)
 		}
 	}
 	everywhere := key{t.at.operation, ""}
-	if k.told[everywhere] = level; level == decide.CareNone {
+	if k.told[everywhere] = level; level == scheduler.CareNone {
 		delete(k.told, everywhere)
 	}
 	one := Change{At: now, Operation: t.at.operation, Version: t.at.version, Fleet: true, Level: level, From: Probation, To: Trusted}
--- a/internal/trust/trust_test.go
+++ b/internal/trust/trust_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 func init() { flag.Set("rapid.seed", "1") }
@@ -31,7 +31,7 @@
 }
 
 func newFleet(nodes, clients int, lies func(int, time.Duration) Evidence) *fleetOf {
-	return &fleetOf{k: New(decide.CareAvoid), now: time.Hour, nodes: nodes, clients: clients, lies: lies, states: map[string][]State{},
+	return &fleetOf{k: New(scheduler.CareAvoid), now: time.Hour, nodes: nodes, clients: clients, lies: lies, states: map[string][]State{},
 		version: func(int, time.Duration) string { return "v1" }}
 }
 
@@ -73,7 +73,7 @@
 	if diff := cmp.Diff(map[string][]State{"n3": {Doubted, Distrusted}}, f.states); diff != "" {
 		t.Error(diff)
 	}
-	if got := f.k.Level(op, "n3"); got != decide.CareAvoid || f.k.Level(op, "n2") != decide.CareNone {
+	if got := f.k.Level(op, "n3"); got != scheduler.CareAvoid || f.k.Level(op, "n2") != scheduler.CareNone {
 		t.Errorf("level %v, n2 %v", got, f.k.Level(op, "n2"))
 	}
 }
@@ -96,11 +96,11 @@
 	}
 	f.run(150)
 	fleet := slices.IndexFunc(f.changes, func(c Change) bool { return c.Fleet })
-	if fleet < 0 || f.changes[fleet].Version != "v2" || f.changes[fleet].Level != decide.CareRepeats {
+	if fleet < 0 || f.changes[fleet].Version != "v2" || f.changes[fleet].Level != scheduler.CareRepeats {
 		t.Fatalf("no word of the fleet in %+v", f.changes)
 	}
 	for n := range f.nodes {
-		if got := f.k.Level(op, fmt.Sprint("n", n)); got != decide.CareRepeats {
+		if got := f.k.Level(op, fmt.Sprint("n", n)); got != scheduler.CareRepeats {
 			t.Errorf("n%d: level %v", n, got)
 		}
 	}
@@ -115,7 +115,7 @@
 // answers are good.
 func TestOneClientDiscreditsNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k, now := New(decide.CareAvoid), time.Hour
+		k, now := New(scheduler.CareAvoid), time.Hour
 		soft := rapid.SampledFrom([]Evidence{StatusUnknown, TypeUnknown, BrokenSchema, Slow, HollowRetryAfter, Differs})
 		for range rapid.IntRange(1, 500).Draw(t, "answers") {
 			now += time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond
@@ -199,7 +199,7 @@
 	})
 	f.version = func(node int, s time.Duration) string { return fmt.Sprint("v", node, s) }
 	f.run(100)
-	if f.k.Level(op, "n0") != decide.CareAvoid {
+	if f.k.Level(op, "n0") != scheduler.CareAvoid {
 		t.Errorf("%v", f.states)
 	}
 	if len(f.k.fleets) > mostVersions {
@@ -209,17 +209,17 @@
 
 // Ever new operations and nodes take bounded memory, and none in doubt is forgotten for them.
 func TestBounds(t *testing.T) {
-	k := New(decide.CareAvoid)
+	k := New(scheduler.CareAvoid)
 	for range 3 {
 		k.Hear(time.Hour, Tell{Operation: op, Node: "liar", Evidence: RanUnrun})
 	}
 	for i := range 4 * MostCells {
 		k.Hear(time.Hour+time.Duration(i), Tell{Operation: fmt.Sprint("GET /", i), Node: "n", Evidence: Fits})
 	}
-	if len(k.cells) > MostCells || k.Level(op, "liar") != decide.CareAvoid {
+	if len(k.cells) > MostCells || k.Level(op, "liar") != scheduler.CareAvoid {
 		t.Errorf("%d cells, the liar is %v", len(k.cells), k.Level(op, "liar"))
 	}
-	full := New(decide.CareAvoid)
+	full := New(scheduler.CareAvoid)
 	for i := range MostCells + 10 {
 		for range 2 {
 			full.Hear(time.Hour, Tell{Operation: fmt.Sprint("GET /", i), Node: "n", Evidence: RanUnrun})
@@ -233,9 +233,9 @@
 // Whatever is told: what is given out is what holds, never above the bound that the operator set, and the same for the same evidence.
 func TestChangesTellTheLevels(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := decide.Care(rapid.IntRange(0, int(decide.CareAvoid)).Draw(t, "most"))
+		most := scheduler.Care(rapid.IntRange(0, int(scheduler.CareAvoid)).Draw(t, "most"))
 		k, twin := New(most), New(most)
-		held := map[[2]string]decide.Care{}
+		held := map[[2]string]scheduler.Care{}
 		now := time.Hour
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond
@@ -279,7 +279,7 @@
 	if len(doubts) != 2 {
 		t.Fatalf("%+v", doubts)
 	}
-	next := New(decide.CareAvoid)
+	next := New(scheduler.CareAvoid)
 	changes, err := next.Recall(time.Minute, doubts, 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -294,13 +294,13 @@
 	}
 	for _, bad := range []Doubt{{Operation: "x", Node: "n", State: "cheerful"}, {Operation: "x", Node: "n", State: "distrusted", Worst: "?"},
 		{Operation: "x", Node: "n", State: "distrusted", Worst: "fits", Weight: -1}} {
-		if _, err := New(decide.CareAvoid).Recall(0, []Doubt{bad}, 0); err == nil {
+		if _, err := New(scheduler.CareAvoid).Recall(0, []Doubt{bad}, 0); err == nil {
 			t.Errorf("%+v is believed", bad)
 		}
 	}
 }
 
 // Level is how carefully an operation is to be handled at a node now.
-func (k *Keeper) Level(operation, node string) decide.Care {
+func (k *Keeper) Level(operation, node string) scheduler.Care {
 	return max(k.told[key{operation, ""}], k.told[key{operation, node}])
 }
--- a/internal/restart/believe.go
+++ b/internal/warmrestart/believe.go
@@ -1,12 +1,12 @@
-// Package restart lets a gateway go on from what its earlier life had learned: it decides what of it is still to be believed, and keeps it on
+// Package warmrestart lets a gateway go on from what its earlier life had learned: it decides what of it is still to be believed, and keeps it on
 // disk.
-package restart
+package warmrestart
 
 import (
 	"math"
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // What is believed, and for how long.
@@ -20,7 +20,7 @@
 
 // Belief tells what to take over.
 type Belief struct {
-	Learned decide.Learned
+	Learned scheduler.Learned
 	Nodes   int // of which more than the guards' part is believed
 	Faded   float64
 }
@@ -30,7 +30,7 @@
 //
 // What the guards of rules go by is taken over whatever its age, as it can only hold back more: cold nodes, what they were sent, nodes that were
 // down, used stores, ordered keys with an attempt that may still run, further attempts. What is only known of nodes fades.
-func Believe(old *decide.Snapshot, set decide.Settings, now, age, shift time.Duration) Belief {
+func Believe(old *scheduler.Snapshot, set scheduler.Settings, now, age, shift time.Duration) Belief {
 	b := Belief{Faded: math.Exp(-max(0, age).Seconds() / forgets.Seconds())}
 	if age < -backwards || age > forgotten {
 		b.Faded = 0
@@ -38,10 +38,10 @@
 	moved := func(at time.Duration) time.Duration { return min(at+shift, now) }
 	fresh := startCap(set)
 	for _, n := range old.Nodes[:min(max(0, old.Listed), len(old.Nodes))] {
-		if n.Node.Phase == decide.Removed {
+		if n.Node.Phase == scheduler.Removed {
 			continue
 		}
-		l := decide.LearnedNode{ID: n.Node.ID, Down: n.Down}
+		l := scheduler.LearnedNode{ID: n.Node.ID, Down: n.Down}
 		if n.Node.StartedAt > 0 {
 			l.StartedAt = max(0, moved(n.Node.StartedAt))
 		}
@@ -49,7 +49,7 @@
 			l.ColdSince = max(1, moved(n.ColdSince)) // 0 would be warm
 		}
 		for _, x := range n.Sent {
-			l.Sent = append(l.Sent, decide.SnapshotSending{At: moved(x.At), Units: max(0, x.Units)})
+			l.Sent = append(l.Sent, scheduler.SnapshotSending{At: moved(x.At), Units: max(0, x.Units)})
 		}
 		if b.Faded > leastRate && n.MinLatency > 0 && sound(n.Cap, n.MaxRate, n.Latency, n.MinLatency, n.Queue, n.Known) {
 			l.Cap = fresh + b.Faded*(n.Cap-fresh)
@@ -65,7 +65,7 @@
 		if !v.Held || !(v.Limit.Level < v.Limit.Most || v.Reserve.Level < v.Reserve.Most || v.Reserve.Rate > 0) {
 			continue
 		}
-		l := decide.LearnedVolume{Name: v.Name, At: moved(old.Now), Limit: levelAt(v.Limit, old.Now), Reserve: levelAt(v.Reserve, old.Now)}
+		l := scheduler.LearnedVolume{Name: v.Name, At: moved(old.Now), Limit: levelAt(v.Limit, old.Now), Reserve: levelAt(v.Reserve, old.Now)}
 		if age >= -backwards && age <= reserves && sound(v.Reserve.Rate) {
 			l.ReserveRate = max(0, v.Reserve.Rate)
 		}
@@ -85,12 +85,12 @@
 }
 
 // startCap is the cap of a node of which nothing is known.
-func startCap(set decide.Settings) float64 {
+func startCap(set scheduler.Settings) float64 {
 	mean := set.Sizes.MeanUnits
 	if mean == 0 {
 		mean = 1
 	}
-	return decide.StartRequests * mean
+	return scheduler.StartRequests * mean
 }
 
 // sound tells whether all are numbers that a Scheduler could have reached.
@@ -103,12 +103,12 @@
 	return true
 }
 
-func levelAt(s decide.SnapshotStore, now time.Duration) float64 {
+func levelAt(s scheduler.SnapshotStore, now time.Duration) float64 {
 	return min(s.Most, s.Level+max(0, s.Rate)*max(0, now-s.At).Seconds())
 }
 
 // keys gives the ordered keys that rest. The earlier life may have sent more after the snapshot, so one that had an attempt out rests from now on.
-func keys(old *decide.Snapshot, set decide.Settings, now time.Duration, moved func(time.Duration) time.Duration) (out []decide.LearnedKey) {
+func keys(old *scheduler.Snapshot, set scheduler.Settings, now time.Duration, moved func(time.Duration) time.Duration) (out []scheduler.LearnedKey) {
 	until := map[string]time.Duration{}
 	for _, t := range old.Turns {
 		if rest := t.RestUntil; rest > old.Now {
@@ -122,7 +122,7 @@
 	}
 	for _, t := range old.Turns { // in their order
 		if rest := until[t.Key]; rest > now {
-			out = append(out, decide.LearnedKey{Key: t.Key, RestUntil: rest})
+			out = append(out, scheduler.LearnedKey{Key: t.Key, RestUntil: rest})
 		}
 	}
 	return out
@@ -130,7 +130,7 @@
 
 // extra gives the further attempts that count against the new life's budget: it has taken no requests yet, so those that the old life's requests
 // covered are left out; taking over the requests, too, would loosen the budget.
-func extra(old *decide.Snapshot, set decide.Settings, moved func(time.Duration) time.Duration) (out []time.Duration) {
+func extra(old *scheduler.Snapshot, set scheduler.Settings, moved func(time.Duration) time.Duration) (out []time.Duration) {
 	covered := int(set.Rules.BudgetShare * float64(len(old.TakenAt)))
 	for _, at := range old.ExtraAt[min(len(old.ExtraAt), max(0, covered)):] {
 		out = append(out, moved(at))
--- a/internal/restart/believe_test.go
+++ b/internal/warmrestart/believe_test.go
@@ -1,4 +1,4 @@
-package restart
+package warmrestart
 
 import (
 	"bytes"
@@ -13,10 +13,10 @@
 
 	"pgregory.net/rapid"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
 	"reachpulley/internal/capture/capturetest"
-	"reachpulley/internal/disk/disktest"
+	"reachpulley/internal/filesystem/filesystemtest"
+	"reachpulley/scheduler"
 )
 
 func init() {
@@ -27,9 +27,9 @@
 const ms = time.Millisecond
 
 // life is a Scheduler after a random day.
-func life(seed uint64, events int) (*decide.Scheduler, *capturetest.World) {
+func life(seed uint64, events int) (*scheduler.Scheduler, *capturetest.World) {
 	w := capturetest.NewWorld(seed)
-	s, err := decide.New(capturetest.Settings, seed, w)
+	s, err := scheduler.New(capturetest.Settings, seed, w)
 	if err != nil {
 		panic(err)
 	}
@@ -38,10 +38,10 @@
 }
 
 // next is a Scheduler that begins so long after an earlier life's end, on a clock that begins anew.
-func next(state *decide.Snapshot, after time.Duration, believe bool) (*decide.Scheduler, *capturetest.World) {
+func next(state *scheduler.Snapshot, after time.Duration, believe bool) (*scheduler.Scheduler, *capturetest.World) {
 	now := time.Hour
 	w := capturetest.WorldAt(99, now)
-	s, err := decide.New(capturetest.Settings, 7, w)
+	s, err := scheduler.New(capturetest.Settings, 7, w)
 	if err != nil {
 		panic(err)
 	}
@@ -58,14 +58,14 @@
 		after := time.Duration(rapid.Int64Range(-5000, 20*60_000).Draw(t, "after")) * ms
 		warm, _ := next(old.Snapshot(), after, true)
 		cold, _ := next(nil, 0, false)
-		for _, s := range []*decide.Scheduler{warm, cold} {
-			list := decide.Membership{Kind: decide.Whole}
+		for _, s := range []*scheduler.Scheduler{warm, cold} {
+			list := scheduler.Membership{Kind: scheduler.Whole}
 			for n := range 6 {
-				list.Nodes = append(list.Nodes, decide.Node{ID: fmt.Sprint("n", n), Shard: n % 3, StartedAt: time.Hour - time.Duration(n)*time.Second})
+				list.Nodes = append(list.Nodes, scheduler.Node{ID: fmt.Sprint("n", n), Shard: n % 3, StartedAt: time.Hour - time.Duration(n)*time.Second})
 			}
 			s.Members(time.Hour, list)
 			for v := range 5 {
-				s.Arrived(time.Hour, decide.Request{ID: fmt.Sprint("a", v), Class: 0, Plan: v % 2, Volume: fmt.Sprint("v", v), Units: 0, Shard: 9, Patience: time.Second, Hosts: 1 + v%2})
+				s.Arrived(time.Hour, scheduler.Request{ID: fmt.Sprint("a", v), Class: 0, Plan: v % 2, Volume: fmt.Sprint("v", v), Units: 0, Shard: 9, Patience: time.Second, Hosts: 1 + v%2})
 			}
 		}
 		a, b := warm.Snapshot(), cold.Snapshot()
@@ -128,24 +128,24 @@
 	settings := capturetest.Settings
 	settings.Siblings = 1
 	began := time.Hour
-	list := decide.Membership{Kind: decide.Whole, Nodes: []decide.Node{{ID: "n", StartedAt: began - 10*ms}}}
+	list := scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "n", StartedAt: began - 10*ms}}}
 	// A request of any shard passes by the node's budget alone, not by chance.
-	push := func(s *decide.Scheduler, now time.Duration, life string) {
+	push := func(s *scheduler.Scheduler, now time.Duration, life string) {
 		s.Members(now, list)
 		for i := range 300 {
 			id := fmt.Sprint(life, i)
-			s.Arrived(now, decide.Request{ID: id, Volume: "tin", Plan: 1, Units: 1, Shard: decide.AnyShard, Patience: time.Second, Hosts: 1})
-			s.Ended(now+ms, decide.Outcome{ID: id, Node: "n", Result: decide.Served, Latency: ms, Done: true, Use: -1})
+			s.Arrived(now, scheduler.Request{ID: id, Volume: "tin", Plan: 1, Units: 1, Shard: scheduler.AnyShard, Patience: time.Second, Hosts: 1})
+			s.Ended(now+ms, scheduler.Outcome{ID: id, Node: "n", Result: scheduler.Served, Latency: ms, Done: true, Use: -1})
 		}
 	}
 	var one, two counting
-	s, err := decide.New(settings, 1, &one)
+	s, err := scheduler.New(settings, 1, &one)
 	if err != nil {
 		t.Fatal(err)
 	}
 	push(s, began, "a")
 	state := s.Snapshot()
-	again, err := decide.New(settings, 2, &two)
+	again, err := scheduler.New(settings, 2, &two)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,11 +174,11 @@
 	old, _ := life(5, 800)
 	state := old.Snapshot()
 	for i := range state.Nodes {
-		state.Nodes[i].Node.Phase, state.Nodes[i].Node.StartedAt, state.Nodes[i].ColdSince = decide.Up, 0, 0
+		state.Nodes[i].Node.Phase, state.Nodes[i].Node.StartedAt, state.Nodes[i].ColdSince = scheduler.Up, 0, 0
 		state.Nodes[i].Cap, state.Nodes[i].MinLatency, state.Nodes[i].Latency, state.Nodes[i].MaxRate = 40, 0.01, 0.011, 2000
 	}
 	s, _ := next(state, time.Second, true)
-	s.Members(time.Hour, decide.Membership{Kind: decide.Whole, Nodes: []decide.Node{{ID: "n0"}, {ID: "n1", StartedAt: time.Hour - 200*ms}}})
+	s.Members(time.Hour, scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "n0"}, {ID: "n1", StartedAt: time.Hour - 200*ms}}})
 	got := s.Snapshot()
 	if n := got.Nodes[0]; n.ColdSince != 0 || n.Cap < 35 || n.MinLatency == 0 {
 		t.Errorf("the same life: %+v", n)
@@ -193,7 +193,7 @@
 	old, _ := life(5, 800)
 	state := old.Snapshot()
 	for i := range state.Nodes {
-		state.Nodes[i].Node.Phase, state.Nodes[i].Cap, state.Nodes[i].MinLatency, state.Nodes[i].Latency, state.Nodes[i].MaxRate = decide.Up, 60, 0.01, 0.02, 3000
+		state.Nodes[i].Node.Phase, state.Nodes[i].Cap, state.Nodes[i].MinLatency, state.Nodes[i].Latency, state.Nodes[i].MaxRate = scheduler.Up, 60, 0.01, 0.02, 3000
 	}
 	last := math.Inf(1)
 	for _, age := range []time.Duration{0, time.Second, 10 * time.Second, time.Minute, 2 * time.Minute, 9 * time.Minute, time.Hour} {
@@ -214,7 +214,7 @@
 	}
 }
 
-func store(f *disktest.FS) (*Store, *bytes.Buffer) {
+func store(f *filesystemtest.FS) (*Store, *bytes.Buffer) {
 	var log bytes.Buffer
 	return &Store{FS: f, Path: Path("d", "gate"), Log: slog.New(slog.NewTextHandler(&log, nil))}, &log
 }
@@ -228,7 +228,7 @@
 	s.Timer(first.Now+time.Second, 0)
 	second := s.Snapshot()
 	for kill := 0; ; kill += 3 {
-		f := disktest.New()
+		f := filesystemtest.New()
 		one, _ := store(f)
 		if err := one.Save(head, first); err != nil {
 			t.Fatal(err)
@@ -262,7 +262,7 @@
 		"foreign": func([]byte) []byte { return []byte("somebody else's file, which is of no use") },
 		"empty":   func([]byte) []byte { return nil },
 	} {
-		f := disktest.New()
+		f := filesystemtest.New()
 		s, log := store(f)
 		for range 2 {
 			if err := s.Save(head, old.Snapshot()); err != nil {
@@ -279,7 +279,7 @@
 			t.Errorf("%s: what was set aside is lost", name)
 		}
 	}
-	f := disktest.New()
+	f := filesystemtest.New()
 	s, log := store(f)
 	if err := s.Save(head, old.Snapshot()); err != nil {
 		t.Fatal(err)
@@ -291,7 +291,7 @@
 	if err := s.Save(head, old.Snapshot()); err == nil {
 		t.Error("a full disk was not told")
 	}
-	if got, _ := (&Store{FS: disktest.New(), Path: "d/none", Log: slog.New(slog.NewTextHandler(io.Discard, nil))}).Load(other); got != nil {
+	if got, _ := (&Store{FS: filesystemtest.New(), Path: "d/none", Log: slog.New(slog.NewTextHandler(io.Discard, nil))}).Load(other); got != nil {
 		t.Error("a state out of nothing")
 	}
 }
@@ -299,7 +299,7 @@
 // server is a node that serves so many requests at a time, each for as long.
 type server struct {
 	capturetest.World
-	out []decide.Outcome
+	out []scheduler.Outcome
 	at  []time.Duration
 	now time.Duration
 }
@@ -310,14 +310,14 @@
 )
 
 func (v *server) Send(id, node string, _ time.Duration) {
-	v.out = append(v.out, decide.Outcome{ID: id, Node: node, Result: decide.Served, Done: true, Use: -1})
+	v.out = append(v.out, scheduler.Outcome{ID: id, Node: node, Result: scheduler.Served, Done: true, Use: -1})
 	v.at = append(v.at, v.now+takes*time.Duration(1+len(v.out)/workers))
 }
 func (*server) SetTimer(time.Duration, uint64) {}
 
 // learning gives how long it takes until a cap is within a tenth of what it is in the end.
-func learning(s *decide.Scheduler, v *server, from time.Duration) time.Duration {
-	s.Members(from, decide.Membership{Kind: decide.Whole, Nodes: []decide.Node{{ID: "n"}}})
+func learning(s *scheduler.Scheduler, v *server, from time.Duration) time.Duration {
+	s.Members(from, scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "n"}}})
 	n := 0
 	var caps []float64
 	for v.now = from; v.now < from+20*time.Second; v.now += 5 * ms {
@@ -329,7 +329,7 @@
 		}
 		for range 4 {
 			n++
-			s.Arrived(v.now, decide.Request{ID: fmt.Sprint(from, n), Volume: "tin", Plan: 1, Units: 2, Patience: time.Second, Hosts: 1})
+			s.Arrived(v.now, scheduler.Request{ID: fmt.Sprint(from, n), Volume: "tin", Plan: 1, Units: 2, Patience: time.Second, Hosts: 1})
 		}
 		if n%20 == 0 {
 			s.Timer(v.now, 0)
@@ -349,11 +349,11 @@
 func BenchmarkLearning(b *testing.B) {
 	for b.Loop() {
 		one := &server{}
-		s, _ := decide.New(capturetest.Settings, 1, one)
+		s, _ := scheduler.New(capturetest.Settings, 1, one)
 		cold := learning(s, one, time.Hour)
 		state, now := s.Snapshot(), 2*time.Hour
 		two := &server{}
-		again, _ := decide.New(capturetest.Settings, 2, two)
+		again, _ := scheduler.New(capturetest.Settings, 2, two)
 		again.Recall(now, Believe(state, capturetest.Settings, now, 10*time.Second, now-10*time.Second-state.Now).Learned)
 		warm := learning(again, two, now)
 		b.ReportMetric(cold.Seconds(), "s-cold")
--- a/internal/restart/store.go
+++ b/internal/warmrestart/store.go
@@ -1,4 +1,4 @@
-package restart
+package warmrestart
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 	"path/filepath"
 	"time"
 
-	"reachpulley/decide"
 	"reachpulley/internal/capture"
-	"reachpulley/internal/disk"
+	"reachpulley/internal/filesystem"
+	"reachpulley/scheduler"
 )
 
 // mostState bounds the file of a state.
@@ -19,7 +19,7 @@
 
 // Store keeps the state of one gateway on disk, in two generations. It is used by one goroutine at a time.
 type Store struct {
-	FS   disk.FS
+	FS   filesystem.FS
 	Path string // of the newest generation; the other and what is set aside stand beside it
 	Log  *slog.Logger
 }
@@ -33,13 +33,13 @@
 
 // Save writes a state, whole or not at all; the one before it stays as the older generation. A state is a capture of one snapshot, so the commands
 // for captures read it.
-func (s *Store) Save(head capture.Head, state *decide.Snapshot) error {
+func (s *Store) Save(head capture.Head, state *scheduler.Snapshot) error {
 	file, err := capture.Compressed(head, []capture.Record{{Kind: capture.Snapshot, At: state.Now, State: state}})
 	if err != nil {
 		return err
 	}
 	next := s.Path + ".new"
-	if err := disk.Replace(s.FS, next, file); err != nil {
+	if err := filesystem.Replace(s.FS, next, file); err != nil {
 		return err
 	}
 	// Between the two renames there is only the older generation, which Load finds.
@@ -54,7 +54,7 @@
 
 // Load gives the newest state that can be read and is of these settings, and when it was taken; nil where there is none. What can't be read is set aside
 // with a log line: it is neither believed nor lost.
-func (s *Store) Load(settings decide.Settings) (state *decide.Snapshot, taken time.Time) {
+func (s *Store) Load(settings scheduler.Settings) (state *scheduler.Snapshot, taken time.Time) {
 	for _, path := range []string{s.Path, s.older()} {
 		head, state, err := s.read(path)
 		if err == nil && !same(head.Settings, settings) {
@@ -78,7 +78,7 @@
 	return nil, time.Time{}
 }
 
-func (s *Store) read(path string) (head capture.Head, state *decide.Snapshot, err error) {
+func (s *Store) read(path string) (head capture.Head, state *scheduler.Snapshot, err error) {
 	in, err := s.FS.Open(path)
 	if err != nil {
 		return head, nil, err
@@ -95,13 +95,13 @@
 	if r.Kind != capture.Snapshot || r.State == nil {
 		return head, nil, fmt.Errorf("it holds a %s in place of a state", r.Kind)
 	}
-	if _, err := decide.Resume(c.Head.Settings, r.State, nil); err != nil { // its places are checked there
+	if _, err := scheduler.Resume(c.Head.Settings, r.State, nil); err != nil { // its places are checked there
 		return head, nil, err
 	}
 	return c.Head, r.State, nil
 }
 
-func same(a, b decide.Settings) bool {
+func same(a, b scheduler.Settings) bool {
 	x, err := capture.Begin(&capture.Head{Settings: a})
 	y, err2 := capture.Begin(&capture.Head{Settings: b})
 	return err == nil && err2 == nil && string(x) == string(y)
--- a/internal/rooms/view.go
+++ b/internal/zonefailover/view.go
@@ -1,10 +1,10 @@
-// Package rooms decides what is believed of rooms of storage nodes and how much may go where: which room seems dark, which comes back, which rooms new
+// Package zonefailover decides what is believed of rooms of storage nodes and how much may go where: which room seems dark, which comes back, which rooms new
 // work prefers, and how much of it may spill into another one. It has no clock, no lock and does no I/O; its caller passes the time.
 //
 // What a gateway sees of a room is what it sees of its way there. A cut on that way and a dark room look alike, and so they are handled alike: this
 // gateway sends nothing where nothing answers. What can be told is whether only one node is silent, most of a room, or all rooms at once: then it is
 // the gateway that is cut off, and no room is called dark.
-package rooms
+package zonefailover
 
 import (
 	"cmp"
--- a/internal/rooms/view_test.go
+++ b/internal/zonefailover/view_test.go
@@ -1,4 +1,4 @@
-package rooms
+package zonefailover
 
 import (
 	"flag"
--- a/decide/api.go
+++ b/scheduler/api.go
@@ -1,12 +1,12 @@
-package decide
+package scheduler
 
 import (
 	"errors"
 	"fmt"
 	"time"
 
-	"reachpulley/internal/retry"
-	"reachpulley/internal/rooms"
+	"reachpulley/internal/retrybudget"
+	"reachpulley/internal/zonefailover"
 )
 
 // Settings describe a deployment to one scheduler. They hold facts and rules, no tuned values: those are
@@ -21,13 +21,13 @@
 	Rules      Rules
 	Allowed    Allowed
 	Sizes      Sizes
-	MustAsk    bool           // membership comes only when asked for
-	Agent      bool           `cbor:",omitzero"` // else an agent on this machine holds it and has to be watched
-	ReportsIn  Reports        // where load reports are found
-	Retry      retry.Settings `cbor:",omitzero"` // of the budgets that further attempts have to earn
-	Rooms      rooms.Settings `cbor:",omitzero"` // which zones new work prefers, and how much may go elsewhere
-	ProbePrice float64        // points of the result that one probe a request costs
-	WastePrice float64        // points of the result for wasted work, as much as was asked for
+	MustAsk    bool                  // membership comes only when asked for
+	Agent      bool                  `cbor:",omitzero"` // else an agent on this machine holds it and has to be watched
+	ReportsIn  Reports               // where load reports are found
+	Retry      retrybudget.Settings  `cbor:",omitzero"` // of the budgets that further attempts have to earn
+	Rooms      zonefailover.Settings `cbor:",omitzero"` // which zones new work prefers, and how much may go elsewhere
+	ProbePrice float64               // points of the result that one probe a request costs
+	WastePrice float64               // points of the result for wasted work, as much as was asked for
 }
 
 // check tells why settings cannot be used.
--- a/decide/bound.go
+++ b/scheduler/bound.go
@@ -1,11 +1,11 @@
-package decide
+package scheduler
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"reachpulley/internal/retry"
+	"reachpulley/internal/retrybudget"
 )
 
 // Bound tells how far a request may be repeated. As a part of a Request it narrows what the class allows and never widens it; the zero
@@ -127,8 +127,8 @@
 	}
 }
 
-func retryKey(r *request, n *node) retry.Key {
-	return retry.Key{Operation: r.Operation, Class: r.Class, Shard: n.Shard, Zone: n.Zone}
+func retryKey(r *request, n *node) retrybudget.Key {
+	return retrybudget.Key{Operation: r.Operation, Class: r.Class, Shard: n.Shard, Zone: n.Zone}
 }
 
 // avoided tells whether all nodes that might take a request are to be avoided for its operation: waiting for them is of no use.
--- a/decide/bound_test.go
+++ b/scheduler/bound_test.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"reachpulley/internal/retry"
+	"reachpulley/internal/retrybudget"
 )
 
 // What a request's description says narrows its class and never widens it.
@@ -137,7 +137,7 @@
 
 // Failures pay for no attempts: a node that answers nothing but errors gets few further ones, and what is not earned is failed at once.
 func TestBudgetOfFurtherAttempts(t *testing.T) {
-	further := func(set retry.Settings) int {
+	further := func(set retrybudget.Settings) int {
 		s := base()
 		s.Retry = set
 		h := start(t, s)
@@ -154,7 +154,7 @@
 		}
 		return h.count("send") - 200
 	}
-	with, without := further(retry.Settings{Share: 0.2, Least: 0.02, Trickle: 0.5, Burst: 10, Cells: 16}), further(retry.Settings{})
+	with, without := further(retrybudget.Settings{Share: 0.2, Least: 0.02, Trickle: 0.5, Burst: 10, Cells: 16}), further(retrybudget.Settings{})
 	if with > 20 || without < 500 {
 		t.Errorf("%d further attempts with a budget, %d without", with, without)
 	}
--- a/decide/decide.go
+++ b/scheduler/decide.go
@@ -1,9 +1,9 @@
-// Package decide makes the decisions of a scheduler of reads and writes before shared storage nodes: which
+// Package scheduler makes the decisions of a scheduler of reads and writes before shared storage nodes: which
 // request waits, which goes to which node and when, which is turned away, and what is done when nodes fail.
 // Its settings, events and actions are in api.go, the types of its state in state.go; why: docs/design.md.
 //
 // A Scheduler is deterministic, not safe for concurrent use, and shares nothing with other Schedulers.
-package decide
+package scheduler
 
 import (
 	"cmp"
@@ -14,8 +14,8 @@
 	"slices"
 	"time"
 
-	"reachpulley/internal/retry"
-	"reachpulley/internal/rooms"
+	"reachpulley/internal/retrybudget"
+	"reachpulley/internal/zonefailover"
 )
 
 // Tuned values. "Design" marks what the design gives, "ours" what we set.
@@ -81,10 +81,11 @@
 		timers: map[uint64]*request{}, turns: map[string]*turn{},
 		leaving: make([]float64, len(settings.Classes)), patience: make([]float64, len(settings.Classes)),
 		givenUp: map[signature]*request{}, shortestAim: settings.Classes[0].Aim,
-		cares: map[careKey]Care{}, budget: retry.New(settings.Retry),
+		cares: map[careKey]Care{}, budget: retrybudget.New(settings.Retry),
 	}
 	if settings.Rooms.On() {
-		s.view, s.spill = rooms.NewView(len(settings.Rooms.Tiers)), rooms.NewSpiller(settings.Rooms)
+		s.view = zonefailover.NewView(len(settings.Rooms.Tiers))
+		s.spill = zonefailover.NewSpiller(settings.Rooms)
 	}
 	s.set.Sizes.MeanUnits = cmp.Or(s.set.Sizes.MeanUnits, 1)
 	s.set.Sizes.MostUnits = max(s.set.Sizes.MostUnits, s.set.Sizes.MeanUnits)
--- a/decide/decide_test.go
+++ b/scheduler/decide_test.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"bytes"
--- a/decide/example_test.go
+++ b/scheduler/example_test.go
@@ -1,10 +1,10 @@
-package decide_test
+package scheduler_test
 
 import (
 	"fmt"
 	"time"
 
-	"reachpulley/decide"
+	"reachpulley/scheduler"
 )
 
 // printer carries actions out by printing them; a gateway would send, answer and set timers.
@@ -22,26 +22,26 @@
 // A gateway hands its events to the Scheduler, each with the time, and carries out the actions that it
 // calls for.
 func Example() {
-	settings := decide.Settings{
+	settings := scheduler.Settings{
 		Siblings: 1,
-		Classes: []decide.Class{
+		Classes: []scheduler.Class{
 			{Name: "read", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1},
 		},
-		Plans: []decide.Plan{{Name: "basic", Rate: 50, Reserve: 50, Weight: 1, Price: 1}},
-		Sizes: decide.Sizes{MeanUnits: 2, MostUnits: 6},
+		Plans: []scheduler.Plan{{Name: "basic", Rate: 50, Reserve: 50, Weight: 1, Price: 1}},
+		Sizes: scheduler.Sizes{MeanUnits: 2, MostUnits: 6},
 	}
-	s, err := decide.New(settings, 1, printer{})
+	s, err := scheduler.New(settings, 1, printer{})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := time.Second
-	s.Members(now, decide.Membership{Kind: decide.Whole, Nodes: []decide.Node{{ID: "disk-1"}}})
-	s.Arrived(now, decide.Request{ID: "r1", Volume: "vol", Units: 2, Patience: 2 * time.Second, Hosts: 1})
-	s.Ended(now+20*time.Millisecond, decide.Outcome{
-		ID: "r1", Node: "disk-1", Result: decide.Errored, Latency: 20 * time.Millisecond})
-	s.Ended(now+50*time.Millisecond, decide.Outcome{
-		ID: "r1", Attempt: 1, Node: "disk-1", Result: decide.Served, Latency: 30 * time.Millisecond, Done: true})
+	s.Members(now, scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "disk-1"}}})
+	s.Arrived(now, scheduler.Request{ID: "r1", Volume: "vol", Units: 2, Patience: 2 * time.Second, Hosts: 1})
+	s.Ended(now+20*time.Millisecond, scheduler.Outcome{
+		ID: "r1", Node: "disk-1", Result: scheduler.Errored, Latency: 20 * time.Millisecond})
+	s.Ended(now+50*time.Millisecond, scheduler.Outcome{
+		ID: "r1", Attempt: 1, Node: "disk-1", Result: scheduler.Served, Latency: 30 * time.Millisecond, Done: true})
 	// Output:
 	// send r1 to disk-1
 	// send r1 to disk-1
--- a/decide/rooms.go
+++ b/scheduler/rooms.go
@@ -1,9 +1,9 @@
-package decide
+package scheduler
 
 import (
 	"time"
 
-	"reachpulley/internal/rooms"
+	"reachpulley/internal/zonefailover"
 )
 
 // anyNode lets all nodes be looked at.
@@ -26,7 +26,7 @@
 // pickBound finds the node that holds the data. Where nothing may be probed, a dark one gets a request now and then, to hear whether it is back; the others are
 // refused at once.
 func (s *Scheduler) pickBound(r *request) (*node, time.Duration, bool) {
-	best, _ := s.soonest(r, func(n *node) bool { return s.view.Node(n.ID) != rooms.Dark })
+	best, _ := s.soonest(r, func(n *node) bool { return s.view.Node(n.ID) != zonefailover.Dark })
 	if best != nil {
 		return best, 0, false
 	}
@@ -81,7 +81,7 @@
 func (s *Scheduler) tiers(r *request) (home, last int) {
 	home = -1
 	for room := range s.set.Rooms.Tiers {
-		if tier := s.set.Rooms.Tier(room, r.Class, r.Plan); tier != rooms.Forbidden {
+		if tier := s.set.Rooms.Tier(room, r.Class, r.Plan); tier != zonefailover.Forbidden {
 			if last = max(last, tier); home < 0 || tier < home {
 				home = tier
 			}
@@ -98,15 +98,15 @@
 	}
 	room := s.view.Room(n.Zone)
 	switch room.State {
-	case rooms.Dark, rooms.Suspected:
+	case zonefailover.Dark, zonefailover.Suspected:
 		return false
-	case rooms.Returning:
+	case zonefailover.Returning:
 		if room.Flaps > 1 || float64(s.now-room.Since) < r.luck*float64(room.Calm) {
 			return false
 		}
 	}
 	state := s.view.Node(n.ID)
-	return state == rooms.Here || state == rooms.Returning
+	return state == zonefailover.Here || state == zonefailover.Returning
 }
 
 // word takes what an outcome tells of whether its node is there at all: an answer, a turn away and a connection that is refused at once do.
@@ -166,20 +166,20 @@
 	if s.view == nil {
 		return
 	}
-	all := make([]rooms.Sight, 0, len(s.listed))
+	all := make([]zonefailover.Sight, 0, len(s.listed))
 	spare := make([]float64, len(s.set.Rooms.Tiers)) // what the nodes of a room have been seen to do beyond what they do now, in units a second of this host
 	for _, n := range s.listed {
 		if n.Phase == Up && n.Zone >= 0 && n.Zone < len(spare) {
 			spare[n.Zone] += max(0, n.maxRate-n.served/max(s.now-n.opened, windowSpan).Seconds())
 		}
-		sight := rooms.Sight{ID: n.ID, Room: n.Zone, Size: n.Size, Gone: n.Phase != Up, Heard: n.wordAt,
+		sight := zonefailover.Sight{ID: n.ID, Room: n.Zone, Size: n.Size, Gone: n.Phase != Up, Heard: n.wordAt,
 			Usual: time.Duration(n.latency * float64(time.Second))}
 		if n.askedAt > 0 {
 			sight.Waiting = s.now - n.askedAt
 		}
 		all = append(all, sight)
 		s.settle(n)
-		if s.set.Allowed.Probes && s.view.Node(n.ID) == rooms.Dark && s.view.Try(s.now, n.ID) {
+		if s.set.Allowed.Probes && s.view.Node(n.ID) == zonefailover.Dark && s.view.Try(s.now, n.ID) {
 			s.act.Probe(n.ID)
 		}
 	}
@@ -189,7 +189,7 @@
 			s.log("room %d: %v, it was %v; %.0f%% of what was asked is silent", c.Room, c.To, c.From, 100*c.Silent)
 			continue
 		}
-		if n := s.nodes[c.Node]; c.To == rooms.Dark && n != nil {
+		if n := s.nodes[c.Node]; c.To == zonefailover.Dark && n != nil {
 			n.down, n.backAt = true, 0
 			for _, a := range n.pending { // they tell nothing of its queue, once it is back
 				a.doubt()
--- a/decide/rooms_test.go
+++ b/scheduler/rooms_test.go
@@ -1,11 +1,11 @@
-package decide
+package scheduler
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"reachpulley/internal/rooms"
+	"reachpulley/internal/zonefailover"
 )
 
 // roomed makes settings of two rooms: a, where the host is, and b. Nodes a and b of start are in them.
@@ -13,7 +13,7 @@
 	set := base()
 	set.Allowed.ConnectWithin = 250 * ms
 	set.Rules.ColdFrom, set.Rules.WarmWithin, set.Rules.ColdWindow, set.Rules.ColdUnits, set.Rules.ColdMultiple = 0.18, 17*time.Second, 3*time.Second, 20, 4
-	set.Rooms = rooms.Settings{Tiers: []int{0, 1}, Spill: 10, Burst: 10, Siblings: 1, ListLate: 5 * time.Second}
+	set.Rooms = zonefailover.Settings{Tiers: []int{0, 1}, Spill: 10, Burst: 10, Siblings: 1, ListLate: 5 * time.Second}
 	if change != nil {
 		change(&set)
 	}
@@ -26,7 +26,7 @@
 	h.ask(Request{Key: "lost"})
 	for range 40 {
 		h.wait(25 * ms)
-		if h.view.Node("a") == rooms.Dark {
+		if h.view.Node("a") == zonefailover.Dark {
 			return
 		}
 	}
@@ -75,14 +75,14 @@
 
 func TestWorkThatMustNotSpill(t *testing.T) {
 	h := start(t, roomed(func(s *Settings) {
-		s.Rooms.Work = []rooms.Work{{Class: 0, Plan: -1, Tiers: []int{0, rooms.Forbidden}}}
+		s.Rooms.Work = []zonefailover.Work{{Class: 0, Plan: -1, Tiers: []int{0, zonefailover.Forbidden}}}
 	}))
 	h.wait(2 * time.Second)
 	h.silence()
 	id := h.ask(Request{Shard: AnyShard})
 	h.want("refuse "+id, 1)
 	h = start(t, roomed(func(s *Settings) {
-		s.Rooms.Work = []rooms.Work{{Class: -1, Plan: 0, Tiers: []int{rooms.Forbidden, 0}}}
+		s.Rooms.Work = []zonefailover.Work{{Class: -1, Plan: 0, Tiers: []int{zonefailover.Forbidden, 0}}}
 	}))
 	id = h.ask(Request{Shard: AnyShard})
 	h.want("send "+id+" b", 1) // its home is the other room, so nothing spills
@@ -161,13 +161,13 @@
 	h.Left(h.now, id)
 	h.Ended(h.now, Outcome{ID: id, Node: "a", Result: Canceled, Latency: 10 * ms, Use: -1})
 	h.wait(5 * time.Second)
-	if state := h.view.Node("a"); state != rooms.Here {
+	if state := h.view.Node("a"); state != zonefailover.Here {
 		t.Errorf("%v after a client that left", state)
 	}
 	id = h.ask(Request{Key: "2"})
 	h.Ended(h.now, Outcome{ID: id, Node: "a", Result: ConnectFailed, Latency: ms, Use: -1})
 	h.wait(20 * ms)
-	if h.view.Node("a") != rooms.Here || h.nodes["a"].askedAt != 0 {
+	if h.view.Node("a") != zonefailover.Here || h.nodes["a"].askedAt != 0 {
 		t.Errorf("%v after a refused connection", h.view.Node("a"))
 	}
 }
--- a/decide/snapshot.go
+++ b/scheduler/snapshot.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"reachpulley/internal/retry"
-	"reachpulley/internal/rooms"
+	"reachpulley/internal/retrybudget"
+	"reachpulley/internal/zonefailover"
 )
 
 // Snapshot is the whole state of a Scheduler as plain data: a Scheduler made from it goes on as the one that it was taken of would have
@@ -44,9 +44,9 @@
 	SweepAt   time.Duration
 	Cautions  []Caution
 	Careful   Care
-	Budget    []retry.Cell
-	View      rooms.ViewState
-	Spill     []rooms.SpillState
+	Budget    []retrybudget.Cell
+	View      zonefailover.ViewState
+	Spill     []zonefailover.SpillState
 
 	Recalled      Learned // of an earlier life, not asked for yet
 	RecalledUntil time.Duration
--- a/decide/state.go
+++ b/scheduler/state.go
@@ -1,12 +1,12 @@
-package decide
+package scheduler
 
 import (
 	"math"
 	"math/rand/v2"
 	"time"
 
-	"reachpulley/internal/retry"
-	"reachpulley/internal/rooms"
+	"reachpulley/internal/retrybudget"
+	"reachpulley/internal/zonefailover"
 )
 
 // The state of a Scheduler. Nothing is decided here; decide.go does.
@@ -44,10 +44,10 @@
 	loggedAt    time.Duration
 	sweepAt     time.Duration
 	cares       map[careKey]Care
-	careful     Care           // of all operations that have a name: cares is full
-	budget      *retry.Budgets // nil: further attempts need not be earned
-	view        *rooms.View    // nil: nobody looks at zones as a whole
-	spill       *rooms.Spiller // of the view
+	careful     Care                  // of all operations that have a name: cares is full
+	budget      *retrybudget.Budgets  // nil: further attempts need not be earned
+	view        *zonefailover.View    // nil: nobody looks at zones as a whole
+	spill       *zonefailover.Spiller // of the view
 
 	recalledNodes   map[string]*LearnedNode // of an earlier life of this host, until they are listed
 	recalledVolumes map[string]*LearnedVolume
