--- a/cmd/reachpulley/api.go
+++ b/cmd/reachpulley/api.go
@@ -50,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		made = len(b.Made)
+		made = len(b.GeneratedClasses)
 	}
 	_, suspicions := contract.Check(all)
 	for _, one := range suspicions {
@@ -64,7 +64,7 @@
 }
 
 // booked holds descriptions against the settings of a configuration.
-func booked(s streams, path string, files []string) (*catalog.Book, error) {
+func booked(s streams, path string, files []string) (*catalog.Catalog, error) {
 	settings, err := settingsOf(s, path)
 	if err != nil {
 		return nil, show(s, err)
@@ -104,16 +104,16 @@
 	out := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "call\toperation\trepeats\tkey\taim\tdeadline\tat")
 	for _, o := range all {
-		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%v\t%v\t%s:%d\n", o.Call(), o.ID, o.Repeats, keyOf(o), o.Aim, o.Deadline, o.Place.File, o.Place.Line)
+		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%v\t%v\t%s:%d\n", o.Signature(), o.ID, o.Idempotency, keyOf(o), o.LatencyObjective, o.Deadline, o.Position.File, o.Position.Line)
 	}
 	return out.Flush()
 }
 
 func keyOf(o *contract.Operation) string {
-	if o.Repeats != contract.Keyed {
+	if o.Idempotency != contract.IdempotentWithKey {
 		return "-"
 	}
-	return fmt.Sprintf("%v, known for %v", o.Key, o.KeyFor)
+	return fmt.Sprintf("%v, known for %v", o.Key, o.DedupWindow)
 }
 
 type apiClassify struct {
@@ -153,19 +153,19 @@
 	unknown := false
 	for _, q := range asked {
 		call := contract.Call{Method: q.Method, Host: q.Host, Path: q.Encoded, Query: q.Query.Encode(), Header: q.Header, Body: q.Length > 0}
-		e, values := b.Find(&call, nil)
+		e, values := b.Lookup(&call, nil)
 		class := settings.Classes[e.Class]
-		if e.Op == nil {
+		if e.Operation == nil {
 			unknown = true
 			fmt.Fprintf(out, "%s %s\tundescribed\t%s\tnever\t-\t%v\t-\n", q.Method, call.Path, class.Name, class.Deadline)
 			continue
 		}
 		key := "-"
-		if e.Op.Repeats == contract.Keyed {
-			key = cmp.Or(e.Key(&call, values), "missing: "+e.Op.Key.String())
+		if e.Operation.Idempotency == contract.IdempotentWithKey {
+			key = cmp.Or(e.Key(&call, values), "missing: "+e.Operation.Key.String())
 		}
-		fmt.Fprintf(out, "%s %s\t%s\t%s\t%s\t%s\t%v\t%s:%d\n", q.Method, call.Path, e.Op.ID, class.Name, ruleOf(class.Bound().Narrowed(e.Bound)), key,
-			min(cmp.Or(e.Deadline(), class.Deadline), class.Deadline), filepath.Base(e.Op.Place.File), e.Op.Place.Line)
+		fmt.Fprintf(out, "%s %s\t%s\t%s\t%s\t%s\t%v\t%s:%d\n", q.Method, call.Path, e.Operation.ID, class.Name, ruleOf(class.RetryPolicy().NarrowedBy(e.RetryPolicy)), key,
+			min(cmp.Or(e.Deadline(), class.Deadline), class.Deadline), filepath.Base(e.Operation.Position.File), e.Operation.Position.Line)
 	}
 	if err := out.Flush(); err != nil || !unknown {
 		return err
@@ -174,12 +174,12 @@
 }
 
 // ruleOf words how far a call may be repeated.
-func ruleOf(b scheduler.Bound) string {
-	switch b.Repeats {
-	case scheduler.Safe:
+func ruleOf(b scheduler.RetryPolicy) string {
+	switch b.Idempotency {
+	case scheduler.Idempotent:
 		return "any number of times"
-	case scheduler.Keyed:
-		return fmt.Sprintf("for %v by its key, %s", b.For, map[scheduler.Group]string{scheduler.GroupAll: "at any node", scheduler.GroupZone: "in one room", scheduler.GroupShard: "in one rack"}[b.Group])
+	case scheduler.IdempotentWithKey:
+		return fmt.Sprintf("for %v by its key, %s", b.Window, map[scheduler.DedupScope]string{scheduler.ScopeAll: "at any node", scheduler.ScopeZone: "in one room", scheduler.ScopeShard: "in one rack"}[b.Scope])
 	}
 	return "never"
 }
@@ -187,7 +187,7 @@
 // settingsOf reads the settings of a configuration; without one there is a class of each kind of repeats, for descriptions that name none.
 func settingsOf(s streams, path string) (scheduler.Settings, error) {
 	if path == "" && s.getenv("BALANCER_CONFIG") == "" {
-		return scheduler.Settings{Classes: []scheduler.Class{{Name: "(of the settings)", Aim: time.Second, Deadline: time.Minute, Repeats: scheduler.Unsafe, Writes: true}}}, nil
+		return scheduler.Settings{Classes: []scheduler.Class{{Name: "(of the settings)", LatencyObjective: time.Second, Deadline: time.Minute, Idempotency: scheduler.NonIdempotent, Writes: true}}}, nil
 	}
 	return (&rulesCommands{Settings: path}).settings(s)
 }
@@ -199,7 +199,7 @@
 
 // Run lists doubts. Doubts are a finding.
 func (a apiDoubts) Run(s streams) error {
-	d, err := conformance.ReadDoubts(filesystem.OS{}, a.File)
+	d, err := conformance.ReadDistrustFile(filesystem.OS{}, a.File)
 	if err != nil {
 		return show(s, err)
 	}
@@ -211,7 +211,7 @@
 		fmt.Fprintf(s.out, "as of %s\n", d.Taken.Format(time.RFC3339))
 		out := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(out, "operation\tnode\tversion\tstate\tcost\tsince\tanswers\tevidence\tlast")
-		for _, one := range d.Doubts {
+		for _, one := range d.Records {
 			var evidence []string
 			for _, kind := range slices.Sorted(maps.Keys(one.Counts)) {
 				evidence = append(evidence, fmt.Sprintf("%s %d", kind, one.Counts[kind]))
@@ -221,7 +221,7 @@
 		}
 		err = out.Flush()
 	}
-	if err == nil && len(d.Doubts) > 0 {
+	if err == nil && len(d.Records) > 0 {
 		return errFound
 	}
 	return err
--- a/cmd/reachpulley/capture.go
+++ b/cmd/reachpulley/capture.go
@@ -52,7 +52,7 @@
 		return show(s, err)
 	}
 	defer f.Close()
-	clock := timeline.ClockOf(&c.Head)
+	clock := timeline.ClockFor(&c.Head)
 	all := summary.New(c.Head.Settings)
 	events, snapshots, gaps, lost, notes := 0, 0, 0, 0, 0
 	var first, last time.Duration
@@ -71,20 +71,20 @@
 				first = r.At
 			}
 			events++
-		case r.Kind == capture.Snapshot:
+		case r.Kind == capture.KindSnapshot:
 			snapshots++
-		case r.Kind == capture.Gap:
+		case r.Kind == capture.KindGap:
 			gaps++
 			lost += r.Lost
-		case r.Kind == capture.Note:
+		case r.Kind == capture.KindNote:
 			if notes++; notes <= a.Notes {
-				fmt.Fprintf(s.out, "%s %s\n", clock.Say(r.At), r.Text)
+				fmt.Fprintf(s.out, "%s %s\n", clock.Format(r.At), r.Text)
 			}
 		}
 		all.Add(r, last)
 	}
 	fmt.Fprintf(s.out, "recorded by %s, format %d, seed %d\nfrom %s to %s, %v\n%d events, %d snapshots, %d gaps with %d lost records\n%d notes of what never reached the decisions\n%d requests without an end\n\n",
-		c.Head.Program, c.Head.Version, c.Head.Seed, clock.Say(first), clock.Say(last), (last - first).Round(time.Millisecond), events, snapshots, gaps, lost, notes, all.Open)
+		c.Head.Program, c.Head.Version, c.Head.Seed, clock.Format(first), clock.Format(last), (last - first).Round(time.Millisecond), events, snapshots, gaps, lost, notes, all.Open)
 	return all.Write(s.out)
 }
 
@@ -101,7 +101,7 @@
 		return show(s, err)
 	}
 	defer f.Close()
-	clock := timeline.ClockOf(&c.Head)
+	clock := timeline.ClockFor(&c.Head)
 	player, checker, events, breaches := capture.NewPlayer(c), invariants.New(c.Head.Settings), 0, 0
 	for {
 		step, err := player.Next()
@@ -118,7 +118,7 @@
 		}
 		for _, b := range checker.Step(step) {
 			if breaches++; breaches <= a.Most {
-				fmt.Fprintf(s.out, "%s event %d, %s: %s", clock.Say(b.At), b.Event, b.Rule, b.Text)
+				fmt.Fprintf(s.out, "%s event %d, %s: %s", clock.Format(b.At), b.Event, b.Rule, b.Text)
 				if b.ID != "" {
 					fmt.Fprintf(s.out, " (request %s)", b.ID)
 				}
@@ -158,7 +158,7 @@
 	defer f.Close()
 	var kept []capture.Record
 	var now time.Duration
-	clock, from, to, began := timeline.ClockOf(&c.Head), time.Duration(0), time.Duration(1<<63-1), false
+	clock, from, to, began := timeline.ClockFor(&c.Head), time.Duration(0), time.Duration(1<<63-1), false
 	for {
 		r, err := c.Next()
 		if errors.Is(err, io.EOF) {
@@ -178,7 +178,7 @@
 		if began && now > to {
 			break
 		}
-		if r.Kind == capture.Snapshot && r.At <= from { // nothing before it is needed
+		if r.Kind == capture.KindSnapshot && r.At <= from { // nothing before it is needed
 			kept = kept[:0]
 		}
 		kept = append(kept, *r)
@@ -209,7 +209,7 @@
 
 // writeCapture writes a capture into a new file, whole or not at all.
 func writeCapture(s streams, path string, head capture.Head, records []capture.Record) error {
-	file, err := capture.Compressed(head, records)
+	file, err := capture.Compress(head, records)
 	if err != nil {
 		return show(s, err)
 	}
@@ -221,7 +221,7 @@
 	if _, err := os.Stat(path); err == nil {
 		return show(s, fmt.Errorf("%s: is there already", path))
 	}
-	if err := filesystem.Replace(filesystem.OS{}, path, file); err != nil {
+	if err := filesystem.ReplaceFile(filesystem.OS{}, path, file); err != nil {
 		return show(s, err)
 	}
 	fmt.Fprintf(s.out, "%s: %d bytes written\n", path, len(file))
@@ -270,8 +270,8 @@
 }
 
 func same(a, b capture.Head) bool {
-	x, err := capture.Begin(&a)
-	y, err2 := capture.Begin(&b)
+	x, err := capture.EncodeHeader(&a)
+	y, err2 := capture.EncodeHeader(&b)
 	return err == nil && err2 == nil && bytes.Equal(x, y)
 }
 
@@ -303,7 +303,7 @@
 			Kind string
 			*capture.Record
 		}{r.Kind.String(), r}
-		if r.Kind == capture.Snapshot && !a.Snapshots {
+		if r.Kind == capture.KindSnapshot && !a.Snapshots {
 			r.State = nil
 		}
 		if err := out.Encode(line); err != nil {
--- a/cmd/reachpulley/capture_test.go
+++ b/cmd/reachpulley/capture_test.go
@@ -16,9 +16,9 @@
 // aCapture writes a random day into a file, and each of its parts into one.
 func aCapture(t *testing.T) (whole string, parts []string) {
 	t.Helper()
-	w := capturetest.NewWorld(5)
+	w := capturetest.NewWorkload(5)
 	pieces := &split{}
-	r, err := capture.NewRecorder(capturetest.Settings, 5, capture.Options{Program: "test", Most: 400_000, Sink: pieces, Origin: time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC)}, w)
+	r, err := capture.NewRecorder(capturetest.Settings, 5, capture.Options{Program: "test", MaxBytes: 400_000, Sink: pieces, Origin: time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC)}, w)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,15 +34,15 @@
 	}
 	var all []byte
 	for i, part := range pieces.parts {
-		head, err := capture.Begin(pieces.head)
+		head, err := capture.EncodeHeader(pieces.head)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if i == 0 {
 			all = append(all, head...)
 		}
-		all = capture.Block(all, part, true)
-		parts = append(parts, put("part-"+string(rune('a'+i)), capture.Block(head, part, true)))
+		all = capture.AppendBlock(all, part, true)
+		parts = append(parts, put("part-"+string(rune('a'+i)), capture.AppendBlock(head, part, true)))
 	}
 	return put("whole", all), parts
 }
@@ -53,9 +53,9 @@
 	parts [][]byte
 }
 
-func (s *split) Offer(p capture.Piece) bool {
+func (s *split) Offer(p capture.Chunk) bool {
 	s.head = p.Head
-	if p.Begins {
+	if p.StartsPart {
 		s.parts = append(s.parts, nil)
 	}
 	last := &s.parts[len(s.parts)-1]
@@ -110,12 +110,12 @@
 		var all []capture.Record
 		changed := false
 		for r, err := c.Next(); err == nil; r, err = c.Next() {
-			if r.Kind == capture.Send && len(all) > 600 && !changed {
+			if r.Kind == capture.KindSend && len(all) > 600 && !changed {
 				r.Node, changed = "elsewhere", true
 			}
 			all = append(all, *r)
 		}
-		file, err := capture.Compressed(c.Head, all)
+		file, err := capture.Compress(c.Head, all)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/reachpulley/replay.go
+++ b/cmd/reachpulley/replay.go
@@ -90,7 +90,7 @@
 			return err
 		}
 		if number >= d.Event {
-			return timeline.Around(p.Scheduler().Snapshot(), timeline.ClockOf(&c.Head), c.Head.Settings, d, s.out)
+			return timeline.WriteContext(p.Scheduler().Snapshot(), timeline.ClockFor(&c.Head), c.Head.Settings, d, s.out)
 		}
 		if _, err := p.Next(); err != nil {
 			return err
@@ -107,7 +107,7 @@
 	if _, err := f.Seek(0, 0); err != nil {
 		return err
 	}
-	if err := timeline.Why(f, a.Why, s.out); err != nil {
+	if err := timeline.WriteRequest(f, a.Why, s.out); err != nil {
 		return differ(s, a.File, 0, err)
 	}
 	return nil
@@ -119,7 +119,7 @@
 		return show(s, err)
 	}
 	defer f.Close()
-	clock := timeline.ClockOf(&c.Head)
+	clock := timeline.ClockFor(&c.Head)
 	first, err := c.Next()
 	for err == nil && !first.Kind.IsEvent() {
 		first, err = c.Next()
@@ -138,5 +138,5 @@
 	if err != nil {
 		return differ(s, a.File, 0, err)
 	}
-	return timeline.State(state, clock, c.Head.Settings, nil, s.out)
+	return timeline.WriteState(state, clock, c.Head.Settings, nil, s.out)
 }
--- a/cmd/reachpulley/replayother.go
+++ b/cmd/reachpulley/replayother.go
@@ -36,18 +36,18 @@
 	if err != nil {
 		return show(s, fmt.Errorf("%s: %w", a.With, err))
 	}
-	a.compare(s, day, same, summary.Series{Name: "other settings, open loop", Tally: other})
+	a.compare(s, day, same, summary.Series{Name: "other settings, open loop", Summary: other})
 	return nil
 }
 
 // compare shows what was recorded, what the recorded settings and this build make of it, and what something else does.
-func (a replayCommand) compare(s streams, day *whatif.Day, same *summary.Tally, other summary.Series) {
+func (a replayCommand) compare(s streams, day *whatif.Workload, same *summary.Summary, other summary.Series) {
 	fmt.Fprint(s.out, "An open loop: clients come when they came, and nodes answer as they answered near that time, whatever the load would have been.\n"+
 		"Compare the second table with the third; the first tells how far the second is from what was.\n")
-	series := []summary.Series{{Name: "recorded", Tally: day.Recorded}, {Name: "its settings, this build, open loop", Tally: same}, other}
+	series := []summary.Series{{Name: "recorded", Summary: day.Recorded}, {Name: "its settings, this build, open loop", Summary: same}, other}
 	for _, one := range series {
 		fmt.Fprintf(s.out, "\n%s\n", one.Name)
-		one.Tally.Write(s.out)
+		one.Summary.Write(s.out)
 	}
 	if a.Plot {
 		summary.Plot(s.out, series)
@@ -55,7 +55,7 @@
 }
 
 // day reads a capture as what came from outside.
-func (a replayCommand) day(s streams) (*whatif.Day, *summary.Tally, error) {
+func (a replayCommand) day(s streams) (*whatif.Workload, *summary.Summary, error) {
 	f, c, err := open(a.File)
 	if err != nil {
 		return nil, nil, show(s, err)
@@ -97,7 +97,7 @@
 	if len(other.Classes) != len(day.Head.Settings.Classes) {
 		return show(s, fmt.Errorf("%s: it tells of %d classes, the capture of %d", a.Against, len(other.Classes), len(day.Head.Settings.Classes)))
 	}
-	a.compare(s, day, same, summary.Series{Name: "its settings, the other build, open loop", Tally: other})
+	a.compare(s, day, same, summary.Series{Name: "its settings, the other build, open loop", Summary: other})
 	return nil
 }
 
--- a/cmd/reachpulley/rooms.go
+++ b/cmd/reachpulley/rooms.go
@@ -34,7 +34,7 @@
 	}
 	defer in.Close()
 	settings := head.Head.Settings
-	if !settings.Rooms.On() {
+	if !settings.ZoneFailover.Enabled() {
 		return show(s, fmt.Errorf("%s: the gateway did not look at rooms", r.File))
 	}
 	if _, err := in.Seek(0, io.SeekStart); err != nil {
@@ -60,39 +60,39 @@
 	}
 	out := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "room\ttier\tbelieved\tfor\tnodes\tanswer\tsilent of those asked\tgone\tflaps\tmust be heard for")
-	for zone, r := range state.View.Rooms {
-		fmt.Fprintf(out, "%s\t%d\t%v\t%v\t%d\t%.0f%%\t%.0f%%\t%.0f%%\t%d\t%v\n", name(zone), settings.Rooms.Tier(zone, -1, -1), r.State, since(state.Now, r.Since), r.Nodes,
-			100*r.Heard, 100*r.Silent, 100*r.Gone, r.Flaps, r.Calm)
+	for zone, r := range state.ZoneHealth.Zones {
+		fmt.Fprintf(out, "%s\t%d\t%v\t%v\t%d\t%.0f%%\t%.0f%%\t%.0f%%\t%d\t%v\n", name(zone), settings.ZoneFailover.Tier(zone, -1, -1), r.State, since(state.Now, r.Since), r.Nodes,
+			100*r.RespondingShare, 100*r.SilentShare, 100*r.RemovedShare, r.Flaps, r.RecoveryTime)
 	}
 	if err := out.Flush(); err != nil {
 		return err
 	}
-	if state.View.Cut {
+	if state.ZoneHealth.Isolated {
 		fmt.Fprintln(s.out, "all rooms are silent: this gateway seems to be cut off")
 	}
 	cold := map[string]bool{}
 	for _, n := range state.Nodes {
-		cold[n.Node.ID] = n.ColdSince > 0 && state.Now-n.ColdSince < settings.Rules.WarmWithin
+		cold[n.Node.ID] = n.WarmingSince > 0 && state.Now-n.WarmingSince < settings.Rules.SlowStartDuration
 	}
 	out = tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "\nnode\troom\tbelieved\tfor\tlast word\toldest question\tnext try\tstart")
-	for _, n := range state.View.Nodes {
+	for _, n := range state.ZoneHealth.Nodes {
 		try, start := "-", "warm"
-		if n.State == zonefailover.Dark {
-			try = (n.TryAt - state.Now).Round(time.Millisecond).String()
+		if n.State == zonefailover.Unavailable {
+			try = (n.TrialAt - state.Now).Round(time.Millisecond).String()
 		}
-		if cold[n.Sight.ID] {
+		if cold[n.Observation.ID] {
 			start = "cold"
 		}
-		fmt.Fprintf(out, "%s\t%s\t%v\t%v\t%v ago\t%v\t%s\t%s\n", n.Sight.ID, name(n.Sight.Room), n.State, since(state.Now, n.Since), since(state.Now, n.Sight.Heard),
-			n.Sight.Waiting.Round(time.Millisecond), try, start)
+		fmt.Fprintf(out, "%s\t%s\t%v\t%v\t%v ago\t%v\t%s\t%s\n", n.Observation.ID, name(n.Observation.Zone), n.State, since(state.Now, n.Since), since(state.Now, n.Observation.LastResponse),
+			n.Observation.UnansweredFor.Round(time.Millisecond), try, start)
 	}
 	if err := out.Flush(); err != nil {
 		return err
 	}
-	if len(state.Spill) > 0 {
-		part := 1 / float64(max(1, settings.Rooms.Siblings))
-		fmt.Fprintf(s.out, "\nmay spill now: %.1f units, and %.2f more a second (this gateway's part of %.1f)\n", state.Spill[0].Level, settings.Rooms.Spill*part, settings.Rooms.Spill)
+	if len(state.Spillover) > 0 {
+		part := 1 / float64(max(1, settings.ZoneFailover.Siblings))
+		fmt.Fprintf(s.out, "\nmay spill now: %.1f units, and %.2f more a second (this gateway's part of %.1f)\n", state.Spillover[0].Tokens, settings.ZoneFailover.Spillover*part, settings.ZoneFailover.Spillover)
 	}
 	return nil
 }
@@ -122,11 +122,11 @@
 		return show(s, fmt.Errorf("a number is out of its bounds: --rooms from 2 to 100, --nodes and --gateways to 1000, --load to 10, --dark from 100ms to 10m, --flaps to 100, --part to 1"))
 	}
 	const begin, after = 15 * time.Second, 40 * time.Second
-	day := simulation.RoomDay{Seed: r.Seed, Rooms: r.Rooms, Nodes: r.Nodes, Gateways: r.Gateways, Load: r.Load, Free: 0.35, ListLate: 5 * time.Second,
-		Settings: zonefailover.Settings{Spill: r.Spill, Burst: r.Burst}}
+	day := simulation.ZoneScenario{Seed: r.Seed, Zones: r.Rooms, Nodes: r.Nodes, Gateways: r.Gateways, Load: r.Load, NewObjectShare: 0.35, MembershipDelay: 5 * time.Second,
+		Settings: zonefailover.Settings{Spillover: r.Spill, Burst: r.Burst}}
 	at := begin
 	for range r.Flaps {
-		day.Events = append(day.Events, simulation.RoomEvent{At: at, Gateway: -1, Dark: true}, simulation.RoomEvent{At: at + r.Dark, Gateway: -1, Cold: true, Part: r.Part})
+		day.Events = append(day.Events, simulation.ZoneEvent{At: at, Gateway: -1, Unavailable: true}, simulation.ZoneEvent{At: at + r.Dark, Gateway: -1, Restarted: true, NodeShare: r.Part})
 		at += 2 * r.Dark
 	}
 	day.Length = at + after
@@ -135,34 +135,34 @@
 	var spilt, push [][]float64
 	kinds := []string{"rooms not looked at", "rooms looked at"}
 	for i, kind := range kinds {
-		day.Off = i == 0
+		day.FailoverDisabled = i == 0
 		result, err := day.Run()
 		if err != nil {
 			return err
 		}
-		var sum simulation.RoomSecond
+		var sum simulation.ZoneSecond
 		var lineSpilt, linePush []float64
 		mostSpilt, darkSpilt := 0.0, 0.0
 		for second, one := range result.Seconds {
-			sum.Served, sum.Late, sum.Refused, sum.Failed, sum.FreeLost = sum.Served+one.Served, sum.Late+one.Late, sum.Refused+one.Refused, sum.Failed+one.Failed, sum.FreeLost+one.FreeLost
-			sum.Push, mostSpilt = max(sum.Push, one.Push), max(mostSpilt, one.Spilt)
+			sum.Served, sum.Late, sum.Rejected, sum.Failed, sum.NewObjectsLost = sum.Served+one.Served, sum.Late+one.Late, sum.Rejected+one.Rejected, sum.Failed+one.Failed, sum.NewObjectsLost+one.NewObjectsLost
+			sum.SlowStartLoad, mostSpilt = max(sum.SlowStartLoad, one.SlowStartLoad), max(mostSpilt, one.SpilledUnits)
 			if t := time.Duration(second) * time.Second; t >= begin && t < begin+r.Dark {
-				darkSpilt += one.Spilt
+				darkSpilt += one.SpilledUnits
 			}
-			lineSpilt, linePush = append(lineSpilt, one.Spilt), append(linePush, 100*one.Push)
+			lineSpilt, linePush = append(lineSpilt, one.SpilledUnits), append(linePush, 100*one.SlowStartLoad)
 		}
 		spilt, push = append(spilt, lineSpilt), append(push, linePush)
 		over := "no bound"
 		if i > 0 {
-			over = fmt.Sprintf("%.1f", max(0, result.Worst))
+			over = fmt.Sprintf("%.1f", max(0, result.WorstSpillover))
 		}
 		fell := "none"
-		if len(result.Fell) > 0 {
-			fell = strings.Join(result.Fell, " ")
+		if len(result.Crashed) > 0 {
+			fell = strings.Join(result.Crashed, " ")
 		}
-		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%s\t%v\t%.0f%%\t%s\n", kind, sum.Served, sum.Late, sum.Refused, sum.Failed, sum.FreeLost, darkSpilt, mostSpilt, over,
-			result.Noticed.Round(time.Millisecond), 100*sum.Push, fell)
-		for _, broken := range result.Broken {
+		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%s\t%v\t%.0f%%\t%s\n", kind, sum.Served, sum.Late, sum.Rejected, sum.Failed, sum.NewObjectsLost, darkSpilt, mostSpilt, over,
+			result.DetectedAfter.Round(time.Millisecond), 100*sum.SlowStartLoad, fell)
+		for _, broken := range result.Violations {
 			fmt.Fprintln(s.err, "broken:", broken)
 		}
 	}
--- a/cmd/reachpulley/rules.go
+++ b/cmd/reachpulley/rules.go
@@ -149,10 +149,10 @@
 			fmt.Fprintf(w, "    %s\t= %s\tcost %d\n", term.Text, term.Value, term.Cost)
 		}
 	}
-	pairs(w, "gives", x.Gives)
+	pairs(w, "gives", x.Assigned)
 	pairs(w, "counts for limit", x.Limits)
-	if x.Refused != "" {
-		fmt.Fprintf(w, "refused: %s\n", x.Refused)
+	if x.Rejected != "" {
+		fmt.Fprintf(w, "refused: %s\n", x.Rejected)
 	}
 	fmt.Fprintf(w, "cost %d, at worst %d\n", x.Cost, x.Worst)
 }
--- a/cmd/reachpulley/serve.go
+++ b/cmd/reachpulley/serve.go
@@ -72,11 +72,11 @@
 		ruled = operator.Rules.Set.Len()
 	}
 	operations := 0
-	if operator.Contracts.Book != nil {
-		operations = len(operator.Contracts.Book.Entries())
+	if operator.Contracts.Catalog != nil {
+		operations = len(operator.Contracts.Catalog.Entries())
 	}
 	fmt.Fprintf(s.out, "good: %d classes, %d plans, iscsi %s, %d rules, %d operations, rooms %s\n", len(c.Settings.Classes), len(c.Settings.Plans),
-		onOff(operator.ISCSI != nil), ruled, operations, onOff(operator.Rooms.Enabled))
+		onOff(operator.ISCSI != nil), ruled, operations, onOff(operator.ZoneFailover.Enabled))
 	return nil
 }
 
--- a/cmd/reachpulley/storm.go
+++ b/cmd/reachpulley/storm.go
@@ -47,7 +47,7 @@
 	for run := range c.Runs {
 		for _, k := range kinds {
 			storm := make(c.Seed + uint64(run))
-			storm.Plain, storm.Retry, storm.Length = k.plain, k.retry, c.Length
+			storm.Passthrough, storm.Retry, storm.Length = k.plain, k.retry, c.Length
 			if c.Clients > 0 {
 				storm.Clients = c.Clients
 			}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -60,19 +60,19 @@
 	case simprotocol.Stop:
 		delete(hosted, e.Instance)
 	case simprotocol.Members:
-		s.Members(batch.Now, e.Membership)
+		s.MembershipChanged(batch.Now, e.Membership)
 	case simprotocol.Arrival:
-		s.Arrived(batch.Now, e.Request)
+		s.RequestArrived(batch.Now, e.Request)
 	case simprotocol.Probed:
-		s.Probed(batch.Now, e.Probe)
+		s.ProbeEnded(batch.Now, e.Probe)
 	case simprotocol.Began:
-		s.Began(batch.Now, e.Outcome.ID, e.Outcome.Attempt)
+		s.StreamStarted(batch.Now, e.Outcome.ID, e.Outcome.Attempt)
 	case simprotocol.Left:
-		s.Left(batch.Now, e.ID)
+		s.ClientDisconnected(batch.Now, e.ID)
 	case simprotocol.Ended:
-		s.Ended(batch.Now, e.Outcome)
+		s.AttemptEnded(batch.Now, e.Outcome)
 	case simprotocol.TimerFired:
-		s.Timer(batch.Now, e.Timer)
+		s.TimerFired(batch.Now, e.Timer)
 	}
 	return nil
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -16,17 +16,17 @@
 
 // Config bounds a front.
 type Config struct {
-	AtCore        int           // streams open at the core, over all connections
-	PerConnection int           // of them from one connection
-	PerClient     int           // of them from one client, over all its connections
-	Streams       int           // that a connection may have open, at the core or waiting: SETTINGS_MAX_CONCURRENT_STREAMS
-	LeastStreams  int           // what it is told under pressure
-	Connections   int           // at a time
-	Memory        int           // bytes held for all connections: requests coming in, answers going out
-	ConnMemory    int           // for one connection
-	Stall         time.Duration // for which an answer may not move before its stream is given up
-	Age           time.Duration // after which a connection is told to leave, give or take a fifth; 0: never
-	Requests      int           // after which it is told to leave, give or take a fifth; 0: never
+	MaxInFlight      int           // streams open at the core, over all connections
+	PerConnection    int           // of them from one connection
+	PerClient        int           // of them from one client, over all its connections
+	Streams          int           // that a connection may have open, at the core or waiting: SETTINGS_MAX_CONCURRENT_STREAMS
+	MinStreams       int           // what it is told under pressure
+	Connections      int           // at a time
+	Memory           int           // bytes held for all connections: requests coming in, answers going out
+	ConnectionMemory int           // for one connection
+	Stall            time.Duration // for which an answer may not move before its stream is given up
+	Age              time.Duration // after which a connection is told to leave, give or take a fifth; 0: never
+	Requests         int           // after which it is told to leave, give or take a fifth; 0: never
 }
 
 // check tells why a Config can't be used.
@@ -34,9 +34,9 @@
 	for _, one := range []struct {
 		name         string
 		value, least int
-	}{{"at core", c.AtCore, 1}, {"per connection", c.PerConnection, 1}, {"per client", c.PerClient, 1}, {"least streams", c.LeastStreams, 1},
-		{"streams", c.Streams, c.LeastStreams}, {"connections", c.Connections, 1}, {"memory per connection", c.ConnMemory, 1},
-		{"memory", c.Memory, c.ConnMemory}, {"stall", int(c.Stall), 1}, {"age", int(c.Age), 0}, {"requests", c.Requests, 0}} {
+	}{{"at core", c.MaxInFlight, 1}, {"per connection", c.PerConnection, 1}, {"per client", c.PerClient, 1}, {"least streams", c.MinStreams, 1},
+		{"streams", c.Streams, c.MinStreams}, {"connections", c.Connections, 1}, {"memory per connection", c.ConnectionMemory, 1},
+		{"memory", c.Memory, c.ConnectionMemory}, {"stall", int(c.Stall), 1}, {"age", int(c.Age), 0}, {"requests", c.Requests, 0}} {
 		if one.value < one.least {
 			return fmt.Errorf("%s: %d is below %d", one.name, one.value, one.least)
 		}
@@ -46,51 +46,51 @@
 
 // Urgencies of RFC 9218, section 4.1: 0 is wanted first.
 const (
-	MostUrgency    = 7
+	MaxUrgency     = 7
 	DefaultUrgency = 3
 )
 
 // patience is how many streams may be started ahead of one that has waited for longest, whatever is fair otherwise.
 const patience = 8
 
-// ConnID names a connection; never twice the same.
-type ConnID uint64
+// ConnectionID names a connection; never twice the same.
+type ConnectionID uint64
 
 // StreamID names a stream of a connection.
 type StreamID uint32
 
-// Verb is what an Action calls for.
-type Verb int
+// ActionKind is what an Action calls for.
+type ActionKind int
 
 // The verbs.
 const (
-	Start  Verb = iota // take the stream to the core
-	Refuse             // REFUSED_STREAM: it was certainly not taken, so it may be sent again (RFC 9113, section 8.7)
-	GiveUp             // reset the stream: its answer does not move
-	Limit              // tell the connection how many streams it may have
-	Leave              // GOAWAY: what is under way is answered, nothing new is taken
-	Cut                // end the connection
+	StartStream     ActionKind = iota // take the stream to the core
+	RejectStream                      // REFUSED_STREAM: it was certainly not taken, so it may be sent again (RFC 9113, section 8.7)
+	AbortStream                       // reset the stream: its answer does not move
+	LimitStreams                      // tell the connection how many streams it may have
+	GoAway                            // GOAWAY: what is under way is answered, nothing new is taken
+	CloseConnection                   // end the connection
 )
 
-func (v Verb) String() string {
+func (v ActionKind) String() string {
 	return [...]string{"start", "refuse", "give up", "limit", "leave", "cut"}[v]
 }
 
 // Action is to be carried out, in the order in which they come.
 type Action struct {
-	Verb   Verb
-	Conn   ConnID
-	Stream StreamID
-	Count  int    // for Limit
-	Why    string // for Leave and Cut
+	Kind       ActionKind
+	Connection ConnectionID
+	Stream     StreamID
+	Count      int    // for Limit
+	Reason     string // for Leave and Cut
 }
 
-// Control decides for one front. It owns what it knows of connections and streams; all of it is given back in Gone.
-type Control struct {
+// Controller decides for one front. It owns what it knows of connections and streams; all of it is given back in Gone.
+type Controller struct {
 	set     Config
 	now     time.Duration
 	random  *rand.Rand
-	conns   map[ConnID]*conn
+	conns   map[ConnectionID]*conn
 	clients map[string]*client
 	open    int // at the core
 	lines   lines
@@ -105,7 +105,7 @@
 type client struct{ streams, open int }
 
 type conn struct {
-	id       ConnID
+	id       ConnectionID
 	address  string
 	streams  map[StreamID]*stream
 	waiting  int
@@ -138,24 +138,24 @@
 }
 
 // New makes a Control. The seed spreads the times at which connections leave.
-func New(set Config, seed uint64) (*Control, error) {
+func New(set Config, seed uint64) (*Controller, error) {
 	if err := set.check(); err != nil {
 		return nil, fmt.Errorf("admission: %w", err)
 	}
-	return &Control{set: set, random: rand.New(rand.NewPCG(seed, 0)), conns: map[ConnID]*conn{}, clients: map[string]*client{},
+	return &Controller{set: set, random: rand.New(rand.NewPCG(seed, 0)), conns: map[ConnectionID]*conn{}, clients: map[string]*client{},
 		strikes: map[string]strike{}}, nil
 }
 
 // at takes the time and starts a list of actions.
-func (c *Control) at(now time.Duration) { c.now, c.actions = max(c.now, now), nil }
+func (c *Controller) at(now time.Duration) { c.now, c.actions = max(c.now, now), nil }
 
-func (c *Control) do(a Action) { c.actions = append(c.actions, a) }
+func (c *Controller) do(a Action) { c.actions = append(c.actions, a) }
 
 // spread gives a figure less or more than x by a fifth at most.
-func (c *Control) spread(x float64) float64 { return x * (0.8 + 0.4*c.random.Float64()) }
+func (c *Controller) spread(x float64) float64 { return x * (0.8 + 0.4*c.random.Float64()) }
 
 // Connect takes a connection from an address; false: it is to be closed at once.
-func (c *Control) Connect(now time.Duration, id ConnID, address string) bool {
+func (c *Controller) Connect(now time.Duration, id ConnectionID, address string) bool {
 	c.at(now)
 	if len(c.conns) >= c.set.Connections || c.conns[id] != nil || c.banned(address) {
 		return false
@@ -172,7 +172,7 @@
 }
 
 // Arrive takes a whole request. It waits until it is started or refused.
-func (c *Control) Arrive(now time.Duration, id ConnID, sid StreamID, who string, urgency int) []Action {
+func (c *Controller) Arrive(now time.Duration, id ConnectionID, sid StreamID, who string, urgency int) []Action {
 	c.at(now)
 	n := c.conns[id]
 	switch {
@@ -181,12 +181,12 @@
 	case n.refusing || n.streams[sid] != nil || len(n.streams) >= c.set.Streams:
 		// Streams that crossed a smaller limit on their way are still taken; more than was ever allowed are not. Some
 		// cross a GOAWAY; who goes on after it is cut in the end.
-		c.do(Action{Verb: Refuse, Conn: id, Stream: sid})
-		c.blame(n, Refused)
+		c.do(Action{Kind: RejectStream, Connection: id, Stream: sid})
+		c.blame(n, RejectedStream)
 		return c.actions
 	}
 	c.arrived++
-	s := &stream{id: sid, conn: n, client: who, urgency: min(max(urgency, 0), MostUrgency), number: c.arrived}
+	s := &stream{id: sid, conn: n, client: who, urgency: min(max(urgency, 0), MaxUrgency), number: c.arrived}
 	n.streams[sid] = s
 	n.requests++
 	if c.clients[who] == nil {
@@ -203,7 +203,7 @@
 
 // End tells that a stream has ended: its answer is out, or its client has reset it. Reset streams count against the
 // connection, answered ones for it.
-func (c *Control) End(now time.Duration, id ConnID, sid StreamID, reset bool) []Action {
+func (c *Controller) End(now time.Duration, id ConnectionID, sid StreamID, reset bool) []Action {
 	c.at(now)
 	n := c.conns[id]
 	if n == nil || n.streams[sid] == nil {
@@ -211,7 +211,7 @@
 	}
 	c.forget(n.streams[sid])
 	if reset {
-		c.blame(n, Reset)
+		c.blame(n, StreamReset)
 	} else {
 		n.failures = 0
 		n.score.forgive(c.now)
@@ -220,8 +220,8 @@
 	return c.actions
 }
 
-// Gone tells that a connection has ended. Whatever it had is given back here.
-func (c *Control) Gone(now time.Duration, id ConnID) []Action {
+// Disconnect tells that a connection has ended. Whatever it had is given back here.
+func (c *Controller) Disconnect(now time.Duration, id ConnectionID) []Action {
 	c.at(now)
 	n := c.conns[id]
 	if n == nil {
@@ -236,7 +236,7 @@
 }
 
 // forget gives back what a stream had.
-func (c *Control) forget(s *stream) {
+func (c *Controller) forget(s *stream) {
 	n := s.conn
 	if s.open {
 		n.open--
@@ -255,8 +255,8 @@
 }
 
 // dispatch starts waiting streams while there is room.
-func (c *Control) dispatch() {
-	for c.open < c.set.AtCore {
+func (c *Controller) dispatch() {
+	for c.open < c.set.MaxInFlight {
 		s := c.next()
 		if s == nil {
 			return
@@ -268,21 +268,21 @@
 		c.open++
 		c.clients[s.client].open++
 		c.place(s.conn)
-		c.do(Action{Verb: Start, Conn: s.conn.id, Stream: s.id})
+		c.do(Action{Kind: StartStream, Connection: s.conn.id, Stream: s.id})
 	}
 }
 
 // leave tells a connection to go.
-func (c *Control) leave(n *conn, why string) {
+func (c *Controller) leave(n *conn, why string) {
 	if !n.leaving {
 		n.leaving = true
-		c.do(Action{Verb: Leave, Conn: n.id, Why: why})
+		c.do(Action{Kind: GoAway, Connection: n.id, Reason: why})
 	}
 }
 
 // pressure tells connections to send less while more waits than the core takes, and more again once nothing waits. It
 // looks at every connection, so it is for Tick alone.
-func (c *Control) pressure() {
+func (c *Controller) pressure() {
 	waiting, busy := c.lines.all.Len(), 0
 	for _, n := range c.conns {
 		if len(n.streams) > 0 {
@@ -291,24 +291,24 @@
 	}
 	for _, n := range c.sorted() {
 		want := n.told
-		switch share := max(c.set.LeastStreams, 2*c.set.AtCore/max(1, busy)); {
-		case waiting >= c.set.AtCore && len(n.streams) > share:
+		switch share := max(c.set.MinStreams, 2*c.set.MaxInFlight/max(1, busy)); {
+		case waiting >= c.set.MaxInFlight && len(n.streams) > share:
 			want = min(n.told, share)
-		case waiting == 0 && c.open <= c.set.AtCore/2:
+		case waiting == 0 && c.open <= c.set.MaxInFlight/2:
 			want = c.set.Streams
 		}
 		if n.score.value(c.now) >= slowAt {
-			want = c.set.LeastStreams
+			want = c.set.MinStreams
 		}
 		if want != n.told && !n.leaving {
 			n.told = want
-			c.do(Action{Verb: Limit, Conn: n.id, Count: want})
+			c.do(Action{Kind: LimitStreams, Connection: n.id, Count: want})
 		}
 	}
 }
 
 // sorted gives the connections in a fixed order, so that the same events give the same actions.
-func (c *Control) sorted() []*conn {
+func (c *Controller) sorted() []*conn {
 	all := make([]*conn, 0, len(c.conns))
 	for _, n := range c.conns {
 		all = append(all, n)
@@ -320,16 +320,16 @@
 // ErrMemory says that there is no room for what should be held.
 var ErrMemory = errors.New("no memory is left for this stream")
 
-// Hold counts bytes that are kept for a stream; negative ones are given back. Where the front's memory is used up, streams
+// Reserve counts bytes that are kept for a stream; negative ones are given back. Where the front's memory is used up, streams
 // whose answers do not move give way first, of the connection that holds most, the longest stalled first. The error is ErrMemory.
-func (c *Control) Hold(now time.Duration, id ConnID, sid StreamID, bytes int) ([]Action, error) {
+func (c *Controller) Reserve(now time.Duration, id ConnectionID, sid StreamID, bytes int) ([]Action, error) {
 	c.at(now)
 	n := c.conns[id]
 	if n == nil || n.streams[sid] == nil {
 		return nil, ErrMemory
 	}
 	s := n.streams[sid]
-	if bytes > 0 && n.held+bytes > c.set.ConnMemory {
+	if bytes > 0 && n.held+bytes > c.set.ConnectionMemory {
 		return nil, ErrMemory
 	}
 	for bytes > 0 && c.held+bytes > c.set.Memory {
@@ -344,7 +344,7 @@
 }
 
 // stalled finds who gives way first; not except.
-func (c *Control) stalled(except *stream) (worst *stream) {
+func (c *Controller) stalled(except *stream) (worst *stream) {
 	for _, n := range c.conns {
 		for _, s := range n.streams {
 			if s == except || s.stalled == 0 || s.held == 0 {
@@ -359,8 +359,8 @@
 	return worst
 }
 
-// Moves tells whether a stream's answer moves, or waits for a window that is shut.
-func (c *Control) Moves(now time.Duration, id ConnID, sid StreamID, moves bool) {
+// Progress tells whether a stream's answer moves, or waits for a window that is shut.
+func (c *Controller) Progress(now time.Duration, id ConnectionID, sid StreamID, moves bool) {
 	c.at(now)
 	if n := c.conns[id]; n != nil && n.streams[sid] != nil {
 		switch s := n.streams[sid]; {
@@ -376,9 +376,9 @@
 const mostFailures = 8
 
 // giveUp ends a stream whose answer does not move, and with too many of them its connection.
-func (c *Control) giveUp(s *stream) {
+func (c *Controller) giveUp(s *stream) {
 	n := s.conn
-	c.do(Action{Verb: GiveUp, Conn: n.id, Stream: s.id})
+	c.do(Action{Kind: AbortStream, Connection: n.id, Stream: s.id})
 	c.forget(s)
 	if n.failures++; n.failures >= mostFailures {
 		c.cut(n, "nothing is read")
@@ -386,13 +386,13 @@
 }
 
 // cut ends a connection; what it had is given back by Gone.
-func (c *Control) cut(n *conn, why string) {
-	c.do(Action{Verb: Cut, Conn: n.id, Why: why})
+func (c *Controller) cut(n *conn, why string) {
+	c.do(Action{Kind: CloseConnection, Connection: n.id, Reason: why})
 	n.leaving, n.refusing = true, true
 }
 
 // Tick does what time brings: stalled streams are given up, old connections leave. It is called a few times a second.
-func (c *Control) Tick(now time.Duration) []Action {
+func (c *Controller) Tick(now time.Duration) []Action {
 	c.at(now)
 	for _, n := range c.sorted() {
 		var late []*stream
@@ -416,7 +416,7 @@
 }
 
 // Drain tells every connection to leave.
-func (c *Control) Drain(now time.Duration) []Action {
+func (c *Controller) Drain(now time.Duration) []Action {
 	c.at(now)
 	for _, n := range c.sorted() {
 		c.leave(n, "drain")
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -15,10 +15,10 @@
 // Every run draws the same cases.
 func init() { flag.Set("rapid.seed", "1") }
 
-var config = Config{AtCore: 4, PerConnection: 3, PerClient: 3, Streams: 10, LeastStreams: 2, Connections: 5, Memory: 1000, ConnMemory: 600,
+var config = Config{MaxInFlight: 4, PerConnection: 3, PerClient: 3, Streams: 10, MinStreams: 2, Connections: 5, Memory: 1000, ConnectionMemory: 600,
 	Stall: 5 * time.Second, Age: time.Hour, Requests: 1000}
 
-func control(t testing.TB, change func(*Config)) *Control {
+func control(t testing.TB, change func(*Config)) *Controller {
 	t.Helper()
 	set := config
 	if change != nil {
@@ -34,14 +34,14 @@
 func words(actions []Action) string {
 	var all []string
 	for _, a := range actions {
-		word := fmt.Sprintf("%s %d", a.Verb, a.Conn)
-		switch a.Verb {
-		case Start, Refuse, GiveUp:
+		word := fmt.Sprintf("%s %d", a.Kind, a.Connection)
+		switch a.Kind {
+		case StartStream, RejectStream, AbortStream:
 			word += fmt.Sprintf("/%d", a.Stream)
-		case Limit:
+		case LimitStreams:
 			word += fmt.Sprintf(" to %d", a.Count)
 		default:
-			word += " " + a.Why
+			word += " " + a.Reason
 		}
 		all = append(all, word)
 	}
@@ -56,7 +56,7 @@
 }
 
 func TestFairAmongConnectionsThenClientsThenUrgency(t *testing.T) {
-	c := control(t, func(set *Config) { set.AtCore, set.Streams, set.LeastStreams = 2, 100, 50 })
+	c := control(t, func(set *Config) { set.MaxInFlight, set.Streams, set.MinStreams = 2, 100, 50 })
 	c.Connect(0, 1, "a")
 	c.Connect(0, 2, "b")
 	expect(t, "greedy 1", c.Arrive(0, 1, 1, "x", 3), "start 1/1")
@@ -72,12 +72,12 @@
 // Whatever is fair and urgent: who waits for longest is started after a few others.
 func TestNobodyStarves(t *testing.T) {
 	c := control(t, func(set *Config) {
-		set.AtCore, set.PerConnection, set.PerClient, set.Streams, set.Requests = 1, 1, 10, 100, 0
+		set.MaxInFlight, set.PerConnection, set.PerClient, set.Streams, set.Requests = 1, 1, 10, 100, 0
 	})
 	c.Connect(0, 1, "a")
 	c.Connect(0, 2, "b")
 	c.Arrive(0, 2, 1, "x", 0)
-	c.Arrive(0, 1, 1, "x", MostUrgency)
+	c.Arrive(0, 1, 1, "x", MaxUrgency)
 	for i := range 3 * patience {
 		for j := range 5 { // more urgent ones all the time
 			c.Arrive(0, 2, StreamID(10*i+2*j+3), "x", 0)
@@ -89,7 +89,7 @@
 				break
 			}
 		}
-		if slices.Contains(started, Action{Verb: Start, Conn: 1, Stream: 1}) {
+		if slices.Contains(started, Action{Kind: StartStream, Connection: 1, Stream: 1}) {
 			return
 		}
 	}
@@ -98,13 +98,13 @@
 
 func TestMemoryGivesWayToWhatMoves(t *testing.T) {
 	c := control(t, nil)
-	for id := range ConnID(3) {
+	for id := range ConnectionID(3) {
 		c.Connect(0, id+1, "a")
 		c.Arrive(0, id+1, 1, "x", 3)
 	}
-	hold := func(id ConnID, bytes int, want string, fails bool) {
+	hold := func(id ConnectionID, bytes int, want string, fails bool) {
 		t.Helper()
-		got, err := c.Hold(0, id, 1, bytes)
+		got, err := c.Reserve(0, id, 1, bytes)
 		if (err != nil) != fails {
 			t.Errorf("connection %d, %d bytes: %v", id, bytes, err)
 		}
@@ -114,7 +114,7 @@
 	hold(1, 500, "", false)
 	hold(2, 400, "", false)
 	hold(3, 200, "", true) // nothing is stalled: nobody is hurt for it
-	c.Moves(time.Second, 2, 1, false)
+	c.Progress(time.Second, 2, 1, false)
 	hold(3, 200, "give up 2/1", false)
 	hold(1, -500, "", false)
 	if c.held != 200 {
@@ -123,20 +123,20 @@
 }
 
 func TestAShutWindowEndsItsStreamThenItsConnection(t *testing.T) {
-	c := control(t, func(set *Config) { set.AtCore, set.PerConnection, set.PerClient, set.Streams = 100, 100, 100, 100 })
+	c := control(t, func(set *Config) { set.MaxInFlight, set.PerConnection, set.PerClient, set.Streams = 100, 100, 100, 100 })
 	c.Connect(0, 1, "a")
 	c.Connect(0, 2, "b")
 	for i := range StreamID(mostFailures) {
 		c.Arrive(0, 1, 2*i+1, "x", 3)
-		c.Moves(0, 1, 2*i+1, false)
+		c.Progress(0, 1, 2*i+1, false)
 	}
 	c.Arrive(0, 2, 1, "y", 3)
-	c.Moves(0, 2, 1, false)
-	c.Moves(time.Second, 2, 1, true)
-	c.Moves(2*time.Second, 2, 1, false)
+	c.Progress(0, 2, 1, false)
+	c.Progress(time.Second, 2, 1, true)
+	c.Progress(2*time.Second, 2, 1, false)
 	expect(t, "too early", c.Tick(config.Stall-1), "")
 	got := c.Tick(config.Stall + 1)
-	if want := mostFailures + 1; len(got) != want || got[want-1].Verb != Cut || got[want-1].Conn != 1 {
+	if want := mostFailures + 1; len(got) != want || got[want-1].Kind != CloseConnection || got[want-1].Connection != 1 {
 		t.Errorf("%s", words(got))
 	}
 	expect(t, "the neighbour has its own time", c.Tick(config.Stall+2*time.Second), "give up 2/1")
@@ -144,20 +144,20 @@
 
 func TestRapidResetIsCutAndHonestResetsAreNot(t *testing.T) {
 	c := control(t, nil)
-	attack := func(id ConnID, address string, now time.Duration) (streams int) { // it goes on after GOAWAY
+	attack := func(id ConnectionID, address string, now time.Duration) (streams int) { // it goes on after GOAWAY
 		if !c.Connect(now, id, address) {
 			return -1
 		}
 		for sid := StreamID(1); ; sid += 2 {
 			got := words(c.Arrive(now, id, sid, "x", 3)) + words(c.End(now, id, sid, true))
 			if streams++; strings.Contains(got, "cut") || streams > 10_000 {
-				c.Gone(now, id)
+				c.Disconnect(now, id)
 				return streams
 			}
 		}
 	}
 	for i := range banAfter {
-		if n := attack(ConnID(i+1), "bad", 0); n > leaveAt+(cutAt-leaveAt)/0.25+2 {
+		if n := attack(ConnectionID(i+1), "bad", 0); n > leaveAt+(cutAt-leaveAt)/0.25+2 {
 			t.Errorf("%d streams until the cut", n)
 		}
 	}
@@ -175,7 +175,7 @@
 
 func TestConnectionsLeaveByAgeAndByRequestsAtTimesOfTheirOwn(t *testing.T) {
 	c := control(t, func(set *Config) { set.Connections, set.Requests = 100, 50 })
-	for id := range ConnID(100) {
+	for id := range ConnectionID(100) {
 		c.Connect(0, id+1, "a")
 	}
 	early := len(c.Tick(config.Age * 9 / 10))
@@ -205,8 +205,8 @@
 // every stream is started or refused once, and nothing is left after churn.
 func TestChurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Config{AtCore: rapid.IntRange(1, 5).Draw(t, "core"), PerConnection: rapid.IntRange(1, 4).Draw(t, "conn"),
-			PerClient: rapid.IntRange(1, 4).Draw(t, "client"), Streams: 6, LeastStreams: 2, Connections: 4, Memory: 300, ConnMemory: 200,
+		set := Config{MaxInFlight: rapid.IntRange(1, 5).Draw(t, "core"), PerConnection: rapid.IntRange(1, 4).Draw(t, "conn"),
+			PerClient: rapid.IntRange(1, 4).Draw(t, "client"), Streams: 6, MinStreams: 2, Connections: 4, Memory: 300, ConnectionMemory: 200,
 			Stall: time.Second, Age: 20 * time.Second, Requests: 30}
 		c, err := New(set, 1)
 		if err != nil {
@@ -214,24 +214,24 @@
 		}
 		now := time.Duration(0)
 		type key struct {
-			conn   ConnID
+			conn   ConnectionID
 			stream StreamID
 		}
-		open, waiting, conns := map[key]bool{}, map[key]bool{}, map[ConnID]bool{}
+		open, waiting, conns := map[key]bool{}, map[key]bool{}, map[ConnectionID]bool{}
 		ended := func(k key) { delete(open, k); delete(waiting, k) }
 		carry := func(actions []Action) {
 			for _, a := range actions {
-				k := key{a.Conn, a.Stream}
-				switch a.Verb {
-				case Start:
+				k := key{a.Connection, a.Stream}
+				switch a.Kind {
+				case StartStream:
 					if !waiting[k] || open[k] {
 						t.Fatalf("%v is started, and does not wait", k)
 					}
 					delete(waiting, k)
 					open[k] = true
-				case GiveUp:
+				case AbortStream:
 					ended(k)
-				case Refuse:
+				case RejectStream:
 					delete(waiting, k)
 				}
 			}
@@ -239,7 +239,7 @@
 		next := StreamID(1)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond
-			id := ConnID(rapid.IntRange(1, 6).Draw(t, "id"))
+			id := ConnectionID(rapid.IntRange(1, 6).Draw(t, "id"))
 			any := key{}
 			for k := range open {
 				if any == (key{}) || k.stream < any.stream {
@@ -267,7 +267,7 @@
 				ended(any)
 				carry(got)
 			case 5:
-				got := c.Gone(now, id)
+				got := c.Disconnect(now, id)
 				for k := range open {
 					if k.conn == id {
 						ended(k)
@@ -281,17 +281,17 @@
 				delete(conns, id)
 				carry(got)
 			case 6:
-				c.Moves(now, any.conn, any.stream, rapid.Bool().Draw(t, "moves"))
-				got, _ := c.Hold(now, any.conn, any.stream, rapid.IntRange(0, 150).Draw(t, "bytes"))
+				c.Progress(now, any.conn, any.stream, rapid.Bool().Draw(t, "moves"))
+				got, _ := c.Reserve(now, any.conn, any.stream, rapid.IntRange(0, 150).Draw(t, "bytes"))
 				carry(got)
 			case 7:
 				carry(c.Tick(now))
 			}
-			per := map[ConnID]int{}
+			per := map[ConnectionID]int{}
 			for k := range open {
 				per[k.conn]++
 			}
-			if len(open) != c.open || len(open) > set.AtCore || c.held > set.Memory || c.held < 0 || len(c.conns) > set.Connections {
+			if len(open) != c.open || len(open) > set.MaxInFlight || c.held > set.Memory || c.held < 0 || len(c.conns) > set.Connections {
 				t.Fatalf("%d open (%d counted), %d bytes, %d connections", len(open), c.open, c.held, len(c.conns))
 			}
 			for id, n := range per {
@@ -311,7 +311,7 @@
 					ended(k)
 				}
 			}
-			carry(c.Gone(now, id))
+			carry(c.Disconnect(now, id))
 		}
 		c.Tick(now + time.Hour)
 		if len(c.conns)+len(c.clients)+c.open+c.held+c.lines.all.Len()+len(c.lines.ready)+len(c.strikes) != 0 {
@@ -321,7 +321,7 @@
 }
 
 func TestConfig(t *testing.T) {
-	for _, change := range []func(*Config){func(c *Config) { c.AtCore = 0 }, func(c *Config) { c.LeastStreams = 11 },
+	for _, change := range []func(*Config){func(c *Config) { c.MaxInFlight = 0 }, func(c *Config) { c.MinStreams = 11 },
 		func(c *Config) { c.Memory = 1 }, func(c *Config) { c.Age = -1 }} {
 		set := config
 		change(&set)
@@ -335,15 +335,15 @@
 func BenchmarkArrive(b *testing.B) {
 	for _, conns := range []int{1, 1000} {
 		b.Run(fmt.Sprintf("connections=%d", conns), func(b *testing.B) {
-			c, err := New(Config{AtCore: 64, PerConnection: 32, PerClient: 64, Streams: 200, LeastStreams: 200, Connections: 2000, Memory: 1 << 20,
-				ConnMemory: 1 << 20, Stall: time.Second}, 1)
+			c, err := New(Config{MaxInFlight: 64, PerConnection: 32, PerClient: 64, Streams: 200, MinStreams: 200, Connections: 2000, Memory: 1 << 20,
+				ConnectionMemory: 1 << 20, Stall: time.Second}, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			for id := range conns {
-				c.Connect(0, ConnID(id), "a")
+				c.Connect(0, ConnectionID(id), "a")
 				for s := range 99 {
-					c.Arrive(0, ConnID(id), StreamID(s+1), "x", s%8)
+					c.Arrive(0, ConnectionID(id), StreamID(s+1), "x", s%8)
 				}
 			}
 			for i := 0; b.Loop(); i++ {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -19,7 +19,7 @@
 // queue holds a client's waiting streams of one connection by urgency, each in the order of arrival.
 type queue struct {
 	client *client
-	by     [MostUrgency + 1]list.List
+	by     [MaxUrgency + 1]list.List
 	length int
 }
 
@@ -33,7 +33,7 @@
 }
 
 // add puts a stream at the end of its lines.
-func (c *Control) enqueue(s *stream) {
+func (c *Controller) enqueue(s *stream) {
 	n := s.conn
 	q := n.queues[s.client]
 	if q == nil {
@@ -47,7 +47,7 @@
 }
 
 // dequeue takes a stream out of its lines.
-func (c *Control) dequeue(s *stream) {
+func (c *Controller) dequeue(s *stream) {
 	n := s.conn
 	q := n.queues[s.client]
 	c.lines.all.Remove(s.inAll)
@@ -60,7 +60,7 @@
 }
 
 // place puts a connection where it belongs among those that are ready, after anything that it is ordered by has changed.
-func (c *Control) place(n *conn) {
+func (c *Controller) place(n *conn) {
 	ready := n.waiting > 0 && n.open < c.set.PerConnection
 	switch {
 	case ready && n.index < 0:
@@ -75,7 +75,7 @@
 // next chooses a stream: of the connection that has the fewest open, of that one's client that has the fewest, the most
 // urgent, the oldest. Now and then it is the one that has waited for longest: fewest first would let short requests of
 // others keep a second stream out for good, and urgency what is not urgent.
-func (c *Control) next() (best *stream) {
+func (c *Controller) next() (best *stream) {
 	if (c.started+1)%patience == 0 {
 		skipped := 0
 		for e := c.lines.all.Front(); e != nil && skipped < mostSkipped; e = e.Next() {
@@ -100,7 +100,7 @@
 }
 
 // choose gives the stream of a connection that is next; nil where its clients have what they may.
-func (c *Control) choose(n *conn) (best *stream) {
+func (c *Controller) choose(n *conn) (best *stream) {
 	for _, q := range n.queues {
 		if q.client.open >= c.set.PerClient {
 			continue
--- a/internal/admission/score.go
+++ b/internal/admission/score.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Offence is something that a client may do, but not all the time.
-type Offence int
+// Violation is something that a client may do, but not all the time.
+type Violation int
 
 // The offences.
 const (
-	Reset        Offence = iota // of a stream that was not answered (rapid reset, CVE-2023-44487)
-	EmptyFrame                  // DATA or HEADERS without a byte that does not end its stream
-	Ping                        // that was not asked for
-	Settings                    // after the first
-	WindowUpdate                // that raises a window by next to nothing
-	Priority                    // a change of a stream's priority
-	BigHeader                   // a field section beyond what was announced
-	Refused                     // a stream that was refused: some cross a GOAWAY, not all the time
+	StreamReset       Violation = iota // of a stream that was not answered (rapid reset, CVE-2023-44487)
+	EmptyFrame                         // DATA or HEADERS without a byte that does not end its stream
+	UnsolicitedPing                    // that was not asked for
+	SettingsChange                     // after the first
+	SmallWindowUpdate                  // that raises a window by next to nothing
+	PriorityChange                     // a change of a stream's priority
+	OversizedHeader                    // a field section beyond what was announced
+	RejectedStream                     // a stream that was refused: some cross a GOAWAY, not all the time
 )
 
 // points are what an offence costs, in parts of a cut. An honest client resets some streams and changes some settings.
-var points = [...]float64{Reset: 1, EmptyFrame: 0.5, Ping: 0.5, Settings: 1, WindowUpdate: 0.1, Priority: 0.2, BigHeader: 10, Refused: 0.25}
+var points = [...]float64{StreamReset: 1, EmptyFrame: 0.5, UnsolicitedPing: 0.5, SettingsChange: 1, SmallWindowUpdate: 0.1, PriorityChange: 0.2, OversizedHeader: 10, RejectedStream: 0.25}
 
 const (
 	slowAt   = 25.0 // points at which a connection is told to send less,
@@ -59,8 +59,8 @@
 	last  time.Duration
 }
 
-// Blame counts an offence of a connection.
-func (c *Control) Blame(now time.Duration, id ConnID, o Offence) []Action {
+// RecordViolation counts an offence of a connection.
+func (c *Controller) RecordViolation(now time.Duration, id ConnectionID, o Violation) []Action {
 	c.at(now)
 	if n := c.conns[id]; n != nil {
 		c.blame(n, o)
@@ -68,7 +68,7 @@
 	return c.actions
 }
 
-func (c *Control) blame(n *conn, o Offence) {
+func (c *Controller) blame(n *conn, o Violation) {
 	before := n.score.value(c.now)
 	n.score.add(c.now, points[o])
 	switch after := n.score.value(c.now); {
@@ -82,7 +82,7 @@
 }
 
 // strike remembers a cut. Where too many addresses are remembered, the longest past is forgotten.
-func (c *Control) strike(address string) {
+func (c *Controller) strike(address string) {
 	if _, known := c.strikes[address]; !known && len(c.strikes) >= mostBans {
 		oldest, last := "", c.now+1
 		for a, s := range c.strikes {
@@ -96,13 +96,13 @@
 }
 
 // banned tells whether an address is kept out for a while.
-func (c *Control) banned(address string) bool {
+func (c *Controller) banned(address string) bool {
 	s := c.strikes[address]
 	return s.count >= banAfter && c.now-s.last < banTime
 }
 
 // expire forgets cuts that are long past.
-func (c *Control) expire() {
+func (c *Controller) expire() {
 	for a, s := range c.strikes {
 		if c.now-s.last >= strikeFor {
 			delete(c.strikes, a)
--- a/internal/apitest/api_test.go
+++ b/internal/apitest/api_test.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	front := httpfrontend.New(httpfrontend.Options{Settings: settings, Core: answering{Reply: &httpmsg.Reply{}}, Rules: ruled, Log: log})
+	front := httpfrontend.New(httpfrontend.Options{Settings: settings, Loop: answering{Reply: &httpmsg.Reply{}}, Rules: ruled, Log: log})
 	for _, want := range []int{200, 429} {
 		r, w := request("GET", piece), httptest.NewRecorder()
 		route, params, err := router.FindRoute(r)
@@ -117,8 +117,8 @@
 		"a write":           {served, request("PUT", piece, httpmsg.KeyHeader, "k"), 200, false},
 		"a retry":           {served, request("GET", piece, httpmsg.RetryHeader, "1"), 200, false},
 		"microseconds":      {served, request("GET", piece, httpmsg.DeadlineHeader, "1500u"), 200, false},
-		"refused":           {answering{Verdict: exchange.Refused, RetryAfter: 250 * time.Millisecond}, request("GET", piece), 503, false},
-		"refused, no hint":  {answering{Verdict: exchange.Refused}, request("GET", piece), 503, false},
+		"refused":           {answering{Verdict: exchange.Rejected, RetryAfter: 250 * time.Millisecond}, request("GET", piece), 503, false},
+		"refused, no hint":  {answering{Verdict: exchange.Rejected}, request("GET", piece), 503, false},
 		"failed":            {answering{Verdict: exchange.Failed}, request("GET", piece), 502, false},
 		"chunks":            {served, with(request("PUT", piece), func(r *http.Request) { r.TransferEncoding = []string{"chunked"} }), 411, false},
 		"a body too long":   {served, longBody, 413, true},
@@ -143,7 +143,7 @@
 			}
 			settings := scheduler.Settings{Classes: []scheduler.Class{{Name: "read"}}, Plans: []scheduler.Plan{{Name: "gold"}}}
 			w := httptest.NewRecorder()
-			httpfrontend.New(httpfrontend.Options{Settings: settings, Core: c.core, Log: slog.New(slog.DiscardHandler)}).ServeHTTP(w, c.request)
+			httpfrontend.New(httpfrontend.Options{Settings: settings, Loop: c.core, Log: slog.New(slog.DiscardHandler)}).ServeHTTP(w, c.request)
 			if w.Code != c.status {
 				t.Errorf("status %d, want %d", w.Code, c.status)
 			}
--- a/internal/backend/httpbackend/answer.go
+++ b/internal/backend/httpbackend/answer.go
@@ -27,7 +27,7 @@
 	errLengths  = errors.New("the answer has Content-Length and Transfer-Encoding")
 	errInterim  = errors.New("too many 1xx answers")
 	errSwitched = errors.New("the node wants another protocol")
-	errBody     = fmt.Errorf("the answer is longer than %d bytes", httpmsg.MostAnswer)
+	errBody     = fmt.Errorf("the answer is longer than %d bytes", httpmsg.MaxResponseBody)
 )
 
 // Read reads what comes over the connection. Within an answer the next piece has to follow soon.
@@ -39,7 +39,7 @@
 }
 
 // readAnswer reads the final answer to a request whole, and not a byte beyond it. No more than the reader's buffer
-// and httpmsg.MostAnswer are held of it, whatever it claims; the room for long ones is shared with other attempts.
+// and httpmsg.MaxResponseBody are held of it, whatever it claims; the room for long ones is shared with other attempts.
 func (c *conn) readAnswer(ctx context.Context, req *http.Request, room *semaphore.Weighted) (*http.Response, []byte, error) {
 	if _, err := c.r.Peek(1); err != nil {
 		return nil, nil, err
@@ -61,7 +61,7 @@
 			continue
 		case resp.TransferEncoding != nil && bytes.Contains(head, []byte("\ncontent-length")):
 			return nil, nil, errLengths
-		case resp.ContentLength > httpmsg.MostAnswer:
+		case resp.ContentLength > httpmsg.MaxResponseBody:
 			return nil, nil, errBody
 		}
 		body, err := readBody(ctx, resp, room)
@@ -79,12 +79,12 @@
 func readBody(ctx context.Context, resp *http.Response, room *semaphore.Weighted) ([]byte, error) {
 	most := resp.ContentLength
 	if most < 0 { // chunks, or all until the end
-		most = httpmsg.MostAnswer
+		most = httpmsg.MaxResponseBody
 	}
 	var body bytes.Buffer
-	body.Grow(int(min(max(resp.ContentLength, 0), httpmsg.MostBody)) + bytes.MinRead)
-	n, err := body.ReadFrom(io.LimitReader(resp.Body, httpmsg.MostBody))
-	if err != nil || n < httpmsg.MostBody {
+	body.Grow(int(min(max(resp.ContentLength, 0), httpmsg.MaxRequestBody)) + bytes.MinRead)
+	n, err := body.ReadFrom(io.LimitReader(resp.Body, httpmsg.MaxRequestBody))
+	if err != nil || n < httpmsg.MaxRequestBody {
 		return body.Bytes(), err
 	}
 	if err := room.Acquire(ctx, most); err != nil {
--- a/internal/backend/httpbackend/fuzz_test.go
+++ b/internal/backend/httpbackend/fuzz_test.go
@@ -32,12 +32,12 @@
 		h := &heard{}
 		h.Reset(text)
 		c := &conn{Conn: h, r: bufio.NewReaderSize(h, mostHead)}
-		room := semaphore.NewWeighted(httpmsg.MostAnswer)
+		room := semaphore.NewWeighted(httpmsg.MaxResponseBody)
 		resp, body, err := c.readAnswer(t.Context(), &http.Request{Method: http.MethodGet}, room)
 		if err != nil {
 			return
 		}
-		if len(body) > httpmsg.MostAnswer || resp.StatusCode < 200 {
+		if len(body) > httpmsg.MaxResponseBody || resp.StatusCode < 200 {
 			t.Fatalf("status %d, %d bytes", resp.StatusCode, len(body))
 		}
 		rest := make([]byte, len(text))
--- a/internal/backend/httpbackend/httpback.go
+++ b/internal/backend/httpbackend/httpback.go
@@ -28,19 +28,19 @@
 	probeTime = 250 * time.Millisecond
 )
 
-// Back is a eventloop.Back. Each attempt is one goroutine that owns its connection from the pool's get to its put
+// Backend is a eventloop.Backend. Each attempt is one goroutine that owns its connection from the pool's get to its put
 // or discard.
-type Back struct {
+type Backend struct {
 	pool      *pool
 	room      *semaphore.Weighted // bytes of long answers that are being read
-	directory discovery.Places
+	directory discovery.EndpointLookup
 	observe   func(Observation)
 	log       *slog.Logger
 }
 
 // Options are what a Back needs.
 type Options struct {
-	Directory discovery.Places
+	Directory discovery.EndpointLookup
 	Allowed   scheduler.Allowed // with its times
 	Sockets   int               // connections to nodes that it may hold
 	Memory    int64             // bytes that long answers may take while they are read; one may always
@@ -50,17 +50,17 @@
 }
 
 // New makes a Back. Run must be called for it to drop idle connections.
-func New(o Options) *Back {
+func New(o Options) *Backend {
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{}).DialContext
 	}
-	return &Back{directory: o.Directory, log: o.Log, observe: o.Observe,
-		room: semaphore.NewWeighted(max(o.Memory, httpmsg.MostAnswer)),
-		pool: newPool(o.Dial, o.Allowed.ConnectWithin, o.Allowed.IdleWithin/2, o.Sockets)}
+	return &Backend{directory: o.Directory, log: o.Log, observe: o.Observe,
+		room: semaphore.NewWeighted(max(o.Memory, httpmsg.MaxResponseBody)),
+		pool: newPool(o.Dial, o.Allowed.ConnectTimeout, o.Allowed.IdleTimeout/2, o.Sockets)}
 }
 
 // Run drops connections that are idle for long until ctx ends, and then all that are idle.
-func (b *Back) Run(ctx context.Context) {
+func (b *Backend) Run(ctx context.Context) {
 	tick := time.NewTicker(sweepTime)
 	defer tick.Stop()
 	for {
@@ -75,7 +75,7 @@
 }
 
 // Start begins an attempt.
-func (b *Back) Start(ctx context.Context, a eventloop.Attempt, report func(eventloop.Report)) {
+func (b *Backend) Start(ctx context.Context, a eventloop.Attempt, report func(eventloop.Report)) {
 	go func() {
 		r, err := b.attempt(ctx, a)
 		if err != nil {
@@ -85,8 +85,8 @@
 	}()
 }
 
-func (b *Back) attempt(ctx context.Context, a eventloop.Attempt) (eventloop.Report, error) {
-	unrun := eventloop.Report{Result: scheduler.ConnectFailed, Use: -1}
+func (b *Backend) attempt(ctx context.Context, a eventloop.Attempt) (eventloop.Report, error) {
+	unrun := eventloop.Report{Result: scheduler.ConnectFailed, VolumeUse: -1}
 	payload, ok := a.Exchange.Payload.(*httpmsg.Request)
 	if !ok {
 		return unrun, fmt.Errorf("payload %T is not for a node that speaks HTTP", a.Exchange.Payload)
@@ -94,14 +94,14 @@
 	c, err := b.connect(ctx, a.Node)
 	if err != nil {
 		if errors.Is(err, errBudget) || ctx.Err() != nil { // that tells nothing of the node
-			unrun.Result = scheduler.Moot
+			unrun.Result = scheduler.NotSent
 		}
 		return unrun, err
 	}
 	began := time.Now()
-	if !a.May(began) {
+	if !a.MayBegin(began) {
 		b.pool.put(c)
-		unrun.Result = scheduler.Moot
+		unrun.Result = scheduler.NotSent
 		return unrun, errors.New("it may not begin any more")
 	}
 	header := payload.Header.Clone()
@@ -116,24 +116,24 @@
 	resp, body, written, err := b.roundTrip(ctx, c, req)
 	if err != nil {
 		// The last byte decides: before it the node cannot have begun, after it nobody knows.
-		result := scheduler.Reset
+		result := scheduler.ConnectionReset
 		if !written {
 			result = scheduler.ConnectFailed
 		}
-		return eventloop.Report{Result: eventloop.GivenUp(ctx, result), Use: -1}, err
+		return eventloop.Report{Result: eventloop.ResultAfterCancel(ctx, result), VolumeUse: -1}, err
 	}
-	r := answer(resp, body, payload.Described)
-	r.Took = time.Since(began)
+	r := answer(resp, body, payload.Statuses)
+	r.ServiceTime = time.Since(began)
 	if b.observe != nil {
 		b.observe(Observation{Exchange: a.Exchange, Request: payload, Node: a.Node, Number: a.Number, Result: r.Result, Status: resp.StatusCode,
-			Header: resp.Header, Body: body, Took: r.Took})
+			Header: resp.Header, Body: body, Duration: r.ServiceTime})
 	}
 	return r, nil
 }
 
 // connect gives a connection to a node that takes new work. The phase is looked up again once the connection is
 // up: a slow dial may outlast the notice of a drain, and a send counts from its first byte.
-func (b *Back) connect(ctx context.Context, node string) (*conn, error) {
+func (b *Backend) connect(ctx context.Context, node string) (*conn, error) {
 	place := b.directory.Lookup(node)
 	if !place.Up {
 		return nil, fmt.Errorf("node %s takes no new work", node)
@@ -151,7 +151,7 @@
 
 // roundTrip sends a request and reads the answer whole. It gives the connection back; when ctx ends first the
 // connection is closed, which tells the node. Written tells whether the request's last byte went out.
-func (b *Back) roundTrip(ctx context.Context, c *conn, req *http.Request) (
+func (b *Backend) roundTrip(ctx context.Context, c *conn, req *http.Request) (
 	resp *http.Response, body []byte, written bool, err error) {
 	release := context.AfterFunc(ctx, func() { c.Close() })
 	var text bytes.Buffer
@@ -180,26 +180,26 @@
 	Status   int
 	Header   http.Header
 	Body     []byte
-	Took     time.Duration
+	Duration time.Duration
 }
 
 // answer reads what a node said, as its description has it.
-func answer(resp *http.Response, body []byte, described httpmsg.Described) eventloop.Report {
+func answer(resp *http.Response, body []byte, described httpmsg.StatusInterpreter) eventloop.Report {
 	r := eventloop.Report{
-		Result: scheduler.Errored, Use: httpmsg.Figure(resp.Header, httpmsg.UsedHeader, -100) / 100,
-		Others: httpmsg.Figure(resp.Header, httpmsg.OthersHeader, 0),
-		Load:   parseLoad([]byte(resp.Header.Get(httpmsg.LoadHeader))),
+		Result: scheduler.Errored, VolumeUse: httpmsg.HeaderNumber(resp.Header, httpmsg.UsedHeader, -100) / 100,
+		OtherUnits: httpmsg.HeaderNumber(resp.Header, httpmsg.OthersHeader, 0),
+		Load:       parseLoad([]byte(resp.Header.Get(httpmsg.LoadHeader))),
 	}
-	reading := httpmsg.Unsaid
+	reading := httpmsg.Undescribed
 	if described != nil {
-		reading = described.Reading(resp.StatusCode)
+		reading = described.StatusMeaning(resp.StatusCode)
 	}
 	switch reading {
-	case httpmsg.ForClient:
+	case httpmsg.FinalAnswer:
 		r.Result, r.Reply = scheduler.Served, &httpmsg.Reply{Status: resp.StatusCode, Header: resp.Header, Body: body}
 		return r
 	case httpmsg.NeverRan:
-		r.Result = scheduler.Full
+		r.Result = scheduler.Overloaded
 		return r
 	case httpmsg.MayHaveRun:
 		return r
@@ -209,14 +209,14 @@
 		r.Result, r.Reply = scheduler.Served, &httpmsg.Reply{Header: resp.Header, Body: body}
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if resp.Header.Get(httpmsg.NotRunHeader) == "1" { // without it the work may have begun
-			r.Result = scheduler.Full
+			r.Result = scheduler.Overloaded
 		}
 	}
 	return r
 }
 
 // Probe asks a node for its load.
-func (b *Back) Probe(node string, report func(scheduler.ProbeResult)) {
+func (b *Backend) Probe(node string, report func(scheduler.ProbeResult)) {
 	go func() {
 		began := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), probeTime)
@@ -226,7 +226,7 @@
 	}()
 }
 
-func (b *Back) probe(ctx context.Context, node string) (*scheduler.Load, error) {
+func (b *Backend) probe(ctx context.Context, node string) (*scheduler.Load, error) {
 	c, err := b.connect(ctx, node)
 	if err != nil {
 		return nil, err
--- a/internal/backend/httpbackend/httpback_test.go
+++ b/internal/backend/httpbackend/httpback_test.go
@@ -28,9 +28,9 @@
 // directory has a node n and a node m until one is told to drain.
 type directory struct{ drained sync.Map }
 
-func (d *directory) Lookup(node string) discovery.Place {
+func (d *directory) Lookup(node string) discovery.Endpoint {
 	_, drained := d.drained.Load(node)
-	return discovery.Place{Address: node + ":1", Up: !drained}
+	return discovery.Endpoint{Address: node + ":1", Up: !drained}
 }
 
 func (d *directory) drain(node string) { d.drained.Store(node, true) }
@@ -44,7 +44,7 @@
 	scenariotest.Run(t, script, func(s *scenariotest.Stage) func() {
 		d := &directory{}
 		b := New(Options{Directory: d, Sockets: 2,
-			Allowed: scheduler.Allowed{ConnectWithin: 250 * time.Millisecond, IdleWithin: 15 * time.Second}, Dial: s.Network.Dial, Log: slog.New(slog.DiscardHandler)})
+			Allowed: scheduler.Allowed{ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 15 * time.Second}, Dial: s.Network.Dial, Log: slog.New(slog.DiscardHandler)})
 		ctx, cancel := context.WithCancel(context.Background())
 		attempts, drop := context.WithCancel(context.Background())
 		ended := make(chan bool)
@@ -81,29 +81,29 @@
 	}{
 		"served":             {"n send 200 yes", scheduler.Served},
 		"an error":           {"n send 500", scheduler.Errored},
-		"turned away":        {"n send 503 X-Not-Run=1", scheduler.Full},
-		"over at the node":   {"n send 504 X-Not-Run=1", scheduler.Full},
+		"turned away":        {"n send 503 X-Not-Run=1", scheduler.Overloaded},
+		"over at the node":   {"n send 504 X-Not-Run=1", scheduler.Overloaded},
 		"turned away by who": {"n send 503", scheduler.Errored},
 		"anything else":      {"n send 404 X-Not-Run=1", scheduler.Errored},
-		"broken":             {"n close", scheduler.Reset},
-		"half an answer":     {"n send raw HTTP/1.1 200 OK\\nContent-Length: 9\\n\\nhalf\nn close", scheduler.Reset},
-		"nonsense":           {"n send raw hello\\n\\n", scheduler.Reset},
+		"broken":             {"n close", scheduler.ConnectionReset},
+		"half an answer":     {"n send raw HTTP/1.1 200 OK\\nContent-Length: 9\\n\\nhalf\nn close", scheduler.ConnectionReset},
+		"nonsense":           {"n send raw hello\\n\\n", scheduler.ConnectionReset},
 		"half a MB":          {"n send raw HTTP/1.1 200 OK\\nContent-Length: 500000\\n\\n" + strings.Repeat("x", 500000), scheduler.Served},
 		"an answer in pieces": {"n send raw HTTP/1.1 200 OK\\nContent-Length: 3\\n\\ny\nwait 90ms\nn send raw e\nwait 90ms\nn send raw s",
 			scheduler.Served},
 		"a 1xx answer ahead": {"n send raw HTTP/1.1 103 Early\\n\\nHTTP/1.1 200 OK\\nContent-Length: 1\\n\\ny", scheduler.Served},
 		// Spoilt answers: nothing is served of them, and their connection goes, though the node would keep it.
-		"1xx answers without end": {"n send raw " + strings.Repeat("HTTP/1.1 103 Early\\n\\n", 9) + "\nn expect end", scheduler.Reset},
-		"a head without end":      {"n send raw HTTP/1.1 200 OK\\nX: " + strings.Repeat("x", mostHead) + "\nn expect end", scheduler.Reset},
-		"a length below 0":        {"n send raw HTTP/1.1 200 OK\\nContent-Length: -1\\n\\n\nn expect end", scheduler.Reset},
-		"two lengths":             {"n send raw HTTP/1.1 200 OK\\nContent-Length: 1\\nContent-Length: 2\\n\\nxx\nn expect end", scheduler.Reset},
-		"a length and chunks":     {"n send raw HTTP/1.1 200 OK\\nContent-Length: 1\\nTransfer-Encoding: chunked\\n\\n0\\n\\n\nn expect end", scheduler.Reset},
-		"3 GB claimed":            {"n send raw HTTP/1.1 200 OK\\nContent-Length: 3000000000\\n\\nxx\nn expect end\nwithin 1ms", scheduler.Reset},
+		"1xx answers without end": {"n send raw " + strings.Repeat("HTTP/1.1 103 Early\\n\\n", 9) + "\nn expect end", scheduler.ConnectionReset},
+		"a head without end":      {"n send raw HTTP/1.1 200 OK\\nX: " + strings.Repeat("x", mostHead) + "\nn expect end", scheduler.ConnectionReset},
+		"a length below 0":        {"n send raw HTTP/1.1 200 OK\\nContent-Length: -1\\n\\n\nn expect end", scheduler.ConnectionReset},
+		"two lengths":             {"n send raw HTTP/1.1 200 OK\\nContent-Length: 1\\nContent-Length: 2\\n\\nxx\nn expect end", scheduler.ConnectionReset},
+		"a length and chunks":     {"n send raw HTTP/1.1 200 OK\\nContent-Length: 1\\nTransfer-Encoding: chunked\\n\\n0\\n\\n\nn expect end", scheduler.ConnectionReset},
+		"3 GB claimed":            {"n send raw HTTP/1.1 200 OK\\nContent-Length: 3000000000\\n\\nxx\nn expect end\nwithin 1ms", scheduler.ConnectionReset},
 		"chunks without end": {"n send raw HTTP/1.1 200 OK\\nTransfer-Encoding: chunked\\n\\n500000\\n" + strings.Repeat("x", 0x500000) +
-			"\nn expect end", scheduler.Reset},
-		"a length that is too much": {"n send raw HTTP/1.1 200 OK\\nContent-Length: 9\\n\\nhalf\nwait 101ms\nn expect end", scheduler.Reset},
-		"half a head":               {"n send raw HTTP/1.1 200\nwait 101ms\nn expect end", scheduler.Reset},
-		"another protocol":          {"n send raw HTTP/1.1 101 Go\\n\\n\nn expect end", scheduler.Reset},
+			"\nn expect end", scheduler.ConnectionReset},
+		"a length that is too much": {"n send raw HTTP/1.1 200 OK\\nContent-Length: 9\\n\\nhalf\nwait 101ms\nn expect end", scheduler.ConnectionReset},
+		"half a head":               {"n send raw HTTP/1.1 200\nwait 101ms\nn expect end", scheduler.ConnectionReset},
+		"another protocol":          {"n send raw HTTP/1.1 101 Go\\n\\n\nn expect end", scheduler.ConnectionReset},
 		"called off":                {"back send cancel\nn expect end", scheduler.Canceled},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -115,8 +115,8 @@
 // An attempt's connection is up, and what was true when it was sent no longer is: not a byte of it may go out.
 func TestNothingBeginsTooLate(t *testing.T) {
 	for name, does := range map[string]func(x *exchange.Exchange, a *eventloop.Attempt){
-		"the client has left":      func(x *exchange.Exchange, _ *eventloop.Attempt) { x.Leave() },
-		"repeats are not dropped":  func(_ *exchange.Exchange, a *eventloop.Attempt) { a.Begin = time.Now() },
+		"the client has left":      func(x *exchange.Exchange, _ *eventloop.Attempt) { x.Disconnect() },
+		"repeats are not dropped":  func(_ *exchange.Exchange, a *eventloop.Attempt) { a.BeginBefore = time.Now() },
 		"nobody waits any more":    func(_ *exchange.Exchange, a *eventloop.Attempt) { a.Deadline = time.Now() },
 		"nothing of this has come": nil,
 	} {
@@ -129,7 +129,7 @@
 			x := exchange.New(scheduler.Request{ID: "r"}, time.Now().Add(time.Minute), &httpmsg.Request{Method: "GET", URL: &url.URL{Path: "/x"}, Header: http.Header{}})
 			a := eventloop.Attempt{Exchange: x, Node: "n", Deadline: x.Deadline}
 			up, change := make(chan bool), make(chan bool)
-			b := New(Options{Directory: &directory{}, Sockets: 2, Allowed: scheduler.Allowed{ConnectWithin: time.Minute, IdleWithin: time.Minute}, Log: slog.New(slog.DiscardHandler),
+			b := New(Options{Directory: &directory{}, Sockets: 2, Allowed: scheduler.Allowed{ConnectTimeout: time.Minute, IdleTimeout: time.Minute}, Log: slog.New(slog.DiscardHandler),
 				Dial: func(context.Context, string, string) (net.Conn, error) {
 					c, err := net.Dial("tcp", l.Addr().String())
 					up <- true
@@ -160,7 +160,7 @@
 				}
 				return
 			}
-			if r := <-reported; r.Result != scheduler.Moot {
+			if r := <-reported; r.Result != scheduler.NotSent {
 				t.Errorf("result %v, want that it was not sent", r.Result)
 			}
 			b.pool.end()
@@ -224,7 +224,7 @@
 		wait 249ms
 		n expect nothing
 		`
-	play(t, both+`wait 2ms`, nothing, scheduler.Served, scheduler.Moot, scheduler.Canceled, scheduler.Canceled)
+	play(t, both+`wait 2ms`, nothing, scheduler.Served, scheduler.NotSent, scheduler.Canceled, scheduler.Canceled)
 	play(t, both+`m send 200 one
 		m expect end
 		n expect GET /x
@@ -235,7 +235,7 @@
 		n expect nothing
 		m send 200 one
 		m expect end
-		n expect GET /x`, nothing, scheduler.Served, scheduler.Moot, scheduler.Served, scheduler.Canceled, scheduler.Canceled)
+		n expect GET /x`, nothing, scheduler.Served, scheduler.NotSent, scheduler.Served, scheduler.Canceled, scheduler.Canceled)
 }
 
 // Nodes come with ever new ids: nothing is kept of those that are not used any more.
@@ -269,7 +269,7 @@
 	scenariotest.Run(t, "back send n\nwait 100ms\nn expect GET /x\nwait 50ms\nn send 200 yes", func(s *scenariotest.Stage) func() {
 		s.Network.Delay = 100 * time.Millisecond
 		b := New(Options{Directory: &directory{}, Sockets: 2, Dial: s.Network.Dial, Log: slog.New(slog.DiscardHandler),
-			Allowed: scheduler.Allowed{ConnectWithin: time.Second, IdleWithin: time.Second}})
+			Allowed: scheduler.Allowed{ConnectTimeout: time.Second, IdleTimeout: time.Second}})
 		s.Server("n", "n:1", scenariotest.HTTP{})
 		s.Control("back", "n", func() {
 			x := exchange.New(scheduler.Request{}, time.Now().Add(time.Second), &httpmsg.Request{Method: "GET",
@@ -278,8 +278,8 @@
 		})
 		return b.pool.end
 	})
-	if r.Took != 50*time.Millisecond {
-		t.Errorf("took %v", r.Took)
+	if r.ServiceTime != 50*time.Millisecond {
+		t.Errorf("took %v", r.ServiceTime)
 	}
 }
 
@@ -289,7 +289,7 @@
 	h.Set(httpmsg.OthersHeader, "3")
 	h.Set(httpmsg.LoadHeader, `{"inflight":7,"queue":2}`)
 	got := answer(&http.Response{StatusCode: 200, Header: h}, nil, nil)
-	want := eventloop.Report{Result: scheduler.Served, Reply: &httpmsg.Reply{Header: h}, Use: 0.85, Others: 3,
+	want := eventloop.Report{Result: scheduler.Served, Reply: &httpmsg.Reply{Header: h}, VolumeUse: 0.85, OtherUnits: 3,
 		Load: &scheduler.Load{InFlight: 7, Queued: 2, Busy: -1}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
@@ -307,11 +307,11 @@
 		}
 	}
 	for _, figure := range []string{"NaN", "-Inf", "Inf", "1e400", "-5", "5 percent", ""} {
-		if got := httpmsg.Figure(http.Header{httpmsg.UsedHeader: {figure}}, httpmsg.UsedHeader, -1); got != -1 {
+		if got := httpmsg.HeaderNumber(http.Header{httpmsg.UsedHeader: {figure}}, httpmsg.UsedHeader, -1); got != -1 {
 			t.Errorf("%q is read as %v", figure, got)
 		}
 	}
-	if silent := answer(&http.Response{StatusCode: 500, Header: http.Header{}}, nil, nil); silent.Use >= 0 || silent.Load != nil {
+	if silent := answer(&http.Response{StatusCode: 500, Header: http.Header{}}, nil, nil); silent.VolumeUse >= 0 || silent.Load != nil {
 		t.Errorf("%+v of a node that tells nothing", silent)
 	}
 }
@@ -327,14 +327,14 @@
 					return &breaking{near, far, body[max(0, len(body)-1):]}, nil
 				}
 				b := New(Options{Directory: &directory{}, Sockets: 1, Dial: dial, Log: slog.New(slog.DiscardHandler),
-					Allowed: scheduler.Allowed{ConnectWithin: time.Second, IdleWithin: time.Second}})
+					Allowed: scheduler.Allowed{ConnectTimeout: time.Second, IdleTimeout: time.Second}})
 				x := exchange.New(scheduler.Request{}, time.Now().Add(time.Minute), &httpmsg.Request{
 					Method: "PUT", URL: &url.URL{Path: "/x"}, Header: http.Header{}, Body: []byte(body)})
 				got := make(chan scheduler.Result, 1)
 				b.Start(t.Context(), eventloop.Attempt{Exchange: x, Node: "n", Deadline: x.Deadline},
 					func(r eventloop.Report) { got <- r.Result })
-				if r := <-got; r != scheduler.Reset {
-					t.Errorf("result %v, want %v", r, scheduler.Reset)
+				if r := <-got; r != scheduler.ConnectionReset {
+					t.Errorf("result %v, want %v", r, scheduler.ConnectionReset)
 				}
 				time.Sleep(2 * time.Second)
 			})
--- a/internal/backend/iscsiinitiator/iscsiback.go
+++ b/internal/backend/iscsiinitiator/iscsiback.go
@@ -20,9 +20,9 @@
 
 const sweepTime = time.Second
 
-// Back is a eventloop.Back. It owns the sessions; each gives its connection back where its run ends.
-type Back struct {
-	directory discovery.Places
+// Initiator is a eventloop.Backend. It owns the sessions; each gives its connection back where its run ends.
+type Initiator struct {
+	directory discovery.EndpointLookup
 	dial      dialFunc
 	within    time.Duration
 	idleFor   time.Duration
@@ -40,7 +40,7 @@
 
 // Options are what a Back needs.
 type Options struct {
-	Directory discovery.Places
+	Directory discovery.EndpointLookup
 	Allowed   scheduler.Allowed // with its times
 	Initiator string            // its name
 	Target    string            // the name of the nodes' target
@@ -50,8 +50,8 @@
 }
 
 // New makes a Back. Run must be called for it to drop idle sessions.
-func New(o Options) *Back {
-	b := &Back{directory: o.Directory, dial: o.Dial, within: o.Allowed.ConnectWithin, idleFor: o.Allowed.IdleWithin / 2,
+func New(o Options) *Initiator {
+	b := &Initiator{directory: o.Directory, dial: o.Dial, within: o.Allowed.ConnectTimeout, idleFor: o.Allowed.IdleTimeout / 2,
 		initiator: o.Initiator, target: o.Target, isid: rand.Uint32(), most: o.Sockets, log: o.Log,
 		sessions: map[string]*session{}}
 	if b.dial == nil {
@@ -61,7 +61,7 @@
 }
 
 // Run drops idle sessions until ctx ends, and then all.
-func (b *Back) Run(ctx context.Context) {
+func (b *Initiator) Run(ctx context.Context) {
 	tick := time.NewTicker(sweepTime)
 	defer tick.Stop()
 	for {
@@ -76,7 +76,7 @@
 }
 
 // sweep ends the sessions that have had nothing out for so long.
-func (b *Back) sweep(idleFor time.Duration) {
+func (b *Initiator) sweep(idleFor time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for node, s := range b.sessions {
@@ -99,7 +99,7 @@
 }
 
 // drop forgets a session on which no command may start.
-func (b *Back) drop(s *session) {
+func (b *Initiator) drop(s *session) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.sessions[s.node] == s {
@@ -110,7 +110,7 @@
 var errBudget = errors.New("no socket is left in the budget")
 
 // session gives the session with a node once it is up; the first to ask opens it.
-func (b *Back) session(ctx context.Context, node string) (*session, error) {
+func (b *Initiator) session(ctx context.Context, node string) (*session, error) {
 	place := b.directory.Lookup(node)
 	if !place.Up {
 		return nil, errDrains
@@ -136,11 +136,11 @@
 }
 
 // Start begins an attempt.
-func (b *Back) Start(ctx context.Context, a eventloop.Attempt, report func(eventloop.Report)) {
+func (b *Initiator) Start(ctx context.Context, a eventloop.Attempt, report func(eventloop.Report)) {
 	go func() { report(b.attempt(ctx, a)) }()
 }
 
-func (b *Back) attempt(ctx context.Context, a eventloop.Attempt) eventloop.Report {
+func (b *Initiator) attempt(ctx context.Context, a eventloop.Attempt) eventloop.Report {
 	command, ok := a.Exchange.Payload.(*iscsi.Command)
 	if !ok {
 		return b.unsent(ctx, a, fmt.Errorf("payload %T is not for a node that speaks iSCSI", a.Exchange.Payload))
@@ -149,8 +149,8 @@
 	if err != nil {
 		return b.unsent(ctx, a, err)
 	}
-	if !a.May(time.Now()) {
-		return eventloop.Report{Result: scheduler.Moot, Use: -1}
+	if !a.MayBegin(time.Now()) {
+		return eventloop.Report{Result: scheduler.NotSent, VolumeUse: -1}
 	}
 	c := &call{command: command, done: make(chan eventloop.Report, 1)}
 	tag, err := s.start(ctx, c)
@@ -165,20 +165,20 @@
 	if !s.abort(tag) { // its end has come in the same moment
 		return <-c.done
 	}
-	return eventloop.Report{Result: eventloop.GivenUp(ctx, scheduler.Canceled), Use: -1}
+	return eventloop.Report{Result: eventloop.ResultAfterCancel(ctx, scheduler.Canceled), VolumeUse: -1}
 }
 
 // unsent reports on an attempt of which nothing went out.
-func (b *Back) unsent(ctx context.Context, a eventloop.Attempt, err error) eventloop.Report {
+func (b *Initiator) unsent(ctx context.Context, a eventloop.Attempt, err error) eventloop.Report {
 	b.log.Debug("attempt", "id", a.Exchange.Request.ID, "n", a.Number, "node", a.Node, "err", err)
 	result := scheduler.ConnectFailed
 	if errors.Is(err, errWindow) || errors.Is(err, errBudget) { // the node is well
-		result = scheduler.Full
+		result = scheduler.Overloaded
 	}
-	return eventloop.Report{Result: eventloop.GivenUp(ctx, result), Use: -1}
+	return eventloop.Report{Result: eventloop.ResultAfterCancel(ctx, result), VolumeUse: -1}
 }
 
 // Probe tells nothing: the subset has no load reports.
-func (b *Back) Probe(node string, report func(scheduler.ProbeResult)) {
+func (b *Initiator) Probe(node string, report func(scheduler.ProbeResult)) {
 	report(scheduler.ProbeResult{Node: node})
 }
--- a/internal/backend/iscsiinitiator/iscsiback_test.go
+++ b/internal/backend/iscsiinitiator/iscsiback_test.go
@@ -18,7 +18,9 @@
 
 type everywhere struct{}
 
-func (everywhere) Lookup(string) discovery.Place { return discovery.Place{Address: "n:1", Up: true} }
+func (everywhere) Lookup(string) discovery.Endpoint {
+	return discovery.Endpoint{Address: "n:1", Up: true}
+}
 
 // breaking is a connection whose node lets the gateway in, takes a command and closes before the write of it returns,
 // or takes none of it.
@@ -47,14 +49,14 @@
 // The connection breaks while a command is written. Once all of it is out it may have run, though the writer cannot
 // know yet; a fault of the write itself is no proof that nothing ran, as the session may be gone by then.
 func TestBrokenWhileACommandIsWritten(t *testing.T) {
-	for takes, want := range map[bool]scheduler.Result{true: scheduler.Reset, false: scheduler.Reset} {
+	for takes, want := range map[bool]scheduler.Result{true: scheduler.ConnectionReset, false: scheduler.ConnectionReset} {
 		synctest.Test(t, func(t *testing.T) {
 			dial := func(context.Context, string, string) (net.Conn, error) {
 				near, far := net.Pipe()
 				return &breaking{near, far, takes}, nil
 			}
 			b := New(Options{Directory: everywhere{}, Sockets: 1, Dial: dial, Log: slog.New(slog.DiscardHandler),
-				Allowed: scheduler.Allowed{ConnectWithin: time.Second, IdleWithin: time.Second}})
+				Allowed: scheduler.Allowed{ConnectTimeout: time.Second, IdleTimeout: time.Second}})
 			x := exchange.New(scheduler.Request{}, time.Now().Add(time.Minute), &iscsi.Command{Blocks: 1, BlockSize: 512})
 			got := make(chan scheduler.Result, 1)
 			b.Start(t.Context(), eventloop.Attempt{Exchange: x, Node: "n", Deadline: x.Deadline},
--- a/internal/backend/iscsiinitiator/session.go
+++ b/internal/backend/iscsiinitiator/session.go
@@ -25,7 +25,7 @@
 
 // session is the one session with a node. Its reading goroutine owns the connection and closes it in run.
 type session struct {
-	back    *Back
+	back    *Initiator
 	node    string
 	address string
 	up      chan struct{} // closed once the login is done, or has failed with err
@@ -56,7 +56,7 @@
 	done    chan eventloop.Report // has room for the one report
 }
 
-func newSession(b *Back, node, address string) *session {
+func newSession(b *Initiator, node, address string) *session {
 	return &session{back: b, node: node, address: address, up: make(chan struct{}), params: iscsi.DefaultParams(),
 		calls: map[uint32]*call{}}
 }
@@ -71,7 +71,7 @@
 	close(s.up)
 	for err == nil {
 		var p *iscsi.PDU
-		if p, err = iscsi.ReadPDU(s.r, httpmsg.MostBody); err == nil {
+		if p, err = iscsi.ReadPDU(s.r, httpmsg.MaxRequestBody); err == nil {
 			err = s.handle(p)
 		}
 	}
@@ -83,11 +83,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.calls {
-		result := scheduler.Reset
+		result := scheduler.ConnectionReset
 		if !c.written {
 			result = scheduler.ConnectFailed
 		}
-		c.done <- eventloop.Report{Result: result, Use: -1} // it has room
+		c.done <- eventloop.Report{Result: result, VolumeUse: -1} // it has room
 	}
 	if len(s.calls) > 0 {
 		s.back.log.Info("iscsi session lost", "node", s.node, "out", len(s.calls), "err", err)
@@ -124,12 +124,12 @@
 		{Key: "InitiatorName", Value: s.back.initiator}, {Key: "TargetName", Value: s.back.target},
 		{Key: "SessionType", Value: "Normal"}, {Key: "HeaderDigest", Value: "None"}, {Key: "DataDigest", Value: "None"},
 		{Key: "InitialR2T", Value: "Yes"}, {Key: "ImmediateData", Value: "Yes"},
-		{Key: "MaxRecvDataSegmentLength", Value: strconv.Itoa(httpmsg.MostBody)},
-		{Key: "FirstBurstLength", Value: strconv.Itoa(httpmsg.MostBody)}, {Key: "ErrorRecoveryLevel", Value: "0"}})
+		{Key: "MaxRecvDataSegmentLength", Value: strconv.Itoa(httpmsg.MaxRequestBody)},
+		{Key: "FirstBurstLength", Value: strconv.Itoa(httpmsg.MaxRequestBody)}, {Key: "ErrorRecoveryLevel", Value: "0"}})
 	if _, err := conn.Write(ask.Bytes()); err != nil {
 		return err
 	}
-	p, err := iscsi.ReadPDU(s.r, httpmsg.MostBody)
+	p, err := iscsi.ReadPDU(s.r, httpmsg.MaxRequestBody)
 	if err != nil {
 		return err
 	}
@@ -354,13 +354,13 @@
 	if c == nil {
 		return
 	}
-	r := eventloop.Report{Result: scheduler.Errored, Use: -1}
+	r := eventloop.Report{Result: scheduler.Errored, VolumeUse: -1}
 	switch {
 	case !whole:
 	case status == iscsi.Good && (c.command.Write || len(c.data) == c.command.Length()):
 		r.Result, r.Reply = scheduler.Served, &iscsi.Reply{Data: c.data}
 	case status == iscsi.Busy || status == iscsi.TaskSetFull: // the node says that it has not begun
-		r.Result = scheduler.Full
+		r.Result = scheduler.Overloaded
 	}
 	c.done <- r
 }
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -31,8 +31,8 @@
 }
 
 func dayTo(t testing.TB, seed uint64, events, most int, sink Sink) *Recorder {
-	w := capturetest.NewWorld(seed)
-	r, err := NewRecorder(settings, seed, Options{Program: "test", Most: most, Sink: sink}, w)
+	w := capturetest.NewWorkload(seed)
+	r, err := NewRecorder(settings, seed, Options{Program: "test", MaxBytes: most, Sink: sink}, w)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 
 func captured(t testing.TB, r *Recorder) []byte {
 	t.Helper()
-	c, err := r.Kept().File()
+	c, err := r.Recording().File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		r := day(nil, seed, 600, 16<<20)
-		c, err := r.Kept().File()
+		c, err := r.Recording().File()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 		if err != nil {
 			break
 		}
-		if r.Kind == Send && changed < 0 && len(all) > 100 {
+		if r.Kind == KindSend && changed < 0 && len(all) > 100 {
 			r.Node, changed = "elsewhere", len(all)
 		}
 		all = append(all, *r)
@@ -98,7 +98,7 @@
 	}
 	_, err = replay(out.Bytes())
 	var d *Difference
-	if !errors.As(err, &d) || d.Recorded.Node != "elsewhere" || d.Replayed.Kind != Send || d.Replayed.ID != d.Recorded.ID || len(d.Before) != shownBefore {
+	if !errors.As(err, &d) || d.Recorded.Node != "elsewhere" || d.Replayed.Kind != KindSend || d.Replayed.ID != d.Recorded.ID || len(d.Before) != shownBefore {
 		t.Errorf("%v", err)
 	}
 }
@@ -153,7 +153,7 @@
 	for cut := range whole {
 		c, err := NewReader(bytes.NewReader(whole[:cut]))
 		if err != nil {
-			if !errors.Is(err, ErrCut) {
+			if !errors.Is(err, ErrTruncated) {
 				t.Fatalf("cut at %d: %v", cut, err)
 			}
 			continue
@@ -190,7 +190,7 @@
 	for name, c := range map[string]struct {
 		capture []byte
 		want    error
-	}{"foreign": {[]byte("not a capture, but longer than the magic"), ErrForeign}, "newer": {newer, ErrNewer}, "spoilt": {spoilt, ErrDamaged}} {
+	}{"foreign": {[]byte("not a capture, but longer than the magic"), ErrNotCapture}, "newer": {newer, ErrVersion}, "spoilt": {spoilt, ErrDamaged}} {
 		if _, err := replay(c.capture); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -218,16 +218,16 @@
 // A state that outgrows the memory ends the recording, is tried seldom, and what follows is told as a gap once it fits again.
 func TestStateLargerThanTheMemory(t *testing.T) {
 	const most = 30_000
-	w := capturetest.NewWorld(1)
-	r, err := NewRecorder(settings, 1, Options{Most: most}, w)
+	w := capturetest.NewWorkload(1)
+	r, err := NewRecorder(settings, 1, Options{MaxBytes: most}, w)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
-	r.Members(now, scheduler.Membership{Kind: scheduler.Whole})
+	r.MembershipChanged(now, scheduler.Membership{Kind: scheduler.FullList})
 	for i := range 1000 { // nobody takes them, so they wait
 		now += time.Millisecond
-		r.Arrived(now, scheduler.Request{ID: fmt.Sprint("waits-", i), Volume: fmt.Sprint("v", i), Units: 1, Patience: time.Minute, Hosts: 1})
+		r.RequestArrived(now, scheduler.Request{ID: fmt.Sprint("waits-", i), Volume: fmt.Sprint("v", i), Units: 1, ClientTimeout: time.Minute, Hosts: 1})
 		if held := r.held + cap(r.part); held > 2*most {
 			t.Fatalf("%d bytes are held of %d", held, most)
 		}
@@ -236,11 +236,11 @@
 		t.Error("the state still fits")
 	}
 	for i := range 1000 {
-		r.Left(now, fmt.Sprint("waits-", i))
+		r.ClientDisconnected(now, fmt.Sprint("waits-", i))
 	}
 	for range 400 { // until what was known of the volumes is forgotten
 		now += time.Second
-		r.Timer(now, 0)
+		r.TimerFired(now, 0)
 	}
 	c := captured(t, r)
 	if n, err := replay(c); r.broken || n == 0 || err != nil && !errors.Is(err, ErrGap) {
@@ -256,14 +256,14 @@
 			t.Fatal("one part alone")
 		}
 		for i := range r.parts {
-			if _, err := replay(mustFile(Kept{r.head, append(append([][]byte{}, r.parts[i:]...), r.part), 0})); err != nil {
+			if _, err := replay(mustFile(Recording{r.head, append(append([][]byte{}, r.parts[i:]...), r.part), 0})); err != nil {
 				t.Fatalf("from part %d of %d: %v", i, len(r.parts), err)
 			}
 		}
 	})
 }
 
-func mustFile(k Kept) []byte {
+func mustFile(k Recording) []byte {
 	file, err := k.File()
 	if err != nil {
 		panic(err)
@@ -303,8 +303,8 @@
 
 // Notes stand between events and change nothing of a replay.
 func TestNotes(t *testing.T) {
-	w := capturetest.NewWorld(6)
-	r, err := NewRecorder(settings, 6, Options{Most: 8 << 20}, w)
+	w := capturetest.NewWorkload(6)
+	r, err := NewRecorder(settings, 6, Options{MaxBytes: 8 << 20}, w)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -319,7 +319,7 @@
 	notes := 0
 	_, all := records(t, c)
 	for _, one := range all {
-		if one.Kind == Note && one.Text != "" {
+		if one.Kind == KindNote && one.Text != "" {
 			notes++
 		}
 	}
@@ -338,11 +338,11 @@
 // recording costs.
 func BenchmarkRecord(b *testing.B) {
 	const events = 20_000
-	for name, options := range map[string]*Options{"off": nil, "ring": {Most: 4 << 20}, "sink": {Most: 4 << 20, Sink: taker{}}} {
+	for name, options := range map[string]*Options{"off": nil, "ring": {MaxBytes: 4 << 20}, "sink": {MaxBytes: 4 << 20, Sink: taker{}}} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				w := capturetest.NewWorld(1)
+				w := capturetest.NewWorkload(1)
 				var s Scheduler
 				var err error
 				if options == nil {
@@ -363,13 +363,13 @@
 // taker takes all and keeps nothing.
 type taker struct{}
 
-func (taker) Offer(Piece) bool { return true }
+func (taker) Offer(Chunk) bool { return true }
 
 // BenchmarkSnapshot is for how long the loop stands still at the begin of a part.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, volumes := range []int{10, 100, 1000, 10_000} {
 		b.Run(fmt.Sprint(volumes, " volumes"), func(b *testing.B) {
-			s, err := scheduler.New(settings, 1, capturetest.NewWorld(1))
+			s, err := scheduler.New(settings, 1, capturetest.NewWorkload(1))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -377,13 +377,13 @@
 			for n := range 24 {
 				list.Nodes = append(list.Nodes, scheduler.Node{ID: fmt.Sprint("node-", n), Shard: n % 3, Size: 1})
 			}
-			s.Members(time.Hour, list)
+			s.MembershipChanged(time.Hour, list)
 			for i := range volumes {
-				s.Arrived(time.Hour, scheduler.Request{ID: fmt.Sprint("request-", i), Volume: fmt.Sprint("volume-", i), Units: 2, Shard: i % 3, Patience: time.Second, Hosts: 2})
+				s.RequestArrived(time.Hour, scheduler.Request{ID: fmt.Sprint("request-", i), Volume: fmt.Sprint("volume-", i), Units: 2, Shard: i % 3, ClientTimeout: time.Second, Hosts: 2})
 			}
 			var bytes []byte
 			for b.Loop() {
-				if bytes, err = frame(bytes[:0], Record{Kind: Snapshot, State: s.Snapshot()}); err != nil {
+				if bytes, err = frame(bytes[:0], Record{Kind: KindSnapshot, State: s.Snapshot()}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -411,8 +411,8 @@
 func FuzzSnapshot(f *testing.F) {
 	for seed := range uint64(3) {
 		state := day(f, seed, 200, 16<<20).Scheduler.Snapshot()
-		state.GivenUp, state.Volumes[0].Name = nil, "v"
-		body, err := encoding.Marshal(Record{Kind: Snapshot, State: state})
+		state.Rejected, state.Volumes[0].Name = nil, "v"
+		body, err := encoding.Marshal(Record{Kind: KindSnapshot, State: state})
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -423,7 +423,7 @@
 		if decoding.Unmarshal(body, &r) != nil || r.State == nil {
 			return
 		}
-		w := capturetest.WorldAt(1, r.State.Now)
+		w := capturetest.NewWorkloadAt(1, r.State.Now)
 		s, err := scheduler.Resume(settings, r.State, w)
 		if err != nil {
 			return
--- a/internal/capture/event.go
+++ b/internal/capture/event.go
@@ -14,27 +14,27 @@
 
 // The kinds: events that the Scheduler was told, then actions that it called for. Their numbers are part of the format.
 const (
-	Arrived Kind = iota + 1
-	Left
-	Ended
-	Probed
-	Members
-	Timer
-	Began
-	Send
-	Cancel
-	Refuse
-	Fail
-	Probe
-	SetTimer
-	Watch
+	KindRequestArrived Kind = iota + 1
+	KindClientDisconnected
+	KindAttemptEnded
+	KindProbeEnded
+	KindMembershipChanged
+	KindTimerFired
+	KindStreamStarted
+	KindSend
+	KindCancel
+	KindReject
+	KindFail
+	KindProbe
+	KindSetTimer
+	KindWatch
 	_ // once a call for the whole list
-	Log
-	Gap       // records were lost here: what follows can be replayed from the next Snapshot only
-	Snapshot  // the Scheduler's state before the next event
-	Recalled  // an event: what an earlier life had learned
-	Note      // what somebody else has to tell of that time; the decisions know nothing of it
-	Cautioned // an event: how carefully an operation is to be handled
+	KindLog
+	KindGap        // records were lost here: what follows can be replayed from the next Snapshot only
+	KindSnapshot   // the Scheduler's state before the next event
+	KindRestored   // an event: what an earlier life had learned
+	KindNote       // what somebody else has to tell of that time; the decisions know nothing of it
+	KindRestricted // an event: how carefully an operation is to be handled
 )
 
 var kindNames = [...]string{"", "arrived", "left", "ended", "probed", "members", "timer", "began", "send", "cancel", "refuse", "fail", "probe",
@@ -48,26 +48,28 @@
 }
 
 // IsEvent tells events from actions.
-func (k Kind) IsEvent() bool { return k >= Arrived && k <= Began || k == Recalled || k == Cautioned }
+func (k Kind) IsEvent() bool {
+	return k >= KindRequestArrived && k <= KindStreamStarted || k == KindRestored || k == KindRestricted
+}
 
 // Record is one event or action. Fields that its kind has no use for are zero and take no room when it is written.
 type Record struct {
-	Kind    Kind                   `cbor:"1,keyasint"`
-	At      time.Duration          `cbor:"2,keyasint,omitempty"` // of an event; actions belong to the event before them
-	ID      string                 `cbor:"3,keyasint,omitempty"`
-	Node    string                 `cbor:"4,keyasint,omitempty"`
-	Attempt int                    `cbor:"5,keyasint,omitempty"`
-	Span    time.Duration          `cbor:"6,keyasint,omitempty"` // a send's time-out, a refusal's advice, a timer's time
-	Key     uint64                 `cbor:"7,keyasint,omitempty"` // of a timer; of a Snapshot, how many events were before it
-	Text    string                 `cbor:"8,keyasint,omitempty"`
-	Request *scheduler.Request     `cbor:"9,keyasint,omitempty"`
-	Outcome *scheduler.Outcome     `cbor:"10,keyasint,omitempty"`
-	Probed  *scheduler.ProbeResult `cbor:"11,keyasint,omitempty"`
-	Members *scheduler.Membership  `cbor:"12,keyasint,omitempty"`
-	Lost    int                    `cbor:"13,keyasint,omitempty"` // records, of a Gap
-	State   *scheduler.Snapshot    `cbor:"14,keyasint,omitempty"` // of a Snapshot
-	Learned *scheduler.Learned     `cbor:"15,keyasint,omitempty"` // of a Recalled
-	Caution *scheduler.Caution     `cbor:"16,keyasint,omitempty"`
+	Kind        Kind                    `cbor:"1,keyasint"`
+	At          time.Duration           `cbor:"2,keyasint,omitempty"` // of an event; actions belong to the event before them
+	ID          string                  `cbor:"3,keyasint,omitempty"`
+	Node        string                  `cbor:"4,keyasint,omitempty"`
+	Attempt     int                     `cbor:"5,keyasint,omitempty"`
+	Duration    time.Duration           `cbor:"6,keyasint,omitempty" json:"Span"` // a send's time-out, a refusal's advice, a timer's time
+	Key         uint64                  `cbor:"7,keyasint,omitempty"`             // of a timer; of a Snapshot, how many events were before it
+	Text        string                  `cbor:"8,keyasint,omitempty"`
+	Request     *scheduler.Request      `cbor:"9,keyasint,omitempty"`
+	Outcome     *scheduler.Outcome      `cbor:"10,keyasint,omitempty"`
+	ProbeResult *scheduler.ProbeResult  `cbor:"11,keyasint,omitempty" json:"Probed"`
+	Membership  *scheduler.Membership   `cbor:"12,keyasint,omitempty" json:"Members"`
+	Lost        int                     `cbor:"13,keyasint,omitempty"` // records, of a Gap
+	State       *scheduler.Snapshot     `cbor:"14,keyasint,omitempty"` // of a Snapshot
+	Learned     *scheduler.LearnedState `cbor:"15,keyasint,omitempty"` // of a Recalled
+	Restriction *scheduler.Restriction  `cbor:"16,keyasint,omitempty" json:"Caution"`
 }
 
 // Head is what a replay needs beside the snapshots.
@@ -84,61 +86,63 @@
 
 // Scheduler is what the decisions are told; *scheduler.Scheduler is one.
 type Scheduler interface {
-	Arrived(now time.Duration, q scheduler.Request)
-	Left(now time.Duration, id string)
-	Ended(now time.Duration, o scheduler.Outcome)
-	Probed(now time.Duration, p scheduler.ProbeResult)
-	Members(now time.Duration, m scheduler.Membership)
-	Timer(now time.Duration, key uint64)
-	Began(now time.Duration, id string, attempt int)
-	Recall(now time.Duration, l scheduler.Learned)
-	Caution(now time.Duration, c scheduler.Caution)
+	RequestArrived(now time.Duration, q scheduler.Request)
+	ClientDisconnected(now time.Duration, id string)
+	AttemptEnded(now time.Duration, o scheduler.Outcome)
+	ProbeEnded(now time.Duration, p scheduler.ProbeResult)
+	MembershipChanged(now time.Duration, m scheduler.Membership)
+	TimerFired(now time.Duration, key uint64)
+	StreamStarted(now time.Duration, id string, attempt int)
+	Restore(now time.Duration, l scheduler.LearnedState)
+	Restrict(now time.Duration, c scheduler.Restriction)
 }
 
-// Tell has a Scheduler take an event.
-func Tell(s Scheduler, r *Record) error {
+// Apply has a Scheduler take an event.
+func Apply(s Scheduler, r *Record) error {
 	switch {
-	case r.Kind == Arrived && r.Request != nil:
-		s.Arrived(r.At, *r.Request)
-	case r.Kind == Left:
-		s.Left(r.At, r.ID)
-	case r.Kind == Ended && r.Outcome != nil:
-		s.Ended(r.At, *r.Outcome)
-	case r.Kind == Probed && r.Probed != nil:
-		s.Probed(r.At, *r.Probed)
-	case r.Kind == Members && r.Members != nil:
-		s.Members(r.At, *r.Members)
-	case r.Kind == Timer:
-		s.Timer(r.At, r.Key)
-	case r.Kind == Began:
-		s.Began(r.At, r.ID, r.Attempt)
-	case r.Kind == Recalled && r.Learned != nil:
-		s.Recall(r.At, *r.Learned)
-	case r.Kind == Cautioned && r.Caution != nil:
-		s.Caution(r.At, *r.Caution)
+	case r.Kind == KindRequestArrived && r.Request != nil:
+		s.RequestArrived(r.At, *r.Request)
+	case r.Kind == KindClientDisconnected:
+		s.ClientDisconnected(r.At, r.ID)
+	case r.Kind == KindAttemptEnded && r.Outcome != nil:
+		s.AttemptEnded(r.At, *r.Outcome)
+	case r.Kind == KindProbeEnded && r.ProbeResult != nil:
+		s.ProbeEnded(r.At, *r.ProbeResult)
+	case r.Kind == KindMembershipChanged && r.Membership != nil:
+		s.MembershipChanged(r.At, *r.Membership)
+	case r.Kind == KindTimerFired:
+		s.TimerFired(r.At, r.Key)
+	case r.Kind == KindStreamStarted:
+		s.StreamStarted(r.At, r.ID, r.Attempt)
+	case r.Kind == KindRestored && r.Learned != nil:
+		s.Restore(r.At, *r.Learned)
+	case r.Kind == KindRestricted && r.Restriction != nil:
+		s.Restrict(r.At, *r.Restriction)
 	default:
 		return fmt.Errorf("a record of kind %q that lacks its part, or is no event", r.Kind)
 	}
 	return nil
 }
 
-// Actions gives each action that is called for as a record.
-func Actions(add func(Record)) scheduler.Actions { return told{add} }
+// RecordActions gives each action that is called for as a record.
+func RecordActions(add func(Record)) scheduler.Actions { return actionRecorder{add} }
 
-// told gives actions as records.
-type told struct{ add func(Record) }
+// actionRecorder gives actions as records.
+type actionRecorder struct{ add func(Record) }
 
-func (t told) Send(id, node string, timeout time.Duration) {
-	t.add(Record{Kind: Send, ID: id, Node: node, Span: timeout})
+func (t actionRecorder) Send(id, node string, timeout time.Duration) {
+	t.add(Record{Kind: KindSend, ID: id, Node: node, Duration: timeout})
+}
+func (t actionRecorder) Cancel(id string, attempt int) {
+	t.add(Record{Kind: KindCancel, ID: id, Attempt: attempt})
 }
-func (t told) Cancel(id string, attempt int) { t.add(Record{Kind: Cancel, ID: id, Attempt: attempt}) }
-func (t told) Refuse(id string, after time.Duration) {
-	t.add(Record{Kind: Refuse, ID: id, Span: after})
+func (t actionRecorder) Reject(id string, after time.Duration) {
+	t.add(Record{Kind: KindReject, ID: id, Duration: after})
 }
-func (t told) Fail(id string)    { t.add(Record{Kind: Fail, ID: id}) }
-func (t told) Probe(node string) { t.add(Record{Kind: Probe, Node: node}) }
-func (t told) SetTimer(after time.Duration, key uint64) {
-	t.add(Record{Kind: SetTimer, Span: after, Key: key})
+func (t actionRecorder) Fail(id string)    { t.add(Record{Kind: KindFail, ID: id}) }
+func (t actionRecorder) Probe(node string) { t.add(Record{Kind: KindProbe, Node: node}) }
+func (t actionRecorder) SetTimer(after time.Duration, key uint64) {
+	t.add(Record{Kind: KindSetTimer, Duration: after, Key: key})
 }
-func (t told) Watch()          { t.add(Record{Kind: Watch}) }
-func (t told) Log(text string) { t.add(Record{Kind: Log, Text: text}) }
+func (t actionRecorder) Watch()          { t.add(Record{Kind: KindWatch}) }
+func (t actionRecorder) Log(text string) { t.add(Record{Kind: KindLog, Text: text}) }
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -22,8 +22,8 @@
 	flagBlock   = 1 << 31 // the body is a block
 	flagBegins  = 1 << 30 // a block begins with a Snapshot, maybe after a Gap: what follows can be replayed without what is before
 	frameHead   = 8
-	MostFrame   = 4 << 20  // bytes of a frame's body; a snapshot is the longest
-	MostBlock   = 32 << 20 // bytes that a block may hold
+	MaxFrame    = 4 << 20  // bytes of a frame's body; a snapshot is the longest
+	MaxBlock    = 32 << 20 // bytes that a block may hold
 	windowBytes = 256 << 10
 )
 
@@ -38,7 +38,7 @@
 		return e
 	})
 	decompressor = sync.OnceValue(func() *zstd.Decoder {
-		d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MostBlock))
+		d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxBlock))
 		if err != nil {
 			panic(err)
 		}
@@ -46,8 +46,8 @@
 	})
 )
 
-// Block adds frames as one block.
-func Block(to, frames []byte, begins bool) []byte {
+// AppendBlock adds frames as one block.
+func AppendBlock(to, frames []byte, begins bool) []byte {
 	word := uint32(flagBlock)
 	if begins {
 		word |= flagBegins
@@ -98,20 +98,20 @@
 		return to, err
 	}
 	body := buffer.Bytes()
-	if len(body) > MostFrame {
-		return to, fmt.Errorf("a frame of %d bytes is longer than %d", len(body), MostFrame)
+	if len(body) > MaxFrame {
+		return to, fmt.Errorf("a frame of %d bytes is longer than %d", len(body), MaxFrame)
 	}
 	to = binary.BigEndian.AppendUint32(to, uint32(len(body)))
 	to = binary.BigEndian.AppendUint32(to, crc32.Checksum(body, castagnoli))
 	return append(to, body...), nil
 }
 
-// ErrForeign, ErrNewer, ErrDamaged and ErrCut say why a capture can't be read.
+// ErrNotCapture, ErrVersion, ErrDamaged and ErrTruncated say why a capture can't be read.
 var (
-	ErrForeign = errors.New("this is no capture")
-	ErrNewer   = errors.New("the capture is of another version")
-	ErrDamaged = errors.New("the capture is damaged")
-	ErrCut     = errors.New("the capture ends within its head")
+	ErrNotCapture = errors.New("this is no capture")
+	ErrVersion    = errors.New("the capture is of another version")
+	ErrDamaged    = errors.New("the capture is damaged")
+	ErrTruncated  = errors.New("the capture ends within its head")
 )
 
 // Reader reads a capture from its begin.
@@ -131,15 +131,15 @@
 	n, err := io.ReadFull(c.in, text)
 	switch {
 	case string(text[:n]) != magic[:n]:
-		return nil, ErrForeign
+		return nil, ErrNotCapture
 	case err != nil:
-		return nil, ErrCut
+		return nil, ErrTruncated
 	}
 	c.at = int64(len(magic))
 	flags, body, err := c.frame(c.in)
 	switch {
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return nil, ErrCut
+		return nil, ErrTruncated
 	case err != nil:
 		return nil, fmt.Errorf("head: %w", err)
 	}
@@ -153,7 +153,7 @@
 		return nil, fmt.Errorf("head: %w: %w", ErrDamaged, err)
 	}
 	if version.Version != Version {
-		return nil, fmt.Errorf("%w: %d, this program reads %d", ErrNewer, version.Version, Version)
+		return nil, fmt.Errorf("%w: %d, this program reads %d", ErrVersion, version.Version, Version)
 	}
 	if err := decoding.Unmarshal(body, &c.Head); err != nil {
 		return nil, fmt.Errorf("head: %w: %w", ErrDamaged, err)
@@ -229,7 +229,7 @@
 	word := binary.BigEndian.Uint32(head[:4])
 	flags = word & (flagBlock | flagBegins)
 	size := word &^ flags
-	if size > MostFrame {
+	if size > MaxFrame {
 		return 0, nil, fmt.Errorf("byte %d: %w: a frame of %d bytes", c.at, ErrDamaged, size)
 	}
 	body = make([]byte, size)
@@ -243,8 +243,8 @@
 	return flags, body, nil
 }
 
-// Whole gives how many bytes of a file are whole frames: what is beyond was cut off. The error is that of a file without a whole head.
-func Whole(r io.Reader) (int64, error) {
+// CompleteLength gives how many bytes of a file are whole frames: what is beyond was cut off. The error is that of a file without a whole head.
+func CompleteLength(r io.Reader) (int64, error) {
 	c, err := NewReader(r)
 	if err != nil {
 		return 0, err
@@ -256,15 +256,15 @@
 	}
 }
 
-// Begin gives the bytes with which a capture begins.
-func Begin(head *Head) ([]byte, error) { return frame([]byte(magic), head) }
+// EncodeHeader gives the bytes with which a capture begins.
+func EncodeHeader(head *Head) ([]byte, error) { return frame([]byte(magic), head) }
 
 // GapFrame gives the frame that stands for lost records.
-func GapFrame(lost int) ([]byte, error) { return frame(nil, Record{Kind: Gap, Lost: lost}) }
+func GapFrame(lost int) ([]byte, error) { return frame(nil, Record{Kind: KindGap, Lost: lost}) }
 
 // Write writes a whole capture.
 func Write(w io.Writer, head Head, records []Record) error {
-	out, err := Begin(&head)
+	out, err := EncodeHeader(&head)
 	for i := 0; err == nil && i < len(records); i++ {
 		if out, err = frame(out, records[i]); len(out) > 64<<10 {
 			if _, err := w.Write(out); err != nil {
@@ -280,17 +280,17 @@
 	return err
 }
 
-// Compressed gives a whole capture in blocks, one for each part.
-func Compressed(head Head, records []Record) ([]byte, error) {
-	out, err := Begin(&head)
+// Compress gives a whole capture in blocks, one for each part.
+func Compress(head Head, records []Record) ([]byte, error) {
+	out, err := EncodeHeader(&head)
 	var part []byte
 	for i := range records {
-		if records[i].Kind == Snapshot && len(part) > 0 {
-			out, part = Block(out, part, true), part[:0]
+		if records[i].Kind == KindSnapshot && len(part) > 0 {
+			out, part = AppendBlock(out, part, true), part[:0]
 		}
 		if err == nil {
 			part, err = frame(part, records[i])
 		}
 	}
-	return Block(out, part, true), err
+	return AppendBlock(out, part, true), err
 }
--- a/internal/capture/hash.go
+++ b/internal/capture/hash.go
@@ -45,7 +45,7 @@
 	for {
 		r, err := c.Next()
 		if errors.Is(err, io.EOF) {
-			return Compressed(c.Head, records)
+			return Compress(c.Head, records)
 		}
 		if err != nil {
 			return nil, err
@@ -82,7 +82,7 @@
 	q.ID, q.Volume, q.Key = h.id(q.ID), h.volume(q.Volume), h.data(q.Key)
 }
 
-func (h hasher) learned(l *scheduler.Learned) {
+func (h hasher) learned(l *scheduler.LearnedState) {
 	for i := range l.Volumes {
 		l.Volumes[i].Name = h.volume(l.Volumes[i].Name)
 	}
@@ -99,14 +99,14 @@
 	for i := range s.Requests {
 		h.request(&s.Requests[i].Request)
 	}
-	for i := range s.Turns {
-		s.Turns[i].Key = h.data(s.Turns[i].Key)
+	for i := range s.OrderedKeys {
+		s.OrderedKeys[i].Key = h.data(s.OrderedKeys[i].Key)
 	}
-	for i := range s.GivenUp {
-		s.GivenUp[i].Volume, s.GivenUp[i].Key = h.volume(s.GivenUp[i].Volume), h.data(s.GivenUp[i].Key)
+	for i := range s.Rejected {
+		s.Rejected[i].Volume, s.Rejected[i].Key = h.volume(s.Rejected[i].Volume), h.data(s.Rejected[i].Key)
 	}
-	h.learned(&s.Recalled)
-	one, err := scheduler.Resume(settings, s, told{func(Record) {}})
+	h.learned(&s.Restored)
+	one, err := scheduler.Resume(settings, s, actionRecorder{func(Record) {}})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/capture/invariants/model.go
+++ b/internal/capture/invariants/model.go
@@ -29,8 +29,8 @@
 // Rules are all of them.
 var Rules = []Rule{Answer, Drain, Repeat, Order, Limit, Cold, Budget, Known}
 
-// Breach is a place at which a rule was broken.
-type Breach struct {
+// Violation is a place at which a rule was broken.
+type Violation struct {
 	Rule  Rule
 	Event uint64 // its number in the recorder's life
 	At    time.Duration
@@ -39,7 +39,7 @@
 	Text  string
 }
 
-func (b Breach) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%v event %d, %s: %s (request %q, node %q)", b.At, b.Event, b.Rule, b.Text, b.ID, b.Node)
 }
 
@@ -57,14 +57,14 @@
 	requests map[string]*request
 	order    []*request // as they came, for what is overdue and what is forgotten
 	volumes  map[string]*volume
-	keys     map[string][]*request        // of ordered classes, as accepted
-	taken    []time.Duration              // arrivals within the budget's window
-	extra    []time.Duration              // further attempts within it
-	cares    map[[2]string]scheduler.Care // by operation and node
+	keys     map[string][]*request                    // of ordered classes, as accepted
+	taken    []time.Duration                          // arrivals within the budget's window
+	extra    []time.Duration                          // further attempts within it
+	cares    map[[2]string]scheduler.RestrictionLevel // by operation and node
 	now      time.Duration
 	sweptAt  time.Duration
 	event    uint64
-	found    []Breach
+	found    []Violation
 	Checked  map[Rule]int // how often each rule was asked
 }
 
@@ -82,7 +82,7 @@
 type request struct {
 	scheduler.Request
 	class    *scheduler.Class
-	bound    scheduler.Bound // by class, description and cautions
+	bound    scheduler.RetryPolicy // by class, description and cautions
 	at       time.Duration
 	answered bool
 	left     bool
@@ -116,39 +116,39 @@
 func (c *Checker) reset() {
 	c.nodes, c.requests, c.volumes, c.keys = map[string]*node{}, map[string]*request{}, map[string]*volume{}, map[string][]*request{}
 	c.order, c.taken, c.extra = nil, nil, nil
-	c.cares = map[[2]string]scheduler.Care{}
+	c.cares = map[[2]string]scheduler.RestrictionLevel{}
 }
 
 // bound is how far a request may be repeated: as far as both class and description allow.
-func (c *Checker) bound(q scheduler.Request) scheduler.Bound {
+func (c *Checker) bound(q scheduler.Request) scheduler.RetryPolicy {
 	class := c.set.Classes[q.Class]
-	b := scheduler.Bound{Repeats: class.Repeats, Group: class.RepeatGroup, For: class.RepeatFor}
+	b := scheduler.RetryPolicy{Idempotency: class.Idempotency, Scope: class.DedupScope, Window: class.DedupWindow}
 	switch {
-	case q.Bound.Repeats > b.Repeats:
-		return q.Bound
-	case q.Bound.Repeats < b.Repeats || b.Repeats != scheduler.Keyed:
+	case q.RetryPolicy.Idempotency > b.Idempotency:
+		return q.RetryPolicy
+	case q.RetryPolicy.Idempotency < b.Idempotency || b.Idempotency != scheduler.IdempotentWithKey:
 		return b
 	}
-	b.For = min(b.For, q.Bound.For)
+	b.Window = min(b.Window, q.RetryPolicy.Window)
 	switch {
-	case b.Group == scheduler.GroupAll:
-		b.Group = q.Bound.Group
-	case q.Bound.Group != scheduler.GroupAll && q.Bound.Group != b.Group:
-		return scheduler.Bound{Repeats: scheduler.Unsafe}
+	case b.Scope == scheduler.ScopeAll:
+		b.Scope = q.RetryPolicy.Scope
+	case q.RetryPolicy.Scope != scheduler.ScopeAll && q.RetryPolicy.Scope != b.Scope:
+		return scheduler.RetryPolicy{Idempotency: scheduler.NonIdempotent}
 	}
 	return b
 }
 
 // care is what was told of an operation at a node, or at all of them.
-func (c *Checker) care(r *request, node string) scheduler.Care {
+func (c *Checker) care(r *request, node string) scheduler.RestrictionLevel {
 	if r.Operation == "" {
-		return scheduler.CareNone
+		return scheduler.Unrestricted
 	}
 	return max(c.cares[[2]string{r.Operation, ""}], c.cares[[2]string{r.Operation, node}])
 }
 
 // Step follows an event and what it called for, and gives what broke a rule.
-func (c *Checker) Step(step *capture.Step) []Breach {
+func (c *Checker) Step(step *capture.Step) []Violation {
 	c.found = nil
 	if step.From != nil {
 		c.begin(step.From)
@@ -163,7 +163,7 @@
 }
 
 func (c *Checker) breach(rule Rule, id, node, format string, args ...any) {
-	c.found = append(c.found, Breach{Rule: rule, Event: c.event, At: c.now, ID: id, Node: node, Text: fmt.Sprintf(format, args...)})
+	c.found = append(c.found, Violation{Rule: rule, Event: c.event, At: c.now, ID: id, Node: node, Text: fmt.Sprintf(format, args...)})
 }
 
 // asked counts a rule's use and tells a breach unless it was kept.
@@ -179,37 +179,37 @@
 	c.reset()
 	for i, n := range from.Nodes {
 		if i < from.Listed {
-			one := &node{Node: n.Node, coldSince: n.ColdSince}
-			for _, x := range n.Sent {
+			one := &node{Node: n.Node, coldSince: n.WarmingSince}
+			for _, x := range n.RecentSends {
 				one.sent = append(one.sent, sending{x.At, x.Units})
 			}
 			c.nodes[n.Node.ID] = one
 		}
 	}
-	for _, one := range from.Cautions {
+	for _, one := range from.Restrictions {
 		c.cares[[2]string{one.Operation, one.Node}] = one.Level
 	}
 	for i := range from.Requests {
 		one := &from.Requests[i]
-		r := &request{Request: one.Request, class: &c.set.Classes[one.Request.Class], bound: c.bound(one.Request), at: one.CameAt, answered: one.Ended, attempts: one.Attempts,
-			drew: one.Drew, began: one.Began, open: map[int]bool{}, ran: map[int]run{}}
-		r.Patience = one.EndAt - one.CameAt
-		for _, a := range one.Open {
+		r := &request{Request: one.Request, class: &c.set.Classes[one.Request.Class], bound: c.bound(one.Request), at: one.ArrivedAt, answered: one.Ended, attempts: one.Attempts,
+			drew: one.Charged, began: one.StreamStarted, open: map[int]bool{}, ran: map[int]run{}}
+		r.ClientTimeout = one.AnswerBy - one.ArrivedAt
+		for _, a := range one.InFlight {
 			r.open[a.Number] = true
 		}
-		if one.RanOn >= 0 {
-			on := from.Nodes[one.RanOn].Node
-			r.ran[one.RanBy] = run{on.ID, on.Zone, on.Shard, one.RanAt}
+		if one.FirstNode >= 0 {
+			on := from.Nodes[one.FirstNode].Node
+			r.ran[one.FirstAttempt] = run{on.ID, on.Zone, on.Shard, one.FirstSentAt}
 		}
 		c.add(r)
 	}
 	for _, v := range from.Volumes {
-		if v.Held && v.Plan >= 0 && c.set.Plans[v.Plan].Limit > 0 {
+		if v.Indexed && v.Plan >= 0 && c.set.Plans[v.Plan].Limit > 0 {
 			plan := c.set.Plans[v.Plan]
-			c.volumes[v.Name] = &volume{level: v.Limit.Level + (plan.Burst+plan.Slack)/v.Hosts/2, rate: v.Limit.Rate, most: (plan.Burst + plan.Slack) / v.Hosts, at: v.Limit.At}
+			c.volumes[v.Name] = &volume{level: v.Limit.Tokens + (plan.Burst+plan.Slack)/v.Hosts/2, rate: v.Limit.Rate, most: (plan.Burst + plan.Slack) / v.Hosts, at: v.Limit.RefilledAt}
 		}
 	}
-	c.taken, c.extra = slices.Clone(from.TakenAt), slices.Clone(from.ExtraAt)
+	c.taken, c.extra = slices.Clone(from.ArrivedAt), slices.Clone(from.RetriedAt)
 }
 
 func (c *Checker) add(r *request) {
@@ -222,22 +222,22 @@
 
 func (c *Checker) told(e *capture.Record) {
 	switch e.Kind {
-	case capture.Arrived:
+	case capture.KindRequestArrived:
 		c.arrived(*e.Request)
-	case capture.Left:
+	case capture.KindClientDisconnected:
 		if r := c.requests[e.ID]; r != nil && !r.answered {
 			r.left, r.answered, r.endedAt = true, true, c.now
 		}
-	case capture.Began:
+	case capture.KindStreamStarted:
 		if r := c.requests[e.ID]; r != nil {
 			r.began = true
 		}
-	case capture.Ended:
+	case capture.KindAttemptEnded:
 		c.ended(*e.Outcome)
-	case capture.Members:
-		c.members(*e.Members)
-	case capture.Cautioned:
-		c.cares[[2]string{e.Caution.Operation, e.Caution.Node}] = e.Caution.Level
+	case capture.KindMembershipChanged:
+		c.members(*e.Membership)
+	case capture.KindRestricted:
+		c.cares[[2]string{e.Restriction.Operation, e.Restriction.Node}] = e.Restriction.Level
 	}
 }
 
@@ -257,21 +257,21 @@
 	}
 	delete(r.open, o.Attempt)
 	switch o.Result {
-	case scheduler.Full:
-		if c.care(r, o.Node) < scheduler.CareRepeats { // otherwise nobody believes it
+	case scheduler.Overloaded:
+		if c.care(r, o.Node) < scheduler.NoRetries { // otherwise nobody believes it
 			delete(r.ran, o.Attempt)
 		}
-	case scheduler.ConnectFailed, scheduler.Moot:
+	case scheduler.ConnectFailed, scheduler.NotSent:
 		delete(r.ran, o.Attempt)
 	}
-	if o.Done && !r.answered {
+	if o.Concluded && !r.answered {
 		c.answer(r, "served")
 	}
 }
 
 // members follows the list as the decisions are told to: a whole one removes what it does not name.
 func (c *Checker) members(m scheduler.Membership) {
-	if m.Kind == scheduler.Refused {
+	if m.Kind == scheduler.WatchFailed {
 		return
 	}
 	named := map[string]bool{}
@@ -288,7 +288,7 @@
 		n.Node = e
 	}
 	for id, n := range c.nodes {
-		if m.Kind != scheduler.Changes && !named[id] {
+		if m.Kind != scheduler.DeltaList && !named[id] {
 			n.Phase = scheduler.Removed
 		}
 	}
@@ -296,14 +296,14 @@
 
 func (c *Checker) done(a *capture.Record) {
 	switch a.Kind {
-	case capture.Send:
+	case capture.KindSend:
 		c.send(a.ID, a.Node)
-	case capture.Refuse, capture.Fail:
+	case capture.KindReject, capture.KindFail:
 		r := c.requests[a.ID]
 		if r == nil {
 			return // what was not accepted is failed at once
 		}
-		if a.Kind == capture.Refuse {
+		if a.Kind == capture.KindReject {
 			c.refused(r)
 		}
 		c.answer(r, a.Kind.String())
@@ -312,7 +312,7 @@
 
 // answer is the one final answer.
 func (c *Checker) answer(r *request, how string) {
-	late := c.now - r.at - r.Patience
+	late := c.now - r.at - r.ClientTimeout
 	c.asked(Answer, !r.answered, r.ID, "", "%s, but it was answered before", how)
 	c.asked(Answer, late <= answerSlack || r.began || r.overdue, r.ID, "", "%s %v after its client's patience", how, late)
 	r.answered, r.endedAt = true, c.now
@@ -320,9 +320,9 @@
 
 // refused checks that a refusal, which calls another try harmless, is true.
 func (c *Checker) refused(r *request) {
-	harmless := len(r.ran) == 0 || r.bound.Repeats == scheduler.Safe || r.bound.Repeats == scheduler.Keyed && r.bound.Group == scheduler.GroupAll
+	harmless := len(r.ran) == 0 || r.bound.Idempotency == scheduler.Idempotent || r.bound.Idempotency == scheduler.IdempotentWithKey && r.bound.Scope == scheduler.ScopeAll
 	for _, before := range r.ran {
-		harmless = harmless && c.care(r, before.node) < scheduler.CareRepeats
+		harmless = harmless && c.care(r, before.node) < scheduler.NoRetries
 	}
 	c.asked(Repeat, harmless, r.ID, "", "refused, though an attempt may have run")
 }
@@ -356,15 +356,15 @@
 	}
 	c.asked(Repeat, len(r.open) == 0, r.ID, n.ID, "a second copy beside one that is out")
 	for _, before := range r.ran {
-		c.asked(Repeat, c.care(r, before.node) < scheduler.CareRepeats && c.care(r, n.ID) < scheduler.CareRepeats, r.ID, n.ID, "a repeat of %q, which is distrusted", r.Operation)
+		c.asked(Repeat, c.care(r, before.node) < scheduler.NoRetries && c.care(r, n.ID) < scheduler.NoRetries, r.ID, n.ID, "a repeat of %q, which is distrusted", r.Operation)
 		allowed := true
-		switch r.bound.Repeats {
-		case scheduler.Unsafe:
+		switch r.bound.Idempotency {
+		case scheduler.NonIdempotent:
 			allowed = false
-		case scheduler.Keyed:
-			group := r.bound.Group
-			allowed = c.now < before.at+r.bound.For && (group == scheduler.GroupAll || group == scheduler.GroupZone && before.zone == n.Zone ||
-				group == scheduler.GroupShard && before.shard == n.Shard)
+		case scheduler.IdempotentWithKey:
+			group := r.bound.Scope
+			allowed = c.now < before.at+r.bound.Window && (group == scheduler.ScopeAll || group == scheduler.ScopeZone && before.zone == n.Zone ||
+				group == scheduler.ScopeShard && before.shard == n.Shard)
 		}
 		c.asked(Repeat, allowed, r.ID, n.ID, "an attempt of %v before may have run, and class %q forbids this one", c.now-before.at, r.class.Name)
 	}
@@ -404,21 +404,21 @@
 // is more than any part of it.
 func (c *Checker) cold(r *request, n *node) {
 	rules := c.set.Rules
-	n.sent = append(slices.DeleteFunc(n.sent, func(x sending) bool { return x.at <= c.now-rules.ColdWindow }), sending{c.now, r.Units})
-	if n.coldSince <= 0 || c.now-n.coldSince >= rules.WarmWithin || rules.ColdFrom <= 0 {
+	n.sent = append(slices.DeleteFunc(n.sent, func(x sending) bool { return x.at <= c.now-rules.SlowStartWindow }), sending{c.now, r.Units})
+	if n.coldSince <= 0 || c.now-n.coldSince >= rules.SlowStartDuration || rules.SlowStartShare <= 0 {
 		return
 	}
 	sum := 0.0
 	for _, x := range n.sent {
 		sum += x.units
 	}
-	warmed := max(0, c.now-n.coldSince).Seconds() / rules.WarmWithin.Seconds()
-	grown := (rules.ColdFrom + (1-rules.ColdFrom)*warmed) / rules.ColdFrom
-	c.asked(Cold, sum <= max(1, rules.ColdMultiple)*rules.ColdUnits*grown, r.ID, n.ID, "%.1f units within %v, %v after its start", sum, rules.ColdWindow, c.now-n.coldSince)
+	warmed := max(0, c.now-n.coldSince).Seconds() / rules.SlowStartDuration.Seconds()
+	grown := (rules.SlowStartShare + (1-rules.SlowStartShare)*warmed) / rules.SlowStartShare
+	c.asked(Cold, sum <= max(1, rules.SlowStartMultiple)*rules.SlowStartAllowance*grown, r.ID, n.ID, "%.1f units within %v, %v after its start", sum, rules.SlowStartWindow, c.now-n.coldSince)
 }
 
 func (c *Checker) budget(r *request) {
-	span := c.set.Rules.BudgetWindow
+	span := c.set.Rules.RetryBudgetWindow
 	if span == 0 {
 		return
 	}
@@ -428,7 +428,7 @@
 		return
 	}
 	c.extra = append(c.extra, c.now)
-	allowed := c.set.Rules.BudgetExtra + c.set.Rules.BudgetShare*float64(len(c.taken))
+	allowed := c.set.Rules.RetryBudgetBase + c.set.Rules.RetryBudgetShare*float64(len(c.taken))
 	c.asked(Budget, float64(len(c.extra)) <= allowed, r.ID, "", "%d further attempts within %v, %.1f are allowed", len(c.extra), span, allowed)
 }
 
@@ -442,9 +442,9 @@
 	}
 	c.sweptAt = c.now
 	c.order = slices.DeleteFunc(c.order, func(r *request) bool {
-		if !r.answered && !r.overdue && !r.began && c.now-r.at-r.Patience > answerSlack {
+		if !r.answered && !r.overdue && !r.began && c.now-r.at-r.ClientTimeout > answerSlack {
 			r.overdue = true
-			c.breach(Answer, r.ID, "", "no answer %v after its client's patience", c.now-r.at-r.Patience)
+			c.breach(Answer, r.ID, "", "no answer %v after its client's patience", c.now-r.at-r.ClientTimeout)
 		}
 		gone := r.answered && len(r.open) == 0 && c.now-r.endedAt > forgetAfter
 		if gone {
--- a/internal/capture/invariants/model_test.go
+++ b/internal/capture/invariants/model_test.go
@@ -26,13 +26,13 @@
 func TestRandomDaysKeepTheRules(t *testing.T) {
 	asked := map[Rule]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := capturetest.NewWorld(rapid.Uint64().Draw(t, "seed"))
-		r, err := capture.NewRecorder(capturetest.Settings, 1, capture.Options{Most: 300_000}, w)
+		w := capturetest.NewWorkload(rapid.Uint64().Draw(t, "seed"))
+		r, err := capture.NewRecorder(capturetest.Settings, 1, capture.Options{MaxBytes: 300_000}, w)
 		if err != nil {
 			t.Fatal(err)
 		}
 		w.Play(r, 3000)
-		file, err := r.Kept().File()
+		file, err := r.Recording().File()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -81,36 +81,36 @@
 }
 
 func list(phase scheduler.Phase, started time.Duration) capture.Record {
-	return capture.Record{Kind: capture.Members, Members: &scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{
+	return capture.Record{Kind: capture.KindMembershipChanged, Membership: &scheduler.Membership{Kind: scheduler.FullList, Nodes: []scheduler.Node{
 		{ID: "n", Phase: phase, StartedAt: started}, {ID: "far", Zone: 1, Shard: 1}}}}
 }
 
 func came(id string, class int, units float64) capture.Record {
-	return capture.Record{Kind: capture.Arrived, Request: &scheduler.Request{ID: id, Operation: "op", Class: class, Volume: "v", Key: "k", Units: units, Patience: time.Second, Hosts: 1}}
+	return capture.Record{Kind: capture.KindRequestArrived, Request: &scheduler.Request{ID: id, Operation: "op", Class: class, Volume: "v", Key: "k", Units: units, ClientTimeout: time.Second, Hosts: 1}}
 }
 
 // described is a read that its description forbids to repeat.
 func described(id string) capture.Record {
 	r := came(id, read, 1)
-	r.Request.Bound.Repeats = scheduler.Unsafe
+	r.Request.RetryPolicy.Idempotency = scheduler.NonIdempotent
 	return r
 }
 
-func caution(level scheduler.Care) capture.Record {
-	return capture.Record{Kind: capture.Cautioned, Caution: &scheduler.Caution{Operation: "op", Level: level}}
+func caution(level scheduler.RestrictionLevel) capture.Record {
+	return capture.Record{Kind: capture.KindRestricted, Restriction: &scheduler.Restriction{Operation: "op", Level: level}}
 }
 
 func send(id, node string) capture.Record {
-	return capture.Record{Kind: capture.Send, ID: id, Node: node}
+	return capture.Record{Kind: capture.KindSend, ID: id, Node: node}
 }
 
 func ended(id string, attempt int, result scheduler.Result) capture.Record {
-	return capture.Record{Kind: capture.Ended, Outcome: &scheduler.Outcome{ID: id, Attempt: attempt, Node: "n", Result: result, Done: result == scheduler.Served}}
+	return capture.Record{Kind: capture.KindAttemptEnded, Outcome: &scheduler.Outcome{ID: id, Attempt: attempt, Node: "n", Result: result, Concluded: result == scheduler.Served}}
 }
 
-func refuse(id string) capture.Record { return capture.Record{Kind: capture.Refuse, ID: id} }
+func refuse(id string) capture.Record { return capture.Record{Kind: capture.KindReject, ID: id} }
 
-var timer = capture.Record{Kind: capture.Timer}
+var timer = capture.Record{Kind: capture.KindTimerFired}
 
 // Classes of capturetest.Settings.
 const (
@@ -129,28 +129,28 @@
 			told(9, ended("a", 0, scheduler.Served)).told(10, timer, refuse("a")), Answer},
 		"not answered":        {new(script).told(0, came("a", read, 1)).told(1500, timer), Answer},
 		"answered late":       {new(script).told(0, came("a", read, 1)).told(1120, timer, refuse("a")), Answer},
-		"its client has left": {new(script).told(0, came("a", read, 1)).told(5, capture.Record{Kind: capture.Left, ID: "a"}).told(1500, timer), ""},
+		"its client has left": {new(script).told(0, came("a", read, 1)).told(5, capture.Record{Kind: capture.KindClientDisconnected, ID: "a"}).told(1500, timer), ""},
 		"a stream goes on": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", read, 1), send("a", "n")).
-			told(9, capture.Record{Kind: capture.Began, ID: "a"}).told(5000, ended("a", 0, scheduler.Served)), ""},
+			told(9, capture.Record{Kind: capture.KindStreamStarted, ID: "a"}).told(5000, ended("a", 0, scheduler.Served)), ""},
 		"sent after the answer": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", read, 1), refuse("a"), send("a", "n")), Answer},
 		"sent to a drain":       {new(script).told(0, list(scheduler.Draining, 0)).told(1, came("a", read, 1), send("a", "n")), Drain},
 		"sent to what is gone": {new(script).told(0, list(scheduler.Up, 0)).
-			told(1, capture.Record{Kind: capture.Members, Members: &scheduler.Membership{Kind: scheduler.Whole}}).told(2, came("a", read, 1), send("a", "n")), Drain},
+			told(1, capture.Record{Kind: capture.KindMembershipChanged, Membership: &scheduler.Membership{Kind: scheduler.FullList}}).told(2, came("a", read, 1), send("a", "n")), Drain},
 		"sent to an unknown":   {new(script).told(0, came("a", read, 1), send("a", "x")), Known},
 		"sent for an unknown":  {new(script).told(0, list(scheduler.Up, 0), send("a", "n")), Known},
 		"a second copy":        {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", read, 1), send("a", "n"), send("a", "far")), Repeat},
 		"again after an error": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", read, 1), send("a", "n")).told(9, ended("a", 0, scheduler.Errored), send("a", "far")).told(10, timer, refuse("a")), ""},
 		"a write goes elsewhere": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", write, 1), send("a", "n")).
-			told(9, ended("a", 0, scheduler.Reset), send("a", "far")), Repeat},
+			told(9, ended("a", 0, scheduler.ConnectionReset), send("a", "far")), Repeat},
 		"a write that never ran goes elsewhere": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", write, 1), send("a", "n")).
 			told(9, ended("a", 0, scheduler.ConnectFailed), send("a", "far")).told(10, ended("a", 1, scheduler.Served)), ""},
 		"what may run once runs twice": {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", once, 1), send("a", "n")).
 			told(9, ended("a", 0, scheduler.TimedOut), send("a", "n")), Repeat},
-		"a distrusted operation is repeated": {new(script).told(0, list(scheduler.Up, 0)).told(0, caution(scheduler.CareRepeats)).told(1, came("a", read, 1), send("a", "n")).
+		"a distrusted operation is repeated": {new(script).told(0, list(scheduler.Up, 0)).told(0, caution(scheduler.NoRetries)).told(1, came("a", read, 1), send("a", "n")).
 			told(9, ended("a", 0, scheduler.Errored), send("a", "far")), Repeat},
-		"nobody believes that it has not run": {new(script).told(0, list(scheduler.Up, 0)).told(0, caution(scheduler.CareRepeats)).told(1, came("a", read, 1), send("a", "n")).
-			told(9, ended("a", 0, scheduler.Full), refuse("a")), Repeat},
-		"a doubted operation is repeated": {new(script).told(0, list(scheduler.Up, 0)).told(0, caution(scheduler.CareCopies)).told(1, came("a", read, 1), send("a", "n")).
+		"nobody believes that it has not run": {new(script).told(0, list(scheduler.Up, 0)).told(0, caution(scheduler.NoRetries)).told(1, came("a", read, 1), send("a", "n")).
+			told(9, ended("a", 0, scheduler.Overloaded), refuse("a")), Repeat},
+		"a doubted operation is repeated": {new(script).told(0, list(scheduler.Up, 0)).told(0, caution(scheduler.NoHedging)).told(1, came("a", read, 1), send("a", "n")).
 			told(9, ended("a", 0, scheduler.Errored), send("a", "far")).told(10, timer, refuse("a")), ""},
 		"its description forbids it": {new(script).told(0, list(scheduler.Up, 0)).told(1, described("a"), send("a", "n")).told(9, ended("a", 0, scheduler.Errored), send("a", "far")), Repeat},
 		"refused, and may have run":  {new(script).told(0, list(scheduler.Up, 0)).told(1, came("a", once, 1), send("a", "n")).told(9, ended("a", 0, scheduler.Errored), refuse("a")), Repeat},
@@ -162,7 +162,7 @@
 		"a cold node is pushed over": {new(script).told(0, list(scheduler.Up, time.Hour-ms)).told(1, came("a", read, 400), send("a", "n")), Cold},
 	} {
 		checker := New(capturetest.Settings)
-		var found []Breach
+		var found []Violation
 		for _, step := range c.s.steps {
 			found = append(found, checker.Step(step)...)
 		}
@@ -196,13 +196,13 @@
 
 // BenchmarkModel is a replay with and without the model beside it.
 func BenchmarkModel(b *testing.B) {
-	w := capturetest.NewWorld(1)
-	r, err := capture.NewRecorder(capturetest.Settings, 1, capture.Options{Most: 64 << 20}, w)
+	w := capturetest.NewWorkload(1)
+	r, err := capture.NewRecorder(capturetest.Settings, 1, capture.Options{MaxBytes: 64 << 20}, w)
 	if err != nil {
 		b.Fatal(err)
 	}
 	w.Play(r, 20_000)
-	file, err := r.Kept().File()
+	file, err := r.Recording().File()
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -16,38 +16,38 @@
 	againAfter   = 10 * time.Second // a part that could not be begun is begun again
 )
 
-// Piece is a run of whole frames for a Sink. Nothing changes it later.
-type Piece struct {
-	Head    *Head
-	Frames  []byte
-	Begins  bool // it is the first piece of a part, so that what follows can be replayed alone
-	Missed  int  // records that were lost since the last piece that was taken
-	Records int  // in it
+// Chunk is a run of whole frames for a Sink. Nothing changes it later.
+type Chunk struct {
+	Head       *Head
+	Frames     []byte
+	StartsPart bool // it is the first piece of a part, so that what follows can be replayed alone
+	Lost       int  // records that were lost since the last piece that was taken
+	Records    int  // in it
 }
 
 // Sink takes pieces on their way to a disk. Offer must not block: it tells whether the piece was taken, and what it does not take is
 // lost.
-type Sink interface{ Offer(Piece) bool }
+type Sink interface{ Offer(Chunk) bool }
 
 // Options are what a Recorder keeps, and where.
 type Options struct {
-	Program string           // its version, kept for whoever reads the capture
-	Most    int              // bytes that are kept in memory, the oldest going first
-	Sink    Sink             // nil: memory alone
-	Watch   Watcher          // decides what is kept by itself; nil: nothing is
-	Keep    func(Keep, Kept) // takes that; it must not block
-	Crashed func(Kept)       // takes what is held when the loop that tells the events panics; nil: nobody does
-	Origin  time.Time        // when the Scheduler's clock read 0; zero: unknown
+	Program   string                        // its version, kept for whoever reads the capture
+	MaxBytes  int                           // bytes that are kept in memory, the oldest going first
+	Sink      Sink                          // nil: memory alone
+	Triggers  Watcher                       // decides what is kept by itself; nil: nothing is
+	OnTrigger func(TriggerMatch, Recording) // takes that; it must not block
+	OnCrash   func(Recording)               // takes what is held when the loop that tells the events panics; nil: nobody does
+	Origin    time.Time                     // when the Scheduler's clock read 0; zero: unknown
 }
 
 // Watcher follows what is recorded.
 type Watcher interface {
 	Add(r *Record, now time.Duration)
-	Due(now time.Duration) []Keep
+	Due(now time.Duration) []TriggerMatch
 }
 
-// Keep says what is to be kept, and why.
-type Keep struct {
+// TriggerMatch says what is to be kept, and why.
+type TriggerMatch struct {
 	Name string        // of the trigger
 	From time.Duration // what is before this is not needed
 }
@@ -60,7 +60,7 @@
 	head    Head
 	options Options
 
-	events   uint64          // told so far
+	events   uint64          // actionRecorder so far
 	now      time.Duration   // of the last event
 	parts    [][]byte        // whole ones, the oldest first
 	begun    []time.Duration // when they and the part that is being written begin
@@ -87,7 +87,7 @@
 		r.head.Origin = options.Origin.UnixNano()
 	}
 	var err error
-	if r.Scheduler, err = scheduler.New(settings, seed, both{told{r.add}, actions}); err != nil {
+	if r.Scheduler, err = scheduler.New(settings, seed, both{actionRecorder{r.add}, actions}); err != nil {
 		return nil, err
 	}
 	r.begin(0)
@@ -97,8 +97,8 @@
 // add keeps a record. One that has no room breaks its part: replays stop there and go on at the next one.
 func (r *Recorder) add(one Record) {
 	r.scratch = one
-	if r.options.Watch != nil {
-		r.options.Watch.Add(&r.scratch, r.now)
+	if r.options.Triggers != nil {
+		r.options.Triggers.Add(&r.scratch, r.now)
 	}
 	if r.broken {
 		r.lost++
@@ -116,9 +116,9 @@
 
 // event keeps an event. Parts end only between two events, so that each holds all that an event called for.
 func (r *Recorder) event(one Record) {
-	if r.options.Watch != nil { // between two events, too: what is kept holds all that the last one called for
-		for _, k := range r.options.Watch.Due(one.At) {
-			r.options.Keep(k, r.since(k.From))
+	if r.options.Triggers != nil { // between two events, too: what is kept holds all that the last one called for
+		for _, k := range r.options.Triggers.Due(one.At) {
+			r.options.OnTrigger(k, r.since(k.From))
 		}
 	}
 	switch {
@@ -133,8 +133,8 @@
 }
 
 // since gives the parts that hold what is after a time.
-func (r *Recorder) since(from time.Duration) Kept {
-	kept := r.Kept()
+func (r *Recorder) since(from time.Duration) Recording {
+	kept := r.Recording()
 	for i := 1; i < len(r.begun) && r.begun[i] <= from; i++ {
 		kept.parts = kept.parts[1:]
 	}
@@ -143,7 +143,7 @@
 
 // room is for how many bytes of events and actions a part is made.
 func (r *Recorder) room() int {
-	return min(max(partBytes, partSnapshot*r.snapshot), r.options.Most/partsHeld)
+	return min(max(partBytes, partSnapshot*r.snapshot), r.options.MaxBytes/partsHeld)
 }
 
 // begin closes the part and begins another.
@@ -153,18 +153,18 @@
 		r.parts, r.held = append(r.parts, r.part), r.held+cap(r.part)
 	}
 	size := r.snapshot + r.room() + partSlack
-	for len(r.parts) > 0 && r.held+size > r.options.Most { // the part to come needs room, too
+	for len(r.parts) > 0 && r.held+size > r.options.MaxBytes { // the part to come needs room, too
 		r.held -= cap(r.parts[0])
 		r.parts[0], r.parts, r.begun = nil, r.parts[1:], r.begun[1:]
 	}
 	r.begun = append(r.begun, now)
 	r.part, r.handed, r.refusing, r.broken = make([]byte, 0, size), 0, false, false
 	if r.lost > 0 {
-		r.add(Record{Kind: Gap, At: now, Lost: r.lost})
+		r.add(Record{Kind: KindGap, At: now, Lost: r.lost})
 		r.lost = 0
 	}
-	r.add(Record{Kind: Snapshot, At: now, Key: r.events, State: r.Scheduler.Snapshot()})
-	if r.snapshot = len(r.part); r.snapshot > r.options.Most { // a bound is a bound, whatever the state has grown to
+	r.add(Record{Kind: KindSnapshot, At: now, Key: r.events, State: r.Scheduler.Snapshot()})
+	if r.snapshot = len(r.part); r.snapshot > r.options.MaxBytes { // a bound is a bound, whatever the state has grown to
 		r.part, r.snapshot, r.broken = nil, 0, true
 		r.lost++
 	}
@@ -179,7 +179,7 @@
 	if r.options.Sink == nil || r.handed == len(r.part) {
 		return
 	}
-	piece := Piece{Head: &r.head, Frames: r.part[r.handed:len(r.part):len(r.part)], Begins: r.handed == 0, Missed: r.missed, Records: r.records}
+	piece := Chunk{Head: &r.head, Frames: r.part[r.handed:len(r.part):len(r.part)], StartsPart: r.handed == 0, Lost: r.missed, Records: r.records}
 	if r.refusing || !r.options.Sink.Offer(piece) {
 		r.refusing = true
 		r.missed += r.records
@@ -192,113 +192,116 @@
 // Flush offers the sink all there is, at the end of the recording.
 func (r *Recorder) Flush(now time.Duration) { r.hand(now) }
 
-// Kept is what a Recorder holds at a time. It costs little to take, as frames are only ever added.
-type Kept struct {
+// Recording is what a Recorder holds at a time. It costs little to take, as frames are only ever added.
+type Recording struct {
 	head  Head
 	parts [][]byte
 	lost  int
 }
 
-// Kept gives what is held.
-func (r *Recorder) Kept() Kept {
+// Recording gives what is held.
+func (r *Recorder) Recording() Recording {
 	parts := make([][]byte, 0, len(r.parts)+1)
 	parts = append(append(parts, r.parts...), r.part[:len(r.part):len(r.part)])
-	return Kept{r.head, parts, r.lost}
+	return Recording{r.head, parts, r.lost}
 }
 
 // File gives it as a file; a gap stands for what was lost.
-func (k Kept) File() ([]byte, error) {
+func (k Recording) File() ([]byte, error) {
 	out, err := frame([]byte(magic), k.head)
 	for _, part := range k.parts {
-		out = Block(out, part, true)
+		out = AppendBlock(out, part, true)
 	}
 	if err == nil && k.lost > 0 {
-		out, err = frame(out, Record{Kind: Gap, Lost: k.lost})
+		out, err = frame(out, Record{Kind: KindGap, Lost: k.lost})
 	}
 	return out, err
 }
 
-// Arrived is as in scheduler.Scheduler, and so are the others.
-func (r *Recorder) Arrived(now time.Duration, q scheduler.Request) {
+// KindRequestArrived is as in scheduler.Scheduler, and so are the others.
+func (r *Recorder) RequestArrived(now time.Duration, q scheduler.Request) {
 	r.request = q
-	r.event(Record{Kind: Arrived, At: now, Request: &r.request})
-	r.Scheduler.Arrived(now, q)
+	r.event(Record{Kind: KindRequestArrived, At: now, Request: &r.request})
+	r.Scheduler.RequestArrived(now, q)
 }
 
-// Left records a client's leaving.
-func (r *Recorder) Left(now time.Duration, id string) {
-	r.event(Record{Kind: Left, At: now, ID: id})
-	r.Scheduler.Left(now, id)
+// ClientDisconnected records a client's leaving.
+func (r *Recorder) ClientDisconnected(now time.Duration, id string) {
+	r.event(Record{Kind: KindClientDisconnected, At: now, ID: id})
+	r.Scheduler.ClientDisconnected(now, id)
 }
 
-// Ended records an attempt's end.
-func (r *Recorder) Ended(now time.Duration, o scheduler.Outcome) {
+// AttemptEnded records an attempt's end.
+func (r *Recorder) AttemptEnded(now time.Duration, o scheduler.Outcome) {
 	r.outcome = o
-	r.event(Record{Kind: Ended, At: now, Outcome: &r.outcome})
-	r.Scheduler.Ended(now, o)
+	r.event(Record{Kind: KindAttemptEnded, At: now, Outcome: &r.outcome})
+	r.Scheduler.AttemptEnded(now, o)
 }
 
-// Probed records a probe's end.
-func (r *Recorder) Probed(now time.Duration, p scheduler.ProbeResult) {
-	r.event(Record{Kind: Probed, At: now, Probed: &p})
-	r.Scheduler.Probed(now, p)
+// ProbeEnded records a probe's end.
+func (r *Recorder) ProbeEnded(now time.Duration, p scheduler.ProbeResult) {
+	r.event(Record{Kind: KindProbeEnded, At: now, ProbeResult: &p})
+	r.Scheduler.ProbeEnded(now, p)
 }
 
-// Members records news of the list of nodes.
-func (r *Recorder) Members(now time.Duration, m scheduler.Membership) {
-	r.event(Record{Kind: Members, At: now, Members: &m})
-	r.Scheduler.Members(now, m)
+// MembershipChanged records news of the list of nodes.
+func (r *Recorder) MembershipChanged(now time.Duration, m scheduler.Membership) {
+	r.event(Record{Kind: KindMembershipChanged, At: now, Membership: &m})
+	r.Scheduler.MembershipChanged(now, m)
 }
 
-// Timer records that a timer went off.
-func (r *Recorder) Timer(now time.Duration, key uint64) {
-	r.event(Record{Kind: Timer, At: now, Key: key})
-	r.Scheduler.Timer(now, key)
+// TimerFired records that a timer went off.
+func (r *Recorder) TimerFired(now time.Duration, key uint64) {
+	r.event(Record{Kind: KindTimerFired, At: now, Key: key})
+	r.Scheduler.TimerFired(now, key)
 }
 
-// Began records that an attempt began.
-func (r *Recorder) Began(now time.Duration, id string, attempt int) {
-	r.event(Record{Kind: Began, At: now, ID: id, Attempt: attempt})
-	r.Scheduler.Began(now, id, attempt)
+// StreamStarted records that an attempt began.
+func (r *Recorder) StreamStarted(now time.Duration, id string, attempt int) {
+	r.event(Record{Kind: KindStreamStarted, At: now, ID: id, Attempt: attempt})
+	r.Scheduler.StreamStarted(now, id, attempt)
 }
 
-// Recall records what an earlier life had learned.
-func (r *Recorder) Recall(now time.Duration, l scheduler.Learned) {
-	r.event(Record{Kind: Recalled, At: now, Learned: &l})
-	r.Scheduler.Recall(now, l)
+// Restore records what an earlier life had learned.
+func (r *Recorder) Restore(now time.Duration, l scheduler.LearnedState) {
+	r.event(Record{Kind: KindRestored, At: now, Learned: &l})
+	r.Scheduler.Restore(now, l)
 }
 
-// Caution records how carefully an operation is to be handled.
-func (r *Recorder) Caution(now time.Duration, c scheduler.Caution) {
-	r.event(Record{Kind: Cautioned, At: now, Caution: &c})
-	r.Scheduler.Caution(now, c)
+// Restrict records how carefully an operation is to be handled.
+func (r *Recorder) Restrict(now time.Duration, c scheduler.Restriction) {
+	r.event(Record{Kind: KindRestricted, At: now, Restriction: &c})
+	r.Scheduler.Restrict(now, c)
 }
 
-// Note records what somebody else has to tell.
+// KindNote records what somebody else has to tell.
 func (r *Recorder) Note(now time.Duration, text string) {
-	r.add(Record{Kind: Note, At: now, Text: text})
+	r.add(Record{Kind: KindNote, At: now, Text: text})
 }
 
 // both records an action and hands it on.
 type both struct {
-	told
+	actionRecorder
 	out scheduler.Actions
 }
 
 func (b both) Send(id, node string, timeout time.Duration) {
-	b.told.Send(id, node, timeout)
+	b.actionRecorder.Send(id, node, timeout)
 	b.out.Send(id, node, timeout)
 }
-func (b both) Cancel(id string, attempt int) { b.told.Cancel(id, attempt); b.out.Cancel(id, attempt) }
-func (b both) Refuse(id string, after time.Duration) {
-	b.told.Refuse(id, after)
-	b.out.Refuse(id, after)
+func (b both) Cancel(id string, attempt int) {
+	b.actionRecorder.Cancel(id, attempt)
+	b.out.Cancel(id, attempt)
 }
-func (b both) Fail(id string)    { b.told.Fail(id); b.out.Fail(id) }
-func (b both) Probe(node string) { b.told.Probe(node); b.out.Probe(node) }
+func (b both) Reject(id string, after time.Duration) {
+	b.actionRecorder.Reject(id, after)
+	b.out.Reject(id, after)
+}
+func (b both) Fail(id string)    { b.actionRecorder.Fail(id); b.out.Fail(id) }
+func (b both) Probe(node string) { b.actionRecorder.Probe(node); b.out.Probe(node) }
 func (b both) SetTimer(after time.Duration, key uint64) {
-	b.told.SetTimer(after, key)
+	b.actionRecorder.SetTimer(after, key)
 	b.out.SetTimer(after, key)
 }
-func (b both) Watch()          { b.told.Watch(); b.out.Watch() }
-func (b both) Log(text string) { b.told.Log(text); b.out.Log(text) }
+func (b both) Watch()          { b.actionRecorder.Watch(); b.out.Watch() }
+func (b both) Log(text string) { b.actionRecorder.Log(text); b.out.Log(text) }
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -13,7 +13,7 @@
 // Difference is the first place at which a replay does something else than was recorded.
 type Difference struct {
 	Event    uint64   // its number in the recorder's life, from 0
-	Told     *Record  // the event
+	Input    *Record  // the event
 	Recorded *Record  // the action that was recorded; nil: none
 	Replayed *Record  // the action of the replay; nil: none
 	Before   []Record // the events before, 20 at most
@@ -21,14 +21,14 @@
 
 // Error tells what differs.
 func (d *Difference) Error() string {
-	return fmt.Sprintf("event %d (%s at %v): recorded %s, replayed %s", d.Event, d.Told.Kind, d.Told.At, word(d.Recorded), word(d.Replayed))
+	return fmt.Sprintf("event %d (%s at %v): recorded %s, replayed %s", d.Event, d.Input.Kind, d.Input.At, word(d.Recorded), word(d.Replayed))
 }
 
 func word(r *Record) string {
 	if r == nil {
 		return "nothing"
 	}
-	if r.Kind == Snapshot {
+	if r.Kind == KindSnapshot {
 		return "another state"
 	}
 	body, err := encoding.Marshal(r)
@@ -81,7 +81,7 @@
 	p.events++
 	p.number++
 	p.replayed = p.replayed[:0]
-	if err := Tell(p.scheduler, event); err != nil {
+	if err := Apply(p.scheduler, event); err != nil {
 		return nil, fmt.Errorf("event %d: %w", step.Number, err)
 	}
 	for {
@@ -89,7 +89,7 @@
 		if err != nil && !errors.Is(err, io.EOF) {
 			return step, err
 		}
-		if err != nil || r.Kind.IsEvent() || r.Kind == Gap || r.Kind == Snapshot || r.Kind == Note {
+		if err != nil || r.Kind.IsEvent() || r.Kind == KindGap || r.Kind == KindSnapshot || r.Kind == KindNote {
 			p.ahead = r
 			break
 		}
@@ -123,12 +123,12 @@
 		case r.Kind.IsEvent():
 			p.ahead = r
 			return r, nil
-		case r.Kind == Gap:
+		case r.Kind == KindGap:
 			p.Gaps++
 			p.Lost += r.Lost
 			p.scheduler = nil
-		case r.Kind == Note:
-		case r.Kind == Snapshot && r.State != nil:
+		case r.Kind == KindNote:
+		case r.Kind == KindSnapshot && r.State != nil:
 			if err := p.meet(r); err != nil {
 				return nil, err
 			}
@@ -153,16 +153,16 @@
 		p.scheduler = nil
 	}
 	if p.scheduler == nil {
-		p.scheduler, err = scheduler.Resume(p.in.Head.Settings, recorded.State, told{func(r Record) { p.replayed = append(p.replayed, r) }})
+		p.scheduler, err = scheduler.Resume(p.in.Head.Settings, recorded.State, actionRecorder{func(r Record) { p.replayed = append(p.replayed, r) }})
 		p.number, p.from = recorded.Key, recorded.State
 		return err
 	}
 	if recorded.Key < p.number {
 		return fmt.Errorf("%w: after event %d stands what was before event %d", ErrDamaged, p.number, recorded.Key)
 	}
-	reached := &Record{Kind: Snapshot, At: recorded.At, Key: recorded.Key, State: p.scheduler.Snapshot()}
+	reached := &Record{Kind: KindSnapshot, At: recorded.At, Key: recorded.Key, State: p.scheduler.Snapshot()}
 	if !same(reached, recorded) {
-		return &Difference{Event: p.number, Told: recorded, Recorded: recorded, Replayed: reached, Before: p.before}
+		return &Difference{Event: p.number, Input: recorded, Recorded: recorded, Replayed: reached, Before: p.before}
 	}
 	return nil
 }
@@ -177,7 +177,7 @@
 			replayed = &p.replayed[i]
 		}
 		if recorded == nil || replayed == nil || !same(recorded, replayed) {
-			return &Difference{Event: step.Number, Told: step.Event, Recorded: recorded, Replayed: replayed, Before: p.before}
+			return &Difference{Event: step.Number, Input: step.Event, Recorded: recorded, Replayed: replayed, Before: p.before}
 		}
 	}
 	return nil
@@ -216,7 +216,7 @@
 		}
 		place := c.at
 		r, err := c.Next()
-		for err == nil && r.Kind == Gap {
+		for err == nil && r.Kind == KindGap {
 			r, err = c.Next()
 		}
 		if err != nil || r.At > at {
--- a/internal/capture/replaytest/replaytest.go
+++ b/internal/capture/replaytest/replaytest.go
@@ -11,8 +11,8 @@
 	"reachpulley/internal/capture/invariants"
 )
 
-// Twice plays a capture two times, every action as recorded, and has the model of the rules follow it. It gives the number of events.
-func Twice(t testing.TB, file []byte) (events int) {
+// ReplayTwice plays a capture two times, every action as recorded, and has the model of the rules follow it. It gives the number of events.
+func ReplayTwice(t testing.TB, file []byte) (events int) {
 	t.Helper()
 	for range 2 {
 		c, err := capture.NewReader(bytes.NewReader(file))
@@ -39,16 +39,16 @@
 	return events
 }
 
-// Warm has what compresses made before a test's bubble begins: what is made within one may not be used by another.
-func Warm() {
-	block := capture.Block(nil, nil, false)
+// WarmUp has what compresses made before a test's bubble begins: what is made within one may not be used by another.
+func WarmUp() {
+	block := capture.AppendBlock(nil, nil, false)
 	if c, err := capture.NewReader(bytes.NewReader(append(mustBegin(), block...))); err == nil {
 		c.Next()
 	}
 }
 
 func mustBegin() []byte {
-	begin, err := capture.Begin(&capture.Head{Version: capture.Version})
+	begin, err := capture.EncodeHeader(&capture.Head{Version: capture.Version})
 	if err != nil {
 		panic(err)
 	}
--- a/internal/capture/segment/keeping.go
+++ b/internal/capture/segment/keeping.go
@@ -27,10 +27,10 @@
 type Names string
 
 // NamesOf gives the names for a gateway's own name, of which only letters, digits and some signs are kept.
-func NamesOf(gateway string) Names { return Names("decisions-" + Safe(gateway) + "-") }
+func NamesOf(gateway string) Names { return Names("decisions-" + SafeName(gateway) + "-") }
 
-// Safe gives a gateway's name as a part of a file's.
-func Safe(gateway string) string {
+// SafeName gives a gateway's name as a part of a file's.
+func SafeName(gateway string) string {
 	return strings.Map(func(r rune) rune {
 		if r < 128 && (unicode.IsLetter(r) || unicode.IsDigit(r) || strings.ContainsRune("._", r)) {
 			return r
--- a/internal/capture/segment/writer.go
+++ b/internal/capture/segment/writer.go
@@ -34,7 +34,7 @@
 // Writer takes pieces of a capture and writes them. It owns the open segment, which is closed where it is given up or rotated.
 type Writer struct {
 	o       Options
-	queue   chan capture.Piece
+	queue   chan capture.Chunk
 	waiting atomic.Int64 // bytes
 
 	segments []held
@@ -49,7 +49,7 @@
 
 // New finds what is on disk, cuts off what an earlier life left half written, and removes what is too much.
 func New(o Options) (*Writer, error) {
-	w := &Writer{o: o, queue: make(chan capture.Piece, mostWaiting)}
+	w := &Writer{o: o, queue: make(chan capture.Chunk, mostWaiting)}
 	list, err := o.FS.List(o.Directory)
 	if err != nil {
 		return nil, err
@@ -76,10 +76,10 @@
 	if err != nil {
 		return err
 	}
-	whole, err := capture.Whole(in)
+	whole, err := capture.CompleteLength(in)
 	in.Close()
 	switch {
-	case errors.Is(err, capture.ErrCut): // not even its head was written
+	case errors.Is(err, capture.ErrTruncated): // not even its head was written
 		w.segments = w.segments[:len(w.segments)-1]
 		return w.o.FS.Remove(name)
 	case err != nil:
@@ -98,7 +98,7 @@
 }
 
 // Offer takes a piece unless too much waits.
-func (w *Writer) Offer(p capture.Piece) bool {
+func (w *Writer) Offer(p capture.Chunk) bool {
 	size := int64(len(p.Frames))
 	if w.waiting.Add(size) > mostWaitingBytes {
 		w.waiting.Add(-size)
@@ -134,9 +134,9 @@
 }
 
 // take writes a piece and syncs it. An error ends the segment, never the writer.
-func (w *Writer) take(p capture.Piece) {
+func (w *Writer) take(p capture.Chunk) {
 	w.waiting.Add(-int64(len(p.Frames)))
-	w.missed += p.Missed
+	w.missed += p.Lost
 	err := w.open(p)
 	if err == nil && w.file != nil {
 		if err = w.write(p); err == nil {
@@ -154,18 +154,18 @@
 }
 
 // open sees to a segment into which the piece may go: none while the disk is left alone, and only the first piece of a part begins one.
-func (w *Writer) open(p capture.Piece) error {
+func (w *Writer) open(p capture.Chunk) error {
 	now := w.o.Now()
-	if w.file != nil && p.Begins && w.o.Limits.due(w.size, now.Sub(w.openedAt)) {
+	if w.file != nil && p.StartsPart && w.o.Limits.due(w.size, now.Sub(w.openedAt)) {
 		w.close()
 	}
-	if w.file != nil || !p.Begins || now.Before(w.notUntil) {
+	if w.file != nil || !p.StartsPart || now.Before(w.notUntil) {
 		return nil
 	}
 	if err := w.makeRoom(); err != nil {
 		return err
 	}
-	head, err := capture.Begin(p.Head)
+	head, err := capture.EncodeHeader(p.Head)
 	if err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 	return w.o.FS.SyncDirectory(w.o.Directory)
 }
 
-func (w *Writer) write(p capture.Piece) error {
+func (w *Writer) write(p capture.Chunk) error {
 	frames := p.Frames
 	if w.missed > 0 {
 		gap, err := capture.GapFrame(w.missed)
@@ -191,7 +191,7 @@
 		}
 		frames = append(gap, frames...)
 	}
-	if err := w.add(capture.Block(nil, frames, p.Begins)); err != nil {
+	if err := w.add(capture.AppendBlock(nil, frames, p.StartsPart)); err != nil {
 		return err
 	}
 	w.missed = 0
--- a/internal/capture/segment/writer_test.go
+++ b/internal/capture/segment/writer_test.go
@@ -26,7 +26,7 @@
 
 var names = NamesOf("gate 1")
 
-var settings = scheduler.Settings{Siblings: 1, Classes: []scheduler.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1}}}
+var settings = scheduler.Settings{Siblings: 1, Classes: []scheduler.Class{{Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}}}
 
 // bench is a recorder on a writer on a disk of the test's.
 type bench struct {
@@ -40,7 +40,7 @@
 }
 
 // nothing carries no action out.
-var nothing = capture.Actions(func(capture.Record) {})
+var nothing = capture.RecordActions(func(capture.Record) {})
 
 func newBench(t *testing.T, fs *filesystemtest.FS, limits Limits) *bench {
 	t.Helper()
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.r, err = capture.NewRecorder(settings, 1, capture.Options{Most: 64 << 10, Sink: b.w}, nothing)
+	b.r, err = capture.NewRecorder(settings, 1, capture.Options{MaxBytes: 64 << 10, Sink: b.w}, nothing)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,8 +63,8 @@
 	for range events / 2 {
 		b.now += 100 * time.Millisecond
 		b.n++
-		b.r.Arrived(b.now, scheduler.Request{ID: fmt.Sprint("request-", b.n), Volume: fmt.Sprint("volume-", b.n%7), Units: 1, Patience: time.Second})
-		b.r.Left(b.now, fmt.Sprint("request-", b.n))
+		b.r.RequestArrived(b.now, scheduler.Request{ID: fmt.Sprint("request-", b.n), Volume: fmt.Sprint("volume-", b.n%7), Units: 1, ClientTimeout: time.Second})
+		b.r.ClientDisconnected(b.now, fmt.Sprint("request-", b.n))
 		b.drain()
 	}
 }
@@ -93,7 +93,7 @@
 			if err != nil {
 				t.Fatal(info.Name, err)
 			}
-			head, _ := capture.Begin(&c.Head)
+			head, _ := capture.EncodeHeader(&c.Head)
 			content = content[len(head):]
 		}
 		all.Write(content)
@@ -148,9 +148,9 @@
 func (o Options) on(fs *filesystemtest.FS) Options { o.FS = fs; return o }
 
 // pieces keeps what it is offered.
-type pieces struct{ all []capture.Piece }
+type pieces struct{ all []capture.Chunk }
 
-func (p *pieces) Offer(one capture.Piece) bool { p.all = append(p.all, one); return true }
+func (p *pieces) Offer(one capture.Chunk) bool { p.all = append(p.all, one); return true }
 
 // Wherever the power goes, what is on the disk then replays from its begin, and the next life goes on behind it.
 func TestPowerLossAtEveryByte(t *testing.T) {
@@ -158,7 +158,7 @@
 	recorded := &pieces{}
 	b := newBench(t, filesystemtest.New(), limits)
 	var err error
-	if b.r, err = capture.NewRecorder(settings, 1, capture.Options{Most: 8 << 10, Sink: recorded}, nothing); err != nil {
+	if b.r, err = capture.NewRecorder(settings, 1, capture.Options{MaxBytes: 8 << 10, Sink: recorded}, nothing); err != nil {
 		t.Fatal(err)
 	}
 	b.run(70)
@@ -182,7 +182,7 @@
 			list, _ := after.List("d")
 			if len(list) > 0 {
 				info := list[len(list)-1]
-				if whole, err := capture.Whole(bytes.NewReader(after.Content("d/" + info.Name))); err != nil || whole != info.Size {
+				if whole, err := capture.CompleteLength(bytes.NewReader(after.Content("d/" + info.Name))); err != nil || whole != info.Size {
 					t.Fatalf("killed at %d, %d kept: %s: %d of %d bytes are whole, %v", kill, kept, info.Name, whole, info.Size, err)
 				}
 			}
@@ -212,14 +212,14 @@
 // A full disk ends the recording with a line, is asked seldom, and after it has room again the gap is told.
 func TestFullDisk(t *testing.T) {
 	fs := filesystemtest.New()
-	fs.Room = 6000
+	fs.Capacity = 6000
 	b := newBench(t, fs, Limits{Size: 1 << 20, Age: time.Hour, Total: 1 << 21})
 	b.run(3000)
 	if lines := strings.Count(b.log.String(), "recording to disk stopped"); lines == 0 || lines > 20 {
 		t.Errorf("%d lines: %s", lines, b.log.String())
 	}
 	before, _ := played(t, fs)
-	fs.Room = 0
+	fs.Capacity = 0
 	b.run(3000)
 	b.finish()
 	n, gaps := played(t, fs)
@@ -242,7 +242,7 @@
 		}
 		list, _ := after.List("d")
 		for _, info := range list { // nothing is half
-			if whole, err := capture.Whole(bytes.NewReader(after.Content("d/" + info.Name))); err != nil || whole != info.Size {
+			if whole, err := capture.CompleteLength(bytes.NewReader(after.Content("d/" + info.Name))); err != nil || whole != info.Size {
 				t.Errorf("sync %d: %s: %d of %d, %v", at, info.Name, whole, info.Size, err)
 			}
 		}
@@ -255,8 +255,8 @@
 	for range 3000 {
 		b.now += 2 * time.Second
 		b.n++
-		b.r.Arrived(b.now, scheduler.Request{ID: fmt.Sprint(b.n), Volume: "v", Units: 1, Patience: time.Second})
-		b.r.Left(b.now, fmt.Sprint(b.n)) // or the state would outgrow the memory
+		b.r.RequestArrived(b.now, scheduler.Request{ID: fmt.Sprint(b.n), Volume: "v", Units: 1, ClientTimeout: time.Second})
+		b.r.ClientDisconnected(b.now, fmt.Sprint(b.n)) // or the state would outgrow the memory
 	}
 	if len(b.w.queue) > mostWaiting || b.w.waiting.Load() > mostWaitingBytes {
 		t.Errorf("%d pieces of %d bytes wait", len(b.w.queue), b.w.waiting.Load())
@@ -296,7 +296,7 @@
 	go func() { b.w.Run(ctx); close(done) }()
 	for range 30 {
 		b.now += time.Second
-		b.r.Left(b.now, "nobody")
+		b.r.ClientDisconnected(b.now, "nobody")
 	}
 	b.r.Flush(b.now)
 	cancel()
@@ -347,7 +347,7 @@
 
 // BenchmarkRecover is a start that finds a segment of the shipped size whose end is half written.
 func BenchmarkRecover(b *testing.B) {
-	head, err := capture.Begin(&capture.Head{Version: capture.Version, Settings: settings})
+	head, err := capture.EncodeHeader(&capture.Head{Version: capture.Version, Settings: settings})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -356,7 +356,7 @@
 		piece[i] = byte(i * i >> 3)
 	}
 	for len(head) < 8<<20 {
-		head = capture.Block(head, piece, true)
+		head = capture.AppendBlock(head, piece, true)
 	}
 	head = head[:len(head)-100]
 	for b.Loop() {
--- a/internal/capture/shrink/shrink.go
+++ b/internal/capture/shrink/shrink.go
@@ -70,14 +70,14 @@
 	for {
 		r, err := c.Next()
 		switch {
-		case errors.Is(err, io.EOF), err == nil && r.Kind == capture.Gap && len(one.Events) > 0:
+		case errors.Is(err, io.EOF), err == nil && r.Kind == capture.KindGap && len(one.Events) > 0:
 			if one.Begin == nil || len(one.Events) == 0 {
 				return nil, errors.New("the capture holds no events after a snapshot")
 			}
 			return one, nil
 		case err != nil:
 			return nil, err
-		case r.Kind == capture.Snapshot && one.Begin == nil:
+		case r.Kind == capture.KindSnapshot && one.Begin == nil:
 			one.Begin = r.State
 		case r.Kind.IsEvent():
 			one.Events = append(one.Events, *r)
@@ -98,13 +98,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return capture.Compressed(c.Head, records)
+	return capture.Compress(c.Head, records)
 }
 
 func (c *Case) play(p Property) (records []capture.Record, held bool, err error) {
-	records = append(records, capture.Record{Kind: capture.Snapshot, At: c.Begin.Now, State: c.Begin})
+	records = append(records, capture.Record{Kind: capture.KindSnapshot, At: c.Begin.Now, State: c.Begin})
 	var actions []capture.Record
-	s, err := scheduler.Resume(c.Head.Settings, c.Begin, capture.Actions(func(r capture.Record) { actions = append(actions, r) }))
+	s, err := scheduler.Resume(c.Head.Settings, c.Begin, capture.RecordActions(func(r capture.Record) { actions = append(actions, r) }))
 	if err != nil {
 		return nil, false, err
 	}
@@ -119,7 +119,7 @@
 	checker := invariants.New(c.Head.Settings)
 	for i := range c.Events {
 		actions = actions[:0]
-		if err := capture.Tell(s, &c.Events[i]); err != nil {
+		if err := capture.Apply(s, &c.Events[i]); err != nil {
 			return nil, false, err
 		}
 		records = append(append(records, c.Events[i]), actions...)
@@ -132,20 +132,20 @@
 	return records, held, nil
 }
 
-func (p Property) holds(step *capture.Step, breaches []invariants.Breach) bool {
+func (p Property) holds(step *capture.Step, breaches []invariants.Violation) bool {
 	if p.kind == breach {
-		return slices.ContainsFunc(breaches, func(b invariants.Breach) bool { return p.id == "" || string(b.Rule) == p.id })
+		return slices.ContainsFunc(breaches, func(b invariants.Violation) bool { return p.id == "" || string(b.Rule) == p.id })
 	}
 	return slices.ContainsFunc(step.Actions, func(a capture.Record) bool {
 		if a.ID != p.id {
 			return false
 		}
 		switch a.Kind {
-		case capture.Refuse:
+		case capture.KindReject:
 			return p.kind == refused
-		case capture.Fail:
+		case capture.KindFail:
 			return p.kind == failed
-		case capture.Send:
+		case capture.KindSend:
 			return p.kind == sent && (p.node == "" || p.node == a.Node)
 		}
 		return false
--- a/internal/capture/shrink/shrink_test.go
+++ b/internal/capture/shrink/shrink_test.go
@@ -17,13 +17,13 @@
 // day is a random day as a case.
 func day(t *testing.T, seed uint64) *Case {
 	t.Helper()
-	w := capturetest.NewWorld(seed)
-	r, err := capture.NewRecorder(capturetest.Settings, seed, capture.Options{Most: 8 << 20}, w)
+	w := capturetest.NewWorkload(seed)
+	r, err := capture.NewRecorder(capturetest.Settings, seed, capture.Options{MaxBytes: 8 << 20}, w)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.Play(r, 400)
-	file, err := r.Kept().File()
+	file, err := r.Recording().File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 // A crash can be kept: here by an event that tells nothing.
 func TestCrash(t *testing.T) {
 	one := day(t, 2)
-	broken := capture.Record{Kind: capture.Arrived, At: one.Events[50].At, Request: &scheduler.Request{ID: "x", Volume: "v0", Patience: time.Second, Plan: 0, Hosts: 1}}
+	broken := capture.Record{Kind: capture.KindRequestArrived, At: one.Events[50].At, Request: &scheduler.Request{ID: "x", Volume: "v0", ClientTimeout: time.Second, Plan: 0, Hosts: 1}}
 	one.Events = append(one.Events[:50:50], append([]capture.Record{broken}, one.Events[50:]...)...)
 	if held, err := one.Holds(property(t, "crash")); held || err != nil {
 		t.Error(held, err)
--- a/internal/capture/summary/plot.go
+++ b/internal/capture/summary/plot.go
@@ -9,8 +9,8 @@
 
 // Series is a tally with a name.
 type Series struct {
-	Name  string
-	Tally *Tally
+	Name    string
+	Summary *Summary
 }
 
 const (
@@ -24,7 +24,7 @@
 	var names []string
 	for _, one := range series {
 		names = append(names, one.Name)
-		for at := range one.Tally.Seconds {
+		for at := range one.Summary.Seconds {
 			first, last = min(first, at), max(last, at)
 		}
 	}
@@ -35,18 +35,18 @@
 		title string
 		value func(*Second) float64
 	}{
-		{"answered within the aim, a second", func(s *Second) float64 { return float64(s.Ended[InAim]) }},
-		{"refused, a second", func(s *Second) float64 { return float64(s.Ended[Refused]) }},
-		{"failed or left, a second", func(s *Second) float64 { return float64(s.Ended[Failed] + s.Ended[Left]) }},
+		{"answered within the aim, a second", func(s *Second) float64 { return float64(s.Ended[InObjective]) }},
+		{"refused, a second", func(s *Second) float64 { return float64(s.Ended[Rejected]) }},
+		{"failed or left, a second", func(s *Second) float64 { return float64(s.Ended[Failed] + s.Ended[Disconnected]) }},
 		{"mean latency, ms", func(s *Second) float64 {
-			return float64(s.Sum.Milliseconds()) / float64(max(1, s.Ended[InAim]+s.Ended[Late]))
+			return float64(s.Sum.Milliseconds()) / float64(max(1, s.Ended[InObjective]+s.Ended[Late]))
 		}},
 	} {
 		lines := make([][]float64, len(series))
 		for i, one := range series {
 			for at := first; at <= last; at++ {
 				value := 0.0
-				if s := one.Tally.Seconds[at]; s != nil {
+				if s := one.Summary.Seconds[at]; s != nil {
 					value = panel.value(s)
 				}
 				lines[i] = append(lines[i], value)
--- a/internal/capture/summary/tally.go
+++ b/internal/capture/summary/tally.go
@@ -12,27 +12,27 @@
 	"reachpulley/scheduler"
 )
 
-// Fate is what became of a request.
-type Fate int
+// Outcome is what became of a request.
+type Outcome int
 
 // The kinds of Fate.
 const (
-	InAim   Fate = iota // answered within its class's aim
-	Late                // answered after it
-	Refused             // with advice to come again
+	InObjective Outcome = iota // answered within its class's aim
+	Late                       // answered after it
+	Rejected                   // with advice to come again
 	Failed
-	Left // its client left before an answer
+	Disconnected // its client left before an answer
 	fates
 )
 
 // Class counts the requests of a class.
 type Class struct {
-	Arrived   int
-	Ended     [fates]int
-	Attempts  int
-	Latencies []time.Duration // of those answered, from arrival to answer
-	Worth     float64         // earned, by the settings' worth of an answer
-	Asked     float64         // that answers to all would have earned
+	Arrived       int
+	Ended         [fates]int
+	Attempts      int
+	Latencies     []time.Duration // of those answered, from arrival to answer
+	EarnedWeight  float64         `json:"Worth"` // earned, by the settings' worth of an answer
+	OfferedWeight float64         `json:"Asked"` // that answers to all would have earned
 }
 
 // Second counts what ended within one second.
@@ -41,8 +41,8 @@
 	Sum   time.Duration // of the latencies of those answered
 }
 
-// Tally counts a capture's requests, those that arrived within it.
-type Tally struct {
+// Summary counts a capture's requests, those that arrived within it.
+type Summary struct {
 	Classes []Class
 	Results map[string]map[scheduler.Result]int // of attempts, by node
 	Seconds map[int64]*Second
@@ -59,37 +59,37 @@
 }
 
 // New makes an empty one.
-func New(set scheduler.Settings) *Tally {
-	return &Tally{set: set, Classes: make([]Class, len(set.Classes)), Results: map[string]map[scheduler.Result]int{}, Seconds: map[int64]*Second{}, open: map[string]opened{}}
+func New(set scheduler.Settings) *Summary {
+	return &Summary{set: set, Classes: make([]Class, len(set.Classes)), Results: map[string]map[scheduler.Result]int{}, Seconds: map[int64]*Second{}, open: map[string]opened{}}
 }
 
 // Add counts a record; now is the time of the event that it belongs to.
-func (t *Tally) Add(r *capture.Record, now time.Duration) {
+func (t *Summary) Add(r *capture.Record, now time.Duration) {
 	switch r.Kind {
-	case capture.Arrived:
+	case capture.KindRequestArrived:
 		q := r.Request
 		if _, ok := t.open[q.ID]; ok || q.Class < 0 || q.Class >= len(t.Classes) {
 			return
 		}
 		t.open[q.ID] = opened{class: q.Class, at: now, units: q.Units}
 		t.Classes[q.Class].Arrived++
-		t.Classes[q.Class].Asked += t.set.Classes[q.Class].Worth
-	case capture.Ended:
+		t.Classes[q.Class].OfferedWeight += t.set.Classes[q.Class].PriorityWeight
+	case capture.KindAttemptEnded:
 		o := r.Outcome
 		if t.Results[o.Node] == nil {
 			t.Results[o.Node] = map[scheduler.Result]int{}
 		}
 		t.Results[o.Node][o.Result]++
-		if o.Done && o.Result == scheduler.Served {
+		if o.Concluded && o.Result == scheduler.Served {
 			t.answered(o.ID, now)
 		}
-	case capture.Left:
-		t.end(r.ID, Left, now)
-	case capture.Refuse:
-		t.end(r.ID, Refused, now)
-	case capture.Fail:
+	case capture.KindClientDisconnected:
+		t.end(r.ID, Disconnected, now)
+	case capture.KindReject:
+		t.end(r.ID, Rejected, now)
+	case capture.KindFail:
 		t.end(r.ID, Failed, now)
-	case capture.Send:
+	case capture.KindSend:
 		if one, ok := t.open[r.ID]; ok {
 			one.attempts++
 			t.open[r.ID] = one
@@ -98,24 +98,24 @@
 	t.Open = len(t.open)
 }
 
-func (t *Tally) answered(id string, now time.Duration) {
+func (t *Summary) answered(id string, now time.Duration) {
 	one, ok := t.open[id]
 	if !ok {
 		return
 	}
 	class, took := &t.set.Classes[one.class], now-one.at
-	fate, worth := InAim, class.Worth
-	if took > class.Aim {
-		fate, worth = Late, class.Worth*class.LateShare
+	fate, worth := InObjective, class.PriorityWeight
+	if took > class.LatencyObjective {
+		fate, worth = Late, class.PriorityWeight*class.LateWeightShare
 	}
 	c := &t.Classes[one.class]
 	c.Latencies = append(c.Latencies, took)
-	c.Worth += worth
+	c.EarnedWeight += worth
 	t.end(id, fate, now)
 	t.second(now).Sum += took
 }
 
-func (t *Tally) end(id string, fate Fate, now time.Duration) {
+func (t *Summary) end(id string, fate Outcome, now time.Duration) {
 	one, ok := t.open[id]
 	if !ok {
 		return
@@ -127,7 +127,7 @@
 	t.second(now).Ended[fate]++
 }
 
-func (t *Tally) second(now time.Duration) *Second {
+func (t *Summary) second(now time.Duration) *Second {
 	at := int64(now / time.Second)
 	if t.Seconds[at] == nil {
 		t.Seconds[at] = &Second{}
@@ -145,13 +145,13 @@
 }
 
 // Write words it: a table of the classes, one of the attempts by node.
-func (t *Tally) Write(w io.Writer) error {
+func (t *Summary) Write(w io.Writer) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(out, "class\tarrived\tin aim\tlate\trefused\tfailed\tleft\tattempts\tp50\tp99\tworth\t")
 	for i := range t.Classes {
 		c := &t.Classes[i]
-		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%.0f of %.0f\t\n", t.set.Classes[i].Name, c.Arrived, c.Ended[InAim], c.Ended[Late], c.Ended[Refused],
-			c.Ended[Failed], c.Ended[Left], c.Attempts, c.Quantile(0.5).Round(time.Millisecond), c.Quantile(0.99).Round(time.Millisecond), c.Worth, c.Asked)
+		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%.0f of %.0f\t\n", t.set.Classes[i].Name, c.Arrived, c.Ended[InObjective], c.Ended[Late], c.Ended[Rejected],
+			c.Ended[Failed], c.Ended[Disconnected], c.Attempts, c.Quantile(0.5).Round(time.Millisecond), c.Quantile(0.99).Round(time.Millisecond), c.EarnedWeight, c.OfferedWeight)
 	}
 	if len(t.Results) == 0 {
 		return out.Flush()
@@ -166,7 +166,7 @@
 	slices.Sort(nodes)
 	for _, node := range nodes {
 		fmt.Fprintf(out, "%s\t", node)
-		for result := scheduler.Served; result <= scheduler.Moot; result++ {
+		for result := scheduler.Served; result <= scheduler.NotSent; result++ {
 			fmt.Fprintf(out, "%d\t", t.Results[node][result])
 		}
 		fmt.Fprintln(out)
--- a/internal/capture/timeline/story.go
+++ b/internal/capture/timeline/story.go
@@ -18,16 +18,16 @@
 // Clock words times: of the wall clock where the capture tells its origin, otherwise of the Scheduler's.
 type Clock struct{ origin time.Time }
 
-// ClockOf gives the clock of a capture.
-func ClockOf(h *capture.Head) Clock {
+// ClockFor gives the clock of a capture.
+func ClockFor(h *capture.Head) Clock {
 	if h.Origin == 0 {
 		return Clock{}
 	}
 	return Clock{time.Unix(0, h.Origin)}
 }
 
-// Say words a time.
-func (c Clock) Say(at time.Duration) string {
+// Format words a time.
+func (c Clock) Format(at time.Duration) string {
 	if c.origin.IsZero() {
 		return at.String()
 	}
@@ -79,9 +79,9 @@
 	lines   int
 }
 
-// Why tells the story of a request: when it came, what it waited for, why this node, why again, why turned away. The source is read
+// WriteRequest tells the story of a request: when it came, what it waited for, why this node, why again, why turned away. The source is read
 // twice: first for the events that concern it, then for the states before them.
-func Why(source io.ReadSeeker, id string, w io.Writer) error {
+func WriteRequest(source io.ReadSeeker, id string, w io.Writer) error {
 	concerns, err := concerning(source, id)
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	t := &teller{w: w, id: id, clock: ClockOf(&c.Head), set: c.Head.Settings}
+	t := &teller{w: w, id: id, clock: ClockFor(&c.Head), set: c.Head.Settings}
 	p := capture.NewPlayer(c)
 	for len(concerns) > 0 {
 		number, err := p.Upcoming()
@@ -151,7 +151,7 @@
 	if t.request != nil {
 		since = fmt.Sprintf(" (+%v)", (at - t.came).Round(time.Millisecond))
 	}
-	fmt.Fprintf(t.w, "%s%s  %s\n", t.clock.Say(at), since, fmt.Sprintf(format, args...))
+	fmt.Fprintf(t.w, "%s%s  %s\n", t.clock.Format(at), since, fmt.Sprintf(format, args...))
 	t.lines++
 }
 
@@ -160,21 +160,21 @@
 	if t.request == nil {
 		for i := range before.Requests { // it came before the capture begins
 			if r := &before.Requests[i]; r.Request.ID == t.id {
-				t.request, t.came, t.sends = &r.Request, r.CameAt, r.Attempts
-				t.say(r.CameAt, "It came before the capture begins: %s.", t.words(&r.Request))
+				t.request, t.came, t.sends = &r.Request, r.ArrivedAt, r.Attempts
+				t.say(r.ArrivedAt, "It came before the capture begins: %s.", t.words(&r.Request))
 			}
 		}
 	}
 	switch {
-	case e.Kind == capture.Arrived && e.Request.ID == t.id:
+	case e.Kind == capture.KindRequestArrived && e.Request.ID == t.id:
 		t.request, t.came = e.Request, e.At
 		t.say(e.At, "It came: %s.", t.words(e.Request))
 		t.choices(before, e.At)
-	case e.Kind == capture.Left && e.ID == t.id && t.request != nil:
+	case e.Kind == capture.KindClientDisconnected && e.ID == t.id && t.request != nil:
 		t.say(e.At, "Its client left.")
-	case e.Kind == capture.Began && e.ID == t.id:
+	case e.Kind == capture.KindStreamStarted && e.ID == t.id:
 		t.say(e.At, "Its answer began to stream.")
-	case e.Kind == capture.Ended && e.Outcome.ID == t.id:
+	case e.Kind == capture.KindAttemptEnded && e.Outcome.ID == t.id:
 		t.ended(e)
 	}
 	for i := range step.Actions {
@@ -182,7 +182,7 @@
 			t.action(a, step, before)
 		}
 	}
-	if e.Kind == capture.Arrived && e.Request.ID == t.id && !slices.ContainsFunc(step.Actions, func(a capture.Record) bool { return a.ID == t.id }) {
+	if e.Kind == capture.KindRequestArrived && e.Request.ID == t.id && !slices.ContainsFunc(step.Actions, func(a capture.Record) bool { return a.ID == t.id }) {
 		t.say(e.At, "It was not sent at once; it waits.")
 	}
 }
@@ -200,18 +200,18 @@
 	if q.Shard == scheduler.AnyShard {
 		where = "any shard"
 	}
-	return fmt.Sprintf("%s, %s, volume %s, %g units, %s, its client waits %v", class, plan, q.Volume, q.Units, where, q.Patience)
+	return fmt.Sprintf("%s, %s, volume %s, %g units, %s, its client waits %v", class, plan, q.Volume, q.Units, where, q.ClientTimeout)
 }
 
 var results = map[scheduler.Result]string{scheduler.Served: "was served", scheduler.Errored: "ended with an error of the node; it may have run",
-	scheduler.Full: "was turned away unseen, as the node was full", scheduler.TimedOut: "got no answer in time; it may have run",
-	scheduler.ConnectFailed: "found no connection; it never ran", scheduler.Reset: "lost its connection; it may have run",
-	scheduler.Canceled: "was withdrawn; it may have run", scheduler.Moot: "was not sent any more"}
+	scheduler.Overloaded: "was turned away unseen, as the node was full", scheduler.TimedOut: "got no answer in time; it may have run",
+	scheduler.ConnectFailed: "found no connection; it never ran", scheduler.ConnectionReset: "lost its connection; it may have run",
+	scheduler.Canceled: "was withdrawn; it may have run", scheduler.NotSent: "was not sent any more"}
 
 func (t *teller) ended(e *capture.Record) {
 	o := e.Outcome
 	done := ""
-	if o.Done {
+	if o.Concluded {
 		done = "; that concludes the request"
 	}
 	t.say(e.At, "Attempt %d at %s %s, after %v%s.", o.Attempt+1, o.Node, results[o.Result], o.Latency.Round(time.Millisecond), done)
@@ -220,7 +220,7 @@
 func (t *teller) action(a *capture.Record, step *capture.Step, before *scheduler.Snapshot) {
 	at := step.Event.At
 	switch a.Kind {
-	case capture.Send:
+	case capture.KindSend:
 		t.sends++
 		because := "when it came"
 		if !about(step.Event, t.id) {
@@ -228,13 +228,13 @@
 		}
 		t.say(at, "Attempt %d left for %s, %s.", t.sends, a.Node, because)
 		t.place(before)
-	case capture.Cancel:
+	case capture.KindCancel:
 		t.say(at, "Attempt %d was withdrawn.", a.Attempt+1)
-	case capture.Refuse:
-		t.say(at, "It was refused; its client may come again after %v.", a.Span.Round(time.Millisecond))
+	case capture.KindReject:
+		t.say(at, "It was refused; its client may come again after %v.", a.Duration.Round(time.Millisecond))
 		t.place(before)
 		t.choices(before, at)
-	case capture.Fail:
+	case capture.KindFail:
 		t.say(at, "It was failed: no promise was made.")
 		t.place(before)
 		t.choices(before, at)
@@ -257,11 +257,11 @@
 		return
 	}
 	r := &s.Requests[i]
-	left := fmt.Sprintf("its aim is in %v, its end in %v", (r.AimAt - s.Now).Round(time.Millisecond), (r.EndAt - s.Now).Round(time.Millisecond))
+	left := fmt.Sprintf("its aim is in %v, its end in %v", (r.ObjectiveAt - s.Now).Round(time.Millisecond), (r.AnswerBy - s.Now).Round(time.Millisecond))
 	switch {
-	case len(r.Open) > 0:
-		fmt.Fprintf(t.w, "    before: attempt %d is out at %s for %v; %s\n", r.Open[0].Number+1, s.Nodes[r.Open[0].Node].Node.ID,
-			(s.Now - r.Open[0].At).Round(time.Millisecond), left)
+	case len(r.InFlight) > 0:
+		fmt.Fprintf(t.w, "    before: attempt %d is out at %s for %v; %s\n", r.InFlight[0].Number+1, s.Nodes[r.InFlight[0].Node].Node.ID,
+			(s.Now - r.InFlight[0].SentAt).Round(time.Millisecond), left)
 	case r.Node >= 0:
 		n := &s.Nodes[r.Node]
 		fmt.Fprintf(t.w, "    before: place %d of %d waiting for %s, %s, tag %.2f; %s\n", slices.Index(n.Waiting, i)+1, len(n.Waiting), n.Node.ID,
@@ -275,21 +275,21 @@
 func (t *teller) choices(s *scheduler.Snapshot, at time.Duration) {
 	copied := *s
 	copied.Now = max(s.Now, at)
-	one, err := scheduler.Resume(t.set, &copied, capture.Actions(func(capture.Record) {}))
+	one, err := scheduler.Resume(t.set, &copied, capture.RecordActions(func(capture.Record) {}))
 	if err != nil {
 		fmt.Fprintf(t.w, "    %v\n", err)
 		return
 	}
 	all := one.Explain(*t.request)
-	all = slices.DeleteFunc(all, func(c scheduler.Choice) bool { return c.Bars == "it has not the data" })
-	slices.SortStableFunc(all, func(a, b scheduler.Choice) int {
+	all = slices.DeleteFunc(all, func(c scheduler.Candidate) bool { return c.BlockedBy == "it has not the data" })
+	slices.SortStableFunc(all, func(a, b scheduler.Candidate) int {
 		return cmp.Or(cmp.Compare(a.Phase, b.Phase), cmp.Compare(a.Expected, b.Expected))
 	})
 	out := tabwriter.NewWriter(t.w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "    node\texpected\tqueue\town\tout\twaiting\tcap\tbarred")
 	for _, c := range all {
 		fmt.Fprintf(out, "    %s\t%v\t%v\t%v\t%.1f\t%.1f\t%.1f\t%s\n", c.Node, c.Expected.Round(time.Millisecond), max(0, c.Queue).Round(time.Millisecond),
-			c.Own.Round(time.Millisecond), c.Out, c.Waiting, c.Cap, strings.TrimSpace(c.Bars))
+			c.ServiceTime.Round(time.Millisecond), c.InFlight, c.Waiting, c.Cap, strings.TrimSpace(c.BlockedBy))
 	}
 	out.Flush()
 }
@@ -299,11 +299,11 @@
 // Only says which nodes and volumes are told of, by name; an empty list is none of them.
 type Only struct{ Nodes, Volumes []string }
 
-// Around words what is about a difference: the state of the request, the node and the volume that it is about.
-func Around(s *scheduler.Snapshot, clock Clock, set scheduler.Settings, d *capture.Difference, w io.Writer) error {
+// WriteContext words what is about a difference: the state of the request, the node and the volume that it is about.
+func WriteContext(s *scheduler.Snapshot, clock Clock, set scheduler.Settings, d *capture.Difference, w io.Writer) error {
 	var ids []string
 	only := &Only{}
-	for _, r := range []*capture.Record{d.Told, d.Recorded, d.Replayed} {
+	for _, r := range []*capture.Record{d.Input, d.Recorded, d.Replayed} {
 		if r == nil {
 			continue
 		}
@@ -328,12 +328,12 @@
 		fmt.Fprintf(w, "request %s: %s\n", r.Request.ID, t.words(&r.Request))
 		t.place(s)
 	}
-	return State(s, clock, set, only, w)
+	return WriteState(s, clock, set, only, w)
 }
 
-// State words a snapshot: a table of the nodes, then of the volumes; only those that are asked for, or all where only is nil.
-func State(s *scheduler.Snapshot, clock Clock, set scheduler.Settings, only *Only, w io.Writer) error {
-	fmt.Fprintf(w, "%s: %d requests are open, %d of them without a node\n", clock.Say(s.Now), len(s.Requests), len(s.Homeless))
+// WriteState words a snapshot: a table of the nodes, then of the volumes; only those that are asked for, or all where only is nil.
+func WriteState(s *scheduler.Snapshot, clock Clock, set scheduler.Settings, only *Only, w io.Writer) error {
+	fmt.Fprintf(w, "%s: %d requests are open, %d of them without a node\n", clock.Format(s.Now), len(s.Requests), len(s.Unassigned))
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "node\tphase\tshard\tcap\tout\tattempts\twaiting\tlatency\tunloaded\tqueue\trate\tfailures\theld for\tcold for")
 	for _, n := range s.Nodes[:s.Listed] {
@@ -345,12 +345,12 @@
 			waiting += s.Requests[i].Request.Units
 		}
 		cold := time.Duration(0)
-		if n.ColdSince > 0 {
-			cold = max(0, set.Rules.WarmWithin-(s.Now-n.ColdSince))
+		if n.WarmingSince > 0 {
+			cold = max(0, set.Rules.SlowStartDuration-(s.Now-n.WarmingSince))
 		}
 		fmt.Fprintf(out, "%s\t%s\t%d\t%.1f\t%.1f\t%d\t%.1f\t%.0f ms\t%.0f ms\t%.0f ms\t%.1f/s\t%d\t%v\t%v\n", n.Node.ID, phases[min(int(n.Node.Phase), len(phases)-1)],
-			n.Node.Shard, n.Cap, n.Out, n.AtNode, waiting, n.Latency*1000, n.MinLatency*1000, n.Queue*1000, n.MaxRate, n.Failures,
-			max(0, n.HoldUntil-s.Now).Round(time.Millisecond), cold.Round(time.Millisecond))
+			n.Node.Shard, n.Cap, n.UnitsInFlight, n.AttemptsInFlight, waiting, n.Latency*1000, n.MinLatency*1000, n.Queue*1000, n.MaxRate, n.Failures,
+			max(0, n.BackoffUntil-s.Now).Round(time.Millisecond), cold.Round(time.Millisecond))
 	}
 	fmt.Fprintln(out, "\nvolume\tplan\tserved\treserve\treserve rate\tlimit\tlimit rate\topen\t\t\t\t\t\t")
 	open := map[int]int{}
@@ -365,7 +365,7 @@
 		if v.Plan >= 0 && v.Plan < len(set.Plans) {
 			plan = set.Plans[v.Plan].Name
 		}
-		fmt.Fprintf(out, "%s\t%s\t%.1f/s\t%.1f\t%.1f/s\t%.1f\t%.1f/s\t%d\t\t\t\t\t\t\n", v.Name, plan, v.Own, v.Reserve.Level, v.Reserve.Rate, v.Limit.Level, v.Limit.Rate, open[i])
+		fmt.Fprintf(out, "%s\t%s\t%.1f/s\t%.1f\t%.1f/s\t%.1f\t%.1f/s\t%d\t\t\t\t\t\t\n", v.Name, plan, v.OwnUnits, v.Reserve.Tokens, v.Reserve.Rate, v.Limit.Tokens, v.Limit.Rate, open[i])
 	}
 	return out.Flush()
 }
--- a/internal/capture/timeline/story_test.go
+++ b/internal/capture/timeline/story_test.go
@@ -19,31 +19,31 @@
 func recorded(t *testing.T) []byte {
 	t.Helper()
 	settings := capturetest.Settings
-	settings.Rules.ColdFrom = 0
-	r, err := capture.NewRecorder(settings, 1, capture.Options{Most: 1 << 20, Origin: time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC)}, capture.Actions(func(capture.Record) {}))
+	settings.Rules.SlowStartShare = 0
+	r, err := capture.NewRecorder(settings, 1, capture.Options{MaxBytes: 1 << 20, Origin: time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC)}, capture.RecordActions(func(capture.Record) {}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := func(n int) time.Duration { return time.Hour + time.Duration(n)*ms }
 	q := func(id string, units float64) scheduler.Request {
-		return scheduler.Request{ID: id, Volume: "v", Units: units, Patience: time.Second, Hosts: 1, Shard: scheduler.AnyShard}
+		return scheduler.Request{ID: id, Volume: "v", Units: units, ClientTimeout: time.Second, Hosts: 1, Shard: scheduler.AnyShard}
 	}
-	r.Members(at(0), scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "n"}, {ID: "m", Phase: scheduler.Draining}}})
-	r.Arrived(at(10), q("first", 2))
-	r.Ended(at(15), scheduler.Outcome{ID: "first", Node: "n", Result: scheduler.ConnectFailed, Latency: 5 * ms, Use: -1})
+	r.MembershipChanged(at(0), scheduler.Membership{Kind: scheduler.FullList, Nodes: []scheduler.Node{{ID: "n"}, {ID: "m", Phase: scheduler.Draining}}})
+	r.RequestArrived(at(10), q("first", 2))
+	r.AttemptEnded(at(15), scheduler.Outcome{ID: "first", Node: "n", Result: scheduler.ConnectFailed, Latency: 5 * ms, VolumeUse: -1})
 	for n := 40; n < 80; n += 5 {
-		r.Timer(at(n), 0)
+		r.TimerFired(at(n), 0)
 	}
-	r.Ended(at(90), scheduler.Outcome{ID: "first", Attempt: 1, Node: "n", Result: scheduler.Served, Latency: 35 * ms, Done: true, Use: -1})
+	r.AttemptEnded(at(90), scheduler.Outcome{ID: "first", Attempt: 1, Node: "n", Result: scheduler.Served, Latency: 35 * ms, Concluded: true, VolumeUse: -1})
 	for i := range 30 { // the plan's store of the limit holds 20 for this life
-		r.Arrived(at(100), q(fmt.Sprint("many-", i), 1))
+		r.RequestArrived(at(100), q(fmt.Sprint("many-", i), 1))
 	}
-	r.Arrived(at(101), q("last", 8))
+	r.RequestArrived(at(101), q("last", 8))
 	for n := 110; n < 400; n += 25 {
-		r.Timer(at(n), 0)
+		r.TimerFired(at(n), 0)
 	}
-	r.Left(at(400), "many-0")
-	file, err := r.Kept().File()
+	r.ClientDisconnected(at(400), "many-0")
+	file, err := r.Recording().File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 		"many-0": {"Its client left."},
 	} {
 		var out strings.Builder
-		if err := Why(bytes.NewReader(file), id, &out); err != nil {
+		if err := WriteRequest(bytes.NewReader(file), id, &out); err != nil {
 			t.Fatal(id, err)
 		}
 		rest := out.String()
@@ -74,27 +74,27 @@
 			rest = after
 		}
 	}
-	if err := Why(bytes.NewReader(file), "nobody", &strings.Builder{}); !errors.Is(err, ErrUnknown) {
+	if err := WriteRequest(bytes.NewReader(file), "nobody", &strings.Builder{}); !errors.Is(err, ErrUnknown) {
 		t.Error(err)
 	}
 }
 
 // Telling a story changes nothing of what is told: every request of a random day has one, and the day still replays.
 func TestEveryRequestHasAStory(t *testing.T) {
-	w := capturetest.NewWorld(3)
-	r, err := capture.NewRecorder(capturetest.Settings, 3, capture.Options{Most: 400_000}, w)
+	w := capturetest.NewWorkload(3)
+	r, err := capture.NewRecorder(capturetest.Settings, 3, capture.Options{MaxBytes: 400_000}, w)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.Play(r, 1500)
-	file, err := r.Kept().File()
+	file, err := r.Recording().File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	told := 0
 	for id := 0; id < 1500; id += 13 {
 		var out strings.Builder
-		err := Why(bytes.NewReader(file), fmt.Sprint(id), &out)
+		err := WriteRequest(bytes.NewReader(file), fmt.Sprint(id), &out)
 		if errors.Is(err, ErrUnknown) {
 			continue
 		}
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	if err := State(state, Clock{}, capturetest.Settings, nil, &out); err != nil {
+	if err := WriteState(state, Clock{}, capturetest.Settings, nil, &out); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(out.String(), "\n")
@@ -147,8 +147,8 @@
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	d := &capture.Difference{Told: &capture.Record{Kind: capture.Timer}, Recorded: &capture.Record{Kind: capture.Send, ID: "first", Node: "n"}}
-	if err := Around(state, Clock{}, capturetest.Settings, d, &out); err != nil {
+	d := &capture.Difference{Input: &capture.Record{Kind: capture.KindTimerFired}, Recorded: &capture.Record{Kind: capture.KindSend, ID: "first", Node: "n"}}
+	if err := WriteContext(state, Clock{}, capturetest.Settings, d, &out); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"request first: class read", "place 1 of 1 waiting for n", "\nn ", "\nv "} {
--- a/internal/capture/trigger/trigger.go
+++ b/internal/capture/trigger/trigger.go
@@ -30,11 +30,11 @@
 
 // Rule is a trigger.
 type Rule struct {
-	Name   string
-	When   *expression.Over[Second]
-	Before time.Duration // of what came before that is kept, as far as the memory reaches
-	After  time.Duration // of what comes after
-	Quiet  time.Duration // at least between two captures by it
+	Name      string
+	Condition *expression.Over[Second]
+	Before    time.Duration // of what came before that is kept, as far as the memory reaches
+	After     time.Duration // of what comes after
+	Quiet     time.Duration // at least between two captures by it
 }
 
 const without = 1e9
@@ -77,29 +77,29 @@
 func (w *Watcher) Add(r *capture.Record, now time.Duration) {
 	s := &w.second
 	switch r.Kind {
-	case capture.Arrived:
+	case capture.KindRequestArrived:
 		q := r.Request
 		if _, ok := w.open[q.ID]; ok || q.Class < 0 || q.Class >= len(w.classes) {
 			return
 		}
-		w.open[q.ID] = opened{class: q.Class, at: now, patience: q.Patience}
+		w.open[q.ID] = opened{class: q.Class, at: now, patience: q.ClientTimeout}
 		s.Arrived++
-	case capture.Left:
+	case capture.KindClientDisconnected:
 		if _, ok := w.open[r.ID]; ok {
 			delete(w.open, r.ID)
 			s.Left++
 		}
-	case capture.Ended:
+	case capture.KindAttemptEnded:
 		w.ended(r.Outcome, now)
-	case capture.Refuse, capture.Fail:
+	case capture.KindReject, capture.KindFail:
 		if one, ok := w.answered(r.ID, now); ok && one.class >= 0 {
-			if r.Kind == capture.Refuse {
+			if r.Kind == capture.KindReject {
 				s.Refused++
 			} else {
 				s.Failed++
 			}
 		}
-	case capture.Send:
+	case capture.KindSend:
 		s.Sent++
 		one, ok := w.open[r.ID]
 		if ok && one.sent {
@@ -112,26 +112,26 @@
 		if n := w.nodes[r.Node]; n != nil {
 			n.sent = true
 		}
-	case capture.Members:
-		w.members(r.Members)
+	case capture.KindMembershipChanged:
+		w.members(r.Membership)
 	}
 }
 
 func (w *Watcher) ended(o *scheduler.Outcome, now time.Duration) {
 	s := &w.second
 	switch o.Result {
-	case scheduler.Errored, scheduler.Reset:
+	case scheduler.Errored, scheduler.ConnectionReset:
 		s.Errors++
 	case scheduler.ConnectFailed:
 		s.Unreachable++
-	case scheduler.Full:
+	case scheduler.Overloaded:
 		s.Full++
 	case scheduler.Served:
-		if !o.Done {
+		if !o.Concluded {
 			return
 		}
 		if one, ok := w.answered(o.ID, now); ok {
-			if now-one.at <= w.classes[one.class].Aim {
+			if now-one.at <= w.classes[one.class].LatencyObjective {
 				s.Served++
 			} else {
 				s.Late++
@@ -150,10 +150,10 @@
 }
 
 func (w *Watcher) members(m *scheduler.Membership) {
-	if m.Kind == scheduler.Refused {
+	if m.Kind == scheduler.WatchFailed {
 		return
 	}
-	if m.Kind != scheduler.Changes {
+	if m.Kind != scheduler.DeltaList {
 		clear(w.nodes)
 	}
 	for _, e := range m.Nodes {
@@ -166,7 +166,7 @@
 }
 
 // Due gives what is to be kept by now. It is asked at every event, after it was added.
-func (w *Watcher) Due(now time.Duration) (out []capture.Keep) {
+func (w *Watcher) Due(now time.Duration) (out []capture.TriggerMatch) {
 	if w.begun == 0 {
 		w.begun = now
 	}
@@ -176,7 +176,7 @@
 	for i := range w.rules {
 		rule, state := &w.rules[i], &w.states[i]
 		if state.firedAt > 0 && now >= state.firedAt+rule.After {
-			out = append(out, capture.Keep{Name: rule.Name, From: max(0, state.firedAt-rule.Before)})
+			out = append(out, capture.TriggerMatch{Name: rule.Name, From: max(0, state.firedAt-rule.Before)})
 			state.quietFor, state.firedAt = state.firedAt+rule.After+rule.Quiet, 0
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 	for i := range w.rules {
 		state := &w.states[i]
-		if state.firedAt == 0 && now >= state.quietFor && w.rules[i].When.Holds(*s) {
+		if state.firedAt == 0 && now >= state.quietFor && w.rules[i].Condition.Holds(*s) {
 			state.firedAt = now
 		}
 	}
--- a/internal/capture/trigger/trigger_test.go
+++ b/internal/capture/trigger/trigger_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Rule{Name: name, When: over, Before: 2 * time.Second, After: time.Second, Quiet: 5 * time.Second}
+	return Rule{Name: name, Condition: over, Before: 2 * time.Second, After: time.Second, Quiet: 5 * time.Second}
 }
 
 const ms = time.Millisecond
@@ -41,20 +41,20 @@
 			}
 		}
 	}
-	list := &scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "a"}, {ID: "b"}}}
-	tell(time.Hour, capture.Record{Kind: capture.Members, Members: list})
+	list := &scheduler.Membership{Kind: scheduler.FullList, Nodes: []scheduler.Node{{ID: "a"}, {ID: "b"}}}
+	tell(time.Hour, capture.Record{Kind: capture.KindMembershipChanged, Membership: list})
 	for step := range 200 { // twenty seconds
 		now := time.Hour + time.Duration(step)*100*ms
 		second := step / 10
 		for i := range 2 {
 			id := fmt.Sprint(step, "-", i)
-			tell(now, capture.Record{Kind: capture.Arrived, Request: &scheduler.Request{ID: id, Patience: time.Second}})
+			tell(now, capture.Record{Kind: capture.KindRequestArrived, Request: &scheduler.Request{ID: id, ClientTimeout: time.Second}})
 			switch {
 			case second >= 5 && second < 14:
-				tell(now, capture.Record{Kind: capture.Refuse, ID: id})
+				tell(now, capture.Record{Kind: capture.KindReject, ID: id})
 			default:
-				tell(now, capture.Record{Kind: capture.Send, ID: id, Node: "a"}, capture.Record{Kind: capture.Send, ID: id, Node: []string{"a", "b"}[min(i, max(0, 1-second/17))]},
-					capture.Record{Kind: capture.Ended, Outcome: &scheduler.Outcome{ID: id, Result: scheduler.Served, Done: true}})
+				tell(now, capture.Record{Kind: capture.KindSend, ID: id, Node: "a"}, capture.Record{Kind: capture.KindSend, ID: id, Node: []string{"a", "b"}[min(i, max(0, 1-second/17))]},
+					capture.Record{Kind: capture.KindAttemptEnded, Outcome: &scheduler.Outcome{ID: id, Result: scheduler.Served, Concluded: true}})
 			}
 		}
 	}
@@ -75,9 +75,9 @@
 // What a trigger keeps reaches back to its time before, begins with a snapshot, and replays.
 func TestKeptByTrigger(t *testing.T) {
 	kept := map[string][]byte{}
-	world := capturetest.NewWorld(3)
-	options := capture.Options{Most: 600_000, Watch: New([]Rule{rule(t, "late", "late + failed + refused > 5")}, capturetest.Settings),
-		Keep: func(k capture.Keep, part capture.Kept) {
+	world := capturetest.NewWorkload(3)
+	options := capture.Options{MaxBytes: 600_000, Triggers: New([]Rule{rule(t, "late", "late + failed + refused > 5")}, capturetest.Settings),
+		OnTrigger: func(k capture.TriggerMatch, part capture.Recording) {
 			file, err := part.File()
 			if err != nil {
 				t.Error(err)
