--- a/internal/capture/whatif/whatif.go
+++ b/internal/capture/whatif/whatif.go
@@ -20,10 +20,10 @@
 	"reachpulley/scheduler"
 )
 
-// Day is what a capture tells of the world: what came from outside, and how nodes answered.
-type Day struct {
+// Workload is what a capture tells of the world: what came from outside, and how nodes answered.
+type Workload struct {
 	Head     capture.Head
-	Recorded *summary.Tally // what became of the requests as recorded
+	Recorded *summary.Summary // what became of the requests as recorded
 	outside  []capture.Record
 	answers  map[string][]answer // by node, in the order of their sending
 	all      []answer
@@ -38,8 +38,8 @@
 }
 
 // Read reads a capture whole. What was open at its begin is left out.
-func Read(c *capture.Reader) (*Day, error) {
-	d := &Day{Head: c.Head, Recorded: summary.New(c.Head.Settings), answers: map[string][]answer{}}
+func Read(c *capture.Reader) (*Workload, error) {
+	d := &Workload{Head: c.Head, Recorded: summary.New(c.Head.Settings), answers: map[string][]answer{}}
 	type attempt struct {
 		id     string
 		number int
@@ -58,18 +58,18 @@
 		}
 		d.Recorded.Add(r, d.last)
 		switch r.Kind {
-		case capture.Arrived:
+		case capture.KindRequestArrived:
 			units[r.Request.ID] = r.Request.Units
 			d.outside = append(d.outside, *r)
-		case capture.Left, capture.Members, capture.Recalled, capture.Cautioned:
+		case capture.KindClientDisconnected, capture.KindMembershipChanged, capture.KindRestored, capture.KindRestricted:
 			d.outside = append(d.outside, *r)
-		case capture.Send:
+		case capture.KindSend:
 			sent[attempt{r.ID, tries[r.ID]}] = d.last
 			tries[r.ID]++
-		case capture.Ended:
+		case capture.KindAttemptEnded:
 			key := attempt{r.Outcome.ID, r.Outcome.Attempt}
 			at, ok := sent[key]
-			if !ok || r.Outcome.Result == scheduler.Canceled || r.Outcome.Result == scheduler.Moot { // these tell of the decisions, not of the node
+			if !ok || r.Outcome.Result == scheduler.Canceled || r.Outcome.Result == scheduler.NotSent { // these tell of the decisions, not of the node
 				continue
 			}
 			delete(sent, key)
@@ -93,7 +93,7 @@
 const nearAnswers = 9
 
 // near gives an answer of a node from around a time, scaled to the request's size.
-func (d *Day) near(random *rand.Rand, node string, at time.Duration, units float64) answer {
+func (d *Workload) near(random *rand.Rand, node string, at time.Duration, units float64) answer {
 	list := d.answers[node]
 	if len(list) == 0 { // nothing was ever sent there; any node's will do
 		list = d.all
@@ -131,7 +131,7 @@
 
 // run is a day on other settings.
 type run struct {
-	day      *Day
+	day      *Workload
 	random   *rand.Rand
 	now      time.Duration
 	sequence int
@@ -139,11 +139,11 @@
 	tries    map[string]int
 	units    map[string]float64
 	open     map[string]bool // requests without a final answer
-	out      *summary.Tally
+	out      *summary.Summary
 }
 
 // Play plays the day by settings and gives what would have become of its requests.
-func (d *Day) Play(settings scheduler.Settings) (*summary.Tally, error) {
+func (d *Workload) Play(settings scheduler.Settings) (*summary.Summary, error) {
 	r := &run{day: d, random: rand.New(rand.NewPCG(d.Head.Seed, 1)), tries: map[string]int{}, units: map[string]float64{}, open: map[string]bool{}, out: summary.New(settings)}
 	s, err := scheduler.New(settings, d.Head.Seed, actions{r})
 	if err != nil {
@@ -171,40 +171,40 @@
 
 func (r *run) outside(s *scheduler.Scheduler, e capture.Record) {
 	switch e.Kind {
-	case capture.Arrived:
+	case capture.KindRequestArrived:
 		r.open[e.Request.ID], r.units[e.Request.ID] = true, e.Request.Units
 		r.out.Add(&e, r.now)
-		s.Arrived(r.now, *e.Request)
-	case capture.Left:
+		s.RequestArrived(r.now, *e.Request)
+	case capture.KindClientDisconnected:
 		if r.open[e.ID] { // otherwise it would have had its answer by then
 			delete(r.open, e.ID)
 			r.out.Add(&e, r.now)
-			s.Left(r.now, e.ID)
+			s.ClientDisconnected(r.now, e.ID)
 		}
-	case capture.Members:
-		s.Members(r.now, *e.Members)
-	case capture.Recalled:
-		s.Recall(r.now, *e.Learned)
-	case capture.Cautioned:
-		s.Caution(r.now, *e.Caution)
+	case capture.KindMembershipChanged:
+		s.MembershipChanged(r.now, *e.Membership)
+	case capture.KindRestored:
+		s.Restore(r.now, *e.Learned)
+	case capture.KindRestricted:
+		s.Restrict(r.now, *e.Restriction)
 	}
 }
 
 func (r *run) happens(s *scheduler.Scheduler, next due) {
 	if next.outcome == nil {
-		s.Timer(r.now, next.key)
+		s.TimerFired(r.now, next.key)
 		return
 	}
 	o := *next.outcome
 	if o.Result == scheduler.Served {
-		o.Done = r.open[o.ID]
+		o.Concluded = r.open[o.ID]
 	}
-	if o.Done {
+	if o.Concluded {
 		delete(r.open, o.ID)
 	}
-	r.out.Add(&capture.Record{Kind: capture.Ended, At: r.now, Outcome: &o}, r.now)
-	o.Done = o.Done || !r.open[o.ID]
-	s.Ended(r.now, o)
+	r.out.Add(&capture.Record{Kind: capture.KindAttemptEnded, At: r.now, Outcome: &o}, r.now)
+	o.Concluded = o.Concluded || !r.open[o.ID]
+	s.AttemptEnded(r.now, o)
 }
 
 func (r *run) at(after time.Duration, key uint64, o *scheduler.Outcome) {
@@ -219,9 +219,9 @@
 	r := a.r
 	near := r.day.near(r.random, node, r.now, r.units[id])
 	o := near.outcome
-	o.ID, o.Attempt, o.Node, o.Done = id, r.tries[id], node, false
+	o.ID, o.Attempt, o.Node, o.Concluded = id, r.tries[id], node, false
 	r.tries[id]++
-	r.out.Add(&capture.Record{Kind: capture.Send, ID: id, Node: node}, r.now)
+	r.out.Add(&capture.Record{Kind: capture.KindSend, ID: id, Node: node}, r.now)
 	r.at(o.Latency, 0, &o)
 }
 
@@ -243,8 +243,8 @@
 	a.r.out.Add(&capture.Record{Kind: kind, ID: id}, a.r.now)
 }
 
-func (a actions) Refuse(id string, _ time.Duration) { a.end(capture.Refuse, id) }
-func (a actions) Fail(id string)                    { a.end(capture.Fail, id) }
+func (a actions) Reject(id string, _ time.Duration) { a.end(capture.KindReject, id) }
+func (a actions) Fail(id string)                    { a.end(capture.KindFail, id) }
 func (a actions) Probe(string)                      {}
 func (a actions) SetTimer(after time.Duration, key uint64) {
 	a.r.at(after, key, nil)
--- a/internal/config/capture.go
+++ b/internal/config/capture.go
@@ -12,13 +12,13 @@
 
 // Capture is the table [capture].
 type Capture struct {
-	Memory     int           `toml:"memory_kb"`   // that a capture of the decisions may take; 0: nothing is recorded
-	Directory  string        `toml:"directory"`   // where captures are written
-	Disk       int           `toml:"disk_mb"`     // that segments may take there; 0: none are written
-	Segment    int           `toml:"segment_mb"`  // after which a segment ends
-	SegmentAge time.Duration `toml:"segment_age"` // and after this time
-	Kept       int           `toml:"kept"`        // captures of triggers that stay, the oldest going first
-	Triggers   []Trigger     `toml:"trigger"`
+	Memory       int           `toml:"memory_kb"`   // that a capture of the decisions may take; 0: nothing is recorded
+	Directory    string        `toml:"directory"`   // where captures are written
+	Disk         int           `toml:"disk_mb"`     // that segments may take there; 0: none are written
+	Segment      int           `toml:"segment_mb"`  // after which a segment ends
+	SegmentAge   time.Duration `toml:"segment_age"` // and after this time
+	MaxTriggered int           `toml:"kept"`        // captures of triggers that stay, the oldest going first
+	Triggers     []Trigger     `toml:"trigger"`
 }
 
 // Trigger is a table [[capture.trigger]].
@@ -32,7 +32,7 @@
 	when *expression.Over[trigger.Second]
 }
 
-var defaultCapture = Capture{Segment: 8, SegmentAge: 10 * time.Minute, Kept: 20}
+var defaultCapture = Capture{Segment: 8, SegmentAge: 10 * time.Minute, MaxTriggered: 20}
 
 const (
 	mostCapture   = 1 << 20 // KB
@@ -61,7 +61,7 @@
 
 // checkTriggers compiles the conditions, too.
 func (r *Capture) checkTriggers(c checker) {
-	c.unless(r.Kept >= 1 && r.Kept <= mostKept, "kept", "%d is not from 1 to %d", r.Kept, mostKept)
+	c.unless(r.MaxTriggered >= 1 && r.MaxTriggered <= mostKept, "kept", "%d is not from 1 to %d", r.MaxTriggered, mostKept)
 	c.unless(len(r.Triggers) <= mostTriggers, "trigger", "%d are more than %d", len(r.Triggers), mostTriggers)
 	c.unless(len(r.Triggers) == 0 || r.Memory > 0, "memory_kb", "triggers keep what the memory holds, and there is none")
 	for i := range r.Triggers {
@@ -80,7 +80,7 @@
 // TriggerRules gives the triggers as they are watched.
 func (r *Capture) TriggerRules() (rules []trigger.Rule) {
 	for _, t := range r.Triggers {
-		rules = append(rules, trigger.Rule{Name: t.Name, When: t.when, Before: t.Before, After: t.After, Quiet: t.Quiet})
+		rules = append(rules, trigger.Rule{Name: t.Name, Condition: t.when, Before: t.Before, After: t.After, Quiet: t.Quiet})
 	}
 	return rules
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -39,13 +39,13 @@
 
 // Config is all that a gateway is told.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Limits    Limits
-	Known     *discovery.List // nil: none
-	Settings  scheduler.Settings
+	Name       string
+	Listen     string
+	Discovery  string
+	Seed       uint64
+	Limits     Limits
+	CachedList *discovery.List // nil: none
+	Settings   scheduler.Settings
 }
 
 // Limits bound what the gateway may use.
@@ -129,7 +129,7 @@
 		return nil, fmt.Errorf("seed: %q is not a number of 16 hex digits", f.Seed)
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
-		if c.Known, err = discovery.ParseList(f.Known); err != nil {
+		if c.CachedList, err = discovery.ParseList(f.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", named(err))
 		}
 	}
@@ -139,16 +139,16 @@
 	if c.Settings, err = simprotocol.ParseSettings(f.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", named(err))
 	}
-	c.Settings.Agent = !c.Settings.MustAsk // on sockets, what is pushed has to be watched, too
+	c.Settings.LocalAgent = !c.Settings.PollMembership // on sockets, what is pushed has to be watched, too
 	allowed := &c.Settings.Allowed
-	if allowed.ConnectWithin < 0 {
-		return nil, fmt.Errorf("settings.ceilings.dialTimeoutMs: %v is below 0", allowed.ConnectWithin)
+	if allowed.ConnectTimeout < 0 {
+		return nil, fmt.Errorf("settings.ceilings.dialTimeoutMs: %v is below 0", allowed.ConnectTimeout)
 	}
-	if allowed.IdleWithin < 0 {
-		return nil, fmt.Errorf("settings.ceilings.connIdleMs: %v is below 0", allowed.IdleWithin)
+	if allowed.IdleTimeout < 0 {
+		return nil, fmt.Errorf("settings.ceilings.connIdleMs: %v is below 0", allowed.IdleTimeout)
 	}
-	allowed.ConnectWithin = cmp.Or(allowed.ConnectWithin, defaultConnect)
-	allowed.IdleWithin = cmp.Or(allowed.IdleWithin, defaultIdle)
+	allowed.ConnectTimeout = cmp.Or(allowed.ConnectTimeout, defaultConnect)
+	allowed.IdleTimeout = cmp.Or(allowed.IdleTimeout, defaultIdle)
 	return c, nil
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	want := Limits{Cores: defaultCores, MemoryMB: defaultMemory, Sockets: 100}
-	if diff := cmp.Diff(want, c.Limits); diff != "" || c.Name != "other" || c.Seed != 255 || c.Known.Seq != 4 {
+	if diff := cmp.Diff(want, c.Limits); diff != "" || c.Name != "other" || c.Seed != 255 || c.CachedList.Seq != 4 {
 		t.Errorf("%+v: %s", c, diff)
 	}
 }
@@ -58,8 +58,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c.Settings.MustAsk == agent || c.Settings.Agent != agent {
-			t.Errorf("%s: must ask %v, agent %v", mode, c.Settings.MustAsk, c.Settings.Agent)
+		if c.Settings.PollMembership == agent || c.Settings.LocalAgent != agent {
+			t.Errorf("%s: must ask %v, agent %v", mode, c.Settings.PollMembership, c.Settings.LocalAgent)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o, err := operatorFaults(t, string(text)); err != nil || o.ISCSI != nil || o.Log.Format != LogJSON || o.Log.Least != slog.LevelInfo {
+	if o, err := operatorFaults(t, string(text)); err != nil || o.ISCSI != nil || o.Log.Format != LogJSON || o.Log.MinLevel != slog.LevelInfo {
 		t.Errorf("as shipped: %+v, %v", o, err)
 	}
 	shipped := strings.NewReplacer("enabled = false", "enabled = true", "sheet-read", "read", "entry-write", "write",
@@ -220,7 +220,7 @@
 		t.Fatal(err)
 	}
 	set := o.Settings(c.Settings)
-	if len(o.Contracts.Book.Entries()) != 3 || set.Retry.Share != 0.2 || !set.Rooms.On() || len(set.Rooms.Work) != 1 {
+	if len(o.Contracts.Catalog.Entries()) != 3 || set.RetryBudget.Share != 0.2 || !set.ZoneFailover.Enabled() || len(set.ZoneFailover.Work) != 1 {
 		t.Errorf("%+v", set)
 	}
 	if _, err := scheduler.New(set, 1, nil); err != nil {
@@ -242,11 +242,11 @@
 			t.Error(err)
 			continue
 		}
-		if got := fmt.Sprint(o.Rooms.Settings.Tiers, " ", o.Rooms.Settings.Work); got != want {
+		if got := fmt.Sprint(o.ZoneFailover.Settings.Tiers, " ", o.ZoneFailover.Settings.Work); got != want {
 			t.Errorf("%q: %s, want %s", text, got, want)
 		}
-		if set := o.Settings(scheduler.Settings{}); !set.Rooms.On() || set.Rooms.Spill != 20 {
-			t.Errorf("%+v", set.Rooms)
+		if set := o.Settings(scheduler.Settings{}); !set.ZoneFailover.Enabled() || set.ZoneFailover.Spillover != 20 {
+			t.Errorf("%+v", set.ZoneFailover)
 		}
 	}
 	for text, want := range map[string]string{
@@ -262,7 +262,7 @@
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
-	if o, err := operatorFaults(t, "[rooms]\nspill = 5.0\n"); err != nil || len(o.Settings(scheduler.Settings{}).Rooms.Tiers) > 0 {
+	if o, err := operatorFaults(t, "[rooms]\nspill = 5.0\n"); err != nil || len(o.Settings(scheduler.Settings{}).ZoneFailover.Tiers) > 0 {
 		t.Errorf("on without being enabled: %v", err)
 	}
 }
--- a/internal/config/front.go
+++ b/internal/config/front.go
@@ -22,8 +22,8 @@
 	mostBlockSize    = 32 << 10
 )
 
-// Front is the table [iscsi], the second front's configuration.
-type Front struct {
+// ISCSI is the table [iscsi], the second front's configuration.
+type ISCSI struct {
 	Listen      string             `toml:"listen"`
 	Enabled     bool               `toml:"enabled"`
 	Target      string             `toml:"target"`
@@ -76,7 +76,7 @@
 	}
 }
 
-func (f *Front) check(c checker, settings scheduler.Settings) {
+func (f *ISCSI) check(c checker, settings scheduler.Settings) {
 	c.address("listen", f.Listen)
 	c.unless(f.Target != "", "target", "is missing")
 	c.unless(f.Sessions >= 1 && f.Sessions <= mostSessions, "sessions", "%d is not from 1 to %d", f.Sessions, mostSessions)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -25,16 +25,16 @@
 // Operator is the operator's own file: a table for each subsystem that the platform knows nothing of.
 type Operator struct {
 	Log   Log    `toml:"log"`
-	ISCSI *Front `toml:"iscsi"` // nil where the second front is off
+	ISCSI *ISCSI `toml:"iscsi"` // nil where the second front is off
 	Rules Rules  `toml:"rules"`
 	H2C   H2C    `toml:"h2c"`
 
-	Capture Capture `toml:"capture"`
-	Restart Restart `toml:"restart"`
+	Capture     Capture     `toml:"capture"`
+	WarmRestart WarmRestart `toml:"restart"`
 
-	Contracts Contracts            `toml:"contracts"`
-	Retry     retrybudget.Settings `toml:"retry"`
-	Rooms     Rooms                `toml:"rooms"`
+	Contracts    Contracts            `toml:"contracts"`
+	RetryBudget  retrybudget.Settings `toml:"retry"`
+	ZoneFailover ZoneFailover         `toml:"rooms"`
 }
 
 // Rules is the table [rules].
@@ -49,10 +49,10 @@
 
 // Log is the table [log].
 type Log struct {
-	Format string        `toml:"format"` // json or text
-	Level  string        `toml:"level"`
-	Repeat time.Duration `toml:"repeat"` // lines with the same message within it are written MostRepeats times at most; 0: all are
-	Least  slog.Level    `toml:"-"`      // Level, or what the environment says
+	Format   string        `toml:"format"` // json or text
+	Level    string        `toml:"level"`
+	Repeat   time.Duration `toml:"repeat"` // lines with the same message within it are written MostRepeats times at most; 0: all are
+	MinLevel slog.Level    `toml:"-"`      // Level, or what the environment says
 }
 
 // Forms of the log.
@@ -63,14 +63,14 @@
 
 // DefaultOperator is what holds without a file.
 func DefaultOperator() *Operator {
-	return &Operator{H2C: defaultH2C, Capture: defaultCapture, Restart: defaultRestart, Contracts: defaultContracts, Retry: defaultRetry, Rooms: defaultRooms, Log: Log{Format: LogJSON, Level: "info"}, Rules: Rules{Head: httpfrontend.DefaultHead}}
+	return &Operator{H2C: defaultH2C, Capture: defaultCapture, WarmRestart: defaultRestart, Contracts: defaultContracts, RetryBudget: defaultRetry, ZoneFailover: defaultRooms, Log: Log{Format: LogJSON, Level: "info"}, Rules: Rules{Head: httpfrontend.DefaultMaxHeaderBytes}}
 }
 
 // LoadOperator reads the operator's file; without one, all is off. All faults of the file come as one
 // configfile.Faults.
 func LoadOperator(getenv func(string) string, settings scheduler.Settings) (*Operator, error) {
 	o := DefaultOperator()
-	o.ISCSI = &Front{Sessions: defaultSessions, Depth: defaultDepth, Nodes: NodesHTTP}
+	o.ISCSI = &ISCSI{Sessions: defaultSessions, Depth: defaultDepth, Nodes: NodesHTTP}
 	named := getenv(envOperator)
 	file, err := configfile.Read(cmp.Or(named, operatorFile))
 	if errors.Is(err, fs.ErrNotExist) && named == "" {
@@ -87,10 +87,10 @@
 	o.Log.check(checker{file, "log", &faults})
 	o.Rules.load(checker{file, "rules", &faults}, settings)
 	o.Capture.check(checker{file, "capture", &faults})
-	o.Restart.check(checker{file, "restart", &faults})
+	o.WarmRestart.check(checker{file, "restart", &faults})
 	o.Contracts.load(checker{file, "contracts", &faults}, settings)
-	o.Rooms.check(checker{file, "rooms", &faults}, settings)
-	if key, err := o.Retry.Check(); err != nil {
+	o.ZoneFailover.check(checker{file, "rooms", &faults}, settings)
+	if key, err := o.RetryBudget.Check(); err != nil {
 		checker{file, "retry", &faults}.unless(false, key, "%v", err)
 	}
 	if o.H2C.Enabled {
@@ -102,7 +102,7 @@
 		o.ISCSI = nil
 	}
 	if level := getenv(envLog); level != "" {
-		if err := o.Log.Least.UnmarshalText([]byte(level)); err != nil {
+		if err := o.Log.MinLevel.UnmarshalText([]byte(level)); err != nil {
 			return nil, fmt.Errorf("%s: %w", envLog, err)
 		}
 	}
@@ -111,16 +111,16 @@
 
 // Settings are the platform's settings with what the operator's file adds to them.
 func (o *Operator) Settings(s scheduler.Settings) scheduler.Settings {
-	if o.Contracts.Book != nil {
-		s = o.Contracts.Book.Settings(s)
+	if o.Contracts.Catalog != nil {
+		s = o.Contracts.Catalog.Settings(s)
 	}
-	s.Retry, s.Rooms = o.Retry, o.Rooms.Settings
+	s.RetryBudget, s.ZoneFailover = o.RetryBudget, o.ZoneFailover.Settings
 	return s
 }
 
 func (l *Log) check(c checker) {
 	c.unless(l.Format == LogJSON || l.Format == LogText, "format", "%q is neither %s nor %s", l.Format, LogJSON, LogText)
-	err := l.Least.UnmarshalText([]byte(l.Level))
+	err := l.MinLevel.UnmarshalText([]byte(l.Level))
 	c.unless(err == nil, "level", "%q is not debug, info, warn or error", l.Level)
 }
 
--- a/internal/contract/asyncapi.go
+++ b/internal/contract/asyncapi.go
@@ -71,8 +71,8 @@
 	return r.all, r.faults
 }
 
-func (r *asyncReader) place(at *yaml.Node, pointer string) Place {
-	return Place{File: r.file, Line: at.Line, Pointer: pointer}
+func (r *asyncReader) place(at *yaml.Node, pointer string) SourcePosition {
+	return SourcePosition{File: r.file, Line: at.Line, Pointer: pointer}
 }
 
 func (r *asyncReader) fault(at *yaml.Node, pointer, format string, args ...any) {
@@ -91,7 +91,7 @@
 				continue
 			}
 			pointer := "/channels/" + escape(address.Value) + "/" + one.word
-			r.add(&Operation{ID: text(value(op, "operationId")), Action: one.action, Channel: address.Value, Place: r.place(op, pointer)}, op, channel)
+			r.add(&Operation{ID: text(value(op, "operationId")), Action: one.action, Channel: address.Value, Position: r.place(op, pointer)}, op, channel)
 		}
 	})
 }
@@ -118,13 +118,13 @@
 		if address == "" { // it is given when the channel is used, so its name stands for it
 			address = name
 		}
-		r.add(&Operation{ID: id.Value, Action: action, Channel: address, Place: r.place(op, pointer)}, op, channel)
+		r.add(&Operation{ID: id.Value, Action: action, Channel: address, Position: r.place(op, pointer)}, op, channel)
 	})
 }
 
 // add takes an operation with what the vocabulary says of it or, where it says nothing, of its channel.
 func (r *asyncReader) add(o *Operation, op, channel *yaml.Node) {
-	o.Repeats = Unsafe
+	o.Idempotency = NonIdempotent
 	r.all = append(r.all, o)
 	said := value(op, extension)
 	if said == nil {
@@ -135,7 +135,7 @@
 	}
 	var content any
 	if err := said.Decode(&content); err != nil {
-		r.fault(said, o.Place.Pointer+"/"+extension, "%v", err)
+		r.fault(said, o.Position.Pointer+"/"+extension, "%v", err)
 		return
 	}
 	r.faults = append(r.faults, o.say(content)...)
--- a/internal/contract/catalog/book.go
+++ b/internal/contract/catalog/book.go
@@ -18,21 +18,21 @@
 	"reachpulley/scheduler"
 )
 
-// MostMade bounds the classes that descriptions may make: what is learned of a class needs requests of it.
-const MostMade = 64
+// MaxGeneratedClasses bounds the classes that descriptions may make: what is learned of a class needs requests of it.
+const MaxGeneratedClasses = 64
 
 // Entry is an operation in the terms of the settings.
 type Entry struct {
-	Op    *contract.Operation // nil: nothing describes the call
-	Name  string              // by which the decisions know the operation; the same over reloads
-	Class int                 // the class of its calls, where neither they nor a rule say
-	Bound scheduler.Bound     // what it allows, whatever the class
+	Operation   *contract.Operation   // nil: nothing describes the call
+	Name        string                // by which the decisions know the operation; the same over reloads
+	Class       int                   // the class of its calls, where neither they nor a rule say
+	RetryPolicy scheduler.RetryPolicy // what it allows, whatever the class
 }
 
-// Book is all operations. It never changes.
-type Book struct {
-	Undescribed Entry             // of calls that nothing describes
-	Made        []scheduler.Class // by descriptions that name no class but aim and deadline; they follow those of the settings
+// Catalog is all operations. It never changes.
+type Catalog struct {
+	Undescribed      Entry             // of calls that nothing describes
+	GeneratedClasses []scheduler.Class // by descriptions that name no class but aim and deadline; they follow those of the settings
 
 	described []*contract.Operation // all that it was made of
 	router    *contract.Router
@@ -44,21 +44,21 @@
 // UndescribedName is what the decisions call what nothing describes.
 const UndescribedName = "undescribed"
 
-var groups = map[contract.Group]scheduler.Group{contract.All: scheduler.GroupAll, contract.Room: scheduler.GroupZone, contract.Rack: scheduler.GroupShard}
+var groups = map[contract.DedupScope]scheduler.DedupScope{contract.ScopeAll: scheduler.ScopeAll, contract.ScopeZone: scheduler.ScopeZone, contract.ScopeShard: scheduler.ScopeShard}
 
-var repeats = map[contract.Repeats]scheduler.Repeats{contract.Safe: scheduler.Safe, contract.Keyed: scheduler.Keyed, contract.Unsafe: scheduler.Unsafe}
+var repeats = map[contract.Idempotency]scheduler.Idempotency{contract.Idempotent: scheduler.Idempotent, contract.IdempotentWithKey: scheduler.IdempotentWithKey, contract.NonIdempotent: scheduler.NonIdempotent}
 
 // New makes a Book of operations that contract.Check has found nothing wrong with. All contradictions to the settings come at once.
-func New(all []*contract.Operation, settings scheduler.Settings) (*Book, contract.Faults) {
-	b := &Book{described: all, entries: map[*contract.Operation]*Entry{}, commands: map[string]*Entry{}, Undescribed: Entry{Name: UndescribedName, Class: Strictest(settings.Classes),
-		Bound: scheduler.Bound{Repeats: scheduler.Unsafe}}}
+func New(all []*contract.Operation, settings scheduler.Settings) (*Catalog, contract.Faults) {
+	b := &Catalog{described: all, entries: map[*contract.Operation]*Entry{}, commands: map[string]*Entry{}, Undescribed: Entry{Name: UndescribedName, Class: Strictest(settings.Classes),
+		RetryPolicy: scheduler.RetryPolicy{Idempotency: scheduler.NonIdempotent}}}
 	var faults contract.Faults
 	made := map[scheduler.Class]int{}
 	for _, o := range all {
-		e := &Entry{Op: o, Name: o.Call(), Class: b.Undescribed.Class,
-			Bound: scheduler.Bound{Repeats: repeats[o.Repeats]}}
-		if o.Repeats == contract.Keyed {
-			e.Bound.Group, e.Bound.For = groups[o.KeyGroup], o.KeyFor
+		e := &Entry{Operation: o, Name: o.Signature(), Class: b.Undescribed.Class,
+			RetryPolicy: scheduler.RetryPolicy{Idempotency: repeats[o.Idempotency]}}
+		if o.Idempotency == contract.IdempotentWithKey {
+			e.RetryPolicy.Scope, e.RetryPolicy.Window = groups[o.DedupScope], o.DedupWindow
 		}
 		if o.Method == "" {
 			if o.Action == "receive" && strings.HasPrefix(o.Channel, commandPrefix) {
@@ -70,23 +70,23 @@
 		case o.Class != "":
 			e.Class = slices.IndexFunc(settings.Classes, func(c scheduler.Class) bool { return c.Name == o.Class })
 			for _, message := range contradictions(o, e, settings) {
-				faults = append(faults, contract.Fault{Place: o.Place, Message: message})
+				faults = append(faults, contract.Fault{Position: o.Position, Message: message})
 			}
-		case o.Aim > 0 && o.Deadline > 0:
-			c := classOf(o, e.Bound, settings.Classes)
+		case o.LatencyObjective > 0 && o.Deadline > 0:
+			c := classOf(o, e.RetryPolicy, settings.Classes)
 			number, known := made[c]
 			if !known {
-				number = len(settings.Classes) + len(b.Made)
+				number = len(settings.Classes) + len(b.GeneratedClasses)
 				made[c] = number
-				b.Made = append(b.Made, c)
+				b.GeneratedClasses = append(b.GeneratedClasses, c)
 			}
 			e.Class = number
 		}
 		b.entries[o], b.all = e, append(b.all, e)
 	}
-	if len(b.Made) > MostMade {
-		faults = append(faults, contract.Fault{Place: all[0].Place, Message: fmt.Sprintf(
-			"the descriptions make %d classes by aim, deadline, worth and repeats, and %d may be: name classes of the settings", len(b.Made), MostMade)})
+	if len(b.GeneratedClasses) > MaxGeneratedClasses {
+		faults = append(faults, contract.Fault{Position: all[0].Position, Message: fmt.Sprintf(
+			"the descriptions make %d classes by aim, deadline, worth and repeats, and %d may be: name classes of the settings", len(b.GeneratedClasses), MaxGeneratedClasses)})
 	}
 	router, err := contract.NewRouter(all)
 	if err != nil {
@@ -106,7 +106,7 @@
 			}
 			return 0
 		}
-		if cmp.Or(cmp.Compare(c.Repeats, classes[best].Repeats), writes(c)-writes(classes[best]), cmp.Compare(classes[best].Deadline, c.Deadline)) > 0 {
+		if cmp.Or(cmp.Compare(c.Idempotency, classes[best].Idempotency), writes(c)-writes(classes[best]), cmp.Compare(classes[best].Deadline, c.Deadline)) > 0 {
 			best = i
 		}
 	}
@@ -122,39 +122,39 @@
 		return out
 	}
 	c := settings.Classes[e.Class]
-	words := map[scheduler.Repeats]contract.Repeats{scheduler.Safe: contract.Safe, scheduler.Keyed: contract.Keyed, scheduler.Unsafe: contract.Unsafe}
+	words := map[scheduler.Idempotency]contract.Idempotency{scheduler.Idempotent: contract.Idempotent, scheduler.IdempotentWithKey: contract.IdempotentWithKey, scheduler.NonIdempotent: contract.NonIdempotent}
 	switch {
-	case e.Bound.Repeats < c.Repeats:
-		add("it is called %s, and its class %q is %s", o.Repeats, c.Name, words[c.Repeats])
-	case e.Bound.Repeats == scheduler.Keyed && c.Repeats == scheduler.Keyed:
-		if e.Bound.For > c.RepeatFor {
-			add("its key is called known for %v, and in its class %q it is for %v", e.Bound.For, c.Name, c.RepeatFor)
+	case e.RetryPolicy.Idempotency < c.Idempotency:
+		add("it is called %s, and its class %q is %s", o.Idempotency, c.Name, words[c.Idempotency])
+	case e.RetryPolicy.Idempotency == scheduler.IdempotentWithKey && c.Idempotency == scheduler.IdempotentWithKey:
+		if e.RetryPolicy.Window > c.DedupWindow {
+			add("its key is called known for %v, and in its class %q it is for %v", e.RetryPolicy.Window, c.Name, c.DedupWindow)
 		}
-		if e.Bound.Narrowed(c.Bound()).Group != e.Bound.Group {
+		if e.RetryPolicy.NarrowedBy(c.RetryPolicy()).Scope != e.RetryPolicy.Scope {
 			add("its repeats are said to be discarded by more nodes than in its class %q", c.Name)
 		}
 	}
 	if o.Deadline > c.Deadline {
 		add("its deadline, %v, is longer than that of its class %q, %v", o.Deadline, c.Name, c.Deadline)
 	}
-	if e.Bound.Repeats != scheduler.Safe && o.Method != http.MethodGet && o.Method != http.MethodHead && !c.Writes {
+	if e.RetryPolicy.Idempotency != scheduler.Idempotent && o.Method != http.MethodGet && o.Method != http.MethodHead && !c.Writes {
 		add("its class %q only reads, and %s that is not safe writes", c.Name, o.Method)
 	}
 	return out
 }
 
 // classOf makes a class of what a description says.
-func classOf(o *contract.Operation, bound scheduler.Bound, known []scheduler.Class) scheduler.Class {
-	c := scheduler.Class{Aim: o.Aim, Deadline: o.Deadline, Worth: cmp.Or(o.Worth, 1), Repeats: bound.Repeats, RepeatGroup: bound.Group, RepeatFor: bound.For,
+func classOf(o *contract.Operation, bound scheduler.RetryPolicy, known []scheduler.Class) scheduler.Class {
+	c := scheduler.Class{LatencyObjective: o.LatencyObjective, Deadline: o.Deadline, PriorityWeight: cmp.Or(o.PriorityWeight, 1), Idempotency: bound.Idempotency, DedupScope: bound.Scope, DedupWindow: bound.Window,
 		Writes: o.Method != http.MethodGet && o.Method != http.MethodHead}
 	for i, k := range known { // late answers earn no more than in any class that the settings have
-		if i == 0 || k.LateShare < c.LateShare {
-			c.LateShare = k.LateShare
+		if i == 0 || k.LateWeightShare < c.LateWeightShare {
+			c.LateWeightShare = k.LateWeightShare
 		}
 	}
-	c.Name = fmt.Sprintf("described %s %v %v %v", o.Repeats, c.Aim, c.Deadline, c.Worth)
-	if c.RepeatFor > 0 {
-		c.Name += fmt.Sprintf(" %s %v", o.KeyGroup, c.RepeatFor)
+	c.Name = fmt.Sprintf("described %s %v %v %v", o.Idempotency, c.LatencyObjective, c.Deadline, c.PriorityWeight)
+	if c.DedupWindow > 0 {
+		c.Name += fmt.Sprintf(" %s %v", o.DedupScope, c.DedupWindow)
 	}
 	if c.Writes {
 		c.Name += " writes"
@@ -162,22 +162,22 @@
 	return c
 }
 
-// Again makes the Book anew, for other settings.
-func (b *Book) Again(settings scheduler.Settings) (*Book, contract.Faults) {
+// Rebuild makes the Book anew, for other settings.
+func (b *Catalog) Rebuild(settings scheduler.Settings) (*Catalog, contract.Faults) {
 	return New(b.described, settings)
 }
 
 // Settings are settings with the classes that descriptions make.
-func (b *Book) Settings(s scheduler.Settings) scheduler.Settings {
-	s.Classes = append(slices.Clip(s.Classes), b.Made...)
+func (b *Catalog) Settings(s scheduler.Settings) scheduler.Settings {
+	s.Classes = append(slices.Clip(s.Classes), b.GeneratedClasses...)
 	return s
 }
 
 // Entries are the operations that requests can be of, in the order of the descriptions.
-func (b *Book) Entries() []*Entry { return b.all }
+func (b *Catalog) Entries() []*Entry { return b.all }
 
-// Find gives a call's entry and the values of its path's parameters, added to values; the entry of what nothing describes where no operation is.
-func (b *Book) Find(c *contract.Call, values []string) (*Entry, []string) {
+// Lookup gives a call's entry and the values of its path's parameters, added to values; the entry of what nothing describes where no operation is.
+func (b *Catalog) Lookup(c *contract.Call, values []string) (*Entry, []string) {
 	o, values := b.router.Match(c, values)
 	if o == nil {
 		return &b.Undescribed, values
@@ -191,7 +191,7 @@
 
 // Command gives what descriptions say of a READ or WRITE; nil where they say nothing of the second front at all, and the entry of what nothing
 // describes where they say something of other commands only.
-func (b *Book) Command(lun int, write bool) *Entry {
+func (b *Catalog) Command(lun int, write bool) *Entry {
 	if len(b.commands) == 0 {
 		return nil
 	}
@@ -208,33 +208,33 @@
 }
 
 // Empty tells whether no request of any front can be of an operation.
-func (b *Book) Empty() bool { return len(b.all) == 0 && len(b.commands) == 0 }
+func (b *Catalog) Empty() bool { return len(b.all) == 0 && len(b.commands) == 0 }
 
 // Parameters is how many parameters a path has at most.
-func (b *Book) Parameters() int { return b.router.Most() }
+func (b *Catalog) Parameters() int { return b.router.MaxParameters() }
 
-// Reading is httpmsg.Described.
-func (e *Entry) Reading(status int) httpmsg.Reading {
-	if e.Op == nil {
-		return httpmsg.Unsaid
+// StatusMeaning is httpmsg.StatusInterpreter.
+func (e *Entry) StatusMeaning(status int) httpmsg.StatusMeaning {
+	if e.Operation == nil {
+		return httpmsg.Undescribed
 	}
-	switch e.Op.Meaning(status) {
+	switch e.Operation.Meaning(status) {
 	case contract.Served, contract.Failed:
-		return httpmsg.ForClient
-	case contract.Refused:
+		return httpmsg.FinalAnswer
+	case contract.Rejected:
 		return httpmsg.NeverRan
 	case contract.MayHaveRun:
 		return httpmsg.MayHaveRun
 	}
-	return httpmsg.Unsaid
+	return httpmsg.Undescribed
 }
 
 // Key gives the key of a call; "" where the operation has none, or the call lacks it.
 func (e *Entry) Key(c *contract.Call, parameters []string) string {
-	if e.Op == nil || e.Op.Repeats != contract.Keyed {
+	if e.Operation == nil || e.Operation.Idempotency != contract.IdempotentWithKey {
 		return ""
 	}
-	return e.Op.Value(c, parameters, e.Op.Key)
+	return e.Operation.Value(c, parameters, e.Operation.Key)
 }
 
 // Name16 gives a name as the platform has them: 16 hex digits, which stay what they are where it is of them already.
@@ -247,23 +247,23 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64String(text))
 }
 
-// Place is what an operation says of where a call's data is, and how much work it is.
-type Place struct {
+// Placement is what an operation says of where a call's data is, and how much work it is.
+type Placement struct {
 	Volume, Data string  // empty: not said
 	Units        float64 // 0: not said
 	Shard        int     // where HasShard
 	HasShard     bool
 }
 
-// Place gives what the operation says of a call with a body of so many bytes. The error names what the call lacks.
-func (e *Entry) Place(c *contract.Call, parameters []string, length int, most float64) (p Place, err error) {
-	o := e.Op
+// Placement gives what the operation says of a call with a body of so many bytes. The error names what the call lacks.
+func (e *Entry) Placement(c *contract.Call, parameters []string, length int, most float64) (p Placement, err error) {
+	o := e.Operation
 	if o == nil {
 		return p, nil
 	}
 	for _, one := range []struct {
 		what string
-		at   contract.Where
+		at   contract.Location
 		into *string
 	}{{"volume", o.Volume, &p.Volume}, {"data", o.Data, &p.Data}} {
 		if one.at.In == "" {
@@ -271,7 +271,7 @@
 		}
 		text := o.Value(c, parameters, one.at)
 		if text == "" {
-			return p, fmt.Errorf("%s: its %s is wanted once in %v", o.Call(), one.what, one.at)
+			return p, fmt.Errorf("%s: its %s is wanted once in %v", o.Signature(), one.what, one.at)
 		}
 		*one.into = Name16(text)
 	}
@@ -289,10 +289,10 @@
 		p.Shard, p.HasShard = scheduler.AnyShard, true
 	case o.Shard.Fixed:
 		p.Shard, p.HasShard = o.Shard.Number, true
-	case o.Shard.Where.In != "":
-		text := o.Value(c, parameters, o.Shard.Where)
+	case o.Shard.Location.In != "":
+		text := o.Value(c, parameters, o.Shard.Location)
 		if p.Shard, err = strconv.Atoi(text); err != nil || p.Shard < scheduler.AnyShard {
-			return p, fmt.Errorf("%s: %v: %q is no shard", o.Call(), o.Shard.Where, text)
+			return p, fmt.Errorf("%s: %v: %q is no shard", o.Signature(), o.Shard.Location, text)
 		}
 		p.HasShard = true
 	}
@@ -301,8 +301,8 @@
 
 // Deadline is after what time nobody waits for a call's answer; 0: nothing is said.
 func (e *Entry) Deadline() time.Duration {
-	if e.Op == nil {
+	if e.Operation == nil {
 		return 0
 	}
-	return e.Op.Deadline
+	return e.Operation.Deadline
 }
--- a/internal/contract/check.go
+++ b/internal/contract/check.go
@@ -21,7 +21,7 @@
 			shape := o.Method + " " + o.Host + shapeOf(c.segments)
 			for _, other := range shapes[shape] {
 				if alike(o, other) {
-					c.fault("it matches the same requests as %s at %v", other.Call(), other.Place)
+					c.fault("it matches the same requests as %s at %v", other.Signature(), other.Position)
 				}
 			}
 			shapes[shape] = append(shapes[shape], o)
@@ -29,11 +29,11 @@
 		c.repeats()
 		c.places()
 		c.statuses()
-		if o.Aim > 0 && o.Deadline > 0 && o.Deadline < o.Aim {
-			c.fault("its deadline, %v, is shorter than its aim, %v", o.Deadline, o.Aim)
+		if o.LatencyObjective > 0 && o.Deadline > 0 && o.Deadline < o.LatencyObjective {
+			c.fault("its deadline, %v, is shorter than its aim, %v", o.Deadline, o.LatencyObjective)
 		}
-		if o.Deadline > 0 && o.Takes > o.Deadline {
-			c.fault("it takes %v, longer than its deadline, %v", o.Takes, o.Deadline)
+		if o.Deadline > 0 && o.ExpectedDuration > o.Deadline {
+			c.fault("it takes %v, longer than its deadline, %v", o.ExpectedDuration, o.Deadline)
 		}
 	}
 	return faults.sorted(), suspicions.sorted()
@@ -47,7 +47,7 @@
 	}
 	for _, x := range a.When {
 		for _, y := range b.When {
-			if x.Where == y.Where && x.Want != y.Want {
+			if x.Location == y.Location && x.Want != y.Want {
 				return false
 			}
 		}
@@ -63,36 +63,36 @@
 }
 
 func (c *checking) fault(format string, args ...any) {
-	*c.faults = append(*c.faults, Fault{c.o.Place, fmt.Sprintf(format, args...)})
+	*c.faults = append(*c.faults, Fault{c.o.Position, fmt.Sprintf(format, args...)})
 }
 
 func (c *checking) suspect(format string, args ...any) {
-	*c.suspicions = append(*c.suspicions, Fault{c.o.Place, fmt.Sprintf(format, args...)})
+	*c.suspicions = append(*c.suspicions, Fault{c.o.Position, fmt.Sprintf(format, args...)})
 }
 
 func (c *checking) repeats() {
 	o := c.o
-	switch o.Repeats {
-	case Safe:
+	switch o.Idempotency {
+	case Idempotent:
 		if o.Body && o.Creates {
 			c.fault("it is called safe, and takes a body and says that it creates (201)")
 		}
 		if o.Method == "POST" || o.Method == "PATCH" {
 			c.suspect("it is called safe, and its method is %s", o.Method)
 		}
-	case Keyed:
-		if o.Key.Name == "" || o.KeyFor <= 0 {
+	case IdempotentWithKey:
+		if o.Key.Name == "" || o.DedupWindow <= 0 {
 			c.fault("it is called keyed, and does not say where its key stands and for how long it is known")
 		}
-	case Unsafe:
+	case NonIdempotent:
 		if o.Method == "GET" || o.Method == "HEAD" {
 			c.suspect("its method is %s, and nothing calls it safe: it is not repeated", o.Method)
 		}
 	}
-	if o.Repeats != Safe && o.SameFor > 0 {
-		c.fault("its answers are called the same for %v, and only those of what is safe are", o.SameFor)
+	if o.Idempotency != Idempotent && o.StableFor > 0 {
+		c.fault("its answers are called the same for %v, and only those of what is safe are", o.StableFor)
 	}
-	if o.Repeats != Keyed && o.Key.Name != "" {
+	if o.Idempotency != IdempotentWithKey && o.Key.Name != "" {
 		c.fault("it has a key, and only what is keyed has one")
 	}
 }
@@ -102,7 +102,7 @@
 	if c.o.Method == "" {
 		return
 	}
-	for what, where := range map[string]Where{"key": c.o.Key, "volume": c.o.Volume, "data": c.o.Data, "shard": c.o.Shard.Where} {
+	for what, where := range map[string]Location{"key": c.o.Key, "volume": c.o.Volume, "data": c.o.Data, "shard": c.o.Shard.Location} {
 		if where.In == "path" && !slices.ContainsFunc(c.segments, func(s segment) bool { return s.template && s.text == where.Name }) {
 			c.fault("its path has no {%s}, where its %s is to stand", where.Name, what)
 		}
@@ -115,7 +115,7 @@
 		inviting := status == "429" || status == "503"
 		covers := inviting || status == "4XX" || status == "5XX"
 		switch {
-		case meaning == Refused && !covers && strings.HasPrefix(status, "2"):
+		case meaning == Rejected && !covers && strings.HasPrefix(status, "2"):
 			c.fault("status %s is called refused: it tells of success", status)
 		case inviting && (meaning == Served || meaning == Failed):
 			c.fault("status %s is called %s: clients are told by it that trying again is harmless", status, meaning)
@@ -126,7 +126,7 @@
 			if _, ok := c.o.Statuses[number]; !ok {
 				c.fault("statuses %s are called %s, and nothing is said of %s, by which clients are told that trying again is harmless", status, meaning, number)
 			}
-		case meaning == Refused && status == "500":
+		case meaning == Rejected && status == "500":
 			c.suspect("status 500 is called refused: a call that ended so may have run")
 		}
 		if n, err := strconv.Atoi(status); err == nil && c.o.Responses != nil {
--- a/internal/contract/conformance/doubts.go
+++ b/internal/contract/conformance/doubts.go
@@ -16,15 +16,15 @@
 // mostFile bounds the file of doubts, in bytes.
 const mostFile = 8 << 20
 
-// Doubts is the file of doubts.
-type Doubts struct {
-	Taken  time.Time     `json:"taken"`
-	Doubts []trust.Doubt `json:"doubts"`
+// DistrustFile is the file of doubts.
+type DistrustFile struct {
+	Taken   time.Time      `json:"taken"`
+	Records []trust.Record `json:"doubts"`
 }
 
-// ReadDoubts reads a file of doubts. Unknown fields are a fault: whoever wrote them knew more.
-func ReadDoubts(f filesystem.FS, path string) (d Doubts, err error) {
-	text, err := filesystem.Read(f, path, mostFile)
+// ReadDistrustFile reads a file of doubts. Unknown fields are a fault: whoever wrote them knew more.
+func ReadDistrustFile(f filesystem.FS, path string) (d DistrustFile, err error) {
+	text, err := filesystem.ReadFile(f, path, mostFile)
 	if err != nil {
 		return d, err
 	}
@@ -32,7 +32,7 @@
 		err = errors.New("it does not tell when it was taken")
 	}
 	if err != nil {
-		return Doubts{}, fmt.Errorf("%s: %w", path, err)
+		return DistrustFile{}, fmt.Errorf("%s: %w", path, err)
 	}
 	return d, nil
 }
@@ -42,20 +42,20 @@
 	fs    filesystem.FS
 	path  string
 	log   *slog.Logger
-	newer chan Doubts // holds one: what is newer takes its place
+	newer chan DistrustFile // holds one: what is newer takes its place
 }
 
 // NewStore makes a Store for a file.
 func NewStore(f filesystem.FS, path string, log *slog.Logger) *Store {
-	return &Store{fs: f, path: path, log: log, newer: make(chan Doubts, 1)}
+	return &Store{fs: f, path: path, log: log, newer: make(chan DistrustFile, 1)}
 }
 
 // Load gives the doubts of an earlier life and how long ago they were taken. A file that can't be read is set aside: it is neither believed nor lost.
-func (s *Store) Load() ([]trust.Doubt, time.Duration) {
-	d, err := ReadDoubts(s.fs, s.path)
+func (s *Store) Load() ([]trust.Record, time.Duration) {
+	d, err := ReadDistrustFile(s.fs, s.path)
 	switch {
 	case err == nil:
-		return d.Doubts, max(0, time.Since(d.Taken))
+		return d.Records, max(0, time.Since(d.Taken))
 	case !errors.Is(err, fs.ErrNotExist):
 		aside := s.path + ".set-aside"
 		s.log.Warn("the doubts of an earlier life can't be used: they are set aside", "file", aside, "err", err)
@@ -66,9 +66,9 @@
 	return nil, 0
 }
 
-// Keep has doubts written soon. It is called by one goroutine.
-func (s *Store) Keep(doubts []trust.Doubt) {
-	d := Doubts{time.Now(), doubts}
+// Save has doubts written soon. It is called by one goroutine.
+func (s *Store) Save(doubts []trust.Record) {
+	d := DistrustFile{time.Now(), doubts}
 	select {
 	case <-s.newer:
 	default:
@@ -79,10 +79,10 @@
 // Run writes until ctx ends, and then what is left.
 func (s *Store) Run(ctx context.Context) {
 	failing := false
-	write := func(d Doubts) {
+	write := func(d DistrustFile) {
 		text, err := json.MarshalIndent(d, "", "  ")
 		if err == nil {
-			err = filesystem.Replace(s.fs, s.path, append(text, '\n'))
+			err = filesystem.ReplaceFile(s.fs, s.path, append(text, '\n'))
 		}
 		if (err != nil) != failing { // told at each change
 			failing = err != nil
--- a/internal/contract/conformance/look.go
+++ b/internal/contract/conformance/look.go
@@ -67,21 +67,21 @@
 }
 
 // Look gives what an answer tells; every answer tells something, and Fits is the least.
-func (l *Looker) Look(now time.Duration, s *Seen) []trust.Tell {
+func (l *Looker) Look(now time.Duration, s *Seen) []trust.Report {
 	f := finding{s: s}
 	l.status(&f)
 	l.promise(now, &f)
-	switch s.Entry.Op.Repeats {
-	case contract.Keyed:
+	switch s.Entry.Operation.Idempotency {
+	case contract.IdempotentWithKey:
 		l.keyed(now, &f)
-	case contract.Safe:
+	case contract.Idempotent:
 		l.safe(now, &f)
 	}
-	if s.Entry.Op.Repeats != contract.Safe {
+	if s.Entry.Operation.Idempotency != contract.Idempotent {
 		l.wrote(now, s.Volume)
 	}
 	if len(f.all) == 0 {
-		f.add(trust.Fits, "")
+		f.add(trust.Conforms, "")
 	}
 	return f.all
 }
@@ -89,22 +89,22 @@
 // finding gathers an answer's evidence.
 type finding struct {
 	s   *Seen
-	all []trust.Tell
+	all []trust.Report
 }
 
 func (f *finding) add(e trust.Evidence, format string, args ...any) {
 	sample := ""
-	if e != trust.Fits {
+	if e != trust.Conforms {
 		sample = f.s.Request.Method + " " + f.s.Request.URL.EscapedPath() + ": " + fmt.Sprintf(format, args...)
 		sample = sample[:min(len(sample), mostSample)]
 	}
-	f.all = append(f.all, trust.Tell{Operation: f.s.Entry.Name, Node: f.s.Node, Version: f.s.Header.Get("Server"), Client: xxhash.Sum64String(f.s.Request.Client),
+	f.all = append(f.all, trust.Report{Operation: f.s.Entry.Name, Node: f.s.Node, Version: f.s.Header.Get("Server"), Client: xxhash.Sum64String(f.s.Request.Client),
 		Evidence: e, Sample: sample})
 }
 
 // unrun tells whether the node says that the call has not run.
 func (s *Seen) unrun() bool {
-	return s.Entry.Reading(s.Status) == httpmsg.NeverRan || s.Header.Get(httpmsg.NotRunHeader) == "1"
+	return s.Entry.StatusMeaning(s.Status) == httpmsg.NeverRan || s.Header.Get(httpmsg.NotRunHeader) == "1"
 }
 
 // served tells whether it is an answer for the client that tells of success.
@@ -112,19 +112,19 @@
 
 // status reads what an answer alone tells.
 func (l *Looker) status(f *finding) {
-	s, op := f.s, f.s.Entry.Op
+	s, op := f.s, f.s.Entry.Operation
 	if s.Status >= 200 && s.Status < 300 && s.Header.Get(httpmsg.NotRunHeader) == "1" {
-		f.add(trust.RanUnrun, "%s beside status %d", httpmsg.NotRunHeader, s.Status)
+		f.add(trust.ExecutedAfterDenial, "%s beside status %d", httpmsg.NotRunHeader, s.Status)
 	}
-	if op.Repeats == contract.Safe && (s.Status == http.StatusCreated || s.Status == http.StatusAccepted) && op.Meaning(s.Status) == "" {
-		f.add(trust.EffectOfSafe, "status %d to a call that is safe", s.Status)
+	if op.Idempotency == contract.Idempotent && (s.Status == http.StatusCreated || s.Status == http.StatusAccepted) && op.Meaning(s.Status) == "" {
+		f.add(trust.EffectOfIdempotent, "status %d to a call that is safe", s.Status)
 	}
-	if op.Takes > 0 && s.Took > op.Takes {
-		f.add(trust.Slow, "it took %v, and is described to take %v at most", s.Took.Round(time.Millisecond), op.Takes)
+	if op.ExpectedDuration > 0 && s.Took > op.ExpectedDuration {
+		f.add(trust.Slow, "it took %v, and is described to take %v at most", s.Took.Round(time.Millisecond), op.ExpectedDuration)
 	}
 	r, described := op.Response(s.Status)
 	if !described && !platforms(s) {
-		f.add(trust.StatusUnknown, "status %d is not described", s.Status)
+		f.add(trust.UnknownStatus, "status %d is not described", s.Status)
 		return
 	}
 	if r == nil || len(s.Body) == 0 || len(r.Types) == 0 {
@@ -132,12 +132,12 @@
 	}
 	given := s.Header.Get("Content-Type")
 	if _, ok := r.Type(given); !ok {
-		f.add(trust.TypeUnknown, "media type %q is not described for status %d", given, s.Status)
+		f.add(trust.UnknownMediaType, "media type %q is not described for status %d", given, s.Status)
 		return
 	}
 	if s.Schema {
 		if err := r.Check(given, s.Body); err != nil {
-			f.add(trust.BrokenSchema, "%s", strings.ReplaceAll(err.Error(), "\n", " "))
+			f.add(trust.SchemaViolation, "%s", strings.ReplaceAll(err.Error(), "\n", " "))
 		}
 	}
 }
@@ -159,7 +159,7 @@
 		return
 	}
 	if began := now - s.Took; at.of == of && began >= at.since && began-at.since < mostHollow {
-		f.add(trust.HollowRetryAfter, "status %d, %v after the time that it had told", s.Status, (began - at.since).Round(time.Millisecond))
+		f.add(trust.IgnoredRetryAfter, "status %d, %v after the time that it had told", s.Status, (began - at.since).Round(time.Millisecond))
 	}
 	at.of = 0
 	if wait, err := strconv.ParseFloat(s.Header.Get("Retry-After"), 64); err == nil && wait > 0 && wait < 3600 {
@@ -169,7 +169,7 @@
 
 // keyed compares the answers to the same call with the same key, within the time for which the key is known, by nodes that know each other's.
 func (l *Looker) keyed(now time.Duration, f *finding) {
-	s, op := f.s, f.s.Entry.Op
+	s, op := f.s, f.s.Entry.Operation
 	call := contract.Call{Method: s.Request.Method, Host: s.Request.Host, Path: s.Request.URL.EscapedPath(), Query: s.Request.URL.RawQuery, Header: s.Request.Header}
 	key := s.key(&call)
 	if key == "" {
@@ -177,18 +177,18 @@
 	}
 	id := sumOf([]byte(s.Entry.Name), []byte(key), []byte(call.Path), []byte(call.Query), s.Request.Body)
 	at := &l.answers[id%answers]
-	told := op.KeyTold != "" && s.Header.Get(op.KeyTold) != ""
+	told := op.DedupHeader != "" && s.Header.Get(op.DedupHeader) != ""
 	before := *at
-	known := before.call == id && float64(now-before.at) < keyMargin*float64(op.KeyFor) && (before.node == s.Node || op.KeyGroup == contract.Rack && s.Shard >= 0 && before.shard == s.Shard)
+	known := before.call == id && float64(now-before.at) < keyMargin*float64(op.DedupWindow) && (before.node == s.Node || op.DedupScope == contract.ScopeShard && s.Shard >= 0 && before.shard == s.Shard)
 	switch {
 	case !known || !s.served():
 	case before.unrun && told:
-		f.add(trust.KnewUnrun, "%s tells of a repeat, and the only attempt before was said not to have run", op.KeyTold)
+		f.add(trust.KeyKnownAfterDenial, "%s tells of a repeat, and the only attempt before was said not to have run", op.DedupHeader)
 	case before.unrun:
-	case op.KeyTold != "" && !told:
-		f.add(trust.RanAgain, "the answer to a repeat with the same key lacks %s", op.KeyTold)
-	case op.KeyTold == "" && (before.sum != sumOf(s.Body) || before.status != s.Status):
-		f.add(trust.RanAgain, "the answer to a repeat with the same key is not that to the first")
+	case op.DedupHeader != "" && !told:
+		f.add(trust.RepeatExecuted, "the answer to a repeat with the same key lacks %s", op.DedupHeader)
+	case op.DedupHeader == "" && (before.sum != sumOf(s.Body) || before.status != s.Status):
+		f.add(trust.RepeatExecuted, "the answer to a repeat with the same key is not that to the first")
 	}
 	switch {
 	case s.served() && (!known || before.unrun): // a repeat does not renew it: the node's time began with the first
@@ -202,7 +202,7 @@
 
 // key is what the node knows the call by.
 func (s *Seen) key(c *contract.Call) string {
-	op := s.Entry.Op
+	op := s.Entry.Operation
 	if op.Key.In == "path" { // it is in the call's path, which makes it the same call
 		return "path"
 	}
@@ -220,7 +220,7 @@
 	if strings.HasPrefix(etag, "W/") {
 		etag = ""
 	}
-	if s.Status != http.StatusOK || s.Entry.Op.SameFor == 0 && etag == "" || !comparable(s.Header) {
+	if s.Status != http.StatusOK || s.Entry.Operation.StableFor == 0 && etag == "" || !comparable(s.Header) {
 		return
 	}
 	h := xxhash.New()
@@ -242,9 +242,9 @@
 		began := before.at
 		switch {
 		case etag != "" && etag == before.etag:
-			f.add(trust.Differs, "two answers with the validator %.40s differ", etag)
-		case now-began < s.Entry.Op.SameFor && !l.written(began-s.Entry.Op.SameFor, s.Volume):
-			f.add(trust.Differs, "the answer differs from that of %v before, and nothing was written", (now - began).Round(time.Millisecond))
+			f.add(trust.ResponsesDiffer, "two answers with the validator %.40s differ", etag)
+		case now-began < s.Entry.Operation.StableFor && !l.written(began-s.Entry.Operation.StableFor, s.Volume):
+			f.add(trust.ResponsesDiffer, "the answer differs from that of %v before, and nothing was written", (now - began).Round(time.Millisecond))
 		}
 	}
 	*at = answered{call: id, sum: sum, node: s.Node, status: s.Status, at: now, etag: etag}
--- a/internal/contract/conformance/look_test.go
+++ b/internal/contract/conformance/look_test.go
@@ -34,15 +34,15 @@
       responses: {"201": {description: stored}}
 `
 
-func bookOf(t testing.TB, text string) *catalog.Book {
+func bookOf(t testing.TB, text string) *catalog.Catalog {
 	t.Helper()
 	all, faults := contract.Parse("d.yaml", []byte(text))
 	if len(faults) == 0 {
 		faults, _ = contract.Check(all)
 	}
-	var b *catalog.Book
+	var b *catalog.Catalog
 	if len(faults) == 0 {
-		b, faults = catalog.New(all, scheduler.Settings{Classes: []scheduler.Class{{Name: "c", Aim: time.Second, Deadline: time.Minute}}})
+		b, faults = catalog.New(all, scheduler.Settings{Classes: []scheduler.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Minute}}})
 	}
 	if len(faults) > 0 {
 		t.Fatal(faults)
@@ -51,7 +51,7 @@
 }
 
 // seen words an answer: "500ms n1 PUT /s/1?k=1 K=7 -> 201 X-Repeated=1 body".
-func seen(t testing.TB, b *catalog.Book, words string) (time.Duration, *Seen) {
+func seen(t testing.TB, b *catalog.Catalog, words string) (time.Duration, *Seen) {
 	t.Helper()
 	asked, answer, _ := strings.Cut(words, " -> ")
 	parts := strings.Fields(asked)
@@ -76,8 +76,8 @@
 	}
 	h, body := header(parts[4:])
 	r := &httpmsg.Request{Method: parts[2], URL: u, Header: h, Body: []byte(body), Client: "10.0.0.1"}
-	e, _ := b.Find(&contract.Call{Method: r.Method, Path: u.Path, Query: u.RawQuery, Header: h}, nil)
-	if e.Op == nil {
+	e, _ := b.Lookup(&contract.Call{Method: r.Method, Path: u.Path, Query: u.RawQuery, Header: h}, nil)
+	if e.Operation == nil {
 		t.Fatalf("%s: nothing describes it", words)
 	}
 	s := &Seen{Entry: e, Request: r, Volume: "v", Node: parts[1], Took: 10 * time.Millisecond, Schema: true}
--- a/internal/contract/conformance/observer.go
+++ b/internal/contract/conformance/observer.go
@@ -23,12 +23,12 @@
 
 // Options are what an Observer needs.
 type Options struct {
-	Sample float64                 // share of the answers whose bodies are held against their schemas
-	Most   scheduler.Care          // that distrust may come to
-	Tell   func(scheduler.Caution) // takes what is to be handled otherwise; it must not block
-	Keep   func([]trust.Doubt)     // takes all doubts whenever one changes; it is called from Run alone. nil: nobody does
-	Clock  func() time.Duration    // nil: the time since the Observer was made
-	Log    *slog.Logger
+	Sample         float64                     // share of the answers whose bodies are held against their schemas
+	MaxRestriction scheduler.RestrictionLevel  // that distrust may come to
+	Notify         func(scheduler.Restriction) // takes what is to be handled otherwise; it must not block
+	Save           func([]trust.Record)        // takes all doubts whenever one changes; it is called from Run alone. nil: nobody does
+	Clock          func() time.Duration        // nil: the time since the Observer was made
+	Log            *slog.Logger
 }
 
 // Observer looks at answers beside their way: what it is told waits in a bounded queue, and what finds no room there is counted and
@@ -37,7 +37,7 @@
 	options Options
 	waiting chan Seen
 	looker  *Looker // made with the first answer: without descriptions it would take memory for nothing
-	trust   *trust.Keeper
+	trust   *trust.Tracker
 	every   uint64 // of so many answers one is held against its schema; 0: none
 	count   atomic.Uint64
 	dropped atomic.Int64
@@ -50,16 +50,16 @@
 }
 
 // New makes an Observer that has not heard of anything but the doubts of an earlier life, which ended age ago.
-func New(o Options, doubts []trust.Doubt, age time.Duration) *Observer {
+func New(o Options, doubts []trust.Record, age time.Duration) *Observer {
 	if o.Clock == nil {
 		began := time.Now()
 		o.Clock = func() time.Duration { return time.Since(began) }
 	}
-	ob := &Observer{options: o, waiting: make(chan Seen, mostWaiting), trust: trust.New(o.Most), began: o.Clock(), seen: map[string]int{}}
+	ob := &Observer{options: o, waiting: make(chan Seen, mostWaiting), trust: trust.New(o.MaxRestriction), began: o.Clock(), seen: map[string]int{}}
 	if o.Sample > 0 {
 		ob.every = uint64(1/o.Sample + 0.5)
 	}
-	changes, err := ob.trust.Recall(o.Clock(), doubts, age)
+	changes, err := ob.trust.Restore(o.Clock(), doubts, age)
 	if err != nil {
 		o.Log.Warn("a doubt of an earlier life can't be taken over", "err", err)
 	}
@@ -67,20 +67,20 @@
 	return ob
 }
 
-// Begin tells what an earlier life doubted. It is called once, before the first request is taken.
-func (o *Observer) Begin() {
+// NotifyRestored tells what an earlier life doubted. It is called once, before the first request is taken.
+func (o *Observer) NotifyRestored() {
 	o.tell(o.recalled)
 	o.recalled = nil
 }
 
 // Observe takes an answer. It never blocks, and keeps what it is told until it was looked at.
 func (o *Observer) Observe(a httpbackend.Observation) {
-	e, ok := a.Request.Described.(*catalog.Entry)
-	if !ok || e.Op == nil {
+	e, ok := a.Request.Statuses.(*catalog.Entry)
+	if !ok || e.Operation == nil {
 		return
 	}
 	s := Seen{Entry: e, Request: a.Request, Volume: a.Exchange.Request.Volume, Node: a.Node, Shard: a.Exchange.Request.Shard, Status: a.Status, Header: a.Header,
-		Body: a.Body, Took: a.Took}
+		Body: a.Body, Took: a.Duration}
 	s.Schema = o.every > 0 && len(a.Body) <= mostBody && o.count.Add(1)%o.every == 0
 	select {
 	case o.waiting <- s:
@@ -111,7 +111,7 @@
 
 // report logs what was seen, where that was more than answers that fit.
 func (o *Observer) report() {
-	if dropped := o.dropped.Swap(0); len(o.seen) > 1 || dropped > 0 || len(o.seen) == 1 && o.seen[trust.Fits.String()] == 0 {
+	if dropped := o.dropped.Swap(0); len(o.seen) > 1 || dropped > 0 || len(o.seen) == 1 && o.seen[trust.Conforms.String()] == 0 {
 		o.options.Log.Info("answers held against descriptions", "evidence", o.seen, "not_looked_at", dropped, "no_room", o.trust.Dropped())
 	}
 	clear(o.seen)
@@ -133,18 +133,18 @@
 	}
 	for _, t := range found {
 		o.seen[t.Evidence.String()]++
-		o.tell(o.trust.Hear(now, t))
+		o.tell(o.trust.Observe(now, t))
 	}
 }
 
 // tell gives out what changed: to the decisions, to the log as events in the form of api/asyncapi.yaml, and to whoever keeps the doubts.
 func (o *Observer) tell(changes []trust.Change) {
 	for _, c := range changes {
-		o.options.Tell(scheduler.Caution{Operation: c.Operation, Node: c.Node, Level: c.Level})
+		o.options.Notify(scheduler.Restriction{Operation: c.Operation, Node: c.Node, Level: c.Level})
 		o.options.Log.Warn("an operation is trusted otherwise", "event", eventOf(c))
 	}
-	if len(changes) > 0 && o.options.Keep != nil {
-		o.options.Keep(o.trust.Doubts(o.options.Clock()))
+	if len(changes) > 0 && o.options.Save != nil {
+		o.options.Save(o.trust.Records(o.options.Clock()))
 	}
 }
 
@@ -170,7 +170,7 @@
 	if c.Counts == nil {
 		e.Counts = map[string]int{}
 	}
-	if c.Fleet {
+	if c.DescriptionWrong {
 		e.Fault = "description"
 	}
 	return e
--- a/internal/contract/conformance/observer_test.go
+++ b/internal/contract/conformance/observer_test.go
@@ -27,17 +27,17 @@
 
 func observation(t testing.TB, words string) httpbackend.Observation {
 	_, s := seen(t, bookOf(t, described), words)
-	s.Request.Described = s.Entry
+	s.Request.Statuses = s.Entry
 	return httpbackend.Observation{Exchange: exchange.New(scheduler.Request{Volume: "v"}, time.Time{}, s.Request), Request: s.Request, Node: s.Node, Status: s.Status,
-		Header: s.Header, Body: s.Body, Took: s.Took}
+		Header: s.Header, Body: s.Body, Duration: s.Took}
 }
 
 // Whoever answers is never held up: what finds no room is counted and forgotten. What was told is looked at once there is time, and the decisions hear of it.
 func TestObserverNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var told []scheduler.Caution
+		var told []scheduler.Restriction
 		var log bytes.Buffer
-		o := New(Options{Most: scheduler.CareRepeats, Tell: func(c scheduler.Caution) { told = append(told, c) }, Log: slog.New(slog.NewTextHandler(&log, nil))}, nil, 0)
+		o := New(Options{MaxRestriction: scheduler.NoRetries, Notify: func(c scheduler.Restriction) { told = append(told, c) }, Log: slog.New(slog.NewTextHandler(&log, nil))}, nil, 0)
 		a := observation(t, "0s n PUT /s/1 K=1 -> 201 X-Not-Run=1")
 		for range mostWaiting + 50 {
 			o.Observe(a)
@@ -50,7 +50,7 @@
 		time.Sleep(reportEvery + time.Second)
 		cancel()
 		synctest.Wait()
-		want := []scheduler.Caution{{Operation: "PUT /s/{x}", Node: "n", Level: scheduler.CareCopies}, {Operation: "PUT /s/{x}", Node: "n", Level: scheduler.CareRepeats}}
+		want := []scheduler.Restriction{{Operation: "PUT /s/{x}", Node: "n", Level: scheduler.NoHedging}, {Operation: "PUT /s/{x}", Node: "n", Level: scheduler.NoRetries}}
 		if diff := cmp.Diff(want, told); diff != "" {
 			t.Error(diff)
 		}
@@ -64,7 +64,7 @@
 func TestSchemasHaveTheirShareOfTheTime(t *testing.T) {
 	now := time.Hour
 	looks := 0
-	o := New(Options{Sample: 1, Tell: func(scheduler.Caution) {}, Log: slog.New(slog.DiscardHandler), Clock: func() time.Duration {
+	o := New(Options{Sample: 1, Notify: func(scheduler.Restriction) {}, Log: slog.New(slog.DiscardHandler), Clock: func() time.Duration {
 		if looks++; looks > 1 && looks%3 == 0 { // the reading after the look: it took 10 ms
 			now += 10 * time.Millisecond
 		}
@@ -83,17 +83,17 @@
 	}
 }
 
-// Doubts last over a restart; a file that can't be read is set aside, and one that can't be written is told once.
+// DistrustFile last over a restart; a file that can't be read is set aside, and one that can't be written is told once.
 func TestDoubtsAreKept(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "doubts.json")
-	doubt := trust.Doubt{Operation: "PUT /s/{x}", Node: "n", State: "distrusted", Level: "avoided", HoldMs: 30_000, Weight: 12, Worst: "repeat-ran", Counts: map[string]int{"repeat-ran": 3}, Answers: 9}
+	doubt := trust.Record{Operation: "PUT /s/{x}", Node: "n", State: "distrusted", Level: "avoided", HoldMs: 30_000, Weight: 12, Worst: "repeat-ran", Counts: map[string]int{"repeat-ran": 3}, Answers: 9}
 	write := func(fs filesystem.FS, log *bytes.Buffer, rounds int) {
 		s := NewStore(fs, path, slog.New(slog.NewTextHandler(log, nil)))
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan bool)
 		go func() { s.Run(ctx); close(ended) }()
 		for range rounds {
-			s.Keep([]trust.Doubt{doubt})
+			s.Save([]trust.Record{doubt})
 		}
 		cancel()
 		<-ended
@@ -101,15 +101,15 @@
 	var log bytes.Buffer
 	write(filesystem.OS{}, &log, 3)
 	doubts, age := NewStore(filesystem.OS{}, path, slog.New(slog.DiscardHandler)).Load()
-	if diff := cmp.Diff([]trust.Doubt{doubt}, doubts); diff != "" || age > time.Minute {
+	if diff := cmp.Diff([]trust.Record{doubt}, doubts); diff != "" || age > time.Minute {
 		t.Errorf("%v %s", age, diff)
 	}
-	var told []scheduler.Caution
-	o := New(Options{Most: scheduler.CareAvoid, Tell: func(c scheduler.Caution) { told = append(told, c) }, Log: slog.New(slog.DiscardHandler)}, doubts, age)
+	var told []scheduler.Restriction
+	o := New(Options{MaxRestriction: scheduler.AvoidNode, Notify: func(c scheduler.Restriction) { told = append(told, c) }, Log: slog.New(slog.DiscardHandler)}, doubts, age)
 	if len(told) > 0 {
 		t.Error("told before the decisions can take it")
 	}
-	if o.Begin(); len(told) != 1 || told[0].Level != scheduler.CareAvoid {
+	if o.NotifyRestored(); len(told) != 1 || told[0].Level != scheduler.AvoidNode {
 		t.Errorf("%+v", told)
 	}
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
@@ -135,7 +135,7 @@
 	a := observation(b, `0s n GET /s/1 -> 200 Content-Type=application/json {"hours":7}`)
 	for _, sample := range []float64{0, 0.01, 0.1, 1} {
 		b.Run(fmt.Sprint("sample ", sample), func(b *testing.B) {
-			o := New(Options{Sample: sample, Tell: func(scheduler.Caution) {}, Log: slog.New(slog.DiscardHandler)}, nil, 0)
+			o := New(Options{Sample: sample, Notify: func(scheduler.Restriction) {}, Log: slog.New(slog.DiscardHandler)}, nil, 0)
 			b.ReportAllocs()
 			for b.Loop() {
 				o.Observe(a)
@@ -145,7 +145,7 @@
 		})
 	}
 	b.Run("on the answer's way", func(b *testing.B) {
-		o := New(Options{Sample: 1, Tell: func(scheduler.Caution) {}, Log: slog.New(slog.DiscardHandler)}, nil, 0)
+		o := New(Options{Sample: 1, Notify: func(scheduler.Restriction) {}, Log: slog.New(slog.DiscardHandler)}, nil, 0)
 		b.ReportAllocs()
 		for b.Loop() {
 			o.Observe(a)
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -112,7 +112,7 @@
 			if rapid.Bool().Draw(t, "types") {
 				o.Body, o.Types = true, []string{rapid.SampledFrom([]string{"a/b", "a/c"}).Draw(t, "type")}
 			}
-			for _, w := range []Condition{{Where{"query", "q"}, "1"}, {Where{"header", "X-Kind"}, "2"}} {
+			for _, w := range []Condition{{Location{"query", "q"}, "1"}, {Location{"header", "X-Kind"}, "2"}} {
 				if rapid.IntRange(0, 3).Draw(t, "when") == 0 {
 					o.When = append(o.When, w)
 				}
@@ -171,8 +171,8 @@
 	}
 	var words []string
 	for _, o := range all {
-		words = append(words, fmt.Sprintf("%s %s %s %s %s %v %v %v", o.ID, o.Method, o.Template, o.Repeats, o.Key.Name, o.KeyFor, o.Aim, o.Deadline))
-		if o.Place.Line == 0 {
+		words = append(words, fmt.Sprintf("%s %s %s %s %s %v %v %v", o.ID, o.Method, o.Template, o.Idempotency, o.Key.Name, o.DedupWindow, o.LatencyObjective, o.Deadline))
+		if o.Position.Line == 0 {
 			t.Errorf("%s: no line", o.ID)
 		}
 	}
@@ -190,7 +190,7 @@
 // OpenAPI 3.1: types in a list, numeric exclusive bounds, webhooks, which are nobody's calls here.
 func TestLoadLater(t *testing.T) {
 	all, err := Load("testdata/later.yaml")
-	if err != nil || len(all) != 1 || all[0].Repeats != Safe || all[0].Place.Line != 5 {
+	if err != nil || len(all) != 1 || all[0].Idempotency != Idempotent || all[0].Position.Line != 5 {
 		t.Errorf("%v %v", all, err)
 	}
 }
@@ -218,7 +218,7 @@
 		all, err := Load(path)
 		var out []string
 		for _, o := range all {
-			out = append(out, fmt.Sprintf("%d %s %s %s %s %v", o.Place.Line, o.ID, o.Call(), o.Repeats, o.Key.Name, o.Deadline))
+			out = append(out, fmt.Sprintf("%d %s %s %s %s %v", o.Position.Line, o.ID, o.Signature(), o.Idempotency, o.Key.Name, o.Deadline))
 		}
 		if faults, _ := Check(all); len(faults) > 0 {
 			t.Error(faults)
@@ -287,7 +287,7 @@
 			t.Errorf("%q: %v, want %s", change[1], err, want)
 		}
 	}
-	same := []*Operation{{Method: "GET", Template: "/a/{x}", Repeats: Safe}, {Method: "GET", Template: "/a/{y}", Repeats: Safe}, {Method: "GET", Template: "/{z}/b", Repeats: Safe}}
+	same := []*Operation{{Method: "GET", Template: "/a/{x}", Idempotency: Idempotent}, {Method: "GET", Template: "/a/{y}", Idempotency: Idempotent}, {Method: "GET", Template: "/{z}/b", Idempotency: Idempotent}}
 	if faults, _ := Check(same); len(faults) != 1 || !strings.Contains(faults[0].Message, "matches the same requests as GET /a/{x}") {
 		t.Error(faults)
 	}
--- a/internal/contract/difference.go
+++ b/internal/contract/difference.go
@@ -12,7 +12,7 @@
 // nodes that hold to the old description may then see an effect twice.
 type Change struct {
 	Dangerous bool
-	Place     Place // in the new description, or in the old one for what is gone
+	Place     SourcePosition // in the new description, or in the old one for what is gone
 	Text      string
 }
 
@@ -25,7 +25,7 @@
 }
 
 // looseness orders what may be done with a call.
-var looseness = map[Repeats]int{Unsafe: 0, Keyed: 1, Safe: 2}
+var looseness = map[Idempotency]int{NonIdempotent: 0, IdempotentWithKey: 1, Idempotent: 2}
 
 // Diff gives what differs, operations by method and the shape of their path, in that order.
 func Diff(before, after []*Operation) []Change {
@@ -56,9 +56,9 @@
 		a, b := was[shape], is[shape]
 		switch {
 		case a == nil:
-			out = append(out, Change{b.Repeats != Unsafe && coveredBefore(before, b), b.Place, fmt.Sprintf("%s is new, %s", b.Call(), b.Repeats)})
+			out = append(out, Change{b.Idempotency != NonIdempotent && coveredBefore(before, b), b.Position, fmt.Sprintf("%s is new, %s", b.Signature(), b.Idempotency)})
 		case b == nil:
-			out = append(out, Change{false, a.Place, fmt.Sprintf("%s is gone: it is handled as what nobody described", a.Call())})
+			out = append(out, Change{false, a.Position, fmt.Sprintf("%s is gone: it is handled as what nobody described", a.Signature())})
 		default:
 			out = append(out, changes(a, b)...)
 		}
@@ -74,7 +74,7 @@
 	}
 	return slices.ContainsFunc(before, func(a *Operation) bool {
 		old, err := parseTemplate(a.Template)
-		if err != nil || a.Method != b.Method || a.Host != "" && b.Host != "" && a.Host != b.Host || len(old) != len(segments) || looseness[b.Repeats] <= looseness[a.Repeats] {
+		if err != nil || a.Method != b.Method || a.Host != "" && b.Host != "" && a.Host != b.Host || len(old) != len(segments) || looseness[b.Idempotency] <= looseness[a.Idempotency] {
 			return false
 		}
 		for i := range old {
@@ -88,23 +88,23 @@
 
 func changes(a, b *Operation) (out []Change) {
 	add := func(dangerous bool, format string, args ...any) {
-		out = append(out, Change{dangerous, b.Place, b.Call() + ": " + fmt.Sprintf(format, args...)})
+		out = append(out, Change{dangerous, b.Position, b.Signature() + ": " + fmt.Sprintf(format, args...)})
 	}
-	if a.Repeats != b.Repeats {
-		add(looseness[b.Repeats] > looseness[a.Repeats], "it was %s and is %s", a.Repeats, b.Repeats)
-	} else if a.Repeats == Keyed {
+	if a.Idempotency != b.Idempotency {
+		add(looseness[b.Idempotency] > looseness[a.Idempotency], "it was %s and is %s", a.Idempotency, b.Idempotency)
+	} else if a.Idempotency == IdempotentWithKey {
 		if a.Key.In != b.Key.In || !sameKey(a, b) {
 			add(true, "its key stood in %v and stands in %v", a.Key, b.Key)
 		}
-		if a.KeyGroup != b.KeyGroup {
-			add(width[b.KeyGroup] > width[a.KeyGroup], "its repeats were discarded by %s and are by %s", a.KeyGroup, b.KeyGroup)
+		if a.DedupScope != b.DedupScope {
+			add(width[b.DedupScope] > width[a.DedupScope], "its repeats were discarded by %s and are by %s", a.DedupScope, b.DedupScope)
 		}
-		if a.KeyFor != b.KeyFor {
-			add(b.KeyFor > a.KeyFor, "its key was known for %v and is for %v", a.KeyFor, b.KeyFor)
+		if a.DedupWindow != b.DedupWindow {
+			add(b.DedupWindow > a.DedupWindow, "its key was known for %v and is for %v", a.DedupWindow, b.DedupWindow)
 		}
 	}
-	if a.Aim != b.Aim {
-		add(false, "its aim was %v and is %v", a.Aim, b.Aim)
+	if a.LatencyObjective != b.LatencyObjective {
+		add(false, "its aim was %v and is %v", a.LatencyObjective, b.LatencyObjective)
 	}
 	if a.Deadline != b.Deadline {
 		add(false, "its deadline was %v and is %v", a.Deadline, b.Deadline)
@@ -116,7 +116,7 @@
 }
 
 // width orders groups.
-var width = map[Group]int{Rack: 0, "": 0, Room: 1, All: 2}
+var width = map[DedupScope]int{ScopeShard: 0, "": 0, ScopeZone: 1, ScopeAll: 2}
 
 // meanings gives the statuses that mean something else. What was said to have run, or may have, and now is called harmless to repeat, may run twice; so
 // may what clients now hear to be a refusal.
@@ -131,8 +131,8 @@
 	word := func(m Meaning) string { return cmp.Or(string(m), "not said") }
 	for _, status := range statuses {
 		if was, is := a.Statuses[status], b.Statuses[status]; was != is {
-			out = append(out, Change{is == Refused || was == MayHaveRun, b.Place,
-				fmt.Sprintf("%s: status %s was %s and is %s", b.Call(), status, word(was), word(is))})
+			out = append(out, Change{is == Rejected || was == MayHaveRun, b.Position,
+				fmt.Sprintf("%s: status %s was %s and is %s", b.Signature(), status, word(was), word(is))})
 		}
 	}
 	return out
--- a/internal/contract/fuzz_test.go
+++ b/internal/contract/fuzz_test.go
@@ -24,7 +24,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		all, faults := Parse("f", []byte(text))
 		for _, fault := range faults {
-			if fault.Message == "" || fault.Place.File != "f" {
+			if fault.Message == "" || fault.Position.File != "f" {
 				t.Errorf("%+v", fault)
 			}
 		}
@@ -36,9 +36,9 @@
 		}
 		for _, o := range all {
 			switch {
-			case o.Repeats != Safe && o.Repeats != Keyed && o.Repeats != Unsafe,
-				o.Repeats == Keyed && (o.Key.Name == "" || o.KeyFor <= 0),
-				o.Aim < 0 || o.Deadline < 0 || o.Deadline > 0 && o.Deadline < o.Aim:
+			case o.Idempotency != Idempotent && o.Idempotency != IdempotentWithKey && o.Idempotency != NonIdempotent,
+				o.Idempotency == IdempotentWithKey && (o.Key.Name == "" || o.DedupWindow <= 0),
+				o.LatencyObjective < 0 || o.Deadline < 0 || o.Deadline > 0 && o.Deadline < o.LatencyObjective:
 				t.Errorf("%+v", o)
 			}
 		}
@@ -60,12 +60,12 @@
 		if json.Unmarshal([]byte(text), &said) != nil {
 			return
 		}
-		o := &Operation{Method: "GET", Template: "/{x}", Repeats: Unsafe}
+		o := &Operation{Method: "GET", Template: "/{x}", Idempotency: NonIdempotent}
 		faults := o.say(said)
-		if len(faults) > 0 && (o.Repeats != Unsafe || o.Key != Where{} || o.Statuses != nil) {
+		if len(faults) > 0 && (o.Idempotency != NonIdempotent || o.Key != Location{} || o.Statuses != nil) {
 			t.Errorf("%s: %v, and it was taken: %+v", text, faults, o)
 		}
-		if o.Aim < 0 || o.Deadline < 0 || o.KeyFor < 0 || o.Units < 0 || o.UnitBytes < 0 || o.Shard.Number < 0 {
+		if o.LatencyObjective < 0 || o.Deadline < 0 || o.DedupWindow < 0 || o.Units < 0 || o.UnitBytes < 0 || o.Shard.Number < 0 {
 			t.Errorf("%s: %+v", text, o)
 		}
 	})
--- a/internal/contract/openapi.go
+++ b/internal/contract/openapi.go
@@ -26,7 +26,7 @@
 		return nil, faults
 	}
 	if len(all) == 0 {
-		return nil, Faults{{Place{File: strings.Join(paths, ", ")}, "no operation is described"}}
+		return nil, Faults{{SourcePosition{File: strings.Join(paths, ", ")}, "no operation is described"}}
 	}
 	return all, nil
 }
@@ -34,14 +34,14 @@
 func load(path string) ([]*Operation, Faults) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, Faults{{Place{File: path}, err.Error()}}
+		return nil, Faults{{SourcePosition{File: path}, err.Error()}}
 	}
 	if info.Size() > MostFile {
-		return nil, Faults{{Place{File: path}, "it is longer than 32 MiB"}}
+		return nil, Faults{{SourcePosition{File: path}, "it is longer than 32 MiB"}}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, Faults{{Place{File: path}, err.Error()}}
+		return nil, Faults{{SourcePosition{File: path}, err.Error()}}
 	}
 	return Parse(path, text)
 }
@@ -58,7 +58,7 @@
 		err = doc.Validate(loader.Context)
 	}
 	if err != nil {
-		return nil, Faults{{Place{File: path}, err.Error()}}
+		return nil, Faults{{SourcePosition{File: path}, err.Error()}}
 	}
 	paths := doc.Paths.Map()
 	for _, template := range slices.Sorted(maps.Keys(paths)) {
@@ -107,10 +107,10 @@
 }
 
 func operation(file, template, method string, later bool, item *openapi3.PathItem, from *openapi3.Operation) (*Operation, Faults) {
-	o := &Operation{ID: from.OperationID, Method: method, Template: template, Repeats: Unsafe, Body: from.RequestBody != nil,
-		Place: Place{File: file, Pointer: "/paths/" + escape(template) + "/" + strings.ToLower(method)}}
+	o := &Operation{ID: from.OperationID, Method: method, Template: template, Idempotency: NonIdempotent, Body: from.RequestBody != nil,
+		Position: SourcePosition{File: file, Pointer: "/paths/" + escape(template) + "/" + strings.ToLower(method)}}
 	if from.Origin != nil && from.Origin.Key != nil {
-		o.Place.Line = from.Origin.Key.Line
+		o.Position.Line = from.Origin.Key.Line
 	}
 	if from.RequestBody != nil && from.RequestBody.Value != nil {
 		o.Types = slices.Sorted(maps.Keys(from.RequestBody.Value.Content))
--- a/internal/contract/operation.go
+++ b/internal/contract/operation.go
@@ -13,24 +13,24 @@
 	"github.com/getkin/kin-openapi/openapi3"
 )
 
-// Repeats tells whether a call may run more than once.
-type Repeats string
+// Idempotency tells whether a call may run more than once.
+type Idempotency string
 
 // The kinds of Repeats. Where a description says nothing, a call is Unsafe, whatever HTTP means by its method.
 const (
-	Safe   Repeats = "safe"
-	Keyed  Repeats = "keyed"
-	Unsafe Repeats = "unsafe"
+	Idempotent        Idempotency = "safe"
+	IdempotentWithKey Idempotency = "keyed"
+	NonIdempotent     Idempotency = "unsafe"
 )
 
-// Group is the nodes that discard a repeat by its key.
-type Group string
+// DedupScope is the nodes that discard a repeat by its key.
+type DedupScope string
 
 // The kinds of Group.
 const (
-	All  Group = "all"
-	Room Group = "room"
-	Rack Group = "rack" // those that hold the same data
+	ScopeAll   DedupScope = "all"
+	ScopeZone  DedupScope = "room"
+	ScopeShard DedupScope = "rack" // those that hold the same data
 )
 
 // Meaning is what a status means for whoever sent the call.
@@ -39,7 +39,7 @@
 // The kinds of Meaning; empty where nothing is said of a status.
 const (
 	Served     Meaning = "served"       // an answer for the client
-	Refused    Meaning = "refused"      // it never ran, and repeating it is harmless
+	Rejected   Meaning = "refused"      // it never ran, and repeating it is harmless
 	MayHaveRun Meaning = "may-have-run" // nobody knows
 	Failed     Meaning = "failed"       // an answer for the client that no repeat changes
 )
@@ -54,30 +54,30 @@
 	Action   string // send or receive, as seen by the application that is described
 	Channel  string // its address
 
-	Repeats  Repeats
-	Key      Where // for Keyed: where the key stands
-	KeyFor   time.Duration
-	KeyGroup Group
-	KeyTold  string // a header of the answer to a repeat that was discarded; empty: nothing tells
-
-	Class     string        // of the settings; empty: not said
-	Aim       time.Duration // 0: not said, and so are the others
-	Deadline  time.Duration
-	Worth     float64
-	Takes     time.Duration
-	Units     float64
-	UnitBytes int
-	SameFor   time.Duration // for which answers to the same safe call are the same, if nothing was written
-	Volume    Where
-	Data      Where
-	Shard     Shard
-	Statuses  map[string]Meaning // by number, or by kind as 4XX
+	Idempotency Idempotency
+	Key         Location // for Keyed: where the key stands
+	DedupWindow time.Duration
+	DedupScope  DedupScope
+	DedupHeader string // a header of the answer to a repeat that was discarded; empty: nothing tells
+
+	Class            string        // of the settings; empty: not said
+	LatencyObjective time.Duration // 0: not said, and so are the others
+	Deadline         time.Duration
+	PriorityWeight   float64
+	ExpectedDuration time.Duration
+	Units            float64
+	UnitBytes        int
+	StableFor        time.Duration // for which answers to the same safe call are the same, if nothing was written
+	Volume           Location
+	Data             Location
+	Shard            Shard
+	Statuses         map[string]Meaning // by number, or by kind as 4XX
 
 	Body      bool // it takes one
 	Creates   bool // it says 201
 	Types     []string
 	Responses map[string]*Response // by number, by kind as 4XX, or "default"; nil: none are described
-	Place     Place
+	Position  SourcePosition
 }
 
 // Response is what a description says of a status.
@@ -126,30 +126,30 @@
 	return schema.VisitJSON(value, openapi3.VisitAsResponse(), openapi3.FailFast(), version)
 }
 
-// Where is a place in a call: a header, a parameter of the query or of the path.
-type Where struct {
+// Location is a place in a call: a header, a parameter of the query or of the path.
+type Location struct {
 	In   string `mapstructure:"in"` // header, query or path; empty: not said
 	Name string `mapstructure:"name"`
 }
 
-func (w Where) String() string { return w.In + " " + w.Name }
+func (w Location) String() string { return w.In + " " + w.Name }
 
 // Shard is what a description says of the shard that holds the data.
 type Shard struct {
-	Any    bool // a new object: any shard will do
-	Fixed  bool // it is Number
-	Number int
-	Where  Where
+	Any      bool // a new object: any shard will do
+	Fixed    bool // it is Number
+	Number   int
+	Location Location
 }
 
 // Condition is what must stand at a place for a call to be of an operation.
 type Condition struct {
-	Where
+	Location
 	Want string
 }
 
-// Call words what the operation is called by. It stays the same over all versions of its description.
-func (o *Operation) Call() string {
+// Signature words what the operation is called by. It stays the same over all versions of its description.
+func (o *Operation) Signature() string {
 	if o.Method == "" {
 		return o.Action + " " + o.Channel
 	}
@@ -182,14 +182,14 @@
 	return nil, o.Meaning(status) != ""
 }
 
-// Place is where a description says something.
-type Place struct {
+// SourcePosition is where a description says something.
+type SourcePosition struct {
 	File    string
 	Line    int    // 0: not known
 	Pointer string // RFC 6901
 }
 
-func (p Place) String() string {
+func (p SourcePosition) String() string {
 	if p.Line == 0 {
 		return fmt.Sprintf("%s: %s", p.File, p.Pointer)
 	}
@@ -198,12 +198,12 @@
 
 // Fault is something wrong with a description.
 type Fault struct {
-	Place   Place
-	Message string
+	Position SourcePosition
+	Message  string
 }
 
 // Error words it as FILE:LINE: POINTER: MESSAGE.
-func (f Fault) Error() string { return f.Place.String() + ": " + f.Message }
+func (f Fault) Error() string { return f.Position.String() + ": " + f.Message }
 
 // Faults are all that is wrong.
 type Faults []Fault
@@ -220,13 +220,13 @@
 // sorted puts faults into the order of their places.
 func (f Faults) sorted() Faults {
 	slices.SortStableFunc(f, func(a, b Fault) int {
-		if c := strings.Compare(a.Place.File, b.Place.File); c != 0 {
+		if c := strings.Compare(a.Position.File, b.Position.File); c != 0 {
 			return c
 		}
-		if c := a.Place.Line - b.Place.Line; c != 0 {
+		if c := a.Position.Line - b.Position.Line; c != 0 {
 			return c
 		}
-		return strings.Compare(a.Place.Pointer, b.Place.Pointer)
+		return strings.Compare(a.Position.Pointer, b.Position.Pointer)
 	})
 	return f
 }
--- a/internal/contract/registry/live.go
+++ b/internal/contract/registry/live.go
@@ -20,10 +20,10 @@
 
 // Options say what is done with calls that nothing describes.
 type Options struct {
-	Refuse bool    // they are refused; otherwise they are taken with the most care
-	Rate   float64 // of them a second that are taken; 0: no limit
-	Burst  float64 // and at once
-	Open   int     // that may be open; 0: no limit
+	RejectUndescribed bool    // they are refused; otherwise they are taken with the most care
+	Rate              float64 // of them a second that are taken; 0: no limit
+	Burst             float64 // and at once
+	Open              int     // that may be open; 0: no limit
 }
 
 const (
@@ -32,10 +32,10 @@
 	mostSample  = 96 // bytes of a path in a sample
 )
 
-// Contracts are in force from one Swap to the next.
-type Contracts struct {
+// Registry are in force from one Swap to the next.
+type Registry struct {
 	log     *slog.Logger
-	current atomic.Pointer[catalog.Book]
+	current atomic.Pointer[catalog.Catalog]
 	clock   func() time.Duration
 	options Options
 
@@ -48,13 +48,13 @@
 }
 
 // New makes Contracts without any description.
-func New(o Options, log *slog.Logger) (*Contracts, error) {
+func New(o Options, log *slog.Logger) (*Registry, error) {
 	began := time.Now()
-	c := &Contracts{log: log, options: o, clock: func() time.Duration { return time.Since(began) },
+	c := &Registry{log: log, options: o, clock: func() time.Duration { return time.Since(began) },
 		sample: rate.Sometimes{First: samples, Interval: reportEvery}}
 	var defs []ratelimit.Definition
 	if o.Rate > 0 || o.Open > 0 {
-		defs = []ratelimit.Definition{{Name: catalog.UndescribedName, Rate: o.Rate, Burst: max(1, o.Burst), Open: o.Open, Keys: ratelimit.LeastKeys}}
+		defs = []ratelimit.Definition{{Name: catalog.UndescribedName, Rate: o.Rate, Burst: max(1, o.Burst), Open: o.Open, Keys: ratelimit.MinKeys}}
 	}
 	var err error
 	c.limiter, err = ratelimit.New(defs)
@@ -62,25 +62,25 @@
 }
 
 // Swap puts a book in force, whole; nil: none. Requests under way keep theirs.
-func (c *Contracts) Swap(b *catalog.Book, refuse bool) {
+func (c *Registry) Swap(b *catalog.Catalog, refuse bool) {
 	c.mu.Lock()
-	c.options.Refuse = refuse
+	c.options.RejectUndescribed = refuse
 	c.mu.Unlock()
 	old := c.current.Swap(b)
 	if b != nil && b != old {
-		c.log.Info("contracts in force", "operations", len(b.Entries()), "classes", len(b.Made))
+		c.log.Info("contracts in force", "operations", len(b.Entries()), "classes", len(b.GeneratedClasses))
 	}
 }
 
 // InForce tells whether there are descriptions.
-func (c *Contracts) InForce() bool { return c != nil && c.current.Load() != nil }
+func (c *Registry) InForce() bool { return c != nil && c.current.Load() != nil }
 
-// Said is what descriptions say of one request. End gives back what it holds; a nil Said has nothing.
-type Said struct {
+// Match is what descriptions say of one request. End gives back what it holds; a nil Said has nothing.
+type Match struct {
 	*catalog.Entry
 	Call       contract.Call
 	Parameters []string
-	home       *Contracts
+	home       *Registry
 	grant      ratelimit.Grant
 	taken      bool
 }
@@ -88,16 +88,16 @@
 // ErrUndescribed says that a call is refused since nothing describes it.
 var ErrUndescribed = errors.New("no description has this operation")
 
-// Limited says that too many calls come that nothing describes.
-type Limited struct{ RetryAfter time.Duration }
+// RateLimitedError says that too many calls come that nothing describes.
+type RateLimitedError struct{ RetryAfter time.Duration }
 
 // Error tells of it.
-func (l Limited) Error() string {
+func (l RateLimitedError) Error() string {
 	return "too many requests of operations that no description has"
 }
 
 // Begin takes a request; nil where no descriptions are in force. The error is ErrUndescribed or a Limited. The request must be ended in either case.
-func (c *Contracts) Begin(call contract.Call) (*Said, error) {
+func (c *Registry) Begin(call contract.Call) (*Match, error) {
 	if c == nil {
 		return nil, nil
 	}
@@ -105,15 +105,15 @@
 	if b == nil {
 		return nil, nil
 	}
-	s := &Said{Call: call, home: c}
-	if s.Entry, s.Parameters = b.Find(&s.Call, nil); s.Op != nil {
+	s := &Match{Call: call, home: c}
+	if s.Entry, s.Parameters = b.Lookup(&s.Call, nil); s.Operation != nil {
 		return s, nil
 	}
 	return s, c.careful(s)
 }
 
 // Command gives what descriptions say of a READ or WRITE of the second front; nil where they say nothing of it.
-func (c *Contracts) Command(lun int, write bool) *catalog.Entry {
+func (c *Registry) Command(lun int, write bool) *catalog.Entry {
 	if c == nil {
 		return nil
 	}
@@ -122,7 +122,7 @@
 		return nil
 	}
 	e := b.Command(lun, write)
-	if e != nil && e.Op == nil {
+	if e != nil && e.Operation == nil {
 		c.mu.Lock()
 		c.undescribed++
 		c.last = fmt.Sprintf("iscsi lun %d, write %v", lun, write)
@@ -132,7 +132,7 @@
 }
 
 // careful counts a call that nothing describes, and asks whether it may be taken.
-func (c *Contracts) careful(s *Said) error {
+func (c *Registry) careful(s *Match) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.undescribed++
@@ -140,23 +140,23 @@
 	c.sample.Do(func() {
 		c.log.Warn("no description has an operation that is called", "method", s.Call.Method, "path", s.Call.Path[:min(len(s.Call.Path), mostSample)], "host", s.Call.Host)
 	})
-	if c.options.Refuse {
+	if c.options.RejectUndescribed {
 		return ErrUndescribed
 	}
 	if c.options.Rate == 0 && c.options.Open == 0 {
 		return nil
 	}
-	v := c.limiter.Take(c.clock(), []ratelimit.Ask{{Limit: 0, Key: catalog.UndescribedName}})
-	if !v.Taken {
+	v := c.limiter.Take(c.clock(), []ratelimit.Claim{{Limit: 0, Key: catalog.UndescribedName}})
+	if !v.Admitted {
 		c.limited++
-		return Limited{v.RetryAfter}
+		return RateLimitedError{v.RetryAfter}
 	}
 	s.grant, s.taken = v.Grant, true
 	return nil
 }
 
-// End gives back what the request holds. It is called once, when the request is answered or its client has left.
-func (s *Said) End() {
+// Release gives back what the request holds. It is called once, when the request is answered or its client has left.
+func (s *Match) Release() {
 	if s != nil && s.taken {
 		s.home.mu.Lock()
 		s.home.limiter.Release(s.grant)
@@ -165,7 +165,7 @@
 }
 
 // Counts gives how many calls nothing described, and how many of them were over their limit, since the last call.
-func (c *Contracts) Counts() (undescribed, limited int, last string) {
+func (c *Registry) Counts() (undescribed, limited int, last string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	undescribed, limited, last = c.undescribed, c.limited, c.last
@@ -174,7 +174,7 @@
 }
 
 // Run logs the counts every minute in which there are any, until ctx ends.
-func (c *Contracts) Run(ctx context.Context) {
+func (c *Registry) Run(ctx context.Context) {
 	tick := time.NewTicker(reportEvery)
 	defer tick.Stop()
 	for {
@@ -189,10 +189,10 @@
 	}
 }
 
-func (c *Contracts) handling() string {
+func (c *Registry) handling() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.options.Refuse {
+	if c.options.RejectUndescribed {
 		return "refused"
 	}
 	return fmt.Sprintf("never repeated, %v a second", c.options.Rate)
--- a/internal/contract/registry/live_test.go
+++ b/internal/contract/registry/live_test.go
@@ -13,14 +13,14 @@
 	"reachpulley/scheduler"
 )
 
-func books(t testing.TB, files ...string) *catalog.Book {
+func books(t testing.TB, files ...string) *catalog.Catalog {
 	t.Helper()
 	all, err := contract.Load(files...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, faults := catalog.New(all, scheduler.Settings{Classes: []scheduler.Class{{Name: "sheet-read", Aim: time.Second, Deadline: 2 * time.Second},
-		{Name: "entry-write", Aim: time.Second, Deadline: 2 * time.Second, Repeats: scheduler.Keyed, RepeatGroup: scheduler.GroupShard, RepeatFor: 4 * time.Second, Writes: true}}})
+	b, faults := catalog.New(all, scheduler.Settings{Classes: []scheduler.Class{{Name: "sheet-read", LatencyObjective: time.Second, Deadline: 2 * time.Second},
+		{Name: "entry-write", LatencyObjective: time.Second, Deadline: 2 * time.Second, Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeShard, DedupWindow: 4 * time.Second, Writes: true}}})
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -41,27 +41,27 @@
 			t.Fatal("there are no descriptions yet")
 		}
 		c.Swap(books(t, sheets), false)
-		var held []*Said
+		var held []*Match
 		for i := range 3 {
 			s, err := c.Begin(contract.Call{Method: "GET", Path: "/x/" + strings.Repeat("y", 500)})
-			if held = append(held, s); (err != nil) != (i == 2) || s.Bound.Repeats != scheduler.Unsafe {
+			if held = append(held, s); (err != nil) != (i == 2) || s.RetryPolicy.Idempotency != scheduler.NonIdempotent {
 				t.Fatalf("%d: %v", i, err)
 			}
-			var limited Limited
+			var limited RateLimitedError
 			if i == 2 && (!errors.As(err, &limited) || limited.RetryAfter <= 0) {
 				t.Error(err)
 			}
 		}
-		if s, err := c.Begin(contract.Call{Method: "GET", Path: "/sheets/a/b"}); err != nil || s.Op == nil {
+		if s, err := c.Begin(contract.Call{Method: "GET", Path: "/sheets/a/b"}); err != nil || s.Operation == nil {
 			t.Error(err)
 		}
 		for _, s := range held {
-			s.End()
+			s.Release()
 		}
 		if s, err := c.Begin(contract.Call{Method: "GET", Path: "/x"}); err != nil {
 			t.Error(err)
 		} else {
-			s.End()
+			s.Release()
 		}
 		n, limited, last := c.Counts()
 		if n != 4 || limited != 1 || last != "GET /x" || len(log.String()) > 4000 {
@@ -87,6 +87,6 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		s.End()
+		s.Release()
 	}
 }
--- a/internal/contract/route.go
+++ b/internal/contract/route.go
@@ -86,7 +86,7 @@
 	return text, true
 }
 
-// Call is what of a request tells its operation.
+// Signature is what of a request tells its operation.
 type Call struct {
 	Method string
 	Host   string // with its port, as it came
@@ -124,7 +124,7 @@
 		}
 		segments, err := parseTemplate(o.Template)
 		if err != nil {
-			return nil, Fault{o.Place, err.Error()}
+			return nil, Fault{o.Position, err.Error()}
 		}
 		root := r.any
 		if o.Host != "" {
@@ -161,8 +161,8 @@
 	return parameters
 }
 
-// Most is how many parameters a path has at most, of those that the Router knows.
-func (r *Router) Most() int { return r.most }
+// MaxParameters is how many parameters a path has at most, of those that the Router knows.
+func (r *Router) MaxParameters() int { return r.most }
 
 // Match gives the operation of a call; nil where no description has it. The parameters' values are added to values, in the order of the path.
 func (r *Router) Match(c *Call, values []string) (*Operation, []string) {
@@ -257,7 +257,7 @@
 }
 
 // Value gives what stands at a place of a call of the operation, whose path has the given parameters; "" where nothing does, or more than one.
-func (o *Operation) Value(c *Call, parameters []string, at Where) string {
+func (o *Operation) Value(c *Call, parameters []string, at Location) string {
 	var values []string
 	switch at.In {
 	case "header":
--- a/internal/contract/vocabulary.go
+++ b/internal/contract/vocabulary.go
@@ -52,18 +52,18 @@
 	Units     float64           `mapstructure:"units"`
 	UnitBytes int               `mapstructure:"unit_bytes"`
 	SameFor   time.Duration     `mapstructure:"same_for"`
-	Volume    Where             `mapstructure:"volume"`
-	Data      Where             `mapstructure:"data"`
+	Volume    Location          `mapstructure:"volume"`
+	Data      Location          `mapstructure:"data"`
 	Shard     any               `mapstructure:"shard"`
 	When      conditions        `mapstructure:"when"`
 	Statuses  map[string]string `mapstructure:"statuses"`
 }
 
 type keyed struct {
-	Where `mapstructure:",squash"`
-	For   time.Duration `mapstructure:"for"`
-	Group string        `mapstructure:"group"`
-	Told  string        `mapstructure:"told"`
+	Location `mapstructure:",squash"`
+	For      time.Duration `mapstructure:"for"`
+	Group    string        `mapstructure:"group"`
+	Told     string        `mapstructure:"told"`
 }
 
 type conditions struct {
@@ -74,7 +74,7 @@
 // say takes what the vocabulary says of an operation.
 func (o *Operation) say(said any) (faults Faults) {
 	fault := func(pointer, format string, args ...any) {
-		place := o.Place
+		place := o.Position
 		place.Pointer += "/" + extension + pointer
 		faults = append(faults, Fault{place, fmt.Sprintf(format, args...)})
 	}
@@ -134,21 +134,21 @@
 // take puts what was said into the operation.
 func (o *Operation) take(v *vocabulary) {
 	if v.Repeats != "" {
-		o.Repeats = Repeats(v.Repeats)
+		o.Idempotency = Idempotency(v.Repeats)
 	}
 	if v.Key != nil {
-		o.Key, o.KeyFor, o.KeyTold = v.Key.Where, v.Key.For, http.CanonicalHeaderKey(v.Key.Told)
-		if o.KeyGroup = Group(v.Key.Group); o.KeyGroup == "" {
-			o.KeyGroup = Rack
+		o.Key, o.DedupWindow, o.DedupHeader = v.Key.Location, v.Key.For, http.CanonicalHeaderKey(v.Key.Told)
+		if o.DedupScope = DedupScope(v.Key.Group); o.DedupScope == "" {
+			o.DedupScope = ScopeShard
 		}
 	}
-	o.Class, o.Aim, o.Deadline, o.Worth, o.Takes = v.Class, v.Aim, v.Deadline, v.Worth, v.Takes
-	o.Units, o.UnitBytes, o.SameFor, o.Volume, o.Data = v.Units, v.UnitBytes, v.SameFor, v.Volume, v.Data
+	o.Class, o.LatencyObjective, o.Deadline, o.PriorityWeight, o.ExpectedDuration = v.Class, v.Aim, v.Deadline, v.Worth, v.Takes
+	o.Units, o.UnitBytes, o.StableFor, o.Volume, o.Data = v.Units, v.UnitBytes, v.SameFor, v.Volume, v.Data
 	for name, want := range v.When.Query {
-		o.When = append(o.When, Condition{Where{"query", name}, want})
+		o.When = append(o.When, Condition{Location{"query", name}, want})
 	}
 	for name, want := range v.When.Header {
-		o.When = append(o.When, Condition{Where{"header", http.CanonicalHeaderKey(name)}, want})
+		o.When = append(o.When, Condition{Location{"header", http.CanonicalHeaderKey(name)}, want})
 	}
 	slices.SortFunc(o.When, func(a, b Condition) int {
 		return strings.Compare(a.In+"\x00"+a.Name, b.In+"\x00"+b.Name)
@@ -157,8 +157,8 @@
 	case string:
 		o.Shard.Any = true
 	case map[string]any: // the schema has seen to what is in it
-		o.Shard.Where.In, _ = shard["in"].(string)
-		o.Shard.Where.Name, _ = shard["name"].(string)
+		o.Shard.Location.In, _ = shard["in"].(string)
+		o.Shard.Location.Name, _ = shard["name"].(string)
 	case json.Number:
 		number, _ := strconv.Atoi(shard.String())
 		o.Shard.Number, o.Shard.Fixed = number, true
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -6,9 +6,9 @@
 	"reachpulley/scheduler"
 )
 
-// Places tells where a node is.
-type Places interface {
-	Lookup(node string) Place
+// EndpointLookup tells where a node is.
+type EndpointLookup interface {
+	Lookup(node string) Endpoint
 }
 
 // Directory is the list of nodes as it was last told: where a node is and whether new work may go there. Discovery
@@ -16,17 +16,17 @@
 // stopped short of its first byte.
 type Directory struct {
 	mu    sync.RWMutex
-	nodes map[string]Place
+	nodes map[string]Endpoint
 }
 
-// Place is what the directory holds of a node.
-type Place struct {
+// Endpoint is what the directory holds of a node.
+type Endpoint struct {
 	Address string
 	Up      bool
 }
 
 // Lookup gives a node's place; a node that was never listed is not up.
-func (d *Directory) Lookup(node string) Place {
+func (d *Directory) Lookup(node string) Endpoint {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.nodes[node]
@@ -37,13 +37,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if whole || d.nodes == nil {
-		d.nodes = make(map[string]Place, len(hosts))
+		d.nodes = make(map[string]Endpoint, len(hosts))
 	}
 	for _, h := range hosts {
 		if phases[h.Health] == scheduler.Removed { // ids are new all the time: what is gone must not pile up
 			delete(d.nodes, h.Host)
 			continue
 		}
-		d.nodes[h.Host] = Place{Address: h.Dial, Up: phases[h.Health] == scheduler.Up}
+		d.nodes[h.Host] = Endpoint{Address: h.Dial, Up: phases[h.Health] == scheduler.Up}
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -57,13 +57,13 @@
 
 // Options are what a Client needs.
 type Options struct {
-	Patience  time.Duration                                                        // for the head of an answer; 0: as a discovery needs that works through its calls one by one
-	Address   string                                                               // of discovery
-	Zones     []string                                                             // as the settings name them
-	StartedAt func(unixMilli int64) time.Duration                                  // the core's clock
-	Tell      func(scheduler.Membership)                                           // takes what is learned; it must not block
-	Dial      func(ctx context.Context, network, address string) (net.Conn, error) // nil: the network
-	Log       *slog.Logger
+	ResponseTimeout time.Duration                                                        // for the head of an answer; 0: as a discovery needs that works through its calls one by one
+	Address         string                                                               // of discovery
+	Zones           []string                                                             // as the settings name them
+	StartedAt       func(unixMilli int64) time.Duration                                  // the core's clock
+	Notify          func(scheduler.Membership)                                           // takes what is learned; it must not block
+	Dial            func(ctx context.Context, network, address string) (net.Conn, error) // nil: the network
+	Log             *slog.Logger
 }
 
 // New makes a Client whose calls end with ctx.
@@ -73,8 +73,8 @@
 	}
 	// Every call has a connection of its own: a kept one that breaks would make the transport ask twice.
 	transport := &http.Transport{DialContext: o.Dial, DisableKeepAlives: true, DisableCompression: true,
-		ResponseHeaderTimeout: cmp.Or(o.Patience, patience)}
-	c := &Client{ctx: ctx, zones: o.Zones, startedAt: o.StartedAt, tell: o.Tell, log: o.Log,
+		ResponseHeaderTimeout: cmp.Or(o.ResponseTimeout, patience)}
+	c := &Client{ctx: ctx, zones: o.Zones, startedAt: o.StartedAt, tell: o.Notify, log: o.Log,
 		http: &http.Client{Transport: transport}}
 	c.goTo(o.Address)
 	return c
@@ -90,12 +90,12 @@
 // Directory tells where the nodes are.
 func (c *Client) Directory() *Directory { return &c.directory }
 
-// Remember takes the list that the gateway held in an earlier life.
-func (c *Client) Remember(l *List) { c.take(c.ctx, l, scheduler.Remembered, 0) }
+// Seed takes the list that the gateway held in an earlier life.
+func (c *Client) Seed(l *List) { c.take(c.ctx, l, scheduler.CachedList, 0) }
 
-// Move follows discovery to another address: the old watch ends, and the new address is watched at once. The list that
+// MoveTo follows discovery to another address: the old watch ends, and the new address is watched at once. The list that
 // is held stays until news comes.
-func (c *Client) Move(address string) {
+func (c *Client) MoveTo(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if address == c.at.address {
@@ -132,7 +132,7 @@
 		c.mu.Unlock()
 		if at.ctx.Err() == nil { // else it was broken off here
 			c.log.Log(c.ctx, c.severity(err), "discovery does not answer", "err", err)
-			c.tell(scheduler.Membership{Kind: scheduler.Refused})
+			c.tell(scheduler.Membership{Kind: scheduler.WatchFailed})
 		}
 	}()
 }
@@ -189,9 +189,9 @@
 		if err != nil {
 			return err
 		}
-		kind := scheduler.Changes
+		kind := scheduler.DeltaList
 		if l.Whole {
-			kind = scheduler.Whole
+			kind = scheduler.FullList
 		}
 		c.take(at.ctx, l, kind, seq)
 	}
@@ -219,7 +219,7 @@
 // list is older than the version it was asked from comes of a discovery that counts anew; were that dropped, nothing
 // would be heard ever after.
 // What came from an address that discovery has left is dropped, too: its call has ended.
-func (c *Client) take(call context.Context, l *List, kind scheduler.ListKind, askedFrom int64) {
+func (c *Client) take(call context.Context, l *List, kind scheduler.MembershipKind, askedFrom int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	anew := l.Whole && l.Seq < askedFrom
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -79,7 +79,7 @@
 				ctx, cancel := context.WithCancel(context.Background())
 				o := Options{Address: "d:1", Dial: s.Network.Dial, Log: slog.New(slog.DiscardHandler),
 					StartedAt: func(int64) time.Duration { return 0 },
-					Tell: func(m scheduler.Membership) {
+					Notify: func(m scheduler.Membership) {
 						words := fmt.Sprint(int(m.Kind))
 						for _, n := range m.Nodes {
 							words += fmt.Sprintf(" %s:%d", n.ID, n.Phase)
@@ -87,19 +87,19 @@
 						got = append(got, words)
 					}}
 				if strings.HasPrefix(name, "an agent") {
-					o.Patience = 125 * time.Millisecond
+					o.ResponseTimeout = 125 * time.Millisecond
 				}
 				client := New(ctx, o)
 				s.Server("d", "d:1", scenariotest.HTTP{})
 				s.Server("e", "e:1", scenariotest.HTTP{})
-				s.Control("client", "move", func() { client.Move("e:1") })
+				s.Control("client", "move", func() { client.MoveTo("e:1") })
 				s.Control("client", "watch", client.Watch)
 				s.Control("client", "take", func() {
 					l, err := ParseList([]byte(drains))
 					if err != nil {
 						t.Fatal(err)
 					}
-					client.take(ctx, l, scheduler.Changes, 0)
+					client.take(ctx, l, scheduler.DeltaList, 0)
 					if client.Directory().Lookup("n").Up {
 						t.Error("the directory sends to a node that drains")
 					}
@@ -124,7 +124,7 @@
 	scenariotest.Run(t, "client send watch\n"+bad+bad+bad+index+"0\n"+answers+up+"\\n{]\\n\nd expect end\n", func(s *scenariotest.Stage) func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		client := New(ctx, Options{Address: "d:1", Dial: s.Network.Dial, Log: slog.New(slog.NewTextHandler(&log, nil)),
-			StartedAt: func(int64) time.Duration { return 0 }, Tell: func(scheduler.Membership) {}})
+			StartedAt: func(int64) time.Duration { return 0 }, Notify: func(scheduler.Membership) {}})
 		s.Server("d", "d:1", scenariotest.HTTP{})
 		s.Control("client", "watch", client.Watch)
 		return cancel
--- a/internal/eventloop/core.go
+++ b/internal/eventloop/core.go
@@ -15,8 +15,8 @@
 	"reachpulley/scheduler"
 )
 
-// Back carries attempts and probes to the nodes. Its methods are called by the loop and must not block.
-type Back interface {
+// Backend carries attempts and probes to the nodes. Its methods are called by the loop and must not block.
+type Backend interface {
 	// Start begins an attempt and later calls report exactly once. When ctx ends the attempt ends too, as
 	// TimedOut or Canceled, and nothing of it is on its way to the node once report has been called.
 	Start(ctx context.Context, a Attempt, report func(Report))
@@ -24,40 +24,40 @@
 	Probe(node string, report func(scheduler.ProbeResult))
 }
 
-// Lister watches the list of nodes. Watch must not block; what it brings comes in by Members.
-type Lister interface{ Watch() }
+// MembershipWatcher watches the list of nodes. Watch must not block; what it brings comes in by Members.
+type MembershipWatcher interface{ Watch() }
 
 // Attempt is one sending of a request to a node.
 type Attempt struct {
-	Exchange *exchange.Exchange
-	Number   int
-	Node     string
-	Deadline time.Time
-	Begin    time.Time // before which it has to begin, or not at all; zero: at any time
+	Exchange    *exchange.Exchange
+	Number      int
+	Node        string
+	Deadline    time.Time
+	BeginBefore time.Time // before which it has to begin, or not at all; zero: at any time
 }
 
-// May tells whether an attempt may begin now. Backs ask right before the first byte: until then a client may have left, or the
+// MayBegin tells whether an attempt may begin now. Backs ask right before the first byte: until then a client may have left, or the
 // time have passed within which nodes discard a repeat, as a connection may take long to come up.
-func (a Attempt) May(now time.Time) bool {
-	return !a.Exchange.Left() && (a.Begin.IsZero() || now.Before(a.Begin)) && now.Before(a.Deadline)
+func (a Attempt) MayBegin(now time.Time) bool {
+	return !a.Exchange.Disconnected() && (a.BeginBefore.IsZero() || now.Before(a.BeginBefore)) && now.Before(a.Deadline)
 }
 
 // Report is how an attempt ended, as its back saw it.
 type Report struct {
-	Result scheduler.Result
-	Reply  any     // for Served
-	Use    float64 // as in scheduler.Outcome
-	Others float64
-	Load   *scheduler.Load
-	Took   time.Duration // from the request's first byte to the answer's last; 0: as long as the attempt
+	Result      scheduler.Result
+	Reply       any     // for Served
+	VolumeUse   float64 // as in scheduler.Outcome
+	OtherUnits  float64
+	Load        *scheduler.Load
+	ServiceTime time.Duration // from the request's first byte to the answer's last; 0: as long as the attempt
 }
 
 // latency is what the decisions take for the node's. The way there, a wait for a socket or a slow dial, is not part
 // of it where the back knows better than for how long the attempt was out.
-func (r Report) latency(out time.Duration) time.Duration { return cmp.Or(r.Took, out) }
+func (r Report) latency(out time.Duration) time.Duration { return cmp.Or(r.ServiceTime, out) }
 
-// GivenUp is the result of an attempt that ended with result, unless it was given up: then it is that.
-func GivenUp(ctx context.Context, result scheduler.Result) scheduler.Result {
+// ResultAfterCancel is the result of an attempt that ended with result, unless it was given up: then it is that.
+func ResultAfterCancel(ctx context.Context, result scheduler.Result) scheduler.Result {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return scheduler.TimedOut
@@ -71,20 +71,20 @@
 type decider interface {
 	capture.Scheduler
 	Snapshot() *scheduler.Snapshot
-	BeginWithin(id string) (within time.Duration, bound bool)
+	RetryWindowLeft(id string) (within time.Duration, bound bool)
 }
 
 // Loop owns the Scheduler, the timers and the table of exchanges; all three are touched by Run alone.
 type Loop struct {
 	clock   Clock
 	log     *slog.Logger
-	back    Back
-	lister  Lister
+	back    Backend
+	lister  MembershipWatcher
 	limit   int // attempts a request may have; 0: no limit
 	box     *mailbox
 	sched   decider
 	record  *capture.Recorder // nil: nothing is recorded
-	crashed func(capture.Kept)
+	crashed func(capture.Recording)
 	timers  timerHeap
 	entries map[string]*entry
 }
@@ -105,13 +105,13 @@
 }
 
 // New makes a Loop that decides by settings; nothing is recorded where rec.Most is 0.
-func New(settings scheduler.Settings, seed uint64, clock Clock, back Back, lister Lister, rec capture.Options, log *slog.Logger) (*Loop, error) {
+func New(settings scheduler.Settings, seed uint64, clock Clock, back Backend, lister MembershipWatcher, rec capture.Options, log *slog.Logger) (*Loop, error) {
 	l := &Loop{
 		clock: clock, log: log, back: back, lister: lister, limit: settings.Allowed.MaxAttempts,
 		box: newMailbox(), entries: map[string]*entry{},
 	}
-	if rec.Most > 0 {
-		rec.Origin, l.crashed = clock.Origin(), rec.Crashed
+	if rec.MaxBytes > 0 {
+		rec.Origin, l.crashed = clock.Origin(), rec.OnCrash
 		var err error
 		l.record, err = capture.NewRecorder(settings, seed, rec, actions{l})
 		l.sched = l.record
@@ -123,15 +123,15 @@
 }
 
 // Capture has done called with what was recorded so far, within the loop: it must not block. Without a recorder it is not called.
-func (l *Loop) Capture(done func(capture.Kept)) {
+func (l *Loop) Capture(done func(capture.Recording)) {
 	if l.record != nil {
-		l.box.post(func() { done(l.record.Kept()) })
+		l.box.post(func() { done(l.record.Recording()) })
 	}
 }
 
-// Recall takes over what an earlier life had learned. It is called before anything else is told.
-func (l *Loop) Recall(learned scheduler.Learned) {
-	l.box.post(func() { l.sched.Recall(l.clock.Now(), learned) })
+// Restore takes over what an earlier life had learned. It is called before anything else is told.
+func (l *Loop) Restore(learned scheduler.LearnedState) {
+	l.box.post(func() { l.sched.Restore(l.clock.Now(), learned) })
 }
 
 // Snapshot has done called with the state, within the loop: it must not block. It holds the loop up while the state is copied.
@@ -152,17 +152,17 @@
 // Open takes a request: the exchange gets its final answer before its deadline.
 func (l *Loop) Open(x *exchange.Exchange) {
 	l.box.post(func() { l.arrived(x) })
-	x.WhenLeft(func() { l.box.post(func() { l.left(x) }) })
+	x.OnDisconnect(func() { l.box.post(func() { l.left(x) }) })
 }
 
-// Members brings news of the list of nodes.
-func (l *Loop) Members(m scheduler.Membership) {
-	l.box.post(func() { l.sched.Members(l.clock.Now(), m) })
+// MembershipChanged brings news of the list of nodes.
+func (l *Loop) MembershipChanged(m scheduler.Membership) {
+	l.box.post(func() { l.sched.MembershipChanged(l.clock.Now(), m) })
 }
 
-// Caution tells how carefully an operation is to be handled.
-func (l *Loop) Caution(c scheduler.Caution) {
-	l.box.post(func() { l.sched.Caution(l.clock.Now(), c) })
+// Restrict tells how carefully an operation is to be handled.
+func (l *Loop) Restrict(c scheduler.Restriction) {
+	l.box.post(func() { l.sched.Restrict(l.clock.Now(), c) })
 }
 
 // Run serves events until ctx ends, then fails what is still held.
@@ -192,7 +192,7 @@
 	}
 	failure := recover()
 	if failure != nil && l.crashed != nil {
-		l.crashed(l.record.Kept())
+		l.crashed(l.record.Recording())
 	}
 	l.record.Flush(l.clock.Now())
 	if failure != nil {
@@ -207,7 +207,7 @@
 			return wait
 		}
 		t := heap.Pop(&l.timers).(timer)
-		l.sched.Timer(l.clock.Now(), t.key)
+		l.sched.TimerFired(l.clock.Now(), t.key)
 	}
 	return time.Hour
 }
@@ -218,8 +218,8 @@
 		return
 	}
 	l.entries[x.Request.ID] = &entry{x: x, open: map[int]open{}}
-	x.Request.Patience = time.Until(x.Deadline)
-	l.sched.Arrived(l.clock.Now(), x.Request)
+	x.Request.ClientTimeout = time.Until(x.Deadline)
+	l.sched.RequestArrived(l.clock.Now(), x.Request)
 }
 
 func (l *Loop) left(x *exchange.Exchange) {
@@ -228,7 +228,7 @@
 		return
 	}
 	l.end(e, exchange.Answer{Verdict: exchange.Failed})
-	l.sched.Left(l.clock.Now(), x.Request.ID)
+	l.sched.ClientDisconnected(l.clock.Now(), x.Request.ID)
 	// Whatever the Scheduler says: nobody waits for these any more. Cancel is harmless when called twice.
 	for _, o := range e.open {
 		o.cancel()
@@ -262,9 +262,9 @@
 	}
 	l.drop(e)
 	now := l.clock.Now()
-	l.sched.Ended(now, scheduler.Outcome{
+	l.sched.AttemptEnded(now, scheduler.Outcome{
 		ID: e.x.Request.ID, Attempt: number, Node: o.node, Result: r.Result, Latency: r.latency(now - o.sentAt),
-		Done: e.over, Use: r.Use, Others: r.Others, Load: r.Load,
+		Concluded: e.over, VolumeUse: r.VolumeUse, OtherUnits: r.OtherUnits, Load: r.Load,
 	})
 }
 
@@ -301,12 +301,12 @@
 	// Reports are posted, never handed in at once: the Scheduler is still within the call that sends.
 	report := func(r Report) { l.box.post(func() { l.ended(e, number, r) }) }
 	if e.over || !now.Before(deadline) || l.limit > 0 && number >= l.limit {
-		report(Report{Result: scheduler.Moot, Use: -1})
+		report(Report{Result: scheduler.NotSent, VolumeUse: -1})
 		return
 	}
 	attempt := Attempt{Exchange: e.x, Number: number, Node: node, Deadline: deadline}
-	if within, bound := l.sched.BeginWithin(id); bound {
-		attempt.Begin = now.Add(within)
+	if within, bound := l.sched.RetryWindowLeft(id); bound {
+		attempt.BeginBefore = now.Add(within)
 	}
 	l.back.Start(ctx, attempt, report)
 }
@@ -319,15 +319,15 @@
 	}
 }
 
-func (a actions) Refuse(id string, retryAfter time.Duration) {
-	a.l.end(a.l.entries[id], exchange.Answer{Verdict: exchange.Refused, RetryAfter: retryAfter})
+func (a actions) Reject(id string, retryAfter time.Duration) {
+	a.l.end(a.l.entries[id], exchange.Answer{Verdict: exchange.Rejected, RetryAfter: retryAfter})
 }
 
 func (a actions) Fail(id string) { a.l.end(a.l.entries[id], exchange.Answer{Verdict: exchange.Failed}) }
 
 func (a actions) Probe(node string) {
 	l := a.l
-	l.back.Probe(node, func(p scheduler.ProbeResult) { l.box.post(func() { l.sched.Probed(l.clock.Now(), p) }) })
+	l.back.Probe(node, func(p scheduler.ProbeResult) { l.box.post(func() { l.sched.ProbeEnded(l.clock.Now(), p) }) })
 }
 
 func (a actions) SetTimer(after time.Duration, key uint64) {
--- a/internal/eventloop/core_test.go
+++ b/internal/eventloop/core_test.go
@@ -38,36 +38,36 @@
 
 func (l *fakeLister) Watch() { l.watches++ }
 
-var testSettings = scheduler.Settings{Siblings: 1, MustAsk: true, Classes: []scheduler.Class{
-	{Name: "read", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1},
-	{Name: "once", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1, Repeats: scheduler.Unsafe}},
+var testSettings = scheduler.Settings{Siblings: 1, PollMembership: true, Classes: []scheduler.Class{
+	{Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
+	{Name: "once", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, Idempotency: scheduler.NonIdempotent}},
 	Plans:   []scheduler.Plan{{Reserve: 99, Weight: 1, Price: 1}},
 	Allowed: scheduler.Allowed{Cancel: true, MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: time.Second}}
 
 // bench runs a loop with one node in fake time, and replays what was recorded meanwhile.
 func bench(t *testing.T, test func(l *Loop, b *fakeBack)) { benchWith(t, testSettings, test) }
 
-func init() { replaytest.Warm() }
+func init() { replaytest.WarmUp() }
 
 func benchWith(t *testing.T, settings scheduler.Settings, test func(l *Loop, b *fakeBack)) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &fakeBack{}
 		ctx, cancel := context.WithCancel(t.Context())
-		l, err := New(settings, 1, NewClock(), b, &fakeLister{}, capture.Options{Most: 8 << 20}, slog.New(slog.DiscardHandler))
+		l, err := New(settings, 1, NewClock(), b, &fakeLister{}, capture.Options{MaxBytes: 8 << 20}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		ended := make(chan bool)
 		go func() { l.Run(ctx); close(ended) }()
-		l.Members(scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "n"}}})
+		l.MembershipChanged(scheduler.Membership{Kind: scheduler.FullList, Nodes: []scheduler.Node{{ID: "n"}}})
 		test(l, b)
 		cancel()
 		<-ended
-		file, err := l.record.Kept().File()
+		file, err := l.record.Recording().File()
 		if err != nil {
 			t.Fatal(err)
 		}
-		replaytest.Twice(t, file)
+		replaytest.ReplayTwice(t, file)
 	})
 }
 
@@ -97,10 +97,10 @@
 		attempts int
 	}{
 		"served":                            {0, []scheduler.Result{scheduler.Served}, "served yes", 1},
-		"never ran, then served":            {1, []scheduler.Result{scheduler.Full, scheduler.Served}, "served yes", 2},
-		"may have run":                      {1, []scheduler.Result{scheduler.Reset}, "failed <nil>", 1},
-		"may have run, safe to repeat":      {0, []scheduler.Result{scheduler.Reset, scheduler.Served}, "served yes", 2},
-		"no attempt is left":                {0, []scheduler.Result{scheduler.Reset, scheduler.Reset}, "refused <nil>", 2},
+		"never ran, then served":            {1, []scheduler.Result{scheduler.Overloaded, scheduler.Served}, "served yes", 2},
+		"may have run":                      {1, []scheduler.Result{scheduler.ConnectionReset}, "failed <nil>", 1},
+		"may have run, safe to repeat":      {0, []scheduler.Result{scheduler.ConnectionReset, scheduler.Served}, "served yes", 2},
+		"no attempt is left":                {0, []scheduler.Result{scheduler.ConnectionReset, scheduler.ConnectionReset}, "refused <nil>", 2},
 		"the node cannot be reached at all": {1, []scheduler.Result{scheduler.ConnectFailed, scheduler.ConnectFailed}, "refused <nil>", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 					if len(b.started) <= i {
 						t.Fatalf("%d attempts", len(b.started))
 					}
-					b.started[i](Report{Result: result, Reply: "yes", Use: -1})
+					b.started[i](Report{Result: result, Reply: "yes", VolumeUse: -1})
 					time.Sleep(100 * time.Millisecond)
 					synctest.Wait()
 				}
@@ -128,7 +128,7 @@
 		if deadline, _ := b.ctxs[1].Deadline(); time.Until(deadline) != time.Second {
 			t.Errorf("the attempt has %v", time.Until(deadline))
 		}
-		left.Leave()
+		left.Disconnect()
 		synctest.Wait()
 		time.Sleep(998 * time.Millisecond)
 		synctest.Wait()
@@ -151,7 +151,7 @@
 }
 
 func TestLatencyIsTheBacksWhereItKnows(t *testing.T) {
-	if long, short := (Report{}).latency(9), (Report{Took: 5}).latency(9); long != 9 || short != 5 {
+	if long, short := (Report{}).latency(9), (Report{ServiceTime: 5}).latency(9); long != 9 || short != 5 {
 		t.Errorf("%v and %v of 9", long, short)
 	}
 }
@@ -185,13 +185,13 @@
 
 // What was recorded outlasts a crash of the loop, up to the event at which it came, and the crash stays one.
 func TestCrashIsKept(t *testing.T) {
-	var kept []capture.Kept
-	record := capture.Options{Most: 1 << 20, Crashed: func(k capture.Kept) { kept = append(kept, k) }}
+	var kept []capture.Recording
+	record := capture.Options{MaxBytes: 1 << 20, OnCrash: func(k capture.Recording) { kept = append(kept, k) }}
 	l, err := New(testSettings, 1, NewClock(), &breaking{}, &fakeLister{}, record, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Members(scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "n"}}})
+	l.MembershipChanged(scheduler.Membership{Kind: scheduler.FullList, Nodes: []scheduler.Node{{ID: "n"}}})
 	l.Open(exchange.New(scheduler.Request{ID: "last", Volume: "v", Units: 1, Hosts: 1}, time.Now().Add(time.Minute), nil))
 	func() {
 		defer func() {
@@ -214,7 +214,7 @@
 	}
 	sent := false
 	for r, err := c.Next(); err == nil; r, err = c.Next() {
-		sent = sent || r.Kind == capture.Send && r.ID == "last"
+		sent = sent || r.Kind == capture.KindSend && r.ID == "last"
 	}
 	if !sent {
 		t.Error("the capture lacks the action at which it crashed")
@@ -225,8 +225,8 @@
 func TestPastFailures(t *testing.T) {
 	settings := testSettings
 	settings.Plans = []scheduler.Plan{{Name: "surging", Reserve: 5, Weight: 1, Price: 1, Limit: 60, Burst: 40}, {Name: "calm", Reserve: 99, Weight: 1, Price: 1}}
-	settings.Rules = scheduler.Rules{ColdFrom: 0.18, WarmWithin: 17 * time.Second, ColdWindow: 3 * time.Second, ColdUnits: 30, ColdMultiple: 4}
-	settings.Sizes = scheduler.Sizes{MeanUnits: 1, MostUnits: 4}
+	settings.Rules = scheduler.Rules{SlowStartShare: 0.18, SlowStartDuration: 17 * time.Second, SlowStartWindow: 3 * time.Second, SlowStartAllowance: 30, SlowStartMultiple: 4}
+	settings.Sizes = scheduler.Sizes{MeanUnits: 1, MaxUnits: 4}
 	load := func(l *Loop, b *fakeBack) {
 		answered := 0
 		// All but the latest few are answered. The list is copied, as the loop adds to it as soon as one is.
@@ -236,7 +236,7 @@
 			reports := slices.Clone(b.started[answered:until])
 			b.mu.Unlock()
 			for _, report := range reports {
-				report(Report{Result: scheduler.Served, Reply: "yes", Use: -1})
+				report(Report{Result: scheduler.Served, Reply: "yes", VolumeUse: -1})
 			}
 			answered = until
 		}
@@ -263,7 +263,7 @@
 	t.Run("surge", func(t *testing.T) { benchWith(t, settings, load) })
 	t.Run("cold start", func(t *testing.T) {
 		benchWith(t, settings, func(l *Loop, b *fakeBack) {
-			l.Members(scheduler.Membership{Kind: scheduler.Changes, Nodes: []scheduler.Node{{ID: "n", StartedAt: l.clock.Now()}}})
+			l.MembershipChanged(scheduler.Membership{Kind: scheduler.DeltaList, Nodes: []scheduler.Node{{ID: "n", StartedAt: l.clock.Now()}}})
 			load(l, b)
 		})
 	})
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -17,9 +17,9 @@
 
 // The kinds of Verdict.
 const (
-	Served  Verdict = iota // the node's reply
-	Refused                // trying again is harmless
-	Failed                 // nothing is promised
+	Served   Verdict = iota // the node's reply
+	Rejected                // trying again is harmless
+	Failed                  // nothing is promised
 )
 
 func (v Verdict) String() string { return [...]string{"served", "refused", "failed"}[v] }
@@ -52,14 +52,14 @@
 	return x
 }
 
-// Leave tells that the client has gone: no answer reaches it any more.
-func (x *Exchange) Leave() { x.leave() }
+// Disconnect tells that the client has gone: no answer reaches it any more.
+func (x *Exchange) Disconnect() { x.leave() }
 
-// Left tells whether the client has gone.
-func (x *Exchange) Left() bool { return x.client.Err() != nil }
+// Disconnected tells whether the client has gone.
+func (x *Exchange) Disconnected() bool { return x.client.Err() != nil }
 
-// WhenLeft has f called, in a goroutine of its own, once the client has left.
-func (x *Exchange) WhenLeft(f func()) { context.AfterFunc(x.client, f) }
+// OnDisconnect has f called, in a goroutine of its own, once the client has left.
+func (x *Exchange) OnDisconnect(f func()) { context.AfterFunc(x.client, f) }
 
 // Finish gives the final answer. Only the first call counts; it tells whether this was the one.
 func (x *Exchange) Finish(a Answer) (first bool) {
--- a/internal/filesystem/disk.go
+++ b/internal/filesystem/disk.go
@@ -44,8 +44,8 @@
 // partSuffix marks files that are not whole yet.
 const partSuffix = ".part"
 
-// Replace puts a file with this content in place of whatever had its name, whole or not at all: written under another name, synced, renamed.
-func Replace(f FS, name string, content []byte) (err error) {
+// ReplaceFile puts a file with this content in place of whatever had its name, whole or not at all: written under another name, synced, renamed.
+func ReplaceFile(f FS, name string, content []byte) (err error) {
 	part := name + partSuffix
 	if err := f.Remove(part); err != nil && !errors.Is(err, fs.ErrNotExist) { // of an earlier life
 		return err
@@ -70,8 +70,8 @@
 	return f.SyncDirectory(filepath.Dir(name))
 }
 
-// Read gives a file's content, up to a bound.
-func Read(f FS, name string, most int64) ([]byte, error) {
+// ReadFile gives a file's content, up to a bound.
+func ReadFile(f FS, name string, most int64) ([]byte, error) {
 	in, err := f.Open(name)
 	if err != nil {
 		return nil, err
--- a/internal/filesystem/filesystemtest/disktest.go
+++ b/internal/filesystem/filesystemtest/disktest.go
@@ -29,7 +29,7 @@
 	lasts map[string]*file // names as of the last sync of the directory
 	used  int
 
-	Room     int // bytes that fit; 0: no bound
+	Capacity int // bytes that fit; 0: no bound
 	FailSync int // the sync, counted from now on, that fails; 0: none
 	Kill     int // bytes of writes from now on after which the power goes, -1: it stays
 	dead     bool
@@ -198,8 +198,8 @@
 		return 0, ErrPower
 	}
 	n, err := len(p), error(nil)
-	if f.Room > 0 && f.used+n > f.Room {
-		n, err = max(0, f.Room-f.used), syscall.ENOSPC
+	if f.Capacity > 0 && f.used+n > f.Capacity {
+		n, err = max(0, f.Capacity-f.used), syscall.ENOSPC
 	}
 	if f.Kill >= 0 {
 		if n >= f.Kill {
--- a/internal/frontend/h2frontend/attack_test.go
+++ b/internal/frontend/h2frontend/attack_test.go
@@ -187,7 +187,7 @@
 
 // Clients behind one connection share the core evenly: one that asks for much does not keep another out.
 func TestClientsBehindOneConnection(t *testing.T) {
-	play(t, func(set *admission.Config) { set.AtCore, set.PerClient = 2, 1 }, func(s *stage) {
+	play(t, func(set *admission.Config) { set.MaxInFlight, set.PerClient = 2, 1 }, func(s *stage) {
 		c := s.raw()
 		for id := uint32(1); id < 20; id += 2 {
 			c.request(id, "GET", "/slow", true, "x-who", "greedy")
--- a/internal/frontend/h2frontend/bench_test.go
+++ b/internal/frontend/h2frontend/bench_test.go
@@ -44,7 +44,7 @@
 // fronts starts both HTTP fronts on loopback, before the same core.
 func fronts(b *testing.B) (one, two string, stop func()) {
 	log := slog.New(slog.DiscardHandler)
-	front := httpfrontend.New(httpfrontend.Options{Core: prompt{}, Log: log, Settings: scheduler.Settings{
+	front := httpfrontend.New(httpfrontend.Options{Loop: prompt{}, Log: log, Settings: scheduler.Settings{
 		Classes: []scheduler.Class{{Name: "read", Deadline: time.Minute}}, Plans: []scheduler.Plan{{Name: "gold"}}}})
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,9 +54,9 @@
 		return l
 	}
 	l1, l2 := listen(), listen()
-	first := httpfrontend.NewServer(front, l1, 10_000, httpfrontend.DefaultHead, log)
-	second, err := h2frontend.New(h2frontend.Options{Carrier: front, Head: 16 << 10, Log: log, Admission: admission.Config{AtCore: 100_000, PerConnection: 200,
-		PerClient: 100_000, Streams: 200, LeastStreams: 200, Connections: 5000, Memory: 1 << 30, ConnMemory: 64 << 20, Stall: time.Minute}})
+	first := httpfrontend.NewServer(front, l1, 10_000, httpfrontend.DefaultMaxHeaderBytes, log)
+	second, err := h2frontend.New(h2frontend.Options{Carrier: front, MaxHeaderBytes: 16 << 10, Log: log, Admission: admission.Config{MaxInFlight: 100_000, PerConnection: 200,
+		PerClient: 100_000, Streams: 200, MinStreams: 200, Connections: 5000, Memory: 1 << 30, ConnectionMemory: 64 << 20, Stall: time.Minute}})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/frontend/h2frontend/conn.go
+++ b/internal/frontend/h2frontend/conn.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	streamWindow = httpmsg.MostBody // of each stream: a body that is allowed never waits for more
-	connWindow   = 4 * streamWindow // bytes of bodies that may be on their way in at a time
-	startWindow  = 64<<10 - 1       // RFC 9113, section 6.9.2
+	streamWindow = httpmsg.MaxRequestBody // of each stream: a body that is allowed never waits for more
+	connWindow   = 4 * streamWindow       // bytes of bodies that may be on their way in at a time
+	startWindow  = 64<<10 - 1             // RFC 9113, section 6.9.2
 	mostWindow   = 1<<31 - 1
 	mostQueued   = 512 // frames that wait to be written besides answers
 	headerTable  = 4 << 10
@@ -32,7 +32,7 @@
 type conn struct {
 	server *Server
 	net    net.Conn
-	id     admission.ConnID
+	id     admission.ConnectionID
 	client string
 	in     *bufio.Reader
 	framer *http2.Framer
@@ -66,7 +66,7 @@
 	block   bytes.Buffer
 }
 
-func newConn(s *Server, nc net.Conn, id admission.ConnID) *conn {
+func newConn(s *Server, nc net.Conn, id admission.ConnectionID) *conn {
 	c := &conn{server: s, net: nc, id: id, client: nc.RemoteAddr().String(), streams: map[uint32]*stream{}, window: startWindow,
 		initial: startWindow, frame: 16 << 10, credit: connWindow, idle: time.Now(), out: bufio.NewWriterSize(nc, 8<<10)}
 	if host, _, err := net.SplitHostPort(c.client); err == nil {
@@ -118,7 +118,7 @@
 		return http2.ErrCodeNo, ""
 	}
 	c.framer.ReadMetaHeaders = hpack.NewDecoder(headerTable, nil)
-	c.framer.MaxHeaderListSize = uint32(c.server.Head)
+	c.framer.MaxHeaderListSize = uint32(c.server.MaxHeaderBytes)
 	c.framer.SetMaxReadFrameSize(16 << 10)
 	c.mu.Lock()
 	c.spoken = true
@@ -126,7 +126,7 @@
 		return errors.Join(c.framer.WriteSettings(
 			http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(c.server.Admission.Streams)},
 			http2.Setting{ID: http2.SettingInitialWindowSize, Val: streamWindow},
-			http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(c.server.Head)},
+			http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(c.server.MaxHeaderBytes)},
 			http2.Setting{ID: http2.SettingEnablePush, Val: 0}), c.framer.WriteWindowUpdate(0, connWindow-startWindow))
 	})
 	c.mu.Unlock()
@@ -202,8 +202,10 @@
 }
 
 // blame counts an offence.
-func (c *conn) blame(o admission.Offence) {
-	c.server.decide(func(a *admission.Control, now time.Duration) []admission.Action { return a.Blame(now, c.id, o) })
+func (c *conn) blame(o admission.Violation) {
+	c.server.decide(func(a *admission.Controller, now time.Duration) []admission.Action {
+		return a.RecordViolation(now, c.id, o)
+	})
 }
 
 // take takes a frame.
@@ -215,23 +217,23 @@
 		return c.data(f)
 	case *http2.SettingsFrame:
 		if !first && !f.IsAck() {
-			c.blame(admission.Settings)
+			c.blame(admission.SettingsChange)
 		}
 		return c.settings(f)
 	case *http2.PingFrame:
 		if !f.IsAck() {
 			data := f.Data
 			c.queue(func() error { return c.framer.WritePing(true, data) })
-			c.blame(admission.Ping)
+			c.blame(admission.UnsolicitedPing)
 		}
 	case *http2.WindowUpdateFrame:
 		return c.windowUpdate(f)
 	case *http2.RSTStreamFrame:
 		return c.resetByClient(f.StreamID)
 	case *http2.PriorityFrame:
-		c.blame(admission.Priority)
+		c.blame(admission.PriorityChange)
 	case *http2.PriorityUpdateFrame: // RFC 9218, section 7.1; of a stream that is not there (yet) it is let go
-		c.blame(admission.Priority)
+		c.blame(admission.PriorityChange)
 		c.mu.Lock()
 		if st := c.streams[f.PrioritizedStreamID]; st != nil {
 			st.urgency = urgencyOf(f.Priority)
@@ -281,7 +283,7 @@
 
 func (c *conn) windowUpdate(f *http2.WindowUpdateFrame) error {
 	if f.Increment < tinyUpdate {
-		c.blame(admission.WindowUpdate)
+		c.blame(admission.SmallWindowUpdate)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -335,35 +337,35 @@
 	defer c.mu.Unlock()
 	st := c.streams[uint32(a.Stream)]
 	if !c.spoken && st == nil { // before the preface there is nobody to tell
-		if a.Verb == admission.Leave || a.Verb == admission.Cut {
+		if a.Kind == admission.GoAway || a.Kind == admission.CloseConnection {
 			c.net.Close()
 		}
 		return
 	}
-	switch a.Verb {
-	case admission.Start:
+	switch a.Kind {
+	case admission.StartStream:
 		if st != nil && !c.ended { // of a connection that has ended nobody wants an answer; Gone follows
 			c.wait.Go(func() { c.perform(st) })
 		}
-	case admission.Refuse:
+	case admission.RejectStream:
 		if st != nil {
 			c.dropLocked(st, http2.ErrCodeRefusedStream)
 		}
-	case admission.GiveUp:
+	case admission.AbortStream:
 		if st != nil {
 			c.dropLocked(st, http2.ErrCodeEnhanceYourCalm)
 		}
-	case admission.Limit:
+	case admission.LimitStreams:
 		c.queueLocked(func() error {
 			return c.framer.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(a.Count)})
 		})
-	case admission.Leave:
+	case admission.GoAway:
 		c.leaving = time.Now()
-		c.queueLocked(func() error { return c.framer.WriteGoAway(mostWindow, http2.ErrCodeNo, []byte(a.Why)) })
-	case admission.Cut:
+		c.queueLocked(func() error { return c.framer.WriteGoAway(mostWindow, http2.ErrCodeNo, []byte(a.Reason)) })
+	case admission.CloseConnection:
 		newest := c.newest
 		c.control = append(c.control, func() error {
-			return errors.Join(c.framer.WriteGoAway(newest, http2.ErrCodeEnhanceYourCalm, []byte(a.Why)), errCut)
+			return errors.Join(c.framer.WriteGoAway(newest, http2.ErrCodeEnhanceYourCalm, []byte(a.Reason)), errCut)
 		})
 		c.wake.Signal()
 	}
--- a/internal/frontend/h2frontend/curl_test.go
+++ b/internal/frontend/h2frontend/curl_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := New(Options{Carrier: &carrier{seen: map[string]int{}}, Admission: admits, Head: 16 << 10, Log: slog.New(slog.DiscardHandler)})
+	s, err := New(Options{Carrier: &carrier{seen: map[string]int{}}, Admission: admits, MaxHeaderBytes: 16 << 10, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/h2frontend/server.go
+++ b/internal/frontend/h2frontend/server.go
@@ -24,11 +24,11 @@
 
 // Options are what a Server is made of.
 type Options struct {
-	Carrier   Carrier
-	Admission admission.Config
-	Seed      uint64
-	Head      int // bytes of a request's field section at most (RFC 9113, section 6.5.2)
-	Log       *slog.Logger
+	Carrier        Carrier
+	Admission      admission.Config
+	Seed           uint64
+	MaxHeaderBytes int // bytes of a request's field section at most (RFC 9113, section 6.5.2)
+	Log            *slog.Logger
 }
 
 const (
@@ -46,9 +46,9 @@
 	wait sync.WaitGroup
 
 	mu      sync.Mutex // for what is below; it is taken before a connection's
-	control *admission.Control
-	conns   map[admission.ConnID]*conn
-	last    admission.ConnID
+	control *admission.Controller
+	conns   map[admission.ConnectionID]*conn
+	last    admission.ConnectionID
 	began   time.Time
 }
 
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Server{Options: o, control: control, conns: map[admission.ConnID]*conn{}, began: time.Now()}, nil
+	return &Server{Options: o, control: control, conns: map[admission.ConnectionID]*conn{}, began: time.Now()}, nil
 }
 
 // Serve takes connections until the listener is closed.
@@ -106,11 +106,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c.id)
-	s.carry(s.control.Gone(s.now(), c.id))
+	s.carry(s.control.Disconnect(s.now(), c.id))
 }
 
 // decide has the admission take an event and carries out what it calls for.
-func (s *Server) decide(event func(c *admission.Control, now time.Duration) []admission.Action) {
+func (s *Server) decide(event func(c *admission.Controller, now time.Duration) []admission.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.carry(event(s.control, s.now()))
@@ -119,9 +119,9 @@
 // carry hands actions to their connections, under the lock.
 func (s *Server) carry(actions []admission.Action) {
 	for _, a := range actions {
-		if c := s.conns[a.Conn]; c != nil {
-			if a.Verb == admission.Cut {
-				s.Log.Warn("HTTP/2 connection cut", "client", c.client, "why", a.Why)
+		if c := s.conns[a.Connection]; c != nil {
+			if a.Kind == admission.CloseConnection {
+				s.Log.Warn("HTTP/2 connection cut", "client", c.client, "why", a.Reason)
 			}
 			c.act(a)
 		}
@@ -138,7 +138,7 @@
 			return
 		case <-t.C:
 		}
-		s.decide((*admission.Control).Tick)
+		s.decide((*admission.Controller).Tick)
 		s.mu.Lock()
 		for _, c := range s.conns {
 			c.tick()
@@ -149,7 +149,7 @@
 
 // Drain tells every client to leave: with the first GOAWAY at once, with the second a moment later. The listener is to be
 // closed by then.
-func (s *Server) Drain() { s.decide((*admission.Control).Drain) }
+func (s *Server) Drain() { s.decide((*admission.Controller).Drain) }
 
 // Shutdown waits until every connection has ended; those that have not when ctx ends are cut.
 func (s *Server) Shutdown(ctx context.Context) {
--- a/internal/frontend/h2frontend/server_test.go
+++ b/internal/frontend/h2frontend/server_test.go
@@ -23,8 +23,8 @@
 	"reachpulley/internal/scenariotest"
 )
 
-var admits = admission.Config{AtCore: 128, PerConnection: 100, PerClient: 128, Streams: 100, LeastStreams: 4, Connections: 20, Memory: 4 << 20,
-	ConnMemory: 1 << 20, Stall: 5 * time.Second}
+var admits = admission.Config{MaxInFlight: 128, PerConnection: 100, PerClient: 128, Streams: 100, MinStreams: 4, Connections: 20, Memory: 4 << 20,
+	ConnectionMemory: 1 << 20, Stall: 5 * time.Second}
 
 // carrier answers by the path: /big is 256 KiB, /slow takes a second; everything else is echoed.
 type carrier struct {
@@ -73,7 +73,7 @@
 		}
 		s := &stage{t: t, carrier: &carrier{seen: map[string]int{}}}
 		var err error
-		if s.server, err = New(Options{Carrier: s.carrier, Admission: set, Seed: 1, Head: 16 << 10, Log: slog.New(slog.DiscardHandler)}); err != nil {
+		if s.server, err = New(Options{Carrier: s.carrier, Admission: set, Seed: 1, MaxHeaderBytes: 16 << 10, Log: slog.New(slog.DiscardHandler)}); err != nil {
 			t.Fatal(err)
 		}
 		l := s.net.Listen("gate:1")
--- a/internal/frontend/h2frontend/stream.go
+++ b/internal/frontend/h2frontend/stream.go
@@ -43,7 +43,7 @@
 // headers takes a request's field section, or its trailers.
 func (c *conn) headers(f *http2.MetaHeadersFrame) error {
 	if f.Truncated {
-		c.blame(admission.BigHeader)
+		c.blame(admission.OversizedHeader)
 	}
 	id := f.StreamID
 	c.mu.Lock()
@@ -66,13 +66,13 @@
 	c.mu.Unlock()
 	switch {
 	case ignored: // beyond the second GOAWAY: certainly not taken, and the client knows
-		c.blame(admission.Refused)
+		c.blame(admission.RejectedStream)
 		return nil
 	case full:
-		c.blame(admission.Refused)
+		c.blame(admission.RejectedStream)
 		return http2.StreamError{StreamID: id, Code: http2.ErrCodeRefusedStream}
 	case f.Truncated:
-		c.fault(id, http.StatusRequestHeaderFieldsTooLarge, "the field section is longer than "+strconv.Itoa(c.server.Head)+" bytes")
+		c.fault(id, http.StatusRequestHeaderFieldsTooLarge, "the field section is longer than "+strconv.Itoa(c.server.MaxHeaderBytes)+" bytes")
 		return nil
 	}
 	r, length, err := c.build(f)
@@ -87,8 +87,8 @@
 	st.window = c.initial
 	c.streams[id] = st
 	c.mu.Unlock()
-	if length > httpmsg.MostBody {
-		c.answerFault(st, http.StatusRequestEntityTooLarge, "the body is longer than "+strconv.Itoa(httpmsg.MostBody)+" bytes")
+	if length > httpmsg.MaxRequestBody {
+		c.answerFault(st, http.StatusRequestEntityTooLarge, "the body is longer than "+strconv.Itoa(httpmsg.MaxRequestBody)+" bytes")
 		return nil
 	}
 	if f.StreamEnded() {
@@ -183,8 +183,8 @@
 	}
 	c.keep(st, len(body))
 	c.refund(size)
-	if len(st.body)+len(body) > httpmsg.MostBody {
-		c.answerFault(st, http.StatusRequestEntityTooLarge, "the body is longer than "+strconv.Itoa(httpmsg.MostBody)+" bytes")
+	if len(st.body)+len(body) > httpmsg.MaxRequestBody {
+		c.answerFault(st, http.StatusRequestEntityTooLarge, "the body is longer than "+strconv.Itoa(httpmsg.MaxRequestBody)+" bytes")
 		return nil
 	}
 	st.body = append(st.body, body...)
@@ -215,7 +215,7 @@
 }
 
 func (c *conn) refundLocked() {
-	if c.owed == 0 || c.paying || c.coming > c.server.Admission.ConnMemory {
+	if c.owed == 0 || c.paying || c.coming > c.server.Admission.ConnectionMemory {
 		return
 	}
 	// One waits at most, and pays all that is owed when it is written: a client that sends its body byte by byte, faster than it reads, would otherwise
@@ -254,7 +254,7 @@
 	c.mu.Lock()
 	urgency := st.urgency
 	c.mu.Unlock()
-	c.server.decide(func(a *admission.Control, now time.Duration) []admission.Action {
+	c.server.decide(func(a *admission.Controller, now time.Duration) []admission.Action {
 		return a.Arrive(now, c.id, admission.StreamID(st.id), who, urgency)
 	})
 	return nil
@@ -268,8 +268,8 @@
 		return // reset: it was forgotten then
 	}
 	var err error
-	c.server.decide(func(a *admission.Control, now time.Duration) (actions []admission.Action) {
-		actions, err = a.Hold(now, c.id, admission.StreamID(st.id), len(body))
+	c.server.decide(func(a *admission.Controller, now time.Duration) (actions []admission.Action) {
+		actions, err = a.Reserve(now, c.id, admission.StreamID(st.id), len(body))
 		return actions
 	})
 	if err != nil { // it has been answered, but there is no room to hold the answer until the client reads it
@@ -337,7 +337,7 @@
 		c.newest = max(c.newest, id)
 		c.queueLocked(func() error { return c.framer.WriteRSTStream(id, code) })
 		c.mu.Unlock()
-		c.blame(admission.Reset)
+		c.blame(admission.StreamReset)
 		return
 	}
 	c.dropLocked(st, code)
@@ -368,7 +368,7 @@
 // gone tells the admission that a stream has ended.
 func (c *conn) gone(st *stream, reset bool) {
 	if st.core {
-		c.server.decide(func(a *admission.Control, now time.Duration) []admission.Action {
+		c.server.decide(func(a *admission.Controller, now time.Duration) []admission.Action {
 			return a.End(now, c.id, admission.StreamID(st.id), reset)
 		})
 	}
@@ -449,7 +449,7 @@
 	c.wait.Go(func() {
 		c.server.mu.Lock()
 		defer c.server.mu.Unlock()
-		c.server.control.Moves(c.server.now(), c.id, admission.StreamID(st.id), !stalled)
+		c.server.control.Progress(c.server.now(), c.id, admission.StreamID(st.id), !stalled)
 	})
 }
 
--- a/internal/frontend/httpfrontend/ahead_test.go
+++ b/internal/frontend/httpfrontend/ahead_test.go
@@ -69,7 +69,7 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	settings := scheduler.Settings{Classes: []scheduler.Class{{Name: "c", Deadline: time.Minute}}, Plans: []scheduler.Plan{{Name: "p"}}}
-	s = NewServer(New(Options{Settings: settings, Core: core, Log: log}), l, 20, DefaultHead, log)
+	s = NewServer(New(Options{Settings: settings, Loop: core, Log: log}), l, 20, DefaultMaxHeaderBytes, log)
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve() }()
 	t.Cleanup(func() {
--- a/internal/frontend/httpfrontend/bench_test.go
+++ b/internal/frontend/httpfrontend/bench_test.go
@@ -26,7 +26,7 @@
 // turned off, and with the example's rules and limits for a request of the platform and one of an old client.
 func BenchmarkFront(b *testing.B) {
 	settings := scheduler.Settings{
-		Classes: []scheduler.Class{{Name: "sheet-read", Deadline: time.Second}, {Name: "entry-write", Deadline: time.Second, Writes: true, Repeats: scheduler.Keyed}},
+		Classes: []scheduler.Class{{Name: "sheet-read", Deadline: time.Second}, {Name: "entry-write", Deadline: time.Second, Writes: true, Idempotency: scheduler.IdempotentWithKey}},
 		Plans:   []scheduler.Plan{{Name: "standard"}}}
 	text, err := os.ReadFile("../../../examples/rules.toml")
 	if err != nil {
@@ -52,11 +52,11 @@
 	old := func(i int) *http.Request { return httptest.NewRequest("GET", "/api/bridge/sheets/7", nil) }
 	for _, c := range []struct {
 		name    string
-		rules   *engine.Rules
+		rules   *engine.Engine
 		request func(int) *http.Request
 	}{{"none", nil, platform}, {"off", off, platform}, {"on/platform", on, platform}, {"on/old-client", on, old}} {
 		b.Run(c.name, func(b *testing.B) {
-			f := New(Options{Settings: settings, Core: prompt{}, Rules: c.rules, NewID: func() string { return "1" }, Log: log})
+			f := New(Options{Settings: settings, Loop: prompt{}, Rules: c.rules, NewID: func() string { return "1" }, Log: log})
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				w := httptest.NewRecorder()
--- a/internal/frontend/httpfrontend/counts_test.go
+++ b/internal/frontend/httpfrontend/counts_test.go
@@ -8,7 +8,7 @@
 // What is turned away at the listener is counted by why, and told only where somebody was.
 func TestCounts(t *testing.T) {
 	l := newClients(nil, 1)
-	s := &Server{front: &Front{}, clients: l}
+	s := &Server{front: &Frontend{}, clients: l}
 	enter := func() (*client, bool) {
 		a, b := net.Pipe()
 		t.Cleanup(func() { a.Close(); b.Close() })
--- a/internal/frontend/httpfrontend/facts.go
+++ b/internal/frontend/httpfrontend/facts.go
@@ -29,19 +29,19 @@
 // taken is what a request holds from its begin to its end, and what nodes' answers to it mean.
 type taken struct {
 	ruled *engine.Request
-	said  *contracts.Said
+	said  *contracts.Match
 }
 
 // End gives back what is held. It is called once, when the request is answered or its client has left.
 func (t taken) End() {
-	t.ruled.End()
-	t.said.End()
+	t.ruled.Release()
+	t.said.Release()
 }
 
 // describe puts into a request what its back is told of its description; nothing where none are in force.
 func (t taken) describe(to *httpmsg.Request, r *http.Request) {
 	if t.said != nil {
-		to.Described, to.Client = t.said.Entry, clientOf(r)
+		to.Statuses, to.Client = t.said.Entry, clientOf(r)
 	}
 }
 
@@ -49,8 +49,8 @@
 // operation; a rule may go before the headers. How far it may be repeated is the least that class and description allow, whoever named the class.
 type sources struct {
 	rules    *rules.Result
-	said     *contracts.Said // nil: no descriptions are in force
-	platform bool            // the request bears headers of the platform, so what it leaves out is not filled in
+	said     *contracts.Match // nil: no descriptions are in force
+	platform bool             // the request bears headers of the platform, so what it leaves out is not filled in
 }
 
 // take finds out what the decisions need to know of a request, and asks the limits. What rules and descriptions gave is put into header, which
@@ -81,7 +81,7 @@
 		from.platform = platforms(r.Header)
 	}
 	if q, patience, err = t.facts(r, from, header); err == nil && held.ruled != nil {
-		err = held.ruled.Take(t.set.Classes[q.Class].Name, t.set.Plans[q.Plan].Name, q.Volume)
+		err = held.ruled.AcquireLimits(t.set.Classes[q.Class].Name, t.set.Plans[q.Plan].Name, q.Volume)
 	}
 	return q, patience, held, err
 }
@@ -98,9 +98,9 @@
 }
 
 // Who tells who is behind a request: by the rules, or its address.
-func (f *Front) Who(r *http.Request) string {
+func (f *Frontend) Who(r *http.Request) string {
 	if f.rules != nil && f.rules.InForce() {
-		if who := f.rules.Who(seen(r, time.Now())); who != "" {
+		if who := f.rules.Client(seen(r, time.Now())); who != "" {
 			return who
 		}
 	}
@@ -142,7 +142,7 @@
 	described, plan := -1, -1
 	if from.said != nil {
 		described, plan = from.said.Class, t.plan
-		q.Operation, q.Bound = from.said.Name, from.said.Bound
+		q.Operation, q.RetryPolicy = from.said.Name, from.said.RetryPolicy
 	}
 	if q.Class, err = t.word(r, from, rules.Class, httpmsg.ClassHeader, "class", t.classes, res.Class, described); err != nil {
 		return q, 0, err
@@ -155,9 +155,9 @@
 		// The file left the method open. A write that counted as a read would be repeated freely.
 		return q, 0, fmt.Errorf("rule %s: class %q only reads, and %s writes", res.By[rules.Class].Name, class.Name, r.Method)
 	}
-	var place catalog.Place
+	var place catalog.Placement
 	if from.said != nil {
-		if place, err = from.said.Place(&from.said.Call, from.said.Parameters, int(max(0, r.ContentLength)), t.set.Sizes.MostUnits); err != nil {
+		if place, err = from.said.Placement(&from.said.Call, from.said.Parameters, int(max(0, r.ContentLength)), t.set.Sizes.MaxUnits); err != nil {
 			return q, 0, err
 		}
 	}
@@ -170,7 +170,7 @@
 	if err = t.placement(r, from, place, &q); err != nil {
 		return q, 0, err
 	}
-	if most := t.set.Sizes.MostUnits; most > 0 && q.Units > most {
+	if most := t.set.Sizes.MaxUnits; most > 0 && q.Units > most {
 		return q, 0, fmt.Errorf("%s: %v units are more than the largest request's %v", httpmsg.PlacementHeader, q.Units, most)
 	}
 	if err = t.keyed(r, from, &q, class, header); err != nil {
@@ -212,12 +212,12 @@
 		key = from.rules.Idempotency
 		header.Set(httpmsg.KeyHeader, key)
 	}
-	if class.Bound().Narrowed(q.Bound).Repeats != scheduler.Keyed {
+	if class.RetryPolicy().NarrowedBy(q.RetryPolicy).Idempotency != scheduler.IdempotentWithKey {
 		return nil
 	}
-	if from.said != nil && from.said.Op != nil && from.said.Op.Repeats == contract.Keyed {
+	if from.said != nil && from.said.Operation != nil && from.said.Operation.Idempotency == contract.IdempotentWithKey {
 		// The node knows it by the key that its description names, and by no other.
-		at := from.said.Op.Key
+		at := from.said.Operation.Key
 		named = at.String()
 		if at.In != "header" || !strings.EqualFold(at.Name, httpmsg.KeyHeader) {
 			key = from.said.Key(&from.said.Call, from.said.Parameters)
@@ -248,7 +248,7 @@
 }
 
 // where finds volume and key.
-func (t *transport) where(r *http.Request, from sources, place catalog.Place, q *scheduler.Request) error {
+func (t *transport) where(r *http.Request, from sources, place catalog.Placement, q *scheduler.Request) error {
 	var ok bool
 	q.Volume, q.Key, ok = splitPath(r.URL.Path)
 	volume, key := ok, ok
@@ -271,7 +271,7 @@
 }
 
 // placement finds units, shard and hosts.
-func (t *transport) placement(r *http.Request, from sources, place catalog.Place, q *scheduler.Request) (err error) {
+func (t *transport) placement(r *http.Request, from sources, place catalog.Placement, q *scheduler.Request) (err error) {
 	given, res := r.Header.Get(httpmsg.PlacementHeader), from.rules
 	q.Hosts = 1
 	units, shard := given != "", given != ""
--- a/internal/frontend/httpfrontend/httpfront.go
+++ b/internal/frontend/httpfrontend/httpfront.go
@@ -24,21 +24,21 @@
 	"reachpulley/scheduler"
 )
 
-// Core decides on exchanges.
+// Loop decides on exchanges.
 type Core interface {
 	Open(*exchange.Exchange)
 }
 
-// Front serves clients: ReverseProxy does the HTTP, and its RoundTripper turns each request into an exchange.
-type Front struct {
+// Frontend serves clients: ReverseProxy does the HTTP, and its RoundTripper turns each request into an exchange.
+type Frontend struct {
 	core    Core
 	set     scheduler.Settings
 	classes map[string]int
 	plans   map[string]int
-	rules   *engine.Rules
+	rules   *engine.Engine
 	newID   func() string
 
-	contracts *contracts.Contracts
+	contracts *contracts.Registry
 	plan      int // of requests of which nothing tells it; -1: such are turned away
 	proxy     *httputil.ReverseProxy
 	leaving   atomic.Bool
@@ -50,19 +50,19 @@
 // Options are what a Front is made of.
 type Options struct {
 	Settings scheduler.Settings
-	Core     Core
-	Rules    *engine.Rules // nil: none
-	NewID    func() string // for requests that bear no id, where rules take them
+	Loop     Core
+	Rules    *engine.Engine // nil: none
+	NewID    func() string  // for requests that bear no id, where rules take them
 	Log      *slog.Logger
 
-	Contracts *contracts.Contracts // nil: none
-	Plan      string               // of described requests of which nothing tells it; empty: such are turned away
+	Contracts *contracts.Registry // nil: none
+	Plan      string              // of described requests of which nothing tells it; empty: such are turned away
 }
 
 // New makes a Front.
-func New(o Options) *Front {
+func New(o Options) *Frontend {
 	settings, log := o.Settings, o.Log
-	f := &Front{core: o.Core, set: settings, rules: o.Rules, newID: o.NewID, classes: map[string]int{}, plans: map[string]int{}}
+	f := &Frontend{core: o.Loop, set: settings, rules: o.Rules, newID: o.NewID, classes: map[string]int{}, plans: map[string]int{}}
 	f.contracts, f.plan = o.Contracts, slices.IndexFunc(settings.Plans, func(p scheduler.Plan) bool { return p.Name == o.Plan })
 	for i, c := range settings.Classes {
 		f.classes[c.Name] = i
@@ -111,12 +111,12 @@
 // Put takes a buffer back.
 func (b *buffers) Put(held []byte) { b.Pool.Put((*[bufferSize]byte)(held)) }
 
-// Retire makes every answer from now on the last of its connection.
-func (f *Front) Retire() { f.leaving.Store(true) }
+// BeginDrain makes every answer from now on the last of its connection.
+func (f *Frontend) BeginDrain() { f.leaving.Store(true) }
 
 // ServeHTTP serves one request: it takes it whole, or says at once why not and lets go of its connection, on which
 // nothing more can be told apart.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == httpmsg.ReadyPath {
 		f.ready.Add(1)
 		if c := clientBehind(r); c != nil && c.home.full() && c.rests() {
@@ -153,14 +153,14 @@
 // takeable tells whether it is certain where a request ends. The server forgets a Content-Length that stands beside a
 // Transfer-Encoding, so that it cannot be seen here whether a part of the body is a request to others; and under
 // HTTP/1.0 it forgets the Transfer-Encoding.
-func (f *Front) takeable(r *http.Request) (status int, err error) {
+func (f *Frontend) takeable(r *http.Request) (status int, err error) {
 	switch {
 	case len(r.TransferEncoding) > 0:
 		return http.StatusLengthRequired, errors.New("Content-Length is wanted in place of Transfer-Encoding")
 	case !r.ProtoAtLeast(1, 1):
 		return http.StatusHTTPVersionNotSupported, errors.New("HTTP/1.1 is wanted")
-	case r.ContentLength > httpmsg.MostBody:
-		return http.StatusRequestEntityTooLarge, fmt.Errorf("the body is longer than %d bytes", httpmsg.MostBody)
+	case r.ContentLength > httpmsg.MaxRequestBody:
+		return http.StatusRequestEntityTooLarge, fmt.Errorf("the body is longer than %d bytes", httpmsg.MaxRequestBody)
 	case f.contracts.InForce() && r.Method != http.MethodConnect && r.Method != http.MethodTrace && r.Method != http.MethodOptions:
 	case r.Method != http.MethodGet && r.Method != http.MethodPut:
 		return http.StatusMethodNotAllowed, errors.New("GET or PUT is wanted")
@@ -187,7 +187,7 @@
 
 // Carry answers a request that another front has read whole: by the same checks, rules and core as its own. Its body has
 // been read by then, and its context ends when its client leaves.
-func (f *Front) Carry(r *http.Request) *http.Response {
+func (f *Frontend) Carry(r *http.Request) *http.Response {
 	if r.URL.Path == httpmsg.ReadyPath {
 		return respond(r, http.StatusOK, nil, nil)
 	}
@@ -202,7 +202,7 @@
 }
 
 // transport is the Front as the proxy's http.RoundTripper.
-type transport Front
+type transport Frontend
 
 // errLeft tells that a client has left before its answer.
 var errLeft = errors.New("the client has left")
@@ -245,10 +245,10 @@
 	case <-x.Done():
 		return write(r, x.Answer()), nil
 	case <-r.Context().Done():
-		x.Leave()
+		x.Disconnect()
 		return nil, context.Cause(r.Context())
 	case <-gone:
-		x.Leave()
+		x.Disconnect()
 		return nil, errLeft
 	}
 }
@@ -260,7 +260,7 @@
 		if reply, ok := a.Reply.(*httpmsg.Reply); ok {
 			return respond(r, cmp.Or(reply.Status, http.StatusOK), reply.Header, reply.Body)
 		}
-	case exchange.Refused:
+	case exchange.Rejected:
 		header := http.Header{}
 		if a.RetryAfter > 0 {
 			header.Set("Retry-After", httpmsg.FormatRetryAfter(a.RetryAfter))
@@ -272,8 +272,8 @@
 
 // turnAway words why a request is not taken.
 func turnAway(r *http.Request, err error) *http.Response {
-	var refusal engine.Refusal
-	var limited contracts.Limited
+	var refusal engine.LimitError
+	var limited contracts.RateLimitedError
 	after := time.Duration(0)
 	switch {
 	case errors.As(err, &refusal):
--- a/internal/frontend/httpfrontend/server.go
+++ b/internal/frontend/httpfrontend/server.go
@@ -16,19 +16,19 @@
 	answerTime  = 30 * time.Second // for an answer to go out, counted from the request's head
 	idleTime    = 5 * time.Minute  // a client's connection is kept idle for so long
 
-	// DefaultHead bounds a request's head, in bytes, where the operator says nothing else.
-	DefaultHead = 16 << 10
+	// DefaultMaxHeaderBytes bounds a request's head, in bytes, where the operator says nothing else.
+	DefaultMaxHeaderBytes = 16 << 10
 )
 
 // Server listens for clients. Their connections are owned by its listener, clients.
 type Server struct {
 	http    *http.Server
-	front   *Front
+	front   *Frontend
 	clients *clients
 }
 
 // NewServer serves front on l with at most sockets connections and heads of so many bytes.
-func NewServer(front *Front, l net.Listener, sockets, head int, log *slog.Logger) *Server {
+func NewServer(front *Frontend, l net.Listener, sockets, head int, log *slog.Logger) *Server {
 	return &Server{front: front, clients: newClients(l, sockets), http: &http.Server{
 		Handler: front, ReadTimeout: requestTime, WriteTimeout: answerTime, IdleTimeout: idleTime, MaxHeaderBytes: head,
 		ErrorLog:    slog.NewLogLogger(log.Handler(), slog.LevelDebug),
--- a/internal/frontend/httpfrontend/server_test.go
+++ b/internal/frontend/httpfrontend/server_test.go
@@ -44,7 +44,7 @@
 func TestDeadlineAndBuffers(t *testing.T) {
 	core := &served{}
 	front := New(Options{Settings: scheduler.Settings{Classes: []scheduler.Class{{Name: "c", Deadline: time.Second}}, Plans: []scheduler.Plan{{Name: "p"}}},
-		Core: core, Log: slog.New(slog.DiscardHandler)})
+		Loop: core, Log: slog.New(slog.DiscardHandler)})
 	r := httptest.NewRequest("GET", "/api/00000003b4d60021/7f3a9c21e0b4d655", nil)
 	for _, h := range strings.Split(strings.Replace(facts, "9000m", "3600000m", 1), `\n`) {
 		if name, value, ok := strings.Cut(h, ": "); ok {
@@ -243,9 +243,9 @@
 					s.Client(name, "gate:1", scenariotest.HTTP{Shows: []string{"Connection"}})
 				}
 				log := slog.New(slog.DiscardHandler)
-				settings := scheduler.Settings{Classes: []scheduler.Class{{Name: "c"}, {Name: "keyed", Repeats: scheduler.Keyed}},
-					Plans: []scheduler.Plan{{Name: "p"}}, Sizes: scheduler.Sizes{MostUnits: 8}}
-				server := NewServer(New(Options{Settings: settings, Core: deaf{}, Log: log}), s.Network.Listen("gate:1"), 4, DefaultHead, log)
+				settings := scheduler.Settings{Classes: []scheduler.Class{{Name: "c"}, {Name: "keyed", Idempotency: scheduler.IdempotentWithKey}},
+					Plans: []scheduler.Plan{{Name: "p"}}, Sizes: scheduler.Sizes{MaxUnits: 8}}
+				server := NewServer(New(Options{Settings: settings, Loop: deaf{}, Log: log}), s.Network.Listen("gate:1"), 4, DefaultMaxHeaderBytes, log)
 				ended := make(chan error)
 				go func() { ended <- server.Serve() }()
 				return func() {
--- a/internal/frontend/iscsitarget/login.go
+++ b/internal/frontend/iscsitarget/login.go
@@ -54,7 +54,7 @@
 		}
 		if stage == iscsi.OperationalStage && !declared {
 			declared = true
-			answers = append(answers, iscsi.Pair{Key: "MaxRecvDataSegmentLength", Value: strconv.Itoa(httpmsg.MostBody)})
+			answers = append(answers, iscsi.Pair{Key: "MaxRecvDataSegmentLength", Value: strconv.Itoa(httpmsg.MaxRequestBody)})
 		}
 		flags := stage << 2
 		if transit {
--- a/internal/frontend/iscsitarget/session.go
+++ b/internal/frontend/iscsitarget/session.go
@@ -93,7 +93,7 @@
 
 func (s *session) serve() error {
 	for {
-		p, err := iscsi.ReadPDU(s.r, httpmsg.MostBody)
+		p, err := iscsi.ReadPDU(s.r, httpmsg.MaxRequestBody)
 		s.heard.Store(int64(time.Since(s.began)))
 		if errors.Is(err, iscsi.ErrTooLong) || errors.Is(err, iscsi.ErrAHS) {
 			s.reject(p, iscsi.ProtocolError)
--- a/internal/frontend/iscsitarget/target.go
+++ b/internal/frontend/iscsitarget/target.go
@@ -18,7 +18,7 @@
 	"reachpulley/scheduler"
 )
 
-// Core decides on exchanges.
+// Loop decides on exchanges.
 type Core interface {
 	Open(*exchange.Exchange)
 }
@@ -49,11 +49,11 @@
 	Units      []Unit
 	Classes    []scheduler.Class
 	Plans      []scheduler.Plan
-	Rules      *engine.Rules        // nil: no limits
-	Contracts  *contracts.Contracts // nil: none
-	Sessions   int                  // most at a time
-	Depth      int                  // most commands outstanding in a session
-	Core       Core
+	Rules      *engine.Engine      // nil: no limits
+	Contracts  *contracts.Registry // nil: none
+	Sessions   int                 // most at a time
+	Depth      int                 // most commands outstanding in a session
+	Loop       Core
 	Translator Translator
 	NewID      func() string // names a request; never twice the same
 	Log        *slog.Logger
--- a/internal/frontend/iscsitarget/task.go
+++ b/internal/frontend/iscsitarget/task.go
@@ -56,7 +56,7 @@
 	switch {
 	case lba >= unit.Blocks || uint64(blocks) > unit.Blocks-lba:
 		return s.fail(p, iscsi.OutOfRange)
-	case length > httpmsg.MostBody, // one request to a node holds no more; block limits say so
+	case length > httpmsg.MaxRequestBody, // one request to a node holds no more; block limits say so
 		write && uint64(t.expected) < length || write && !p.Has(iscsi.Write) || !write && length > 0 && !p.Has(iscsi.Read),
 		uint64(len(p.Data)) > length:
 		return s.fail(p, iscsi.InvalidField)
@@ -70,16 +70,16 @@
 	}
 	request := unit.request(s.target.NewID(), &t.command)
 	if e := s.target.Contracts.Command(int(t.lun), t.command.Write); e != nil {
-		request.Operation, request.Bound = e.Name, e.Bound
+		request.Operation, request.RetryPolicy = e.Name, e.RetryPolicy
 	}
 	held, err := s.admit(t, request)
 	if err != nil { // before any data is asked for
-		held.End()
+		held.Release()
 		s.answer(t, exchange.Answer{Verdict: verdictOf(err)})
 		return nil
 	}
 	s.wait.Go(func() {
-		defer held.End() // the task is answered or aborted
+		defer held.Release() // the task is answered or aborted
 		s.perform(t, request)
 	})
 	return s.gather(t)
@@ -171,12 +171,12 @@
 		return
 	}
 	x := exchange.New(request, t.deadline, payload)
-	s.target.Core.Open(x)
+	s.target.Loop.Open(x)
 	select {
 	case <-x.Done():
 		s.answer(t, x.Answer())
 	case <-t.ctx.Done():
-		x.Leave()
+		x.Disconnect()
 	}
 }
 
@@ -197,8 +197,8 @@
 
 // verdictOf tells how a command ends that was not admitted: a limit's refusal is harmless to repeat, a fault stays one.
 func verdictOf(err error) exchange.Verdict {
-	if errors.As(err, new(engine.Refusal)) {
-		return exchange.Refused
+	if errors.As(err, new(engine.LimitError)) {
+		return exchange.Rejected
 	}
 	return exchange.Failed
 }
@@ -224,9 +224,9 @@
 	}
 	status := iscsi.Good
 	switch {
-	case a.Verdict == exchange.Refused && alone:
+	case a.Verdict == exchange.Rejected && alone:
 		status = iscsi.Busy
-	case a.Verdict == exchange.Refused: // the client has others outstanding and should wait for one of them
+	case a.Verdict == exchange.Rejected: // the client has others outstanding and should wait for one of them
 		status = iscsi.TaskSetFull
 	case a.Verdict == exchange.Failed:
 		status = iscsi.CheckCondition
@@ -387,7 +387,7 @@
 	case page == blockLimits && unit != nil:
 		data := make([]byte, 64)
 		data[0], data[1], data[3] = device, page, 60
-		binary.BigEndian.PutUint32(data[8:], uint32(httpmsg.MostBody)/unit.BlockSize) // longest transfer
+		binary.BigEndian.PutUint32(data[8:], uint32(httpmsg.MaxRequestBody)/unit.BlockSize) // longest transfer
 		return data
 	}
 	return nil
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -38,8 +38,8 @@
 			g.Log.Warn("nothing is recorded", "key", "capture.memory_kb")
 			continue
 		}
-		got := make(chan capture.Kept, 1)
-		loop.Capture(func(k capture.Kept) { got <- k })
+		got := make(chan capture.Recording, 1)
+		loop.Capture(func(k capture.Recording) { got <- k })
 		select {
 		case <-ctx.Done():
 			return
@@ -79,7 +79,7 @@
 // triggeredCapture is what a trigger has kept.
 type triggeredCapture struct {
 	name string
-	kept capture.Kept
+	kept capture.Recording
 }
 
 const mostTriggered = 4 // that wait for the disk: each holds on to the recorder's memory
@@ -107,7 +107,7 @@
 	c := &g.Operator.Capture
 	path, size, err := save(c.Directory, g.Config.Name, triggeredName+one.name, one.kept)
 	if err == nil {
-		err = removeOldest(filesystem.OS{}, c.Directory, string(segment.NamesOf(g.Config.Name)), c.Kept)
+		err = removeOldest(filesystem.OS{}, c.Directory, string(segment.NamesOf(g.Config.Name)), c.MaxTriggered)
 	}
 	if err != nil {
 		g.Log.Error("a trigger's capture could not be written", "trigger", one.name, "err", err)
@@ -136,26 +136,26 @@
 }
 
 // save writes a file of its own, whole or not at all.
-func save(directory, name, why string, kept capture.Kept) (path string, size int, err error) {
+func save(directory, name, why string, kept capture.Recording) (path string, size int, err error) {
 	file, err := kept.File()
 	if err != nil {
 		return "", 0, err
 	}
 	path = filepath.Join(directory, fmt.Sprintf("%s%s-%s.capture", segment.NamesOf(name), time.Now().UTC().Format("20060102T150405.000000000"), why))
-	return path, len(file), filesystem.Replace(filesystem.OS{}, path, file)
+	return path, len(file), filesystem.ReplaceFile(filesystem.OS{}, path, file)
 }
 
 // recording says what is recorded, and where. The writer is nil where nothing goes to a disk by itself.
 func recording(g Options) (options capture.Options, writer *segment.Writer, triggered chan triggeredCapture, err error) {
 	c := &g.Operator.Capture
 	triggered = make(chan triggeredCapture, mostTriggered)
-	options = capture.Options{Program: version(), Most: c.Memory << 10, Crashed: func(kept capture.Kept) {
+	options = capture.Options{Program: version(), MaxBytes: c.Memory << 10, OnCrash: func(kept capture.Recording) {
 		path, _, err := save(c.Directory, g.Config.Name, "crash", kept)
 		g.Log.Error("the loop crashed", "capture", path, "err", err)
 	}}
 	if len(c.Triggers) > 0 {
-		options.Watch = trigger.New(c.TriggerRules(), g.Config.Settings)
-		options.Keep = func(k capture.Keep, kept capture.Kept) {
+		options.Triggers = trigger.New(c.TriggerRules(), g.Config.Settings)
+		options.OnTrigger = func(k capture.TriggerMatch, kept capture.Recording) {
 			select {
 			case triggered <- triggeredCapture{k.Name, kept}:
 			default: // the disk is slow, and the loop waits for nobody
--- a/internal/gateway/capture_test.go
+++ b/internal/gateway/capture_test.go
@@ -16,7 +16,7 @@
 // What a trigger kept in the last moment of a gateway is written before it ends.
 func TestTriggeredAtTheEnd(t *testing.T) {
 	directory := t.TempDir()
-	g := Options{Config: &config.Config{Name: "g"}, Operator: &config.Operator{Capture: config.Capture{Directory: directory, Kept: 5}}, Log: slog.New(slog.DiscardHandler)}
+	g := Options{Config: &config.Config{Name: "g"}, Operator: &config.Operator{Capture: config.Capture{Directory: directory, MaxTriggered: 5}}, Log: slog.New(slog.DiscardHandler)}
 	triggered := make(chan triggeredCapture, mostTriggered)
 	for i := range mostTriggered {
 		triggered <- triggeredCapture{name: fmt.Sprint("late", i)}
--- a/internal/gateway/contracts_fleet_test.go
+++ b/internal/gateway/contracts_fleet_test.go
@@ -141,7 +141,7 @@
 					t.Fatal(err)
 				}
 				operator := config.DefaultOperator()
-				operator.Contracts = describe(t, fleetSheets, conf.Settings, func(k *config.Contracts) { k.Doubts = kept })
+				operator.Contracts = describe(t, fleetSheets, conf.Settings, func(k *config.Contracts) { k.DistrustFile = kept })
 				stop, cancel := context.WithCancel(context.Background())
 				g := Options{Config: conf, Operator: operator, Listener: &addressed{Listener: network.Listen("gate:1")}, Dial: network.Dial,
 					Log: slog.New(slog.NewJSONHandler(&log, nil))}
@@ -213,12 +213,12 @@
 				ends.Wait()
 			})
 			told(t, log.String())
-			d, err := conformance.ReadDoubts(filesystem.OS{}, kept)
+			d, err := conformance.ReadDistrustFile(filesystem.OS{}, kept)
 			switch {
 			case c.want == "" && err == nil:
-				t.Errorf("doubts of an honest fleet: %+v", d.Doubts)
-			case c.want != "" && (err != nil || len(d.Doubts) != 1 || d.Doubts[0].Node != fmt.Sprint("n", liar) || d.Doubts[0].State != c.want || d.Doubts[0].Operation != c.operation):
-				t.Errorf("%v %+v", err, d.Doubts)
+				t.Errorf("doubts of an honest fleet: %+v", d.Records)
+			case c.want != "" && (err != nil || len(d.Records) != 1 || d.Records[0].Node != fmt.Sprint("n", liar) || d.Records[0].State != c.want || d.Records[0].Operation != c.operation):
+				t.Errorf("%v %+v", err, d.Records)
 			}
 		})
 	}
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -68,7 +68,7 @@
 		faults, _ = contract.Check(all)
 	}
 	if len(faults) == 0 {
-		c.Book, faults = catalog.New(all, settings)
+		c.Catalog, faults = catalog.New(all, settings)
 	}
 	if len(faults) > 0 {
 		t.Fatal(faults)
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -21,8 +21,8 @@
 	g         Options
 	base      scheduler.Settings // the platform's, as they were at the start
 	lister    *discovery.Client
-	ruled     *engine.Rules
-	described *contracts.Contracts
+	ruled     *engine.Engine
+	described *contracts.Registry
 	loop      *eventloop.Loop
 }
 
@@ -57,8 +57,8 @@
 		"name": next.Name != now.Name, "listen": next.Listen != now.Listen,
 		"limits.sockets": next.Limits.Sockets != now.Limits.Sockets,
 		"settings":       !reflect.DeepEqual(next.Settings, f.base),
-		"rooms":          !reflect.DeepEqual(operator.Rooms.Settings, f.g.Operator.Rooms.Settings),
-		"retry":          operator.Retry != f.g.Operator.Retry} {
+		"rooms":          !reflect.DeepEqual(operator.ZoneFailover.Settings, f.g.Operator.ZoneFailover.Settings),
+		"retry":          operator.RetryBudget != f.g.Operator.RetryBudget} {
 		if differs {
 			f.g.Log.Warn("a change waits for the next start", "key", key)
 		}
@@ -66,9 +66,9 @@
 	if err := f.ruled.Swap(operator.Rules.Set, operator.Rules.ShadowSet); err != nil {
 		return err
 	}
-	f.described.Swap(book, operator.Contracts.Undescribed == config.Refuse)
+	f.described.Swap(book, operator.Contracts.Undescribed == config.RejectUndescribed)
 	Bound(next.Limits)
-	f.lister.Move(next.Discovery)
+	f.lister.MoveTo(next.Discovery)
 	f.loop.Note("new configuration taken")
 	f.g.Log.Info("new configuration taken", "discovery", next.Discovery, "limits", next.Limits)
 	return nil
@@ -76,19 +76,19 @@
 
 // book holds new descriptions against the settings that the gateway runs with, whatever the new ones are. The classes that descriptions make are a
 // part of them, so they can't change.
-func (f following) book(operator *config.Operator) (*catalog.Book, error) {
-	if operator.Contracts.Book == nil {
+func (f following) book(operator *config.Operator) (*catalog.Catalog, error) {
+	if operator.Contracts.Catalog == nil {
 		return nil, nil
 	}
-	next, faults := operator.Contracts.Book.Again(f.base)
+	next, faults := operator.Contracts.Catalog.Rebuild(f.base)
 	if len(faults) > 0 {
 		return nil, faults
 	}
 	var made []scheduler.Class
-	if b := f.g.Operator.Contracts.Book; b != nil {
-		made = b.Made
+	if b := f.g.Operator.Contracts.Catalog; b != nil {
+		made = b.GeneratedClasses
 	}
-	if !reflect.DeepEqual(made, next.Made) {
+	if !reflect.DeepEqual(made, next.GeneratedClasses) {
 		return nil, fmt.Errorf("contracts.files: the classes that the descriptions make differ from those of the start: they wait for the next one")
 	}
 	return next, nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -122,10 +122,10 @@
 	clock := eventloop.NewClock()
 	var loop *eventloop.Loop
 	lister := discovery.New(ctx, discovery.Options{
-		Patience: listPatience(c.Settings), Address: c.Discovery, Zones: c.Settings.Zones, StartedAt: clock.AtUnixMilli, Dial: g.Dial, Log: log,
-		Tell: func(m scheduler.Membership) { loop.Members(m) },
+		ResponseTimeout: listPatience(c.Settings), Address: c.Discovery, Zones: c.Settings.Zones, StartedAt: clock.AtUnixMilli, Dial: g.Dial, Log: log,
+		Notify: func(m scheduler.Membership) { loop.MembershipChanged(m) },
 	})
-	watch := watching(g, func(c scheduler.Caution) { loop.Caution(c) })
+	watch := watching(g, func(c scheduler.Restriction) { loop.Restrict(c) })
 	back := httpbackend.New(httpbackend.Options{Observe: watch.Observe,
 		Directory: lister.Directory(), Allowed: c.Settings.Allowed, Sockets: sockets - forClients,
 		Memory: int64(answerShare * float64(c.Limits.MemoryMB) * (1 << 20)), Dial: g.Dial, Log: log})
@@ -144,7 +144,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	store := warm(g, clock, loop) // before anything else is told to the loop
-	watch.Begin()
+	watch.NotifyRestored()
 	ruled := engine.New(log)
 	if err := ruled.Swap(g.Operator.Rules.Set, g.Operator.Rules.ShadowSet); err != nil {
 		return fmt.Errorf("rules: %w", err)
@@ -153,21 +153,21 @@
 	if err != nil {
 		return fmt.Errorf("contracts: %w", err)
 	}
-	described.Swap(g.Operator.Contracts.Book, g.Operator.Contracts.Undescribed == config.Refuse)
+	described.Swap(g.Operator.Contracts.Catalog, g.Operator.Contracts.Undescribed == config.RejectUndescribed)
 	var target *iscsitarget.Target
 	if second != nil {
 		if target, err = newTarget(second, c.Settings, loop, ruled, described, log); err != nil {
 			return err
 		}
 	}
-	if c.Known != nil {
-		lister.Remember(c.Known)
+	if c.CachedList != nil {
+		lister.Seed(c.CachedList)
 	}
-	front := httpfrontend.New(httpfrontend.Options{Settings: c.Settings, Core: loop, Rules: ruled, NewID: newIDs(), Log: log,
+	front := httpfrontend.New(httpfrontend.Options{Settings: c.Settings, Loop: loop, Rules: ruled, NewID: newIDs(), Log: log,
 		Contracts: described, Plan: g.Operator.Contracts.Plan})
 	var h2 *h2frontend.Server
 	if h := g.Operator.H2C; h.Enabled {
-		if h2, err = h2frontend.New(h2frontend.Options{Carrier: front, Admission: h.Admission(), Seed: c.Seed, Head: h.Head, Log: log}); err != nil {
+		if h2, err = h2frontend.New(h2frontend.Options{Carrier: front, Admission: h.Admission(), Seed: c.Seed, MaxHeaderBytes: h.Head, Log: log}); err != nil {
 			return fmt.Errorf("h2c: %w", err)
 		}
 	}
@@ -223,7 +223,7 @@
 		}
 	case <-stop.Done():
 		log.Info("stopping")
-		front.Retire()
+		front.BeginDrain()
 		if h2 != nil {
 			h2.Drain() // its clients are told at once, and end a moment later with what they have sent by then
 		}
@@ -251,7 +251,7 @@
 // listPatience is for how long an agent on this machine may be silent to a call: it answers at once, and what it has when it comes back from
 // silence counts as told in that moment, so that a call in vain must end within what is left for a drain. 0: it is no agent.
 func listPatience(set scheduler.Settings) time.Duration {
-	if !set.Agent {
+	if !set.LocalAgent {
 		return 0
 	}
 	return set.Rules.DrainGrace / 2
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -57,7 +57,7 @@
 )
 
 // play runs a script before a gateway with one node, n, and the given second front, and gives the gateway's log.
-func play(t *testing.T, script string, second *config.Front, node scenariotest.Speech, prepare ...func(*scenariotest.Stage)) string {
+func play(t *testing.T, script string, second *config.ISCSI, node scenariotest.Speech, prepare ...func(*scenariotest.Stage)) string {
 	t.Helper()
 	var log bytes.Buffer
 	directory := t.TempDir()
@@ -84,7 +84,7 @@
 		operator := config.DefaultOperator()
 		operator.ISCSI = second
 		operator.H2C.Enabled = true
-		operator.Capture = config.Capture{Memory: 1 << 10, Directory: directory, Disk: 8, Segment: 4, SegmentAge: time.Hour, Kept: 1}
+		operator.Capture = config.Capture{Memory: 1 << 10, Directory: directory, Disk: 8, Segment: 4, SegmentAge: time.Hour, MaxTriggered: 1}
 		g := Options{Config: c, Operator: operator, Listener: s.Network.Listen("gate:1"), H2CListener: s.Network.Listen("h2:1"), Dial: s.Network.Dial,
 			Log: slog.New(slog.NewJSONHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))}
 		if second != nil {
@@ -98,12 +98,12 @@
 		if strings.HasPrefix(t.Name(), "TestContracts") {
 			operator.Contracts = describe(t, sheets, c.Settings, nil)
 			s.Control("file", "strict contracts", func() {
-				reloaded.Contracts = describe(t, sheets, c.Settings, func(c *config.Contracts) { c.Undescribed = config.Refuse })
+				reloaded.Contracts = describe(t, sheets, c.Settings, func(c *config.Contracts) { c.Undescribed = config.RejectUndescribed })
 			})
 			s.Control("file", "other contracts", func() {
 				reloaded.Contracts = describe(t, strings.Replace(sheets, "repeats: safe}", "repeats: safe, aim: 1s, deadline: 2s}", 1), c.Settings, nil)
 			})
-			s.Control("file", "no contracts", func() { reloaded.Contracts.Book = nil })
+			s.Control("file", "no contracts", func() { reloaded.Contracts.Catalog = nil })
 			reloaded = *operator
 		}
 		for name, text := range ruleFiles {
@@ -141,7 +141,7 @@
 	return log.String()
 }
 
-func init() { replaytest.Warm() }
+func init() { replaytest.WarmUp() }
 
 // recorded replays what a gateway recorded while a script was played: whatever went wrong in it, the decisions can be played again and kept the rules.
 func recorded(t *testing.T, directory string) {
@@ -155,7 +155,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		replaytest.Twice(t, file)
+		replaytest.ReplayTwice(t, file)
 	}
 	if len(segments) == 0 {
 		t.Error("nothing was recorded")
@@ -287,11 +287,11 @@
 `
 
 // secondFront has one unit of 1,000 blocks whose writes may run once, and another whose writes carry a key.
-func secondFront(nodes string) *config.Front {
+func secondFront(nodes string) *config.ISCSI {
 	unit := iscsitarget.Unit{Volume: "00000003b4d60021", ReadClass: 0, WriteClass: 2, Hosts: 1, BlockSize: 512, Blocks: 1000, UnitBytes: 8192}
 	keyed := unit
 	keyed.LUN, keyed.WriteClass = 1, 1
-	return &config.Front{Target: "iqn.gate", Sessions: 2, Depth: 4, Nodes: nodes, Description: "../../api/openapi.yaml",
+	return &config.ISCSI{Target: "iqn.gate", Sessions: 2, Depth: 4, Nodes: nodes, Description: "../../api/openapi.yaml",
 		NodeTarget: "iqn.node", Units: []iscsitarget.Unit{unit, keyed}}
 }
 
--- a/internal/gateway/restart.go
+++ b/internal/gateway/restart.go
@@ -16,21 +16,21 @@
 // warm takes over what an earlier life of this gateway had learned, and gives the store in which this life's state is kept; nil where
 // the operator has not switched it on.
 func warm(g Options, clock eventloop.Clock, loop *eventloop.Loop) *warmrestart.Store {
-	r := g.Operator.Restart
+	r := g.Operator.WarmRestart
 	if r.Directory == "" {
 		return nil
 	}
-	store := &warmrestart.Store{FS: filesystem.OS{}, Path: warmrestart.Path(r.Directory, segment.Safe(g.Config.Name)), Log: g.Log}
+	store := &warmrestart.Store{FS: filesystem.OS{}, Path: warmrestart.Path(r.Directory, segment.SafeName(g.Config.Name)), Log: g.Log}
 	state, taken := store.Load(g.Config.Settings)
 	if state == nil {
 		g.Log.Info("no state of an earlier life is known")
 		return store
 	}
 	now, age := clock.Now(), time.Since(taken)
-	belief := warmrestart.Believe(state, g.Config.Settings, now, age, now-age-state.Now)
-	loop.Recall(belief.Learned)
-	g.Log.Info("an earlier life's state was taken over", "age", age.Round(time.Millisecond), "nodes", len(belief.Learned.Nodes), "known", belief.Nodes,
-		"weight", belief.Faded, "volumes", len(belief.Learned.Volumes))
+	belief := warmrestart.Assess(state, g.Config.Settings, now, age, now-age-state.Now)
+	loop.Restore(belief.Learned)
+	g.Log.Info("an earlier life's state was taken over", "age", age.Round(time.Millisecond), "nodes", len(belief.Learned.Nodes), "known", belief.KnownNodes,
+		"weight", belief.Confidence, "volumes", len(belief.Learned.Volumes))
 	return store
 }
 
@@ -46,7 +46,7 @@
 			tell(g.Log, err)
 		}
 	}
-	every := time.NewTicker(g.Operator.Restart.Every)
+	every := time.NewTicker(g.Operator.WarmRestart.Every)
 	defer every.Stop()
 	for {
 		select {
--- a/internal/gateway/rooms_test.go
+++ b/internal/gateway/rooms_test.go
@@ -169,7 +169,7 @@
 				t.Fatal(err)
 			}
 			operator := config.DefaultOperator()
-			operator.Rooms.Settings = zonefailover.Settings{Tiers: []int{0, 1}, Spill: spill, Burst: burst, Siblings: 3, ListLate: 0}
+			operator.ZoneFailover.Settings = zonefailover.Settings{Tiers: []int{0, 1}, Spillover: spill, Burst: burst, Siblings: 3, MembershipDelay: 0}
 			g := Options{Config: conf, Operator: operator, Listener: network.Listen(address), Dial: network.Dial, Log: slog.New(slog.DiscardHandler)}
 			ends.Go(func() {
 				if err := Serve(stop, g); err != nil {
--- a/internal/gateway/second.go
+++ b/internal/gateway/second.go
@@ -19,7 +19,7 @@
 )
 
 // newTarget makes the second front.
-func newTarget(f *config.Front, settings scheduler.Settings, loop *eventloop.Loop, ruled *engine.Rules, described *contracts.Contracts, log *slog.Logger) (*iscsitarget.Target, error) {
+func newTarget(f *config.ISCSI, settings scheduler.Settings, loop *eventloop.Loop, ruled *engine.Engine, described *contracts.Registry, log *slog.Logger) (*iscsitarget.Target, error) {
 	var translator iscsitarget.Translator = iscsitarget.Native{}
 	if f.Nodes == config.NodesHTTP {
 		t, err := scsihttp.Load(f.Description, settings)
@@ -29,7 +29,7 @@
 		translator = t
 	}
 	return iscsitarget.New(iscsitarget.Options{
-		Name: f.Target, Units: f.Units, Classes: settings.Classes, Plans: settings.Plans, Rules: ruled, Contracts: described, Sessions: f.Sessions, Depth: f.Depth, Core: loop,
+		Name: f.Target, Units: f.Units, Classes: settings.Classes, Plans: settings.Plans, Rules: ruled, Contracts: described, Sessions: f.Sessions, Depth: f.Depth, Loop: loop,
 		Translator: translator, NewID: newIDs(), Log: log,
 	}), nil
 }
@@ -40,11 +40,11 @@
 	return func() string { return fmt.Sprintf("%08x%08x", life, count.Add(1)) }
 }
 
-// backs is the eventloop.Back that hands each attempt to the back that knows its payload. Where the nodes speak iSCSI,
+// backs is the eventloop.Backend that hands each attempt to the back that knows its payload. Where the nodes speak iSCSI,
 // what came as HTTP has no node to go to: it ends as never begun.
 type backs struct {
-	http  eventloop.Back
-	iscsi *iscsiinitiator.Back // nil where the nodes speak HTTP
+	http  eventloop.Backend
+	iscsi *iscsiinitiator.Initiator // nil where the nodes speak HTTP
 }
 
 func (b backs) Start(ctx context.Context, a eventloop.Attempt, report func(eventloop.Report)) {
@@ -54,7 +54,7 @@
 	case b.iscsi != nil && native:
 		b.iscsi.Start(ctx, a, report)
 	default:
-		report(eventloop.Report{Result: scheduler.ConnectFailed, Use: -1})
+		report(eventloop.Report{Result: scheduler.ConnectFailed, VolumeUse: -1})
 	}
 }
 
--- a/internal/gateway/sockets_test.go
+++ b/internal/gateway/sockets_test.go
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	operator := config.DefaultOperator()
-	operator.Rooms.Settings = zonefailover.Settings{Tiers: []int{0, 1}, Spill: 1000, Burst: 100, Siblings: 1}
+	operator.ZoneFailover.Settings = zonefailover.Settings{Tiers: []int{0, 1}, Spillover: 1000, Burst: 100, Siblings: 1}
 	stop, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() {
--- a/internal/gateway/stored_test.go
+++ b/internal/gateway/stored_test.go
@@ -143,9 +143,9 @@
 				t.Fatal("it could not be read")
 			}
 			const now, age = time.Hour, 3 * time.Second
-			belief := warmrestart.Believe(state, stored.settings, now, age, now-age-state.Now)
-			if nodes, volumes := len(belief.Learned.Nodes), len(belief.Learned.Volumes); nodes != stored.nodes || belief.Nodes != stored.known || volumes != stored.volumes {
-				t.Errorf("%d nodes, %d of them known, %d volumes", nodes, belief.Nodes, volumes)
+			belief := warmrestart.Assess(state, stored.settings, now, age, now-age-state.Now)
+			if nodes, volumes := len(belief.Learned.Nodes), len(belief.Learned.Volumes); nodes != stored.nodes || belief.KnownNodes != stored.known || volumes != stored.volumes {
+				t.Errorf("%d nodes, %d of them known, %d volumes", nodes, belief.KnownNodes, volumes)
 			}
 		})
 	}
@@ -154,13 +154,13 @@
 // The stored trust file is read and taken over whole, and written again it has the same JSON.
 func TestStoredTrustFileIsRestoredFrom(t *testing.T) {
 	content := storedFile(t, "distrust.json")
-	file, err := conformance.ReadDoubts(filesystem.OS{}, filepath.Join(storedDirectory, "distrust.json"))
+	file, err := conformance.ReadDistrustFile(filesystem.OS{}, filepath.Join(storedDirectory, "distrust.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	changes, err := trust.New(scheduler.CareAvoid).Recall(time.Hour, file.Doubts, time.Second)
-	if err != nil || len(file.Doubts) != 2 || len(changes) != 2 {
-		t.Errorf("%d records, %d changes, %v", len(file.Doubts), len(changes), err)
+	changes, err := trust.New(scheduler.AvoidNode).Restore(time.Hour, file.Records, time.Second)
+	if err != nil || len(file.Records) != 2 || len(changes) != 2 {
+		t.Errorf("%d records, %d changes, %v", len(file.Records), len(changes), err)
 	}
 	again, err := json.MarshalIndent(file, "", "  ")
 	if err != nil || !bytes.Equal(append(again, '\n'), content) {
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -18,16 +18,16 @@
 }
 
 // watching makes it, with the doubts of an earlier life where they were kept: they are told by Begin.
-func watching(g Options, tell func(scheduler.Caution)) watcher {
+func watching(g Options, tell func(scheduler.Restriction)) watcher {
 	c := g.Operator.Contracts
 	w := watcher{}
-	o := conformance.Options{Sample: c.Sample, Most: c.Most(), Tell: tell, Log: g.Log}
-	var doubts []trust.Doubt
+	o := conformance.Options{Sample: c.Sample, MaxRestriction: c.MaxRestriction(), Notify: tell, Log: g.Log}
+	var doubts []trust.Record
 	var age time.Duration
-	if c.Doubts != "" {
-		w.store = conformance.NewStore(filesystem.OS{}, c.Doubts, g.Log)
+	if c.DistrustFile != "" {
+		w.store = conformance.NewStore(filesystem.OS{}, c.DistrustFile, g.Log)
 		doubts, age = w.store.Load()
-		o.Keep = w.store.Keep
+		o.Save = w.store.Save
 	}
 	w.Observer = conformance.New(o, doubts, age)
 	return w
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -22,9 +22,9 @@
 
 // New makes a log that writes to w.
 func New(w io.Writer, c config.Log, terminal bool) *slog.Logger {
-	var handler slog.Handler = slog.NewJSONHandler(w, &slog.HandlerOptions{Level: c.Least})
+	var handler slog.Handler = slog.NewJSONHandler(w, &slog.HandlerOptions{Level: c.MinLevel})
 	if c.Format == config.LogText {
-		handler = tint.NewHandler(w, &tint.Options{Level: c.Least, TimeFormat: time.TimeOnly, NoColor: !terminal})
+		handler = tint.NewHandler(w, &tint.Options{Level: c.MinLevel, TimeFormat: time.TimeOnly, NoColor: !terminal})
 	}
 	if c.Repeat > 0 {
 		handler = &thinner{Handler: handler, counts: &counts{every: c.Repeat, of: map[string]*count{}}}
--- a/internal/proto/httpmsg/httpmsg.go
+++ b/internal/proto/httpmsg/httpmsg.go
@@ -31,8 +31,8 @@
 )
 
 const (
-	MostBody   = 64 << 10 // bytes of a request's body
-	MostAnswer = 4 << 20  // bytes of an answer's; some nodes send more than the 64 KiB that a request may have
+	MaxRequestBody  = 64 << 10 // bytes of a request's body
+	MaxResponseBody = 4 << 20  // bytes of an answer's; some nodes send more than the 64 KiB that a request may have
 )
 
 // Request is the payload of an exchange whose node speaks HTTP.
@@ -43,22 +43,24 @@
 	Header http.Header // what is passed on
 	Body   []byte
 
-	Client    string    // who asks, as far as the front knows
-	Described Described // nil: nothing describes the call
+	Client   string            // who asks, as far as the front knows
+	Statuses StatusInterpreter // nil: nothing describes the call
 }
 
-// Described tells a back what a node's answers to a call mean.
-type Described interface{ Reading(status int) Reading }
+// StatusInterpreter tells a back what a node's answers to a call mean.
+type StatusInterpreter interface {
+	StatusMeaning(status int) StatusMeaning
+}
 
-// Reading is what an answer means.
-type Reading int
+// StatusMeaning is what an answer means.
+type StatusMeaning int
 
 // The kinds of Reading.
 const (
-	Unsaid     Reading = iota // as the platform has it
-	ForClient                 // the client's answer, whatever its status
-	NeverRan                  // turned away, and harmless to repeat
-	MayHaveRun                // an error, and nobody knows
+	Undescribed StatusMeaning = iota // as the platform has it
+	FinalAnswer                      // the client's answer, whatever its status
+	NeverRan                         // turned away, and harmless to repeat
+	MayHaveRun                       // an error, and nobody knows
 )
 
 // Reply is a node's answer, read whole.
@@ -96,8 +98,8 @@
 	return strconv.FormatFloat(pause.Seconds(), 'f', 3, 64)
 }
 
-// Figure reads a header that holds a number; absent stands for what is not there or is none.
-func Figure(h http.Header, name string, absent float64) float64 {
+// HeaderNumber reads a header that holds a number; absent stands for what is not there or is none.
+func HeaderNumber(h http.Header, name string, absent float64) float64 {
 	x, err := strconv.ParseFloat(h.Get(name), 64)
 	if err != nil || x != x || x < 0 || x > 1e12 {
 		return absent
--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -24,7 +24,7 @@
 		b.Run("keys="+strconv.Itoa(n)+"/table", func(b *testing.B) {
 			l := limiter(b, Definition{Name: "l", Rate: 10, Burst: 10, Keys: 1 << 18})
 			for i := 0; b.Loop(); i++ {
-				if v := l.Take(time.Duration(i)*time.Microsecond, []Ask{{0, all[i%n]}}); v.Taken {
+				if v := l.Take(time.Duration(i)*time.Microsecond, []Claim{{0, all[i%n]}}); v.Admitted {
 					l.Release(v.Grant)
 				}
 			}
@@ -78,7 +78,7 @@
 	b.Run("table", func(b *testing.B) {
 		l := limiter(b, def)
 		for i := 0; b.Loop(); i++ {
-			l.Take(time.Duration(i)*time.Microsecond, []Ask{{0, strconv.Itoa(i)}})
+			l.Take(time.Duration(i)*time.Microsecond, []Claim{{0, strconv.Itoa(i)}})
 		}
 	})
 	b.Run("sketch", func(b *testing.B) {
--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -24,11 +24,11 @@
 
 // Bounds of a definition.
 const (
-	MostRate   = 1e6
-	MostBurst  = 1e6
-	MostOpen   = 1 << 20
-	LeastKeys  = 1 << 10
-	MostKeys   = 1 << 24
+	MaxRate    = 1e6
+	MaxBurst   = 1e6
+	MaxOpen    = 1 << 20
+	MinKeys    = 1 << 10
+	MaxKeys    = 1 << 24
 	mostDepth  = 4
 	mostLimits = 256
 )
@@ -41,26 +41,26 @@
 // OpenRetry is what a client is told where as many requests are open as may be: nobody knows when one will end.
 const OpenRetry = time.Second
 
-// Ask is what a request asks of one limit.
-type Ask struct {
+// Claim is what a request asks of one limit.
+type Claim struct {
 	Limit int    // its number among the definitions
 	Key   string // empty is a key like any other
 }
 
-// Verdict is the answer to asks.
-type Verdict struct {
-	Taken      bool
+// Decision is the answer to asks.
+type Decision struct {
+	Admitted   bool
 	Limit      int           // where not taken: the limit that refused
 	RetryAfter time.Duration // and when coming back makes sense
 	Grant      Grant         // where taken: to be given to Release once, at the request's end
 }
 
-// MostAsks is how many limits a request may ask.
-const MostAsks = 8
+// MaxClaims is how many limits a request may ask.
+const MaxClaims = 8
 
 // Grant tells what a taken request holds. It stays good when the limits are replaced.
 type Grant struct {
-	held  [MostAsks]holding
+	held  [MaxClaims]holding
 	count int
 }
 
@@ -121,16 +121,16 @@
 		switch {
 		case d.Name == "" || names[d.Name]:
 			wrong = errors.New("the name is missing or taken")
-		case !(d.Rate >= 0 && d.Rate <= MostRate):
-			wrong = fmt.Errorf("rate: %v is not from 0 to %v", d.Rate, MostRate)
-		case d.Rate > 0 && !(d.Burst >= 1 && d.Burst <= MostBurst):
-			wrong = fmt.Errorf("burst: %v is not from 1 to %v", d.Burst, MostBurst)
-		case d.Open < 0 || d.Open > MostOpen:
-			wrong = fmt.Errorf("open: %d is not from 0 to %d", d.Open, MostOpen)
+		case !(d.Rate >= 0 && d.Rate <= MaxRate):
+			wrong = fmt.Errorf("rate: %v is not from 0 to %v", d.Rate, MaxRate)
+		case d.Rate > 0 && !(d.Burst >= 1 && d.Burst <= MaxBurst):
+			wrong = fmt.Errorf("burst: %v is not from 1 to %v", d.Burst, MaxBurst)
+		case d.Open < 0 || d.Open > MaxOpen:
+			wrong = fmt.Errorf("open: %d is not from 0 to %d", d.Open, MaxOpen)
 		case d.Rate == 0 && d.Open == 0:
 			wrong = errors.New("it bounds neither the rate nor what is open")
-		case d.Keys < LeastKeys || d.Keys > MostKeys:
-			wrong = fmt.Errorf("keys: %d is not from %d to %d", d.Keys, LeastKeys, MostKeys)
+		case d.Keys < MinKeys || d.Keys > MaxKeys:
+			wrong = fmt.Errorf("keys: %d is not from %d to %d", d.Keys, MinKeys, MaxKeys)
 		}
 		if wrong != nil {
 			return i, fmt.Errorf("limit %q: %w", d.Name, wrong)
@@ -170,16 +170,16 @@
 
 // Take asks several limits at once: all of them take the request, or none does and nothing is counted. A limit whose
 // parent is among the asks shares that parent fairly with its other keys. Each limit is asked once at most, and no more
-// than MostAsks are. The clock only needs to advance; a step back counts as no time.
-func (l *Limiter) Take(now time.Duration, asks []Ask) Verdict {
+// than MaxClaims are. The clock only needs to advance; a step back counts as no time.
+func (l *Limiter) Take(now time.Duration, asks []Claim) Decision {
 	l.now = max(l.now, now)
-	var found [MostAsks]place
+	var found [MaxClaims]place
 	var grant Grant
 	grant.count = len(asks)
-	refused := Verdict{Limit: -1}
+	refused := Decision{Limit: -1}
 	refuse := func(limit int, wait time.Duration) {
 		if wait > refused.RetryAfter {
-			refused = Verdict{Limit: limit, RetryAfter: wait}
+			refused = Decision{Limit: limit, RetryAfter: wait}
 		}
 	}
 	for i, a := range asks {
@@ -204,7 +204,7 @@
 			l.tables[l.parent[a.Limit]].charge(found[i], found[p], l.now)
 		}
 	}
-	return Verdict{Taken: true, Grant: grant}
+	return Decision{Admitted: true, Grant: grant}
 }
 
 // indexOf finds the holding of a limit; -1 where there is none.
