--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	for i := range defs {
 		if defs[i].Keys == 0 {
-			defs[i].Keys = LeastKeys
+			defs[i].Keys = MinKeys
 		}
 	}
 	l, err := New(defs)
@@ -50,7 +50,7 @@
 // With room for all keys the table decides as a plain map does, whatever comes in which order.
 func TestEqualsAPlainMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := Definition{Name: "l", Keys: LeastKeys, Rate: rapid.SampledFrom([]float64{0, 0.5, 3, 50}).Draw(t, "rate"),
+		d := Definition{Name: "l", Keys: MinKeys, Rate: rapid.SampledFrom([]float64{0, 0.5, 3, 50}).Draw(t, "rate"),
 			Burst: float64(rapid.IntRange(1, 5).Draw(t, "burst")), Open: rapid.IntRange(0, 3).Draw(t, "open")}
 		if d.Rate == 0 && d.Open == 0 {
 			d.Open = 1
@@ -74,11 +74,11 @@
 				open = open[1:]
 			}
 			key := strconv.Itoa(rapid.IntRange(0, 5).Draw(t, "key"))
-			v := l.Take(now, []Ask{{0, key}})
-			if want := p.take(now, key); v.Taken != want {
-				t.Fatalf("key %s at %v: %v, a plain map says %v", key, now, v.Taken, want)
+			v := l.Take(now, []Claim{{0, key}})
+			if want := p.take(now, key); v.Admitted != want {
+				t.Fatalf("key %s at %v: %v, a plain map says %v", key, now, v.Admitted, want)
 			}
-			if v.Taken {
+			if v.Admitted {
 				open = append(open, out{key, v.Grant})
 			}
 		}
@@ -95,22 +95,22 @@
 func TestRetryAfterHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, err := New([]Definition{
-			{Name: "child", Rate: rapid.Float64Range(0.1, 100).Draw(t, "rate"), Burst: rapid.Float64Range(1, 20).Draw(t, "burst"), Keys: LeastKeys, Parent: "all"},
-			{Name: "all", Rate: rapid.Float64Range(0.1, 100).Draw(t, "all rate"), Burst: rapid.Float64Range(1, 20).Draw(t, "all burst"), Keys: LeastKeys}})
+			{Name: "child", Rate: rapid.Float64Range(0.1, 100).Draw(t, "rate"), Burst: rapid.Float64Range(1, 20).Draw(t, "burst"), Keys: MinKeys, Parent: "all"},
+			{Name: "all", Rate: rapid.Float64Range(0.1, 100).Draw(t, "all rate"), Burst: rapid.Float64Range(1, 20).Draw(t, "all burst"), Keys: MinKeys}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Hour
-		asks := []Ask{{0, "k"}, {1, ""}}
+		asks := []Claim{{0, "k"}, {1, ""}}
 		for range 50 {
 			v := l.Take(now, asks)
-			if !v.Taken {
+			if !v.Admitted {
 				if v.RetryAfter <= 0 {
 					t.Fatal("refused without a time")
 				}
 				// Times are told to clients in milliseconds, rounded up.
 				now += v.RetryAfter.Truncate(time.Millisecond) + time.Millisecond
-				if v = l.Take(now, asks); !v.Taken {
+				if v = l.Take(now, asks); !v.Admitted {
 					t.Fatalf("came back when told to and is to wait for %v more", v.RetryAfter)
 				}
 			}
@@ -123,60 +123,60 @@
 // All limits take a request or none counts it.
 func TestAllOrNothing(t *testing.T) {
 	l := limiter(t, Definition{Name: "child", Rate: 1, Burst: 5}, Definition{Name: "narrow", Rate: 1, Burst: 1})
-	if v := l.Take(0, []Ask{{0, "k"}, {1, "n"}}); !v.Taken {
+	if v := l.Take(0, []Claim{{0, "k"}, {1, "n"}}); !v.Admitted {
 		t.Fatal("the first is refused")
 	}
 	for range 10 {
-		if v := l.Take(0, []Ask{{0, "k"}, {1, "n"}}); v.Taken || v.Limit != 1 {
+		if v := l.Take(0, []Claim{{0, "k"}, {1, "n"}}); v.Admitted || v.Limit != 1 {
 			t.Fatalf("%+v", v)
 		}
 	}
 	for i := range 5 {
-		if v := l.Take(0, []Ask{{0, "k"}}); v.Taken != (i < 4) {
-			t.Errorf("request %d after the refused ones: %v", i, v.Taken)
+		if v := l.Take(0, []Claim{{0, "k"}}); v.Admitted != (i < 4) {
+			t.Errorf("request %d after the refused ones: %v", i, v.Admitted)
 		}
 	}
 }
 
 func TestAStepBackOfTheClockGivesNothing(t *testing.T) {
 	l := limiter(t, Definition{Name: "l", Rate: 1, Burst: 1})
-	if !l.Take(time.Hour, []Ask{{0, "k"}}).Taken || l.Take(time.Minute, []Ask{{0, "k"}}).Taken {
+	if !l.Take(time.Hour, []Claim{{0, "k"}}).Admitted || l.Take(time.Minute, []Claim{{0, "k"}}).Admitted {
 		t.Error("a step back is taken for time")
 	}
-	if v := l.Take(time.Hour+time.Second, []Ask{{0, "k"}}); !v.Taken {
+	if v := l.Take(time.Hour+time.Second, []Claim{{0, "k"}}); !v.Admitted {
 		t.Errorf("a step back delays the key: %v", v.RetryAfter)
 	}
-	if !l.Take(1000*time.Hour, []Ask{{0, "k"}}).Taken || l.Take(1000*time.Hour, []Ask{{0, "k"}}).Taken {
+	if !l.Take(1000*time.Hour, []Claim{{0, "k"}}).Admitted || l.Take(1000*time.Hour, []Claim{{0, "k"}}).Admitted {
 		t.Error("a long rest gives more than the burst")
 	}
 }
 
 func TestReplaceKeepsWhatStaysTheSame(t *testing.T) {
-	one := Definition{Name: "one", Rate: 1, Burst: 1, Keys: LeastKeys}
-	two := Definition{Name: "two", Open: 1, Keys: LeastKeys}
+	one := Definition{Name: "one", Rate: 1, Burst: 1, Keys: MinKeys}
+	two := Definition{Name: "two", Open: 1, Keys: MinKeys}
 	l := limiter(t, one, two)
-	held := l.Take(0, []Ask{{0, "k"}, {1, "k"}})
+	held := l.Take(0, []Claim{{0, "k"}, {1, "k"}})
 	if err := l.Replace([]Definition{two, one}); err != nil {
 		t.Fatal(err)
 	}
-	if v := l.Take(0, []Ask{{1, "k"}}); v.Taken {
+	if v := l.Take(0, []Claim{{1, "k"}}); v.Admitted {
 		t.Error("the rate was forgotten")
 	}
-	if v := l.Take(0, []Ask{{0, "k"}}); v.Taken {
+	if v := l.Take(0, []Claim{{0, "k"}}); v.Admitted {
 		t.Error("the open request was forgotten")
 	}
 	l.Release(held.Grant) // taken before the limits changed their places
-	if v := l.Take(0, []Ask{{0, "k"}}); !v.Taken {
+	if v := l.Take(0, []Claim{{0, "k"}}); !v.Admitted {
 		t.Error("what ended is still counted as open")
 	}
 	one.Rate = 2
 	if err := l.Replace([]Definition{one}); err != nil {
 		t.Fatal(err)
 	}
-	if v := l.Take(0, []Ask{{0, "k"}}); !v.Taken {
+	if v := l.Take(0, []Claim{{0, "k"}}); !v.Admitted {
 		t.Error("another limit's state was taken over")
 	}
-	if err := l.Replace([]Definition{{Name: "x"}}); err == nil || l.Take(0, []Ask{{0, "k"}}).Taken {
+	if err := l.Replace([]Definition{{Name: "x"}}); err == nil || l.Take(0, []Claim{{0, "k"}}).Admitted {
 		t.Error("a faulty list changed something")
 	}
 }
@@ -194,7 +194,7 @@
 		}{{"greedy", 0.9}, {"modest", 0.01}, {"eager", 0.2}} {
 			if key := one.key; random.Float64() < one.chance {
 				asked[key]++
-				if v := l.Take(now, []Ask{{0, key}, {1, ""}}); v.Taken {
+				if v := l.Take(now, []Claim{{0, key}, {1, ""}}); v.Admitted {
 					got[key]++
 					l.Release(v.Grant)
 				}
@@ -230,11 +230,11 @@
 	p := &plain{Definition{Rate: 10, Burst: 5}, map[string]time.Duration{}, map[string]int{}}
 	for i := range invented {
 		now += time.Second / perSecond
-		l.Take(now, []Ask{{0, "invented" + strconv.Itoa(i)}})
+		l.Take(now, []Claim{{0, "invented" + strconv.Itoa(i)}})
 		if random.Float64() < 8*float64(honest)/perSecond {
 			asked++
 			key := "honest" + strconv.Itoa(random.IntN(honest))
-			if !l.Take(now, []Ask{{0, key}}).Taken {
+			if !l.Take(now, []Claim{{0, key}}).Admitted {
 				refused++
 			}
 			if !p.take(now, key) {
@@ -242,7 +242,7 @@
 			}
 		}
 		if i%1000 == 0 { // a key that asks for a hundred times its rate
-			if greedy++; l.Take(now, []Ask{{0, "greedy"}}).Taken {
+			if greedy++; l.Take(now, []Claim{{0, "greedy"}}).Admitted {
 				greedyGot++
 			}
 		}
@@ -264,8 +264,8 @@
 func TestSharedCells(t *testing.T) {
 	l := limiter(t, Definition{Name: "l", Rate: 0.001, Burst: 3, Open: 2})
 	var grants []Grant
-	for i := range 20 * LeastKeys {
-		if v := l.Take(0, []Ask{{0, strconv.Itoa(i)}}); v.Taken {
+	for i := range 20 * MinKeys {
+		if v := l.Take(0, []Claim{{0, strconv.Itoa(i)}}); v.Admitted {
 			grants = append(grants, v.Grant)
 		}
 	}
@@ -273,7 +273,7 @@
 		key := fmt.Sprint("late", i)
 		got := 0
 		for range 10 {
-			if v := l.Take(0, []Ask{{0, key}}); v.Taken {
+			if v := l.Take(0, []Claim{{0, key}}); v.Admitted {
 				grants = append(grants, v.Grant)
 				got++
 			}
@@ -300,7 +300,7 @@
 }
 
 func TestFaults(t *testing.T) {
-	good := Definition{Name: "a", Rate: 1, Burst: 1, Keys: LeastKeys}
+	good := Definition{Name: "a", Rate: 1, Burst: 1, Keys: MinKeys}
 	with := func(change func(*Definition)) Definition { d := good; change(&d); return d }
 	for want, defs := range map[string][]Definition{
 		`limit "a": the name is missing or taken`:            {good, good},
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -67,7 +67,7 @@
 		t.drains = make([]drain, size)
 	}
 	for i := range t.cells {
-		t.cells[i] = make([]cell, max(LeastKeys, size/cellShare))
+		t.cells[i] = make([]cell, max(MinKeys, size/cellShare))
 	}
 	return t
 }
--- a/internal/retrybudget/retry.go
+++ b/internal/retrybudget/retry.go
@@ -14,11 +14,11 @@
 
 // Settings of budgets. The zero value is no budget.
 type Settings struct {
-	Share   float64 `toml:"share"`   // further attempts for each first one that was served, where all of them are served; 0: no budget
-	Least   float64 `toml:"least"`   // and where none of them is
-	Trickle float64 `toml:"trickle"` // further attempts a second that are always earned
-	Burst   float64 `toml:"burst"`   // that may be saved up
-	Cells   int     `toml:"cells"`   // budgets that are kept; more operations and groups share them
+	Share    float64 `toml:"share"`              // further attempts for each first one that was served, where all of them are served; 0: no budget
+	MinShare float64 `toml:"least" json:"Least"` // and where none of them is
+	Trickle  float64 `toml:"trickle"`            // further attempts a second that are always earned
+	Burst    float64 `toml:"burst"`              // that may be saved up
+	Cells    int     `toml:"cells"`              // budgets that are kept; more operations and groups share them
 }
 
 // Check tells which key is wrong, and why; "" for none.
@@ -26,7 +26,7 @@
 	switch {
 	case !(s.Share >= 0 && s.Share <= 3):
 		return "share", errors.New("is not from 0 to 3")
-	case !(s.Least >= 0 && s.Least <= s.Share):
+	case !(s.MinShare >= 0 && s.MinShare <= s.Share):
 		return "least", errors.New("is not from 0 to the share")
 	case !(s.Trickle >= 0 && s.Trickle <= 1000):
 		return "trickle", errors.New("is not from 0 to 1000")
@@ -61,19 +61,19 @@
 	return h
 }
 
-// Cell is one budget.
-type Cell struct {
-	_      struct{} `cbor:",toarray"`
-	Tokens float64
-	Earn   float64 // share of further attempts that were served, smoothed
-	At     time.Duration
-	Met    bool // it was asked before
+// Budget is one budget.
+type Budget struct {
+	_            struct{} `cbor:",toarray"`
+	Tokens       float64
+	SuccessShare float64 `json:"Earn"` // share of further attempts that were served, smoothed
+	At           time.Duration
+	Started      bool `json:"Met"` // it was asked before
 }
 
 // Budgets are all budgets. They are of a fixed size, so that ever new operations and groups take no memory.
 type Budgets struct {
 	set   Settings
-	cells []Cell
+	cells []Budget
 }
 
 // New makes Budgets; nil where the settings call for none.
@@ -81,19 +81,19 @@
 	if s.Share <= 0 {
 		return nil
 	}
-	return &Budgets{set: s, cells: make([]Cell, s.Cells)}
+	return &Budgets{set: s, cells: make([]Budget, s.Cells)}
 }
 
 // cell gives a key's budget as it is at a time.
-func (b *Budgets) cell(now time.Duration, k Key) *Cell {
+func (b *Budgets) cell(now time.Duration, k Key) *Budget {
 	c := &b.cells[k.hash()%uint64(len(b.cells))]
-	if !c.Met {
-		*c = Cell{Tokens: b.set.Burst, Earn: earnRise, At: now, Met: true}
+	if !c.Started {
+		*c = Budget{Tokens: b.set.Burst, SuccessShare: earnRise, At: now, Started: true}
 	}
 	if past := now - c.At; past > 0 {
 		c.At = now
 		c.Tokens = min(b.set.Burst, c.Tokens+b.set.Trickle*past.Seconds())
-		c.Earn += (earnRise - c.Earn) * (1 - math.Exp(-past.Seconds()/earnRest.Seconds()))
+		c.SuccessShare += (earnRise - c.SuccessShare) * (1 - math.Exp(-past.Seconds()/earnRest.Seconds()))
 	}
 	return c
 }
@@ -108,9 +108,9 @@
 	return true
 }
 
-// Ended tells how an attempt ended. A first one that was served fills the budget by the share that further ones earn; one that was not fills
+// AttemptEnded tells how an attempt ended. A first one that was served fills the budget by the share that further ones earn; one that was not fills
 // nothing, so that failures pay for no attempts.
-func (b *Budgets) Ended(now time.Duration, k Key, further, served bool) {
+func (b *Budgets) AttemptEnded(now time.Duration, k Key, further, served bool) {
 	c := b.cell(now, k)
 	switch {
 	case further:
@@ -118,14 +118,14 @@
 		if served {
 			got = 1
 		}
-		c.Earn += earnPull * (got - c.Earn)
+		c.SuccessShare += earnPull * (got - c.SuccessShare)
 	case served:
-		c.Tokens = min(b.set.Burst, c.Tokens+b.set.Least+(b.set.Share-b.set.Least)*c.Earn)
+		c.Tokens = min(b.set.Burst, c.Tokens+b.set.MinShare+(b.set.Share-b.set.MinShare)*c.SuccessShare)
 	}
 }
 
 // Snapshot gives the state.
-func (b *Budgets) Snapshot() []Cell {
+func (b *Budgets) Snapshot() []Budget {
 	if b == nil {
 		return nil
 	}
@@ -133,7 +133,7 @@
 }
 
 // Resume goes on from a state. It fails where that is of other settings.
-func (b *Budgets) Resume(cells []Cell) error {
+func (b *Budgets) Resume(cells []Budget) error {
 	if b == nil && len(cells) == 0 {
 		return nil
 	}
--- a/internal/retrybudget/retry_test.go
+++ b/internal/retrybudget/retry_test.go
@@ -12,7 +12,7 @@
 
 func init() { flag.Set("rapid.seed", "1") }
 
-var set = Settings{Share: 0.5, Least: 0.05, Trickle: 1, Burst: 5, Cells: 64}
+var set = Settings{Share: 0.5, MinShare: 0.05, Trickle: 1, Burst: 5, Cells: 64}
 
 // Whatever happens, further attempts are no more than the burst, the trickle and the share of what was served.
 func TestNoMoreThanIsEarned(t *testing.T) {
@@ -23,16 +23,16 @@
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				b.Ended(now, key, false, true)
+				b.AttemptEnded(now, key, false, true)
 				served++
 			case 1:
-				b.Ended(now, key, false, false)
+				b.AttemptEnded(now, key, false, false)
 			case 2:
 				if b.Take(now, key) {
 					further++
 				}
 			case 3:
-				b.Ended(now, key, true, rapid.Bool().Draw(t, "served"))
+				b.AttemptEnded(now, key, true, rapid.Bool().Draw(t, "served"))
 			}
 		}
 		if most := set.Burst + set.Trickle*now.Seconds() + set.Share*float64(served); float64(further) > most+1e-9 {
@@ -43,12 +43,12 @@
 
 // take gives how many of n further attempts are earned beside n first ones that are served, after learning.
 func take(earns bool) (taken int) {
-	b := New(Settings{Share: 0.5, Least: 0.05, Burst: 5, Cells: 64})
+	b := New(Settings{Share: 0.5, MinShare: 0.05, Burst: 5, Cells: 64})
 	for i := range 2000 {
 		now := time.Duration(i) * time.Millisecond
-		b.Ended(now, Key{}, false, true)
+		b.AttemptEnded(now, Key{}, false, true)
 		if b.Take(now, Key{}) {
-			b.Ended(now, Key{}, true, earns)
+			b.AttemptEnded(now, Key{}, true, earns)
 			if i >= 1000 {
 				taken++
 			}
--- a/internal/rules/engine/live.go
+++ b/internal/rules/engine/live.go
@@ -24,8 +24,8 @@
 	samples     = 5    // differences of the shadow that are logged at once
 )
 
-// Rules are in force from one Swap to the next.
-type Rules struct {
+// Engine are in force from one Swap to the next.
+type Engine struct {
 	log     *slog.Logger
 	current atomic.Pointer[generation]
 	clock   func() time.Duration
@@ -42,19 +42,19 @@
 type count struct{ rule, what string }
 
 // New makes Rules that hold none.
-func New(log *slog.Logger) *Rules {
+func New(log *slog.Logger) *Engine {
 	began := time.Now()
 	l, err := ratelimit.New(nil)
 	if err != nil {
 		panic(err) // there is nothing that could be faulty
 	}
-	return &Rules{log: log, limiter: l, counts: map[count]int{}, clock: func() time.Duration { return time.Since(began) },
+	return &Engine{log: log, limiter: l, counts: map[count]int{}, clock: func() time.Duration { return time.Since(began) },
 		sample: rate.Sometimes{First: samples, Interval: reportEvery}}
 }
 
 // Swap puts a set in force, whole; nil: none. Requests under way keep theirs. Limits whose definition stays keep what
 // they counted.
-func (r *Rules) Swap(set, shadow *rules.Set) error {
+func (r *Engine) Swap(set, shadow *rules.Set) error {
 	var defs []ratelimit.Definition
 	if set != nil {
 		defs = set.Limits()
@@ -84,7 +84,7 @@
 
 // Request is one request's way through the rules that were in force when it came. End gives back what it holds.
 type Request struct {
-	home  *Rules
+	home  *Engine
 	eval  *rules.Evaluation
 	set   *rules.Set
 	grant ratelimit.Grant
@@ -92,14 +92,14 @@
 }
 
 // InForce tells whether there are rules.
-func (r *Rules) InForce() bool {
+func (r *Engine) InForce() bool {
 	g := r.current.Load()
 	return g != nil && g.set != nil
 }
 
 // Begin takes a request; nil where no rules are in force. What the rules say of it is in the result; the error says why
 // it is to be refused. The request must be ended in either case.
-func (r *Rules) Begin(f *expression.Facts) (*Request, rules.Result, error) {
+func (r *Engine) Begin(f *expression.Facts) (*Request, rules.Result, error) {
 	g := r.current.Load()
 	if g == nil || g.set == nil {
 		return nil, rules.Result{}, nil
@@ -115,7 +115,7 @@
 
 // Admit is Begin and Take for fronts that know class, plan and volume themselves: only who asks is found out by rules,
 // and the limits are asked. The request must be ended in either case; it may be nil.
-func (r *Rules) Admit(f *expression.Facts, class, plan, volume string) (*Request, error) {
+func (r *Engine) Admit(f *expression.Facts, class, plan, volume string) (*Request, error) {
 	g := r.current.Load()
 	if g == nil || g.set == nil {
 		return nil, nil
@@ -124,14 +124,14 @@
 	res, err := q.eval.Normalise()
 	r.note(res.Faults, err)
 	if err == nil {
-		err = q.Take(class, plan, volume)
+		err = q.AcquireLimits(class, plan, volume)
 	}
 	return q, err
 }
 
-// Who tells who asks, by the first stage of the rules in force; empty where they don't tell. Nothing is counted: the
+// Client tells who asks, by the first stage of the rules in force; empty where they don't tell. Nothing is counted: the
 // request comes by again.
-func (r *Rules) Who(f *expression.Facts) string {
+func (r *Engine) Client(f *expression.Facts) string {
 	g := r.current.Load()
 	if g == nil || g.set == nil {
 		return ""
@@ -142,22 +142,22 @@
 	if err != nil {
 		return ""
 	}
-	return res.Who
+	return res.Client
 }
 
-// Refusal says that a limit refuses a request, and when it may return.
-type Refusal struct {
+// LimitError says that a limit refuses a request, and when it may return.
+type LimitError struct {
 	Limit      string
 	RetryAfter time.Duration
 }
 
 // Error names the limit.
-func (r Refusal) Error() string { return "limit " + r.Limit + " is reached" }
+func (r LimitError) Error() string { return "limit " + r.Limit + " is reached" }
 
-// Take asks the limits. The error is a Refusal, or a rules.RuleFault where a limit's key can't be computed.
-func (q *Request) Take(class, plan, volume string) error {
-	var held [ratelimit.MostAsks]ratelimit.Ask
-	asks, faults, err := q.eval.Asks(class, plan, volume, held[:0])
+// AcquireLimits asks the limits. The error is a Refusal, or a rules.RuleFault where a limit's key can't be computed.
+func (q *Request) AcquireLimits(class, plan, volume string) error {
+	var held [ratelimit.MaxClaims]ratelimit.Claim
+	asks, faults, err := q.eval.Claims(class, plan, volume, held[:0])
 	q.evaluated()
 	q.home.note(faults, err)
 	if err != nil || len(asks) == 0 {
@@ -170,18 +170,18 @@
 		return nil // the asks number the limits of a set that was replaced in this very moment
 	}
 	v := r.limiter.Take(r.clock(), asks)
-	if !v.Taken {
+	if !v.Admitted {
 		name := q.set.Limits()[v.Limit].Name
 		r.add(count{name, "refused"})
-		return Refusal{name, v.RetryAfter}
+		return LimitError{name, v.RetryAfter}
 	}
 	q.grant, q.taken = v.Grant, true
 	return nil
 }
 
-// End gives back what the request holds. It is called once, when the request is answered or its client has left; a nil
+// Release gives back what the request holds. It is called once, when the request is answered or its client has left; a nil
 // Request has nothing.
-func (q *Request) End() {
+func (q *Request) Release() {
 	if q == nil {
 		return
 	}
@@ -202,7 +202,7 @@
 }
 
 // note counts faults by rule and cause.
-func (r *Rules) note(faults []rules.RuleFault, err error) {
+func (r *Engine) note(faults []rules.RuleFault, err error) {
 	var last rules.RuleFault
 	if errors.As(err, &last) {
 		faults = append(slices.Clip(faults), last)
@@ -218,7 +218,7 @@
 }
 
 // add counts under the lock.
-func (r *Rules) add(c count) {
+func (r *Engine) add(c count) {
 	if _, known := r.counts[c]; !known && len(r.counts) >= mostCounts {
 		c = count{"others", "others"}
 	}
@@ -226,7 +226,7 @@
 }
 
 // compare has the shadow say what it would have given. It changes nothing but counts and the log.
-func (r *Rules) compare(shadow *rules.Set, f *expression.Facts, live rules.Result, liveErr error) {
+func (r *Engine) compare(shadow *rules.Set, f *expression.Facts, live rules.Result, liveErr error) {
 	differences := shadow.Differences(f, &live, liveErr)
 	if len(differences) == 0 {
 		return
@@ -242,7 +242,7 @@
 }
 
 // Counts gives what was counted since the last call, by rule or limit and by what happened.
-func (r *Rules) Counts() map[string]map[string]int {
+func (r *Engine) Counts() map[string]map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := map[string]map[string]int{}
@@ -257,7 +257,7 @@
 }
 
 // Run logs the counts every minute in which there are any, until ctx ends.
-func (r *Rules) Run(ctx context.Context) {
+func (r *Engine) Run(ctx context.Context) {
 	tick := time.NewTicker(reportEvery)
 	defer tick.Stop()
 	for {
--- a/internal/rules/engine/live_test.go
+++ b/internal/rules/engine/live_test.go
@@ -47,13 +47,13 @@
 		if err != nil || res.Units != 2 {
 			t.Fatal(res.Units, err)
 		}
-		q.End()
+		q.Release()
 	}
 	q, _, err := r.Begin(facts("none"))
 	if err == nil {
 		t.Error("the shadow's value was taken")
 	}
-	q.End()
+	q.Release()
 	want := map[string]map[string]int{"units": {"shadow differs": 100}, "refused": {"shadow differs": 1}, "u": {"unread": 1}}
 	if diff := cmp.Diff(want, r.Counts()); diff != "" {
 		t.Error(diff)
@@ -74,7 +74,7 @@
 	take := func() (*Request, error) {
 		q, _, err := r.Begin(facts("1"))
 		if err == nil {
-			err = q.Take("read", "gold", "")
+			err = q.AcquireLimits("read", "gold", "")
 		}
 		return q, err
 	}
@@ -82,19 +82,19 @@
 		one, err1 := take()
 		two, err2 := take()
 		three, err3 := take()
-		var refused Refusal
+		var refused LimitError
 		if err1 != nil || err2 != nil || !errors.As(err3, &refused) || refused.RetryAfter != time.Second {
 			t.Fatal(err1, err2, err3)
 		}
 		for _, q := range []*Request{one, two, three} {
-			q.End()
+			q.Release()
 		}
 	}
 	if n := r.limiter.Live(0); n != 0 {
 		t.Errorf("%d keys still have something open", n)
 	}
 	var none *Request
-	none.End()
+	none.Release()
 }
 
 // Swaps beside requests: each request meets one set from its begin to its end, and what it holds comes back.
@@ -107,9 +107,9 @@
 			for range 500 {
 				q, _, err := r.Begin(facts("1"))
 				if q != nil && err == nil {
-					q.Take("read", "gold", "")
+					q.AcquireLimits("read", "gold", "")
 				}
-				q.End()
+				q.Release()
 			}
 		})
 	}
--- a/internal/rules/evaluate.go
+++ b/internal/rules/evaluate.go
@@ -107,15 +107,15 @@
 			}
 		}
 		if Stage(stage) == Normalise {
-			e.w.SetWho(res.Who)
+			e.w.SetClient(res.Client)
 		}
 	}
 	return res, nil
 }
 
-// Asks gives the limits that count a request of the given class, plan and volume, with their keys. The error is a
+// Claims gives the limits that count a request of the given class, plan and volume, with their keys. The error is a
 // RuleFault: the request is to be refused.
-func (e *Evaluation) Asks(class, plan, volume string, asks []ratelimit.Ask) ([]ratelimit.Ask, []RuleFault, error) {
+func (e *Evaluation) Claims(class, plan, volume string, asks []ratelimit.Claim) ([]ratelimit.Claim, []RuleFault, error) {
 	var faults []RuleFault
 	e.w.SetDecided(class, plan, volume)
 	for i, l := range e.set.limits {
@@ -146,7 +146,7 @@
 		case fault != nil:
 			faults = append(faults, *fault)
 		case holds:
-			asks = append(asks, ratelimit.Ask{Limit: i, Key: key})
+			asks = append(asks, ratelimit.Claim{Limit: i, Key: key})
 		}
 	}
 	return asks, faults, nil
@@ -210,7 +210,7 @@
 		if !ok {
 			x = float64(v.(int))
 		}
-		most := s.settings.Sizes.MostUnits
+		most := s.settings.Sizes.MaxUnits
 		if !(x > 0) || x > 1e6 || most > 0 && x > most || math.IsInf(x, 0) {
 			return nil, unread("units above 0 and up to %v in place of %v", most, x)
 		}
@@ -231,9 +231,9 @@
 		if text := v.(string); text == "" || len(text) > mostIdempotency || strings.ContainsFunc(text, unprintable) {
 			return nil, unread("an idempotency key of 1 to %d printable characters", mostIdempotency)
 		}
-	case Who:
-		if len(v.(string)) > expression.MostName {
-			return nil, unread("no more than %d characters", expression.MostName)
+	case Client:
+		if len(v.(string)) > expression.MaxNameBytes {
+			return nil, unread("no more than %d characters", expression.MaxNameBytes)
 		}
 	}
 	return v, nil
@@ -251,8 +251,8 @@
 func (r *Result) set(f Field, v any, by *Rule) {
 	r.Has[f], r.By[f] = true, by
 	switch f {
-	case Who:
-		r.Who = v.(string)
+	case Client:
+		r.Client = v.(string)
 	case Class:
 		r.Class = v.(int)
 	case Plan:
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -10,12 +10,12 @@
 
 // Explanation tells how a set came to what it gives for a request.
 type Explanation struct {
-	Tried   []Tried           `json:"tried"`
-	Gives   map[string]string `json:"gives,omitempty"`
-	Refused string            `json:"refused,omitempty"`
-	Limits  map[string]string `json:"limits,omitempty"` // the keys by which the request counts
-	Cost    int               `json:"cost"`
-	Worst   int               `json:"worst"`
+	Tried    []Tried           `json:"tried"`
+	Assigned map[string]string `json:"gives,omitempty"`
+	Rejected string            `json:"refused,omitempty"`
+	Limits   map[string]string `json:"limits,omitempty"` // the keys by which the request counts
+	Cost     int               `json:"cost"`
+	Worst    int               `json:"worst"`
 }
 
 // Tried is a rule that was looked at.
@@ -30,7 +30,7 @@
 
 // Explain follows a request through the rules, as Begin and Apply take it.
 func (s *Set) Explain(f *expression.Facts) Explanation {
-	x := Explanation{Worst: s.Cost, Gives: map[string]string{}, Limits: map[string]string{}}
+	x := Explanation{Worst: s.Cost, Assigned: map[string]string{}, Limits: map[string]string{}}
 	stage := ""
 	e := s.begin(f, indexed, func(e *Evaluation, r *Rule, matched bool, fault *RuleFault) {
 		t := Tried{Rule: r.Name, Stage: stage, Place: r.Place, Matched: matched}
@@ -54,7 +54,7 @@
 	res, err := e.Apply()
 	for f := range fields {
 		if res.Has[f] {
-			x.Gives[f.String()] = s.Value(&res, f) + " (" + res.By[f].Name + ")"
+			x.Assigned[f.String()] = s.Value(&res, f) + " (" + res.By[f].Name + ")"
 		}
 	}
 	if err == nil {
@@ -66,15 +66,15 @@
 		if res.Has[Plan] {
 			plan = s.settings.Plans[res.Plan].Name
 		}
-		var asks []ratelimit.Ask
-		if asks, _, err = e.Asks(class, plan, res.Volume, nil); err == nil {
+		var asks []ratelimit.Claim
+		if asks, _, err = e.Claims(class, plan, res.Volume, nil); err == nil {
 			for _, a := range asks {
 				x.Limits[s.limits[a.Limit].Name] = a.Key
 			}
 		}
 	}
 	if err != nil {
-		x.Refused = err.Error()
+		x.Rejected = err.Error()
 	}
 	x.Cost = e.End()
 	return x
@@ -85,7 +85,7 @@
 	if !r.Has[f] {
 		return "-"
 	}
-	return fmt.Sprint([fields]any{Who: r.Who, Class: s.settings.Classes[r.Class].Name, Plan: s.settings.Plans[r.Plan].Name, Deadline: r.Deadline,
+	return fmt.Sprint([fields]any{Client: r.Client, Class: s.settings.Classes[r.Class].Name, Plan: s.settings.Plans[r.Plan].Name, Deadline: r.Deadline,
 		Units: r.Units, Volume: r.Volume, Key: r.Key, Shard: r.Shard, Hosts: r.Hosts, Idempotency: r.Idempotency}[f])
 }
 
@@ -116,11 +116,11 @@
 		x := s.Explain(s.Cases[i].Facts)
 		o := Outcome{Test: t.Name}
 		failed := func(format string, args ...any) { o.Failures = append(o.Failures, fmt.Sprintf(format, args...)) }
-		if t.Refused == "" && x.Refused != "" || t.Refused != "" && !strings.Contains(x.Refused, t.Refused) {
-			failed("refused: %q, want %q", x.Refused, t.Refused)
+		if t.Refused == "" && x.Rejected != "" || t.Refused != "" && !strings.Contains(x.Rejected, t.Refused) {
+			failed("refused: %q, want %q", x.Rejected, t.Refused)
 		}
 		for f := range fields {
-			got, _, _ := strings.Cut(x.Gives[f.String()], " (")
+			got, _, _ := strings.Cut(x.Assigned[f.String()], " (")
 			if want, ok := t.Gives[f.String()]; ok && got != want {
 				failed("%s: %q, want %q", f, got, want)
 			}
--- a/internal/rules/expression/compile.go
+++ b/internal/rules/expression/compile.go
@@ -44,20 +44,20 @@
 	LetIndex  map[string]int
 	Params    map[string]int // names of segments, by the rule's path
 	Condition bool           // a header that is missing is "" here, and no fault
-	Who       bool           // the asker is known by now
+	Client    bool           // the asker is known by now
 	Decided   bool           // class, plan and volume are known by now
 }
 
 // Program is a compiled expression.
 type Program struct {
-	Source  string
-	Type    Type
-	Cost    Amount // at worst, in reckoned nanoseconds
-	Dearest string // the term that costs most by itself
-	size    Amount // bytes of a string value at most
-	code    *vm.Program
-	tree    ast.Node
-	value   any // where it is the same for every request
+	Source        string
+	Type          Type
+	Cost          Amount // at worst, in reckoned nanoseconds
+	MostExpensive string // the term that costs most by itself
+	size          Amount // bytes of a string value at most
+	code          *vm.Program
+	tree          ast.Node
+	value         any // where it is the same for every request
 }
 
 // SourceError is a fault of an expression's text.
@@ -93,7 +93,7 @@
 	m := meter{sizes: scope.Sizes, lets: scope.Lets, index: scope.LetIndex, locals: map[string]Amount{}}
 	program.Cost, program.size = m.of(program.tree)
 	program.Cost = program.Cost.Plus(Fixed(runCost))
-	program.Dearest = m.dearest
+	program.MostExpensive = m.dearest
 	if m.fault != nil {
 		return nil, m.fault.within(source)
 	}
@@ -274,7 +274,7 @@
 	switch {
 	case slices.Contains(hidden, n.Value):
 		p.fail(n, "unknown name %s", n.Value)
-	case n.Value == "who" && !p.scope.Who:
+	case n.Value == "who" && !p.scope.Client:
 		p.fail(n, "who asks is not known before the stage normalise has ended")
 	case slices.Contains([]string{"class", "plan", "volume"}, n.Value) && !p.scope.Decided:
 		p.fail(n, "%s is known to limits alone", n.Value)
--- a/internal/rules/expression/cost.go
+++ b/internal/rules/expression/cost.go
@@ -118,7 +118,7 @@
 	case "path":
 		return Fixed(float64(m.sizes.Path))
 	case "host", "who":
-		return Fixed(MostName)
+		return Fixed(MaxNameBytes)
 	}
 	return Fixed(64)
 }
--- a/internal/rules/expression/evaluate.go
+++ b/internal/rules/expression/evaluate.go
@@ -35,7 +35,7 @@
 
 // Begin takes a request's facts. A request beyond the sizes is a fault for every rule.
 func (e *Evaluator) Begin(f *Facts, sizes Sizes) *Fault {
-	if !sizes.Within(f) || len(f.Host) > MostName || len(f.Method) > MostName {
+	if !sizes.Within(f) || len(f.Host) > MaxNameBytes || len(f.Method) > MaxNameBytes {
 		return tooLong
 	}
 	e.env.facts, e.env.spent = f, 0
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// SetWho tells who asks, for the stages after normalise.
-func (e *Evaluator) SetWho(who string) { e.env.Who = who }
+// SetClient tells who asks, for the stages after normalise.
+func (e *Evaluator) SetClient(who string) { e.env.Who = who }
 
 // SetDecided tells what is decided by when limits are looked at.
 func (e *Evaluator) SetDecided(class, plan, volume string) {
--- a/internal/rules/expression/request.go
+++ b/internal/rules/expression/request.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// MostSegments is how many segments of a path are told apart; what comes after stays with the last.
-const MostSegments = 32
+// MaxSegments is how many segments of a path are told apart; what comes after stays with the last.
+const MaxSegments = 32
 
 // MostValues is how many values of one header an expression sees.
 const MostValues = 16
 
-// MostName bounds the method, the host and the name of who asks.
-const MostName = 1024
+// MaxNameBytes bounds the method, the host and the name of who asks.
+const MaxNameBytes = 1024
 
 // Sizes bound what an expression may be given, in bytes. The worst cost is reckoned from them, so whoever evaluates
 // refuses what is larger.
@@ -98,7 +98,7 @@
 	ToInt     func(string) int            `expr:"toInt"`
 
 	facts    *Facts
-	segments [MostSegments]string
+	segments [MaxSegments]string
 	count    int
 	spent    int
 	fence    int
@@ -142,7 +142,7 @@
 func (e *environment) setPath(path string) {
 	e.count = 0
 	rest := strings.TrimPrefix(path, "/")
-	for rest != "" && e.count < MostSegments-1 {
+	for rest != "" && e.count < MaxSegments-1 {
 		at := strings.IndexByte(rest, '/')
 		if at < 0 {
 			break
--- a/internal/rules/load.go
+++ b/internal/rules/load.go
@@ -192,7 +192,7 @@
 // limits compiles the limits. A tier's limit is divided by the number of gateways that the settings name.
 func (c *compiler) limits() {
 	scope := c.scope
-	scope.Who, scope.Decided = true, true
+	scope.Client, scope.Decided = true, true
 	for i, e := range c.doc.Limit {
 		key := fmt.Sprintf("limit[%d]", i)
 		l := &limitRule{Rule: Rule{Name: e.Name, Place: c.file.Fault(key, "").Position(), Skip: c.skips(key, e.OnFault)}}
@@ -215,8 +215,8 @@
 		}
 		c.set.limits = append(c.set.limits, l)
 	}
-	if len(c.doc.Limit) > ratelimit.MostAsks {
-		c.fault("limit", "%d limits are more than the %d that a request may be held to", len(c.doc.Limit), ratelimit.MostAsks)
+	if len(c.doc.Limit) > ratelimit.MaxClaims {
+		c.fault("limit", "%d limits are more than the %d that a request may be held to", len(c.doc.Limit), ratelimit.MaxClaims)
 		return
 	}
 	if i, err := ratelimit.Check(c.set.Limits()); err != nil {
@@ -353,7 +353,7 @@
 		c.fault(key+".path", "%v", err)
 	}
 	scope := c.scope
-	scope.Params, scope.Who = r.template.params, r.Stage > Normalise
+	scope.Params, scope.Client = r.template.params, r.Stage > Normalise
 	c.condition(key, e.When, scope, r)
 	if len(e.Set) == 0 {
 		c.fault(key, "rule %s sets nothing", e.Name)
@@ -522,7 +522,7 @@
 		}
 		if worst := p.Cost.Worst(c.set.Sizes.Headers); worst > most {
 			most = worst
-			f = c.file.Fault(key, "most of it, %d, is here: %s", worst, expression.Readable(p.Dearest, c.set.letNames))
+			f = c.file.Fault(key, "most of it, %d, is here: %s", worst, expression.Readable(p.MostExpensive, c.set.letNames))
 		}
 	}
 	for i, p := range c.set.lets {
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -32,7 +32,7 @@
 
 // The fields.
 const (
-	Who Field = iota
+	Client Field = iota
 	Class
 	Plan
 	Deadline
@@ -60,7 +60,7 @@
 )
 
 var fieldTable = [fields]field{
-	Who: {"who", Normalise, texts}, Class: {"class", Classify, texts}, Plan: {"plan", Classify, texts},
+	Client: {"who", Normalise, texts}, Class: {"class", Classify, texts}, Plan: {"plan", Classify, texts},
 	Deadline: {"deadline", Classify, spans}, Units: {"units", Classify, numbers}, Volume: {"volume", Keying, texts},
 	Key: {"key", Keying, texts}, Shard: {"shard", Keying, wholes}, Hosts: {"hosts", Keying, wholes},
 	Idempotency: {"idempotency", Keying, texts},
@@ -134,7 +134,7 @@
 type Result struct {
 	Has         [fields]bool
 	By          [fields]*Rule // the rule that set a field
-	Who         string
+	Client      string
 	Class       int
 	Plan        int
 	Deadline    time.Duration
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -17,9 +17,9 @@
 )
 
 var settings = scheduler.Settings{
-	Classes: []scheduler.Class{{Name: "sheet-read"}, {Name: "entry-write", Writes: true, Repeats: scheduler.Keyed}},
+	Classes: []scheduler.Class{{Name: "sheet-read"}, {Name: "entry-write", Writes: true, Idempotency: scheduler.IdempotentWithKey}},
 	Plans:   []scheduler.Plan{{Name: "standard"}, {Name: "gold"}},
-	Sizes:   scheduler.Sizes{MostUnits: 8},
+	Sizes:   scheduler.Sizes{MaxUnits: 8},
 }
 
 func parse(t testing.TB, text string) *Set {
--- a/internal/rules/template.go
+++ b/internal/rules/template.go
@@ -28,8 +28,8 @@
 	if text == "/" {
 		parts = nil
 	}
-	if len(parts) >= expression.MostSegments {
-		return t, fmt.Errorf("%q has %d segments, more than %d", text, len(parts), expression.MostSegments-1)
+	if len(parts) >= expression.MaxSegments {
+		return t, fmt.Errorf("%q has %d segments, more than %d", text, len(parts), expression.MaxSegments-1)
 	}
 	for i, part := range parts {
 		name, named := strings.CutPrefix(part, "{")
--- a/internal/scsihttp/translate.go
+++ b/internal/scsihttp/translate.go
@@ -91,7 +91,7 @@
 	}
 	if q.Class < len(s.Classes) {
 		v[httpmsg.ClassHeader] = s.Classes[q.Class].Name
-		if s.Classes[q.Class].Repeats == scheduler.Keyed {
+		if s.Classes[q.Class].Idempotency == scheduler.IdempotentWithKey {
 			v[httpmsg.KeyHeader] = q.ID
 		}
 	}
--- a/internal/scsihttp/translate_test.go
+++ b/internal/scsihttp/translate_test.go
@@ -16,7 +16,7 @@
 const described = "../../api/openapi.yaml"
 
 var settings = scheduler.Settings{Plans: []scheduler.Plan{{Name: "gold"}},
-	Classes: []scheduler.Class{{Name: "read"}, {Name: "write", Repeats: scheduler.Keyed}}}
+	Classes: []scheduler.Class{{Name: "read"}, {Name: "write", Idempotency: scheduler.IdempotentWithKey}}}
 
 func TestCommandsBecomeOperations(t *testing.T) {
 	tr, err := Load(described, settings)
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -177,12 +177,12 @@
 
 var (
 	phaseWords = map[string]scheduler.Phase{"up": scheduler.Up, "draining": scheduler.Draining, "removed": scheduler.Removed}
-	listWords  = map[string]scheduler.ListKind{"remembered": scheduler.Remembered, "all": scheduler.Whole,
-		"changes": scheduler.Changes, "refused": scheduler.Refused}
+	listWords  = map[string]scheduler.MembershipKind{"remembered": scheduler.CachedList, "all": scheduler.FullList,
+		"changes": scheduler.DeltaList, "refused": scheduler.WatchFailed}
 	resultWords = map[string]scheduler.Result{
-		"completed": scheduler.Served, "errored": scheduler.Errored, "saturated": scheduler.Full,
-		"overdue": scheduler.TimedOut, "refused_conn": scheduler.ConnectFailed, "severed": scheduler.Reset,
-		"recalled": scheduler.Canceled, "superseded": scheduler.Moot}
+		"completed": scheduler.Served, "errored": scheduler.Errored, "saturated": scheduler.Overloaded,
+		"overdue": scheduler.TimedOut, "refused_conn": scheduler.ConnectFailed, "severed": scheduler.ConnectionReset,
+		"recalled": scheduler.Canceled, "superseded": scheduler.NotSent}
 )
 
 // event reads one event; an unknown tag is skipped.
@@ -205,7 +205,7 @@
 			return e, false, errors.New("unknown mode")
 		}
 		e.Membership.Kind = kind
-		if kind != scheduler.Refused {
+		if kind != scheduler.WatchFailed {
 			bank, err := d.bank(f)
 			if err != nil {
 				return e, false, err
@@ -220,7 +220,7 @@
 		e.Request = scheduler.Request{
 			ID: f.word("opId"), Class: int(f.integer("priority")), Plan: int(f.optional("serviceLevel", 0)),
 			Volume: f.text("storeUser"), Key: f.text("blockKey"), Units: f.optional("costUnits", 1),
-			Shard: int(f.optional("homeCell", scheduler.AnyShard)), Patience: f.time("patienceLeftMs"),
+			Shard: int(f.optional("homeCell", scheduler.AnyShard)), ClientTimeout: f.time("patienceLeftMs"),
 			Hosts: int(f.optional("hosts", 1)),
 		}
 	case "echo":
@@ -240,9 +240,9 @@
 			return e, false, fmt.Errorf("unknown status %q", f.text("status"))
 		}
 		e.Outcome.Result = result
-		e.Outcome.Done = f.text("doneFlag") == "1"
-		e.Outcome.Use = (f.optional("metered", 0) - 1) / 100
-		e.Outcome.Others = f.optional("delta", 0)
+		e.Outcome.Concluded = f.text("doneFlag") == "1"
+		e.Outcome.VolumeUse = (f.optional("metered", 0) - 1) / 100
+		e.Outcome.OtherUnits = f.optional("delta", 0)
 		e.Outcome.Load = f.load("stats")
 	case "alarm":
 		e.Kind, e.Timer = TimerFired, f.unsigned("keyBack")
@@ -322,7 +322,7 @@
 
 func (f *fields) attempt() scheduler.Outcome {
 	return scheduler.Outcome{ID: f.word("opId"), Attempt: int(f.integer("n")), Node: f.word("node"),
-		Latency: f.time("rttMs"), Use: -1}
+		Latency: f.time("rttMs"), VolumeUse: -1}
 }
 
 // load reads a report such as rif:7,q:3.
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -65,7 +65,7 @@
 }
 
 // Refuse ends a request that may come again.
-func (i Instance) Refuse(id string, retryAfter time.Duration) {
+func (i Instance) Reject(id string, retryAfter time.Duration) {
 	if retryAfter == 0 {
 		i.E.line("busy", i.Number, "opId", id)
 		return
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -80,12 +80,12 @@
 }
 
 var (
-	repeatsWords = map[string]scheduler.Repeats{
-		"idempotent": scheduler.Safe, "deduplicated": scheduler.Keyed, "at_most_once": scheduler.Unsafe}
-	groupWords = map[string]scheduler.Group{
-		"": scheduler.GroupAll, "all": scheduler.GroupAll, "zone": scheduler.GroupZone, "cell": scheduler.GroupShard}
-	reportWords = map[string]scheduler.Reports{
-		"": scheduler.NoReports, "off": scheduler.NoReports, "inline": scheduler.InAnswers, "on_probe": scheduler.InProbes}
+	repeatsWords = map[string]scheduler.Idempotency{
+		"idempotent": scheduler.Idempotent, "deduplicated": scheduler.IdempotentWithKey, "at_most_once": scheduler.NonIdempotent}
+	groupWords = map[string]scheduler.DedupScope{
+		"": scheduler.ScopeAll, "all": scheduler.ScopeAll, "zone": scheduler.ScopeZone, "cell": scheduler.ScopeShard}
+	reportWords = map[string]scheduler.LoadReportSource{
+		"": scheduler.NoLoadReports, "off": scheduler.NoLoadReports, "inline": scheduler.LoadReportsInResponses, "on_probe": scheduler.LoadReportsInProbes}
 )
 
 // ParseSettings reads the settings object of an init event, which a gateway finds in its configuration.
@@ -105,24 +105,24 @@
 	s = scheduler.Settings{
 		Siblings: c.Siblings, Zone: c.Zone, Zones: c.Dcs, Tick: millis(c.TickMs),
 		Rules: scheduler.Rules{
-			DrainGrace: millis(c.Contract.DrainGraceMs),
-			ColdFrom:   c.Contract.ColdFrom, WarmWithin: millis(c.Contract.WarmWithinMs),
-			ColdWindow: millis(c.Contract.OverloadForMs), ColdUnits: c.FamilyInfo.YoungLimit, ColdMultiple: c.Contract.FallMultiple,
-			TurnGap:      millis(c.Contract.TurnGapMs),
-			BudgetWindow: millis(c.Contract.ResendSpanMs),
-			BudgetExtra:  c.Contract.MinExtra, BudgetShare: c.Contract.RepeatRatio,
+			DrainGrace:     millis(c.Contract.DrainGraceMs),
+			SlowStartShare: c.Contract.ColdFrom, SlowStartDuration: millis(c.Contract.WarmWithinMs),
+			SlowStartWindow: millis(c.Contract.OverloadForMs), SlowStartAllowance: c.FamilyInfo.YoungLimit, SlowStartMultiple: c.Contract.FallMultiple,
+			OrderedKeyQuietPeriod: millis(c.Contract.TurnGapMs),
+			RetryBudgetWindow:     millis(c.Contract.ResendSpanMs),
+			RetryBudgetBase:       c.Contract.MinExtra, RetryBudgetShare: c.Contract.RepeatRatio,
 		},
 		Allowed: scheduler.Allowed{
-			Probes: c.Ceilings.Probes, Cancel: c.Ceilings.Cancel, SecondCopies: c.Ceilings.SecondCopies,
+			Probes: c.Ceilings.Probes, Cancel: c.Ceilings.Cancel, HedgedRequests: c.Ceilings.SecondCopies,
 			RetryAfter: c.Ceilings.RetryAfter, MaxRetryAfter: millis(c.Ceilings.MaxRetryAfterMs),
-			MaxAttempts: c.Ceilings.MaxAttempts, ConnectWithin: millis(c.Ceilings.DialTimeoutMs),
-			IdleWithin: millis(c.Ceilings.ConnIdleMs),
+			MaxAttempts: c.Ceilings.MaxAttempts, ConnectTimeout: millis(c.Ceilings.DialTimeoutMs),
+			IdleTimeout: millis(c.Ceilings.ConnIdleMs),
 		},
 		Sizes: scheduler.Sizes{
-			MeanUnits: c.FamilyInfo.MeanUnits, MostUnits: c.FamilyInfo.MostUnits,
-			ShareWorth: c.FamilyInfo.ShareWorth, SpareWorth: c.FamilyInfo.IdleWorth,
+			MeanUnits: c.FamilyInfo.MeanUnits, MaxUnits: c.FamilyInfo.MostUnits,
+			ShareWeight: c.FamilyInfo.ShareWorth, SpareWeight: c.FamilyInfo.IdleWorth,
 		},
-		MustAsk: c.MembershipMode == "ask", ReportsIn: reports,
+		PollMembership: c.MembershipMode == "ask", LoadReports: reports,
 		ProbePrice: c.Prices.Probe, WastePrice: c.Prices.Waste,
 	}
 	for i, k := range c.Classes {
@@ -135,9 +135,9 @@
 			return s, fmt.Errorf("conf: class %q: unknown keyScope %q", k.Name, k.KeyScope)
 		}
 		s.Classes = append(s.Classes, scheduler.Class{
-			Name: k.Name, Aim: millis(k.AimMs), AimStretch: k.AimStretch, Deadline: millis(k.DeadlineMs),
-			Worth: k.Points, LateShare: k.LateShare, Repeats: repeats, RepeatGroup: group,
-			RepeatFor: millis(k.WindowMs), Ordered: k.InTurn, Streamed: k.Stream,
+			Name: k.Name, LatencyObjective: millis(k.AimMs), ObjectiveStretch: k.AimStretch, Deadline: millis(k.DeadlineMs),
+			PriorityWeight: k.Points, LateWeightShare: k.LateShare, Idempotency: repeats, DedupScope: group,
+			DedupWindow: millis(k.WindowMs), Ordered: k.InTurn, Streamed: k.Stream,
 			Writes: i < len(c.FamilyInfo.ChangesData) && c.FamilyInfo.ChangesData[i],
 		})
 	}
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -68,11 +68,11 @@
 	}
 	e := all[1].Events
 	s := e[0].Settings
-	if e[0].Kind != Start || e[0].Seed != 42 || s.Siblings != 3 || !s.MustAsk {
+	if e[0].Kind != Start || e[0].Seed != 42 || s.Siblings != 3 || !s.PollMembership {
 		t.Errorf("settings: %+v", s)
 	}
-	wantClass := scheduler.Class{Name: "w", Aim: 300 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 2,
-		LateShare: 0.2, Repeats: scheduler.Keyed, RepeatGroup: scheduler.GroupShard, RepeatFor: 4 * time.Second, Ordered: true}
+	wantClass := scheduler.Class{Name: "w", LatencyObjective: 300 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 2,
+		LateWeightShare: 0.2, Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeShard, DedupWindow: 4 * time.Second, Ordered: true}
 	if s.Classes[0] != wantClass {
 		t.Errorf("class: %+v", s.Classes[0])
 	}
@@ -80,22 +80,22 @@
 	if s.Plans[0] != wantPlan {
 		t.Errorf("plan: %+v", s.Plans[0])
 	}
-	if s.Rules.TurnGap != 200*time.Millisecond || s.Rules.ColdUnits != 37 || s.Sizes.MostUnits != 6 {
+	if s.Rules.OrderedKeyQuietPeriod != 200*time.Millisecond || s.Rules.SlowStartAllowance != 37 || s.Sizes.MaxUnits != 6 {
 		t.Errorf("rules: %+v", s.Rules)
 	}
 	want := []Event{
-		{Kind: Members, Instance: 3, Membership: scheduler.Membership{Kind: scheduler.Remembered, Nodes: []scheduler.Node{
+		{Kind: Members, Instance: 3, Membership: scheduler.Membership{Kind: scheduler.CachedList, Nodes: []scheduler.Node{
 			{ID: "na", Size: 1}, {ID: "nb", Zone: 1, Shard: 4, Phase: scheduler.Draining, Size: 1.5, StartedAt: 6100 * time.Millisecond}}}},
-		{Kind: Members, Instance: 3, Membership: scheduler.Membership{Kind: scheduler.Changes, Nodes: []scheduler.Node{
+		{Kind: Members, Instance: 3, Membership: scheduler.Membership{Kind: scheduler.DeltaList, Nodes: []scheduler.Node{
 			{ID: "nc", Shard: 1, Phase: scheduler.Removed, Size: 1}}}},
-		{Kind: Members, Instance: 3, Membership: scheduler.Membership{Kind: scheduler.Refused}},
+		{Kind: Members, Instance: 3, Membership: scheduler.Membership{Kind: scheduler.WatchFailed}},
 		{Kind: Arrival, Instance: 3, Request: scheduler.Request{ID: "t/a", Volume: "2b8e", Key: "91f0", Units: 2,
-			Shard: scheduler.AnyShard, Patience: 240 * time.Millisecond, Hosts: 3}},
+			Shard: scheduler.AnyShard, ClientTimeout: 240 * time.Millisecond, Hosts: 3}},
 		{Kind: Probed, Instance: 3, Probe: scheduler.ProbeResult{Node: "na", Served: true, Latency: 1400 * time.Microsecond,
 			Load: &scheduler.Load{InFlight: 7, Queued: 3, Busy: -1}}},
-		{Kind: Began, Instance: 3, Outcome: scheduler.Outcome{ID: "t/a", Node: "na", Latency: 9250 * time.Microsecond, Use: -1}},
-		{Kind: Ended, Instance: 3, Outcome: scheduler.Outcome{ID: "t/a", Attempt: 1, Node: "na", Result: scheduler.Reset,
-			Latency: 18500 * time.Microsecond, Done: true, Use: 0.85, Others: 3}},
+		{Kind: Began, Instance: 3, Outcome: scheduler.Outcome{ID: "t/a", Node: "na", Latency: 9250 * time.Microsecond, VolumeUse: -1}},
+		{Kind: Ended, Instance: 3, Outcome: scheduler.Outcome{ID: "t/a", Attempt: 1, Node: "na", Result: scheduler.ConnectionReset,
+			Latency: 18500 * time.Microsecond, Concluded: true, VolumeUse: 0.85, OtherUnits: 3}},
 		{Kind: Left, Instance: 5, ID: "t/b"},
 		{Kind: TimerFired, Instance: 3, Timer: 77},
 		{Kind: Stop, Instance: 3},
@@ -153,8 +153,8 @@
 	i.Send("t/a", "na", 0)
 	i.Send("t/a", "na", 80*time.Millisecond)
 	i.Cancel("t/a", 1)
-	i.Refuse("t/a", 0)
-	i.Refuse("t/a", 250*time.Millisecond)
+	i.Reject("t/a", 0)
+	i.Reject("t/a", 250*time.Millisecond)
 	i.Fail("t/a")
 	i.Probe("na")
 	i.SetTimer(1500*time.Microsecond, 77)
--- a/internal/simulation/lab.go
+++ b/internal/simulation/lab.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// World is the clock and what is to happen.
-type World struct {
+// Simulation is the clock and what is to happen.
+type Simulation struct {
 	Now    time.Duration
 	Random *rand.Rand
 	due    events
 	order  uint64
 }
 
-// NewWorld makes a World whose clock begins at an hour, as a scheduler's times of 0 mean long ago.
-func NewWorld(seed uint64) *World {
-	return &World{Now: time.Hour, Random: rand.New(rand.NewPCG(seed, 11))}
+// New makes a World whose clock begins at an hour, as a scheduler's times of 0 mean long ago.
+func New(seed uint64) *Simulation {
+	return &Simulation{Now: time.Hour, Random: rand.New(rand.NewPCG(seed, 11))}
 }
 
 // After has something happen.
-func (w *World) After(d time.Duration, do func()) {
+func (w *Simulation) After(d time.Duration, do func()) {
 	w.order++
 	heap.Push(&w.due, event{w.Now + max(0, d), w.order, do})
 }
 
 // Run lets time pass.
-func (w *World) Run(d time.Duration) {
+func (w *Simulation) Run(d time.Duration) {
 	end := w.Now + d
 	for len(w.due) > 0 && w.due[0].at <= end {
 		e := heap.Pop(&w.due).(event)
--- a/internal/simulation/plain.go
+++ b/internal/simulation/plain.go
@@ -6,9 +6,9 @@
 	"reachpulley/scheduler"
 )
 
-// plain is the way of a proxy that knows no load: each request goes out at once, and again at once whatever became of it, until its attempts or its time are used up.
-type plain struct {
-	world *World
+// passthrough is the way of a proxy that knows no load: each request goes out at once, and again at once whatever became of it, until its attempts or its time are used up.
+type passthrough struct {
+	world *Simulation
 	out   scheduler.Actions
 	node  map[int]string // by shard
 	most  int
@@ -23,15 +23,15 @@
 	until    time.Duration
 }
 
-func newPlain(w *World, out scheduler.Actions, nodes []*Node, most int) *plain {
-	p := &plain{world: w, out: out, node: map[int]string{}, most: most, open: map[string]*plainRequest{}, due: map[uint64]string{}}
+func newPassthrough(w *Simulation, out scheduler.Actions, nodes []*Node, most int) *passthrough {
+	p := &passthrough{world: w, out: out, node: map[int]string{}, most: most, open: map[string]*plainRequest{}, due: map[uint64]string{}}
 	for _, n := range nodes {
 		p.node[n.Shard] = n.ID
 	}
 	return p
 }
 
-func (p *plain) send(r *plainRequest) {
+func (p *passthrough) send(r *plainRequest) {
 	r.attempts++
 	shard := r.Shard
 	if shard == scheduler.AnyShard {
@@ -40,22 +40,22 @@
 	p.out.Send(r.ID, p.node[shard], 0)
 }
 
-func (p *plain) Arrived(now time.Duration, q scheduler.Request) {
-	r := &plainRequest{Request: q, until: now + q.Patience}
+func (p *passthrough) RequestArrived(now time.Duration, q scheduler.Request) {
+	r := &plainRequest{Request: q, until: now + q.ClientTimeout}
 	p.open[q.ID] = r
 	p.timer++
 	p.due[p.timer] = q.ID
-	p.out.SetTimer(q.Patience, p.timer)
+	p.out.SetTimer(q.ClientTimeout, p.timer)
 	p.send(r)
 }
 
-func (p *plain) Members(time.Duration, scheduler.Membership) {}
+func (p *passthrough) MembershipChanged(time.Duration, scheduler.Membership) {}
 
-func (p *plain) Probed(time.Duration, scheduler.ProbeResult) {}
+func (p *passthrough) ProbeEnded(time.Duration, scheduler.ProbeResult) {}
 
-func (p *plain) Left(_ time.Duration, id string) { delete(p.open, id) }
+func (p *passthrough) ClientDisconnected(_ time.Duration, id string) { delete(p.open, id) }
 
-func (p *plain) Ended(now time.Duration, o scheduler.Outcome) {
+func (p *passthrough) AttemptEnded(now time.Duration, o scheduler.Outcome) {
 	r := p.open[o.ID]
 	if r == nil {
 		return
@@ -71,7 +71,7 @@
 	}
 }
 
-func (p *plain) Timer(_ time.Duration, key uint64) {
+func (p *passthrough) TimerFired(_ time.Duration, key uint64) {
 	id := p.due[key]
 	delete(p.due, key)
 	if p.open[id] != nil {
--- a/internal/simulation/roomday_test.go
+++ b/internal/simulation/roomday_test.go
@@ -21,7 +21,7 @@
 // list may be late by, and the warming.
 const settle = 70 * time.Second
 
-func play(t interface{ Fatal(...any) }, d RoomDay) *RoomResult {
+func play(t interface{ Fatal(...any) }, d ZoneScenario) *ZoneResult {
 	r, err := d.Run()
 	if err != nil {
 		t.Fatal(err)
@@ -30,16 +30,16 @@
 }
 
 // lossOf is a day on which a room goes dark for 20 s and comes back.
-func lossOf(seed uint64, cold bool, part float64) RoomDay {
-	return RoomDay{Seed: seed, Rooms: 2, Nodes: 5, Gateways: 3, Load: 0.35, Free: 0.35, Length: 100 * time.Second, ListLate: 5 * time.Second,
-		Settings: zonefailover.Settings{Spill: 60, Burst: 24},
-		Events:   []RoomEvent{{At: 15 * time.Second, Room: 0, Gateway: -1, Dark: true}, {At: 35 * time.Second, Room: 0, Gateway: -1, Cold: cold, Part: part}}}
+func lossOf(seed uint64, cold bool, part float64) ZoneScenario {
+	return ZoneScenario{Seed: seed, Zones: 2, Nodes: 5, Gateways: 3, Load: 0.35, NewObjectShare: 0.35, Length: 100 * time.Second, MembershipDelay: 5 * time.Second,
+		Settings: zonefailover.Settings{Spillover: 60, Burst: 24},
+		Events:   []ZoneEvent{{At: 15 * time.Second, Zone: 0, Gateway: -1, Unavailable: true}, {At: 35 * time.Second, Zone: 0, Gateway: -1, Restarted: cold, NodeShare: part}}}
 }
 
 // kept checks what holds on any day.
-func kept(t interface{ Errorf(string, ...any) }, name string, r *RoomResult) {
-	if len(r.Fell) > 0 || len(r.Broken) > 0 || r.Worst > 1e-6 {
-		t.Errorf("%s: pushed over %v, broken %v, %.1f units over the bound", name, r.Fell, r.Broken, r.Worst)
+func kept(t interface{ Errorf(string, ...any) }, name string, r *ZoneResult) {
+	if len(r.Crashed) > 0 || len(r.Violations) > 0 || r.WorstSpillover > 1e-6 {
+		t.Errorf("%s: pushed over %v, broken %v, %.1f units over the bound", name, r.Crashed, r.Violations, r.WorstSpillover)
 	}
 }
 
@@ -56,15 +56,15 @@
 		lost, spilt, refused := 0, 0.0, 0
 		for i, s := range r.Seconds {
 			if i >= 15 {
-				lost += s.FreeLost
+				lost += s.NewObjectsLost
 			}
 			if i >= 20 && i < 35 {
-				spilt += s.Spilt
-				refused += s.Refused
+				spilt += s.SpilledUnits
+				refused += s.Rejected
 			}
 		}
-		if lost > 40 || spilt < 300 || refused == 0 || r.Noticed > time.Second {
-			t.Errorf("%s: %d new objects lost, %.0f units spilt, %d refused, noticed after %v", c.name, lost, spilt, refused, r.Noticed)
+		if lost > 40 || spilt < 300 || refused == 0 || r.DetectedAfter > time.Second {
+			t.Errorf("%s: %d new objects lost, %.0f units spilt, %d refused, noticed after %v", c.name, lost, spilt, refused, r.DetectedAfter)
 		}
 		for i := range d.Nodes {
 			back := c.part == 0 || i < int(c.part*float64(d.Nodes))
@@ -83,14 +83,14 @@
 	kept(t, "many gateways", r)
 	most := 0.0
 	for _, s := range r.Seconds {
-		most = max(most, s.Push)
+		most = max(most, s.SlowStartLoad)
 	}
 	if most > 0.6 {
 		t.Errorf("a cold node bore up to %.2f of what pushes it over", most)
 	}
-	d.Plain = true
-	if r := play(t, d); len(r.Fell) != d.Nodes {
-		t.Errorf("plain proxies pushed over %v", r.Fell)
+	d.Passthrough = true
+	if r := play(t, d); len(r.Crashed) != d.Nodes {
+		t.Errorf("plain proxies pushed over %v", r.Crashed)
 	}
 }
 
@@ -113,7 +113,7 @@
 	}
 	r := play(t, d)
 	kept(t, "cut", r)
-	if s := r.Seconds[25]; s.Spilt > 30 || s.Served < 100 {
+	if s := r.Seconds[25]; s.SpilledUnits > 30 || s.Served < 100 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -125,7 +125,7 @@
 	r := play(t, d)
 	kept(t, "no bound", r)
 	for i, s := range r.Seconds {
-		if s.Spilt > 0 {
+		if s.SpilledUnits > 0 {
 			t.Fatalf("second %d: %+v", i, s)
 		}
 	}
@@ -135,19 +135,19 @@
 // what spills keeps to its bound, and a stated time after the last thing happened all nodes get their part again.
 func TestAnyDay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := RoomDay{Seed: rapid.Uint64().Draw(t, "seed"), Rooms: rapid.IntRange(2, 3).Draw(t, "rooms"), Nodes: rapid.IntRange(2, 5).Draw(t, "nodes"), Gateways: rapid.IntRange(2, 4).Draw(t, "gateways"),
-			Load: 0.1 + 0.15*float64(rapid.IntRange(0, 5).Draw(t, "load")), Free: 0.35, ListLate: time.Duration(rapid.IntRange(0, 8).Draw(t, "late")) * time.Second,
-			Settings: zonefailover.Settings{Spill: float64(rapid.IntRange(0, 8).Draw(t, "spill")) * 20, Burst: 32, Share: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "share")}}
+		d := ZoneScenario{Seed: rapid.Uint64().Draw(t, "seed"), Zones: rapid.IntRange(2, 3).Draw(t, "rooms"), Nodes: rapid.IntRange(2, 5).Draw(t, "nodes"), Gateways: rapid.IntRange(2, 4).Draw(t, "gateways"),
+			Load: 0.1 + 0.15*float64(rapid.IntRange(0, 5).Draw(t, "load")), NewObjectShare: 0.35, MembershipDelay: time.Duration(rapid.IntRange(0, 8).Draw(t, "late")) * time.Second,
+			Settings: zonefailover.Settings{Spillover: float64(rapid.IntRange(0, 8).Draw(t, "spill")) * 20, Burst: 32, Share: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "share")}}
 		at := 5 * time.Second
 		for range rapid.IntRange(1, 3).Draw(t, "events") {
 			at += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * time.Millisecond
-			e := RoomEvent{Room: rapid.IntRange(0, d.Rooms-1).Draw(t, "room"), Part: rapid.SampledFrom([]float64{0, 0.5, 0.9}).Draw(t, "part"), Gateway: rapid.IntRange(-3, d.Gateways-1).Draw(t, "gateway"),
-				Cold: rapid.Bool().Draw(t, "cold")}
+			e := ZoneEvent{Zone: rapid.IntRange(0, d.Zones-1).Draw(t, "room"), NodeShare: rapid.SampledFrom([]float64{0, 0.5, 0.9}).Draw(t, "part"), Gateway: rapid.IntRange(-3, d.Gateways-1).Draw(t, "gateway"),
+				Restarted: rapid.Bool().Draw(t, "cold")}
 			e.Gateway = max(e.Gateway, -1)
 			period := rapid.SampledFrom([]time.Duration{200 * time.Millisecond, time.Second, 4 * time.Second, 20 * time.Second}).Draw(t, "period")
 			for range rapid.IntRange(1, 4).Draw(t, "flaps") {
 				lost, back := e, e
-				lost.At, lost.Dark, back.At, back.Part = at, true, at+period/2, 0
+				lost.At, lost.Unavailable, back.At, back.NodeShare = at, true, at+period/2, 0
 				d.Events = append(d.Events, lost, back)
 				at += period
 			}
@@ -158,7 +158,7 @@
 			t.Fatal(err)
 		}
 		kept(t, "any day", r)
-		for room := range d.Rooms {
+		for room := range d.Zones {
 			for i := range d.Nodes {
 				if id := fmt.Sprintf("%c%d", 'a'+room, i); r.ToNode[id] == 0 {
 					t.Fatalf("%s gets nothing at the end: %v", id, r.ToNode)
@@ -170,9 +170,9 @@
 
 // The check of the days is one that can fail: a request that ran at two nodes is told.
 func TestARequestThatRanTwiceIsTold(t *testing.T) {
-	d := &roomRun{result: &RoomResult{}, nodes: []*Node{{Node: scheduler.Node{ID: "a0"}, Effects: map[string]int{"r": 1}}, {Node: scheduler.Node{ID: "b0"}, Effects: map[string]int{"r": 1, "s": 1}}}}
+	d := &roomRun{result: &ZoneResult{}, nodes: []*Node{{Node: scheduler.Node{ID: "a0"}, Effects: map[string]int{"r": 1}}, {Node: scheduler.Node{ID: "b0"}, Effects: map[string]int{"r": 1, "s": 1}}}}
 	d.conclude()
-	if len(d.result.Broken) != 1 || d.result.Broken[0] != "r ran at a0 and b0" {
-		t.Error(d.result.Broken)
+	if len(d.result.Violations) != 1 || d.result.Violations[0] != "r ran at a0 and b0" {
+		t.Error(d.result.Violations)
 	}
 }
--- a/internal/simulation/storm.go
+++ b/internal/simulation/storm.go
@@ -10,19 +10,19 @@
 // Storm is a metastable failure (N. Bronson et al., "Metastable failures in distributed systems", HotOS 2021): for a short time the nodes slow down, and then
 // the attempts that failed meanwhile, and those of clients that try again, are load enough to keep them failing.
 type Storm struct {
-	Seed     uint64
-	Gateways int
-	Nodes    int
-	Clients  int           // that wait for an answer before they ask for more
-	Think    time.Duration // between an answer and the next request, in the mean
-	Tries    int           // of a client for one request
-	Begin    time.Duration // of the slow time
-	Slow     time.Duration
-	Speed    float64 // of the nodes in it
-	Length   time.Duration
-	Retry    retrybudget.Settings
-	Behind   float64 // calls a second of what all nodes share; 0: they share nothing
-	Plain    bool    // attempts are repeated at once, up to the settings' limit, without package scheduler
+	Seed        uint64
+	Gateways    int
+	Nodes       int
+	Clients     int           // that wait for an answer before they ask for more
+	Think       time.Duration // between an answer and the next request, in the mean
+	Tries       int           // of a client for one request
+	Begin       time.Duration // of the slow time
+	Slow        time.Duration
+	Speed       float64 // of the nodes in it
+	Length      time.Duration
+	Retry       retrybudget.Settings
+	SharedRate  float64 // calls a second of what all nodes share; 0: they share nothing
+	Passthrough bool    // attempts are repeated at once, up to the settings' limit, without package scheduler
 }
 
 // NodeStorm is one of nodes that slow down themselves, loaded with two thirds of what they can do.
@@ -35,14 +35,14 @@
 // of them.
 func SharedStorm(seed uint64) Storm {
 	s := NodeStorm(seed)
-	s.Behind, s.Clients, s.Tries = 500, 220, 2
+	s.SharedRate, s.Clients, s.Tries = 500, 220, 2
 	return s
 }
 
 // Second is what a second of a run came to.
 type Second struct {
-	Asked, Served, Refused, Failed int // by clients' tries
-	Sent, Wasted                   int // attempts; those that nodes ended as errors after their work
+	Submitted, Served, Rejected, Failed int // by clients' tries
+	Sent, Wasted                        int // attempts; those that nodes ended as errors after their work
 }
 
 // Result is what a run came to.
@@ -53,25 +53,25 @@
 }
 
 var stormSettings = scheduler.Settings{Siblings: 3, Tick: time.Millisecond,
-	Classes: []scheduler.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 1}},
+	Classes: []scheduler.Class{{Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: 1}},
 	Plans:   []scheduler.Plan{{Name: "plain", Rate: 1000, Weight: 1, Price: 1}},
 	Allowed: scheduler.Allowed{Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 4},
-	Sizes:   scheduler.Sizes{MeanUnits: 1, MostUnits: 1}}
+	Sizes:   scheduler.Sizes{MeanUnits: 1, MaxUnits: 1}}
 
 // Run plays it.
 func (s Storm) Run() (Result, error) {
-	w := NewWorld(s.Seed)
+	w := New(s.Seed)
 	settings := stormSettings
-	settings.Siblings, settings.Retry = s.Gateways, s.Retry
+	settings.Siblings, settings.RetryBudget = s.Gateways, s.Retry
 	var nodes []*Node
 	for i := range s.Nodes {
-		nodes = append(nodes, &Node{Node: scheduler.Node{ID: string(rune('a' + i)), Shard: i, Size: 1}, World: w, Workers: 2, Queue: 200, Work: 40 * time.Millisecond, Patience: 300 * time.Millisecond, Speed: 1})
+		nodes = append(nodes, &Node{Node: scheduler.Node{ID: string(rune('a' + i)), Shard: i, Size: 1}, Simulation: w, Workers: 2, Queue: 200, Work: 40 * time.Millisecond, MaxWait: 300 * time.Millisecond, Speed: 1})
 	}
-	var behind *Behind
-	if s.Behind > 0 {
-		behind = &Behind{Rate: s.Behind, Speed: 1, Wait: 16 * time.Millisecond, Most: 500 * time.Millisecond}
+	var behind *SharedResource
+	if s.SharedRate > 0 {
+		behind = &SharedResource{Rate: s.SharedRate, Speed: 1, Wait: 16 * time.Millisecond, MaxBacklog: 500 * time.Millisecond}
 		for _, n := range nodes {
-			n.Work, n.Workers, n.Behind = 20*time.Millisecond, 8, behind
+			n.Work, n.Workers, n.Shared = 20*time.Millisecond, 8, behind
 		}
 	}
 	var gateways []*Gateway
@@ -80,8 +80,8 @@
 		if err != nil {
 			return Result{}, err
 		}
-		if s.Plain {
-			g.Sched = newPlain(w, g, nodes, settings.Allowed.MaxAttempts)
+		if s.Passthrough {
+			g.Scheduler = newPassthrough(w, g, nodes, settings.Allowed.MaxAttempts)
 		}
 		gateways = append(gateways, g)
 	}
@@ -146,7 +146,7 @@
 // client asks, waits for the answer, tries again where it is none, and thinks.
 type client struct {
 	storm   Storm
-	world   *World
+	world   *Simulation
 	gateway *Gateway
 	result  *Result
 	began   time.Duration
@@ -163,9 +163,9 @@
 		c.shard = c.world.Random.IntN(c.storm.Nodes)
 	}
 	c.tries++
-	c.second().Asked++
+	c.second().Submitted++
 	answered := false
-	id := c.gateway.Ask(scheduler.Request{Volume: "v", Units: 1, Shard: c.shard, Patience: stormSettings.Classes[0].Deadline, Hosts: c.storm.Gateways, Key: c.key()}, func(a Answer) {
+	id := c.gateway.Submit(scheduler.Request{Volume: "v", Units: 1, Shard: c.shard, ClientTimeout: stormSettings.Classes[0].Deadline, Hosts: c.storm.Gateways, Key: c.key()}, func(a Answer) {
 		if answered {
 			return
 		}
@@ -175,7 +175,7 @@
 	c.world.After(stormSettings.Classes[0].Deadline, func() {
 		if !answered {
 			answered = true
-			c.gateway.Sched.Left(c.world.Now, id)
+			c.gateway.Scheduler.ClientDisconnected(c.world.Now, id)
 			c.take(Answer{Verdict: "failed"})
 		}
 	})
@@ -190,7 +190,7 @@
 		c.second().Served++
 		c.tries = 0
 	case "refused":
-		c.second().Refused++
+		c.second().Rejected++
 	default:
 		c.second().Failed++
 	}
--- a/internal/simulation/storm_test.go
+++ b/internal/simulation/storm_test.go
@@ -41,7 +41,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Plain = true
+		s.Passthrough = true
 		plain, err := s.Run()
 		if err != nil {
 			t.Fatal(err)
@@ -75,8 +75,8 @@
 	}
 	asked, answered := 0, 0
 	for _, one := range r.Seconds {
-		asked += one.Asked
-		answered += one.Served + one.Refused + one.Failed
+		asked += one.Submitted
+		answered += one.Served + one.Rejected + one.Failed
 	}
 	if asked-answered < 0 || asked-answered > s.Clients { // those that are under way
 		t.Errorf("%d asked, %d answered", asked, answered)
--- a/internal/trust/state.go
+++ b/internal/trust/state.go
@@ -9,8 +9,8 @@
 	"reachpulley/scheduler"
 )
 
-// Doubt is what is held of an operation at a node that is not trusted, as plain data: for people, and for the next start.
-type Doubt struct {
+// Record is what is held of an operation at a node that is not trusted, as plain data: for people, and for the next start.
+type Record struct {
 	Operation string         `json:"operation"`
 	Node      string         `json:"node"` // empty: all nodes of the version
 	Version   string         `json:"version,omitempty"`
@@ -26,38 +26,38 @@
 }
 
 // levelNames are for people.
-var levelNames = [...]string{scheduler.CareNone: "as described", scheduler.CareCopies: "no second copies", scheduler.CareRepeats: "no repeats", scheduler.CareAvoid: "avoided"}
+var levelNames = [...]string{scheduler.Unrestricted: "as described", scheduler.NoHedging: "no second copies", scheduler.NoRetries: "no repeats", scheduler.AvoidNode: "avoided"}
 
 // LevelName words a level.
-func LevelName(level scheduler.Care) string { return levelNames[level] }
+func LevelName(level scheduler.RestrictionLevel) string { return levelNames[level] }
 
-// Doubts gives all that is not trusted, in order.
-func (k *Keeper) Doubts(now time.Duration) (out []Doubt) {
+// Records gives all that is not trusted, in order.
+func (k *Tracker) Records(now time.Duration) (out []Record) {
 	for at, f := range k.fleets {
-		out = append(out, Doubt{Operation: at.operation, Version: at.version, State: "description doubted", Level: LevelName(k.told[key{at.operation, ""}]),
+		out = append(out, Record{Operation: at.operation, Version: at.version, State: "description doubted", Level: LevelName(k.told[key{at.operation, ""}]),
 			SinceMs: (now - f.since).Milliseconds()})
 	}
 	for _, c := range k.cells {
 		if c.state == Trusted {
 			continue
 		}
-		d := Doubt{Operation: c.key.operation, Node: c.key.node, Version: c.version, State: c.state.String(), Level: LevelName(k.told[c.key]),
+		d := Record{Operation: c.key.operation, Node: c.key.node, Version: c.version, State: c.state.String(), Level: LevelName(k.told[c.key]),
 			SinceMs: (now - c.since).Milliseconds(), HoldMs: c.hold.Milliseconds(), Weight: c.weight(), Worst: c.worst.String(), Counts: c.contradictions(),
 			Answers: c.answers, Sample: c.sample}
 		out = append(out, d)
 	}
-	slices.SortFunc(out, func(a, b Doubt) int {
+	slices.SortFunc(out, func(a, b Record) int {
 		return cmp.Or(cmp.Compare(a.Operation, b.Operation), cmp.Compare(a.Node, b.Node), cmp.Compare(a.Version, b.Version))
 	})
 	return out
 }
 
 // Dropped is how much evidence found no room.
-func (k *Keeper) Dropped() int { return k.dropped }
+func (k *Tracker) Dropped() int { return k.dropped }
 
-// Recall takes over the doubts of an earlier life that ended age ago. It is called before any evidence. What was distrusted stays so for its hold
+// Restore takes over the doubts of an earlier life that ended age ago. It is called before any evidence. What was distrusted stays so for its hold
 // again, as nobody has watched it since; nothing comes back with more trust than it had. The error names what can't be taken over; the rest is.
-func (k *Keeper) Recall(now time.Duration, doubts []Doubt, age time.Duration) (all []Change, err error) {
+func (k *Tracker) Restore(now time.Duration, doubts []Record, age time.Duration) (all []Change, err error) {
 	for _, d := range doubts {
 		if d.Node == "" { // it follows from the nodes
 			continue
--- a/internal/trust/trust.go
+++ b/internal/trust/trust.go
@@ -21,17 +21,17 @@
 
 // The kinds of Evidence.
 const (
-	Fits             Evidence = iota // it does what is described
-	StatusUnknown                    // a status that no description has
-	TypeUnknown                      // a media type that no description has
-	BrokenSchema                     // a body that breaks its schema
-	Slow                             // it took longer than described
-	HollowRetryAfter                 // it refused again after the time that it had told
-	Differs                          // two answers to the same safe call differ where they must not
-	RanAgain                         // a repeat with the same key was not discarded
-	RanUnrun                         // an answer tells of an effect, and that the call has not run
-	KnewUnrun                        // it knew a key of which it had said that its call has not run; another gateway may have sent it meanwhile
-	EffectOfSafe                     // a call that is said to change nothing created something
+	Conforms            Evidence = iota // it does what is described
+	UnknownStatus                       // a status that no description has
+	UnknownMediaType                    // a media type that no description has
+	SchemaViolation                     // a body that breaks its schema
+	Slow                                // it took longer than described
+	IgnoredRetryAfter                   // it refused again after the time that it had told
+	ResponsesDiffer                     // two answers to the same safe call differ where they must not
+	RepeatExecuted                      // a repeat with the same key was not discarded
+	ExecutedAfterDenial                 // an answer tells of an effect, and that the call has not run
+	KeyKnownAfterDenial                 // it knew a key of which it had said that its call has not run; another gateway may have sent it meanwhile
+	EffectOfIdempotent                  // a call that is said to change nothing created something
 	kinds
 )
 
@@ -41,11 +41,11 @@
 func (e Evidence) String() string { return kindNames[e] }
 
 // weights of Evidence; negative: it speaks for the node.
-var weights = [kinds]float64{Fits: -tolerated, StatusUnknown: 1, TypeUnknown: 1, BrokenSchema: 1, Slow: 0.25, HollowRetryAfter: 0.25, Differs: 1, RanAgain: 4,
-	RanUnrun: 6, KnewUnrun: 2, EffectOfSafe: 4}
+var weights = [kinds]float64{Conforms: -tolerated, UnknownStatus: 1, UnknownMediaType: 1, SchemaViolation: 1, Slow: 0.25, IgnoredRetryAfter: 0.25, ResponsesDiffer: 1, RepeatExecuted: 4,
+	ExecutedAfterDenial: 6, KeyKnownAfterDenial: 2, EffectOfIdempotent: 4}
 
 // hard tells which Evidence no client can bring about.
-var hard = [kinds]bool{RanAgain: true, RanUnrun: true, EffectOfSafe: true}
+var hard = [kinds]bool{RepeatExecuted: true, ExecutedAfterDenial: true, EffectOfIdempotent: true}
 
 // State is how far a node is believed.
 type State int
@@ -53,7 +53,7 @@
 // The States, by what they cost.
 const (
 	Trusted    State = iota
-	Doubted          // no second copies
+	Suspect          // no second copies
 	Probation        // no repeats, and nobody believes that a call has not run
 	Distrusted       // nothing new while another node may take it
 )
@@ -63,7 +63,7 @@
 func (s State) String() string { return stateNames[s] }
 
 // levels are what States cost.
-var levels = [...]scheduler.Care{Trusted: scheduler.CareNone, Doubted: scheduler.CareCopies, Probation: scheduler.CareRepeats, Distrusted: scheduler.CareAvoid}
+var levels = [...]scheduler.RestrictionLevel{Trusted: scheduler.Unrestricted, Suspect: scheduler.NoHedging, Probation: scheduler.NoRetries, Distrusted: scheduler.AvoidNode}
 
 // Tuned values, all ours.
 const (
@@ -89,12 +89,12 @@
 
 // Bounds of what is held.
 const (
-	MostCells    = 4096 // of an operation and a node
+	MaxCells     = 4096 // of an operation and a node
 	mostVersions = 512  // of an operation and a version
 )
 
-// Tell is one answer's evidence.
-type Tell struct {
+// Report is one answer's evidence.
+type Report struct {
 	Operation, Node string
 	Version         string // of the node's program; empty: it does not say
 	Client          uint64 // who asked, as a hash
@@ -139,35 +139,35 @@
 
 // Change tells that an operation is to be handled otherwise.
 type Change struct {
-	At        time.Duration
-	Operation string
-	Node      string // empty: all nodes
-	Version   string
-	From, To  State
-	Fleet     bool // most nodes of the version contradict the description, so it is what is wrong
-	Level     scheduler.Care
-	Worst     Evidence
-	Counts    map[string]int // contradictions by kind, since the begin
-	Answers   int
-	Sample    string
+	At               time.Duration
+	Operation        string
+	Node             string // empty: all nodes
+	Version          string
+	From, To         State
+	DescriptionWrong bool // most nodes of the version contradict the description, so it is what is wrong
+	Level            scheduler.RestrictionLevel
+	Worst            Evidence
+	Counts           map[string]int // contradictions by kind, since the begin
+	Answers          int
+	Sample           string
 }
 
-// Keeper holds all trust.
-type Keeper struct {
-	most    scheduler.Care // that distrust may come to
+// Tracker holds all trust.
+type Tracker struct {
+	most    scheduler.RestrictionLevel // that distrust may come to
 	cells   map[key]*cell
-	fleets  map[fleetKey]*fleet    // where a description is wrong, as it seems
-	told    map[key]scheduler.Care // levels as last given out; node "" is for all
+	fleets  map[fleetKey]*fleet                // where a description is wrong, as it seems
+	told    map[key]scheduler.RestrictionLevel // levels as last given out; node "" is for all
 	dropped int
 }
 
 // New makes a Keeper whose levels are most at most.
-func New(most scheduler.Care) *Keeper {
-	return &Keeper{most: most, cells: map[key]*cell{}, fleets: map[fleetKey]*fleet{}, told: map[key]scheduler.Care{}}
+func New(most scheduler.RestrictionLevel) *Tracker {
+	return &Tracker{most: most, cells: map[key]*cell{}, fleets: map[fleetKey]*fleet{}, told: map[key]scheduler.RestrictionLevel{}}
 }
 
-// Hear takes an answer's evidence and gives what changes by it.
-func (k *Keeper) Hear(now time.Duration, t Tell) []Change {
+// Observe takes an answer's evidence and gives what changes by it.
+func (k *Tracker) Observe(now time.Duration, t Report) []Change {
 	c := k.cell(now, key{t.Operation, t.Node})
 	if c == nil {
 		k.dropped++
@@ -185,7 +185,7 @@
 }
 
 // Tick lets time pass: weights fade, holds end. It is called every second or so.
-func (k *Keeper) Tick(now time.Duration) (all []Change) {
+func (k *Tracker) Tick(now time.Duration) (all []Change) {
 	for _, c := range k.sorted() {
 		from := c.state
 		c.fade(now)
@@ -203,7 +203,7 @@
 }
 
 // sorted gives all cells in an order of their own: what is given out must not follow a map's.
-func (k *Keeper) sorted() []*cell {
+func (k *Tracker) sorted() []*cell {
 	all := make([]*cell, 0, len(k.cells))
 	for _, c := range k.cells {
 		all = append(all, c)
@@ -215,11 +215,11 @@
 }
 
 // cell finds or makes one; nil where there is no room.
-func (k *Keeper) cell(now time.Duration, at key) *cell {
+func (k *Tracker) cell(now time.Duration, at key) *cell {
 	if c := k.cells[at]; c != nil {
 		return c
 	}
-	if len(k.cells) >= MostCells && !k.makeRoom() {
+	if len(k.cells) >= MaxCells && !k.makeRoom() {
 		return nil
 	}
 	c := &cell{key: at, since: now, at: now}
@@ -229,7 +229,7 @@
 
 // makeRoom forgets the sixteenth part of what is trusted that was heard of longest ago. Nothing in doubt is forgotten for want of room: that would be a
 // way to regain trust.
-func (k *Keeper) makeRoom() bool {
+func (k *Tracker) makeRoom() bool {
 	var trusted []*cell
 	for _, c := range k.cells {
 		if c.state == Trusted && c.weight() < clearAt {
@@ -239,7 +239,7 @@
 	slices.SortFunc(trusted, func(a, b *cell) int {
 		return cmp.Or(cmp.Compare(a.heardAt, b.heardAt), cmp.Compare(a.key.operation, b.key.operation), cmp.Compare(a.key.node, b.key.node))
 	})
-	for _, c := range trusted[:min(len(trusted), MostCells/16)] {
+	for _, c := range trusted[:min(len(trusted), MaxCells/16)] {
 		delete(k.cells, c.key)
 	}
 	return len(trusted) > 0
@@ -261,7 +261,7 @@
 }
 
 // add weighs evidence.
-func (c *cell) add(t Tell) {
+func (c *cell) add(t Report) {
 	c.answers++
 	c.counts[t.Evidence]++
 	w := weights[t.Evidence]
@@ -275,9 +275,9 @@
 		w = min(c.room(t.Client, w), mostSoft-c.soft)
 		c.soft += max(0, w)
 	}
-	if t.Evidence != Fits {
+	if t.Evidence != Conforms {
 		c.sample = t.Sample
-		if weights[t.Evidence] >= weights[c.worst] || c.worst == Fits {
+		if weights[t.Evidence] >= weights[c.worst] || c.worst == Conforms {
 			c.worst = t.Evidence
 		}
 	}
@@ -309,11 +309,11 @@
 	switch c.state {
 	case Trusted:
 		if w >= doubtAt {
-			c.enter(now, Doubted)
+			c.enter(now, Suspect)
 		} else if c.hold > 0 && now-c.since >= holdForget {
 			c.hold = 0
 		}
-	case Doubted:
+	case Suspect:
 		if w >= distrustAt {
 			c.distrust(now)
 		} else if w <= clearAt && now-c.since >= calm {
@@ -341,7 +341,7 @@
 }
 
 // changes gives what is to be told after a cell was looked at.
-func (k *Keeper) changes(now time.Duration, c *cell, from State) (all []Change) {
+func (k *Tracker) changes(now time.Duration, c *cell, from State) (all []Change) {
 	if from != c.state {
 		t := &tally{at: fleetKey{c.key.operation, c.version}}
 		for _, other := range k.cells {
@@ -362,21 +362,21 @@
 	return all
 }
 
-func (k *Keeper) change(now time.Duration, c *cell) Change {
+func (k *Tracker) change(now time.Duration, c *cell) Change {
 	return Change{At: now, Operation: c.key.operation, Node: c.key.node, Version: c.version, From: c.state, To: c.state, Level: k.told[c.key], Worst: c.worst, Counts: c.contradictions(), Answers: c.answers,
 		Sample: c.sample}
 }
 
 // level gives a node's change where its level is another than was told.
-func (k *Keeper) level(now time.Duration, c *cell) *Change {
+func (k *Tracker) level(now time.Duration, c *cell) *Change {
 	level := min(levels[c.state], k.most)
 	if f := k.fleets[fleetKey{c.key.operation, c.version}]; f != nil {
-		level = min(level, scheduler.CareRepeats) // there is no other node to go to
+		level = min(level, scheduler.NoRetries) // there is no other node to go to
 	}
 	if k.told[c.key] == level {
 		return nil
 	}
-	if k.told[c.key] = level; level == scheduler.CareNone {
+	if k.told[c.key] = level; level == scheduler.Unrestricted {
 		delete(k.told, c.key)
 	}
 	one := k.change(now, c)
@@ -415,7 +415,7 @@
 }
 
 // tally looks at all cells.
-func (k *Keeper) tally() map[fleetKey]*tally {
+func (k *Tracker) tally() map[fleetKey]*tally {
 	all := map[fleetKey]*tally{}
 	for _, c := range k.cells {
 		at := fleetKey{c.key.operation, c.version}
@@ -427,7 +427,7 @@
 
 // judge looks at all nodes of a version together: where most of them contradict a description, the description is wrong. Nobody is avoided then, and
 // nothing is repeated.
-func (k *Keeper) judge(now time.Duration, t *tally) (all []Change) {
+func (k *Tracker) judge(now time.Duration, t *tally) (all []Change) {
 	f := k.fleets[t.at]
 	wrong := f != nil
 	switch {
@@ -450,18 +450,18 @@
 }
 
 // wide gives an operation's change at all nodes: it is careful as long as any version contradicts its description.
-func (k *Keeper) wide(now time.Duration, t *tally) Change {
-	level := scheduler.CareNone
+func (k *Tracker) wide(now time.Duration, t *tally) Change {
+	level := scheduler.Unrestricted
 	for at := range k.fleets {
 		if at.operation == t.at.operation {
-			level = min(scheduler.CareRepeats, k.most)
+			level = min(scheduler.NoRetries, k.most)
 		}
 	}
 	everywhere := key{t.at.operation, ""}
-	if k.told[everywhere] = level; level == scheduler.CareNone {
+	if k.told[everywhere] = level; level == scheduler.Unrestricted {
 		delete(k.told, everywhere)
 	}
-	one := Change{At: now, Operation: t.at.operation, Version: t.at.version, Fleet: true, Level: level, From: Probation, To: Trusted}
+	one := Change{At: now, Operation: t.at.operation, Version: t.at.version, DescriptionWrong: true, Level: level, From: Probation, To: Trusted}
 	if k.fleets[t.at] != nil {
 		one.From, one.To = Trusted, Probation
 	}
@@ -473,7 +473,7 @@
 
 func (c *cell) contradictions() map[string]int {
 	out := map[string]int{}
-	for e := Fits + 1; e < kinds; e++ {
+	for e := Conforms + 1; e < kinds; e++ {
 		if c.counts[e] > 0 {
 			out[e.String()] = c.counts[e]
 		}
--- a/internal/warmrestart/believe.go
+++ b/internal/warmrestart/believe.go
@@ -18,22 +18,22 @@
 	leastRate = 0.1              // of a node's rate that still tells anything
 )
 
-// Belief tells what to take over.
-type Belief struct {
-	Learned scheduler.Learned
-	Nodes   int // of which more than the guards' part is believed
-	Faded   float64
+// Assessment tells what to take over.
+type Assessment struct {
+	Learned    scheduler.LearnedState
+	KnownNodes int // of which more than the guards' part is believed
+	Confidence float64
 }
 
-// Believe decides what of a state is still true. The state was taken on an older clock; shift is what a time of that clock lies before the same moment of the
+// Assess decides what of a state is still true. The state was taken on an older clock; shift is what a time of that clock lies before the same moment of the
 // new one, age how long ago it was taken, now the new clock's time.
 //
 // What the guards of rules go by is taken over whatever its age, as it can only hold back more: cold nodes, what they were sent, nodes that were
 // down, used stores, ordered keys with an attempt that may still run, further attempts. What is only known of nodes fades.
-func Believe(old *scheduler.Snapshot, set scheduler.Settings, now, age, shift time.Duration) Belief {
-	b := Belief{Faded: math.Exp(-max(0, age).Seconds() / forgets.Seconds())}
+func Assess(old *scheduler.Snapshot, set scheduler.Settings, now, age, shift time.Duration) Assessment {
+	b := Assessment{Confidence: math.Exp(-max(0, age).Seconds() / forgets.Seconds())}
 	if age < -backwards || age > forgotten {
-		b.Faded = 0
+		b.Confidence = 0
 	}
 	moved := func(at time.Duration) time.Duration { return min(at+shift, now) }
 	fresh := startCap(set)
@@ -45,41 +45,41 @@
 		if n.Node.StartedAt > 0 {
 			l.StartedAt = max(0, moved(n.Node.StartedAt))
 		}
-		if n.ColdSince > 0 {
-			l.ColdSince = max(1, moved(n.ColdSince)) // 0 would be warm
+		if n.WarmingSince > 0 {
+			l.WarmingSince = max(1, moved(n.WarmingSince)) // 0 would be warm
 		}
-		for _, x := range n.Sent {
-			l.Sent = append(l.Sent, scheduler.SnapshotSending{At: moved(x.At), Units: max(0, x.Units)})
+		for _, x := range n.RecentSends {
+			l.RecentSends = append(l.RecentSends, scheduler.SnapshotSend{At: moved(x.At), Units: max(0, x.Units)})
 		}
-		if b.Faded > leastRate && n.MinLatency > 0 && sound(n.Cap, n.MaxRate, n.Latency, n.MinLatency, n.Queue, n.Known) {
-			l.Cap = fresh + b.Faded*(n.Cap-fresh)
-			l.MaxRate = b.Faded * n.MaxRate
+		if b.Confidence > leastRate && n.MinLatency > 0 && sound(n.Cap, n.MaxRate, n.Latency, n.MinLatency, n.Queue, n.QueueConfidence) {
+			l.Cap = fresh + b.Confidence*(n.Cap-fresh)
+			l.MaxRate = b.Confidence * n.MaxRate
 			l.MinLatency = n.MinLatency
-			l.Latency = n.MinLatency + b.Faded*(n.Latency-n.MinLatency)
-			l.Queue, l.Known, l.HeardAt = n.Queue, n.Known, moved(n.HeardAt)
-			b.Nodes++
+			l.Latency = n.MinLatency + b.Confidence*(n.Latency-n.MinLatency)
+			l.Queue, l.QueueConfidence, l.LastServedAt = n.Queue, n.QueueConfidence, moved(n.LastServedAt)
+			b.KnownNodes++
 		}
 		b.Learned.Nodes = append(b.Learned.Nodes, l)
 	}
 	for _, v := range old.Volumes {
-		if !v.Held || !(v.Limit.Level < v.Limit.Most || v.Reserve.Level < v.Reserve.Most || v.Reserve.Rate > 0) {
+		if !v.Indexed || !(v.Limit.Tokens < v.Limit.Burst || v.Reserve.Tokens < v.Reserve.Burst || v.Reserve.Rate > 0) {
 			continue
 		}
-		l := scheduler.LearnedVolume{Name: v.Name, At: moved(old.Now), Limit: levelAt(v.Limit, old.Now), Reserve: levelAt(v.Reserve, old.Now)}
+		l := scheduler.LearnedVolume{Name: v.Name, At: moved(old.Now), LimitTokens: levelAt(v.Limit, old.Now), ReserveTokens: levelAt(v.Reserve, old.Now)}
 		if age >= -backwards && age <= reserves && sound(v.Reserve.Rate) {
 			l.ReserveRate = max(0, v.Reserve.Rate)
 		}
-		if sound(l.Limit, l.Reserve) {
+		if sound(l.LimitTokens, l.ReserveTokens) {
 			b.Learned.Volumes = append(b.Learned.Volumes, l)
 		}
 	}
 	b.Learned.Keys = keys(old, set, now, moved)
-	b.Learned.ExtraAt = extra(old, set, moved)
-	if b.Faded > leastRate && len(old.Work) == len(set.Classes) && sound(old.Work...) && sound(old.UnitTime, old.PerQueued, old.Least) {
-		for _, work := range old.Work {
-			b.Learned.Work = append(b.Learned.Work, 1+b.Faded*(work-1))
+	b.Learned.RetriedAt = extra(old, set, moved)
+	if b.Confidence > leastRate && len(old.ClassWork) == len(set.Classes) && sound(old.ClassWork...) && sound(old.ServiceTimePerUnit, old.QueueTimePerRequest, old.MinLatencyMedian) {
+		for _, work := range old.ClassWork {
+			b.Learned.ClassWork = append(b.Learned.ClassWork, 1+b.Confidence*(work-1))
 		}
-		b.Learned.UnitTime, b.Learned.PerQueued, b.Learned.Least = old.UnitTime, old.PerQueued, old.Least
+		b.Learned.ServiceTimePerUnit, b.Learned.QueueTimePerRequest, b.Learned.MinLatencyMedian = old.ServiceTimePerUnit, old.QueueTimePerRequest, old.MinLatencyMedian
 	}
 	return b
 }
@@ -90,7 +90,7 @@
 	if mean == 0 {
 		mean = 1
 	}
-	return scheduler.StartRequests * mean
+	return scheduler.InitialRequests * mean
 }
 
 // sound tells whether all are numbers that a Scheduler could have reached.
@@ -103,26 +103,26 @@
 	return true
 }
 
-func levelAt(s scheduler.SnapshotStore, now time.Duration) float64 {
-	return min(s.Most, s.Level+max(0, s.Rate)*max(0, now-s.At).Seconds())
+func levelAt(s scheduler.SnapshotTokenBucket, now time.Duration) float64 {
+	return min(s.Burst, s.Tokens+max(0, s.Rate)*max(0, now-s.RefilledAt).Seconds())
 }
 
 // keys gives the ordered keys that rest. The earlier life may have sent more after the snapshot, so one that had an attempt out rests from now on.
 func keys(old *scheduler.Snapshot, set scheduler.Settings, now time.Duration, moved func(time.Duration) time.Duration) (out []scheduler.LearnedKey) {
 	until := map[string]time.Duration{}
-	for _, t := range old.Turns {
-		if rest := t.RestUntil; rest > old.Now {
-			until[t.Key] = min(moved(old.Now)+rest-old.Now, now+set.Rules.TurnGap)
+	for _, t := range old.OrderedKeys {
+		if rest := t.QuietUntil; rest > old.Now {
+			until[t.Key] = min(moved(old.Now)+rest-old.Now, now+set.Rules.OrderedKeyQuietPeriod)
 		}
 	}
 	for _, r := range old.Requests {
-		if c := r.Request.Class; c >= 0 && c < len(set.Classes) && set.Classes[c].Ordered && r.Request.Key != "" && len(r.Open) > 0 {
-			until[r.Request.Key] = now + set.Rules.TurnGap
+		if c := r.Request.Class; c >= 0 && c < len(set.Classes) && set.Classes[c].Ordered && r.Request.Key != "" && len(r.InFlight) > 0 {
+			until[r.Request.Key] = now + set.Rules.OrderedKeyQuietPeriod
 		}
 	}
-	for _, t := range old.Turns { // in their order
+	for _, t := range old.OrderedKeys { // in their order
 		if rest := until[t.Key]; rest > now {
-			out = append(out, scheduler.LearnedKey{Key: t.Key, RestUntil: rest})
+			out = append(out, scheduler.LearnedKey{Key: t.Key, QuietUntil: rest})
 		}
 	}
 	return out
@@ -131,8 +131,8 @@
 // extra gives the further attempts that count against the new life's budget: it has taken no requests yet, so those that the old life's requests
 // covered are left out; taking over the requests, too, would loosen the budget.
 func extra(old *scheduler.Snapshot, set scheduler.Settings, moved func(time.Duration) time.Duration) (out []time.Duration) {
-	covered := int(set.Rules.BudgetShare * float64(len(old.TakenAt)))
-	for _, at := range old.ExtraAt[min(len(old.ExtraAt), max(0, covered)):] {
+	covered := int(set.Rules.RetryBudgetShare * float64(len(old.ArrivedAt)))
+	for _, at := range old.RetriedAt[min(len(old.RetriedAt), max(0, covered)):] {
 		out = append(out, moved(at))
 	}
 	return out
--- a/internal/warmrestart/believe_test.go
+++ b/internal/warmrestart/believe_test.go
@@ -27,8 +27,8 @@
 const ms = time.Millisecond
 
 // life is a Scheduler after a random day.
-func life(seed uint64, events int) (*scheduler.Scheduler, *capturetest.World) {
-	w := capturetest.NewWorld(seed)
+func life(seed uint64, events int) (*scheduler.Scheduler, *capturetest.Workload) {
+	w := capturetest.NewWorkload(seed)
 	s, err := scheduler.New(capturetest.Settings, seed, w)
 	if err != nil {
 		panic(err)
@@ -38,15 +38,15 @@
 }
 
 // next is a Scheduler that begins so long after an earlier life's end, on a clock that begins anew.
-func next(state *scheduler.Snapshot, after time.Duration, believe bool) (*scheduler.Scheduler, *capturetest.World) {
+func next(state *scheduler.Snapshot, after time.Duration, believe bool) (*scheduler.Scheduler, *capturetest.Workload) {
 	now := time.Hour
-	w := capturetest.WorldAt(99, now)
+	w := capturetest.NewWorkloadAt(99, now)
 	s, err := scheduler.New(capturetest.Settings, 7, w)
 	if err != nil {
 		panic(err)
 	}
 	if believe {
-		s.Recall(now, Believe(state, capturetest.Settings, now, after, now-after-state.Now).Learned)
+		s.Restore(now, Assess(state, capturetest.Settings, now, after, now-after-state.Now).Learned)
 	}
 	return s, w
 }
@@ -59,33 +59,33 @@
 		warm, _ := next(old.Snapshot(), after, true)
 		cold, _ := next(nil, 0, false)
 		for _, s := range []*scheduler.Scheduler{warm, cold} {
-			list := scheduler.Membership{Kind: scheduler.Whole}
+			list := scheduler.Membership{Kind: scheduler.FullList}
 			for n := range 6 {
 				list.Nodes = append(list.Nodes, scheduler.Node{ID: fmt.Sprint("n", n), Shard: n % 3, StartedAt: time.Hour - time.Duration(n)*time.Second})
 			}
-			s.Members(time.Hour, list)
+			s.MembershipChanged(time.Hour, list)
 			for v := range 5 {
-				s.Arrived(time.Hour, scheduler.Request{ID: fmt.Sprint("a", v), Class: 0, Plan: v % 2, Volume: fmt.Sprint("v", v), Units: 0, Shard: 9, Patience: time.Second, Hosts: 1 + v%2})
+				s.RequestArrived(time.Hour, scheduler.Request{ID: fmt.Sprint("a", v), Class: 0, Plan: v % 2, Volume: fmt.Sprint("v", v), Units: 0, Shard: 9, ClientTimeout: time.Second, Hosts: 1 + v%2})
 			}
 		}
 		a, b := warm.Snapshot(), cold.Snapshot()
 		for i := range b.Nodes {
 			x, y := a.Nodes[i], b.Nodes[i]
-			if x.Node.ID != y.Node.ID || x.ColdSince < y.ColdSince || y.Down && !x.Down || len(x.Sent) < len(y.Sent) {
+			if x.Node.ID != y.Node.ID || x.WarmingSince < y.WarmingSince || y.Down && !x.Down || len(x.RecentSends) < len(y.RecentSends) {
 				t.Fatalf("%+v\n%+v", x, y)
 			}
-			if x.Cap < 0 || math.IsNaN(x.Cap) || x.HeardAt > time.Hour {
+			if x.Cap < 0 || math.IsNaN(x.Cap) || x.LastServedAt > time.Hour {
 				t.Fatalf("%+v", x)
 			}
 		}
 		for i := range b.Volumes {
 			x, y := a.Volumes[i], b.Volumes[i]
-			if x.Name != y.Name || x.Limit.Level > y.Limit.Level || x.Limit.Most != y.Limit.Most || x.Limit.Rate != y.Limit.Rate {
+			if x.Name != y.Name || x.Limit.Tokens > y.Limit.Tokens || x.Limit.Burst != y.Limit.Burst || x.Limit.Rate != y.Limit.Rate {
 				t.Fatalf("%+v\n%+v", x, y)
 			}
 		}
-		if len(a.ExtraAt) < len(b.ExtraAt) || len(a.TakenAt) > len(b.TakenAt) {
-			t.Fatalf("%d extra, %d taken", len(a.ExtraAt), len(a.TakenAt))
+		if len(a.RetriedAt) < len(b.RetriedAt) || len(a.ArrivedAt) > len(b.ArrivedAt) {
+			t.Fatalf("%d extra, %d taken", len(a.RetriedAt), len(a.ArrivedAt))
 		}
 	})
 }
@@ -94,14 +94,14 @@
 func TestWarmLifeReplays(t *testing.T) {
 	old, _ := life(3, 600)
 	state, now := old.Snapshot(), time.Hour
-	w := capturetest.WorldAt(4, now)
-	r, err := capture.NewRecorder(capturetest.Settings, 1, capture.Options{Most: 500_000}, w)
+	w := capturetest.NewWorkloadAt(4, now)
+	r, err := capture.NewRecorder(capturetest.Settings, 1, capture.Options{MaxBytes: 500_000}, w)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Recall(now, Believe(state, capturetest.Settings, now, 3*time.Second, now-3*time.Second-state.Now).Learned)
+	r.Restore(now, Assess(state, capturetest.Settings, now, 3*time.Second, now-3*time.Second-state.Now).Learned)
 	w.Play(r, 2000)
-	file, err := r.Kept().File()
+	file, err := r.Recording().File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 
 // counting counts the units sent to a node.
 type counting struct {
-	capturetest.World
+	capturetest.Workload
 	units int
 }
 
@@ -128,14 +128,14 @@
 	settings := capturetest.Settings
 	settings.Siblings = 1
 	began := time.Hour
-	list := scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "n", StartedAt: began - 10*ms}}}
+	list := scheduler.Membership{Kind: scheduler.FullList, Nodes: []scheduler.Node{{ID: "n", StartedAt: began - 10*ms}}}
 	// A request of any shard passes by the node's budget alone, not by chance.
 	push := func(s *scheduler.Scheduler, now time.Duration, life string) {
-		s.Members(now, list)
+		s.MembershipChanged(now, list)
 		for i := range 300 {
 			id := fmt.Sprint(life, i)
-			s.Arrived(now, scheduler.Request{ID: id, Volume: "tin", Plan: 1, Units: 1, Shard: scheduler.AnyShard, Patience: time.Second, Hosts: 1})
-			s.Ended(now+ms, scheduler.Outcome{ID: id, Node: "n", Result: scheduler.Served, Latency: ms, Done: true, Use: -1})
+			s.RequestArrived(now, scheduler.Request{ID: id, Volume: "tin", Plan: 1, Units: 1, Shard: scheduler.AnyShard, ClientTimeout: time.Second, Hosts: 1})
+			s.AttemptEnded(now+ms, scheduler.Outcome{ID: id, Node: "n", Result: scheduler.Served, Latency: ms, Concluded: true, VolumeUse: -1})
 		}
 	}
 	var one, two counting
@@ -151,7 +151,7 @@
 	}
 	now := began + 500*ms // the clocks agree here
 	if believe {
-		again.Recall(now, Believe(state, settings, now, 500*ms, 0).Learned)
+		again.Restore(now, Assess(state, settings, now, 500*ms, 0).Learned)
 	}
 	push(again, now, "b")
 	return one.units, two.units
@@ -159,7 +159,7 @@
 
 // A restart in the middle of a node's cold start must not push the node over: what the earlier life sent counts in the same window.
 func TestColdStartAcrossARestart(t *testing.T) {
-	most := int(capturetest.Settings.Rules.ColdUnits) + 20 // it warms a little meanwhile
+	most := int(capturetest.Settings.Rules.SlowStartAllowance) + 20 // it warms a little meanwhile
 	first, second := pushOver(t, true)
 	if first < 50 || first+second > most {
 		t.Errorf("%d, then %d of %d", first, second, most)
@@ -174,16 +174,16 @@
 	old, _ := life(5, 800)
 	state := old.Snapshot()
 	for i := range state.Nodes {
-		state.Nodes[i].Node.Phase, state.Nodes[i].Node.StartedAt, state.Nodes[i].ColdSince = scheduler.Up, 0, 0
+		state.Nodes[i].Node.Phase, state.Nodes[i].Node.StartedAt, state.Nodes[i].WarmingSince = scheduler.Up, 0, 0
 		state.Nodes[i].Cap, state.Nodes[i].MinLatency, state.Nodes[i].Latency, state.Nodes[i].MaxRate = 40, 0.01, 0.011, 2000
 	}
 	s, _ := next(state, time.Second, true)
-	s.Members(time.Hour, scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "n0"}, {ID: "n1", StartedAt: time.Hour - 200*ms}}})
+	s.MembershipChanged(time.Hour, scheduler.Membership{Kind: scheduler.FullList, Nodes: []scheduler.Node{{ID: "n0"}, {ID: "n1", StartedAt: time.Hour - 200*ms}}})
 	got := s.Snapshot()
-	if n := got.Nodes[0]; n.ColdSince != 0 || n.Cap < 35 || n.MinLatency == 0 {
+	if n := got.Nodes[0]; n.WarmingSince != 0 || n.Cap < 35 || n.MinLatency == 0 {
 		t.Errorf("the same life: %+v", n)
 	}
-	if n := got.Nodes[1]; n.ColdSince != time.Hour-200*ms || n.Cap != 16 || n.MinLatency != 0 {
+	if n := got.Nodes[1]; n.WarmingSince != time.Hour-200*ms || n.Cap != 16 || n.MinLatency != 0 {
 		t.Errorf("another life: %+v", n)
 	}
 }
@@ -197,19 +197,19 @@
 	}
 	last := math.Inf(1)
 	for _, age := range []time.Duration{0, time.Second, 10 * time.Second, time.Minute, 2 * time.Minute, 9 * time.Minute, time.Hour} {
-		b := Believe(state, capturetest.Settings, time.Hour, age, 0)
+		b := Assess(state, capturetest.Settings, time.Hour, age, 0)
 		known := b.Learned.Nodes[0].Cap
-		if known > last || known < 0 || age > forgotten && (b.Nodes > 0 || len(b.Learned.Work) > 0) {
-			t.Errorf("%v: cap %v after %v, %d nodes", age, known, last, b.Nodes)
+		if known > last || known < 0 || age > forgotten && (b.KnownNodes > 0 || len(b.Learned.ClassWork) > 0) {
+			t.Errorf("%v: cap %v after %v, %d nodes", age, known, last, b.KnownNodes)
 		}
 		last = known
 	}
-	if b := Believe(state, capturetest.Settings, time.Hour, -time.Minute, 0); b.Nodes > 0 {
+	if b := Assess(state, capturetest.Settings, time.Hour, -time.Minute, 0); b.KnownNodes > 0 {
 		t.Error("a state of the future is believed")
 	}
-	state.Nodes[0].Cap, state.Nodes[1].Latency, state.Work[0] = math.NaN(), math.Inf(1), math.NaN()
-	b := Believe(state, capturetest.Settings, time.Hour, 0, 0)
-	if b.Learned.Nodes[0].Cap != 0 || b.Learned.Nodes[1].Cap != 0 || len(b.Learned.Work) > 0 {
+	state.Nodes[0].Cap, state.Nodes[1].Latency, state.ClassWork[0] = math.NaN(), math.Inf(1), math.NaN()
+	b := Assess(state, capturetest.Settings, time.Hour, 0, 0)
+	if b.Learned.Nodes[0].Cap != 0 || b.Learned.Nodes[1].Cap != 0 || len(b.Learned.ClassWork) > 0 {
 		t.Errorf("%+v", b.Learned)
 	}
 }
@@ -225,7 +225,7 @@
 func TestTwoGenerations(t *testing.T) {
 	s, _ := life(1, 60)
 	first := s.Snapshot()
-	s.Timer(first.Now+time.Second, 0)
+	s.TimerFired(first.Now+time.Second, 0)
 	second := s.Snapshot()
 	for kill := 0; ; kill += 3 {
 		f := filesystemtest.New()
@@ -287,7 +287,7 @@
 	if got, _ := s.Load(other); got != nil || !strings.Contains(log.String(), "other settings") {
 		t.Errorf("%v %s", got, log)
 	}
-	f.Room = 10
+	f.Capacity = 10
 	if err := s.Save(head, old.Snapshot()); err == nil {
 		t.Error("a full disk was not told")
 	}
@@ -298,7 +298,7 @@
 
 // server is a node that serves so many requests at a time, each for as long.
 type server struct {
-	capturetest.World
+	capturetest.Workload
 	out []scheduler.Outcome
 	at  []time.Duration
 	now time.Duration
@@ -310,14 +310,14 @@
 )
 
 func (v *server) Send(id, node string, _ time.Duration) {
-	v.out = append(v.out, scheduler.Outcome{ID: id, Node: node, Result: scheduler.Served, Done: true, Use: -1})
+	v.out = append(v.out, scheduler.Outcome{ID: id, Node: node, Result: scheduler.Served, Concluded: true, VolumeUse: -1})
 	v.at = append(v.at, v.now+takes*time.Duration(1+len(v.out)/workers))
 }
 func (*server) SetTimer(time.Duration, uint64) {}
 
 // learning gives how long it takes until a cap is within a tenth of what it is in the end.
 func learning(s *scheduler.Scheduler, v *server, from time.Duration) time.Duration {
-	s.Members(from, scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "n"}}})
+	s.MembershipChanged(from, scheduler.Membership{Kind: scheduler.FullList, Nodes: []scheduler.Node{{ID: "n"}}})
 	n := 0
 	var caps []float64
 	for v.now = from; v.now < from+20*time.Second; v.now += 5 * ms {
@@ -325,14 +325,14 @@
 			o := v.out[0]
 			o.Latency = takes
 			v.out, v.at = v.out[1:], v.at[1:]
-			s.Ended(v.now, o)
+			s.AttemptEnded(v.now, o)
 		}
 		for range 4 {
 			n++
-			s.Arrived(v.now, scheduler.Request{ID: fmt.Sprint(from, n), Volume: "tin", Plan: 1, Units: 2, Patience: time.Second, Hosts: 1})
+			s.RequestArrived(v.now, scheduler.Request{ID: fmt.Sprint(from, n), Volume: "tin", Plan: 1, Units: 2, ClientTimeout: time.Second, Hosts: 1})
 		}
 		if n%20 == 0 {
-			s.Timer(v.now, 0)
+			s.TimerFired(v.now, 0)
 		}
 		caps = append(caps, s.Snapshot().Nodes[0].Cap)
 	}
@@ -354,7 +354,7 @@
 		state, now := s.Snapshot(), 2*time.Hour
 		two := &server{}
 		again, _ := scheduler.New(capturetest.Settings, 2, two)
-		again.Recall(now, Believe(state, capturetest.Settings, now, 10*time.Second, now-10*time.Second-state.Now).Learned)
+		again.Restore(now, Assess(state, capturetest.Settings, now, 10*time.Second, now-10*time.Second-state.Now).Learned)
 		warm := learning(again, two, now)
 		b.ReportMetric(cold.Seconds(), "s-cold")
 		b.ReportMetric(warm.Seconds(), "s-warm")
--- a/internal/warmrestart/store.go
+++ b/internal/warmrestart/store.go
@@ -34,12 +34,12 @@
 // Save writes a state, whole or not at all; the one before it stays as the older generation. A state is a capture of one snapshot, so the commands
 // for captures read it.
 func (s *Store) Save(head capture.Head, state *scheduler.Snapshot) error {
-	file, err := capture.Compressed(head, []capture.Record{{Kind: capture.Snapshot, At: state.Now, State: state}})
+	file, err := capture.Compress(head, []capture.Record{{Kind: capture.KindSnapshot, At: state.Now, State: state}})
 	if err != nil {
 		return err
 	}
 	next := s.Path + ".new"
-	if err := filesystem.Replace(s.FS, next, file); err != nil {
+	if err := filesystem.ReplaceFile(s.FS, next, file); err != nil {
 		return err
 	}
 	// Between the two renames there is only the older generation, which Load finds.
@@ -92,7 +92,7 @@
 	if err != nil {
 		return head, nil, err
 	}
-	if r.Kind != capture.Snapshot || r.State == nil {
+	if r.Kind != capture.KindSnapshot || r.State == nil {
 		return head, nil, fmt.Errorf("it holds a %s in place of a state", r.Kind)
 	}
 	if _, err := scheduler.Resume(c.Head.Settings, r.State, nil); err != nil { // its places are checked there
@@ -102,7 +102,7 @@
 }
 
 func same(a, b scheduler.Settings) bool {
-	x, err := capture.Begin(&capture.Head{Settings: a})
-	y, err2 := capture.Begin(&capture.Head{Settings: b})
+	x, err := capture.EncodeHeader(&capture.Head{Settings: a})
+	y, err2 := capture.EncodeHeader(&capture.Head{Settings: b})
 	return err == nil && err2 == nil && string(x) == string(y)
 }
--- a/internal/zonefailover/spill.go
+++ b/internal/zonefailover/spill.go
@@ -11,13 +11,13 @@
 
 // Settings say which rooms new work prefers, and how much of it may go elsewhere. The zero value turns all of this off.
 type Settings struct {
-	Tiers    []int         // by room: 0 is home, then near, then far; empty: off
-	Spill    float64       // units a second of new work, over all gateways, that may go beyond the first tier
-	Burst    float64       // units of it at once, over all gateways
-	Share    float64       // of what this gateway has seen a receiving room do beyond what it does now, that may be added to it; 0: no such bound
-	Siblings int           // gateways
-	ListLate time.Duration // for which the list may not tell yet that a node has started anew
-	Work     []Work
+	Tiers           []int         // by room: 0 is home, then near, then far; empty: off
+	Spillover       float64       `json:"Spill"` // units a second of new work, over all gateways, that may go beyond the first tier
+	Burst           float64       // units of it at once, over all gateways
+	Share           float64       // of what this gateway has seen a receiving room do beyond what it does now, that may be added to it; 0: no such bound
+	Siblings        int           // gateways
+	MembershipDelay time.Duration `json:"ListLate"` // for which the list may not tell yet that a node has started anew
+	Work            []Work
 }
 
 // Work is a preference of a class or plan of its own. The first that fits holds.
@@ -26,19 +26,19 @@
 	Tiers       []int
 }
 
-// On tells whether rooms are looked at.
-func (s Settings) On() bool { return len(s.Tiers) > 0 }
+// Enabled tells whether rooms are looked at.
+func (s Settings) Enabled() bool { return len(s.Tiers) > 0 }
 
 // Check tells what is wrong.
 func (s *Settings) Check() error {
 	switch {
-	case !s.On():
+	case !s.Enabled():
 		return nil
 	case s.Siblings < 1:
 		return errors.New("rooms: there is no gateway")
-	case !(s.Spill >= 0 && s.Burst >= 0 && s.Share >= 0):
+	case !(s.Spillover >= 0 && s.Burst >= 0 && s.Share >= 0):
 		return errors.New("rooms: a bound is below 0")
-	case s.ListLate < 0:
+	case s.MembershipDelay < 0:
 		return errors.New("rooms: a time is below 0")
 	}
 	for i, w := range s.Work {
@@ -62,9 +62,9 @@
 	return s.Tiers[room]
 }
 
-// Spiller bounds what goes beyond the first tier. Each gateway has its even part, so that those that share it keep to the bound together, whatever they do not know of each
+// SpilloverLimiter bounds what goes beyond the first tier. Each gateway has its even part, so that those that share it keep to the bound together, whatever they do not know of each
 // other: in any time t no more than Spill*t + Burst units. Beside it, what goes into a room is no more than Share of what it was seen to spare.
-type Spiller struct {
+type SpilloverLimiter struct {
 	set   Settings
 	all   bucket
 	rooms []bucket
@@ -87,17 +87,19 @@
 	}
 }
 
-// NewSpiller makes one.
-func NewSpiller(s Settings) *Spiller { return &Spiller{set: s, rooms: make([]bucket, len(s.Tiers))} }
+// NewSpilloverLimiter makes one.
+func NewSpilloverLimiter(s Settings) *SpilloverLimiter {
+	return &SpilloverLimiter{set: s, rooms: make([]bucket, len(s.Tiers))}
+}
 
-func (s *Spiller) part() float64 { return 1 / float64(max(1, s.set.Siblings)) }
+func (s *SpilloverLimiter) part() float64 { return 1 / float64(max(1, s.set.Siblings)) }
 
-func (s *Spiller) rate() float64 { return s.set.Spill * s.part() }
+func (s *SpilloverLimiter) rate() float64 { return s.set.Spillover * s.part() }
 
-func (s *Spiller) most() float64 { return s.set.Burst * s.part() }
+func (s *SpilloverLimiter) most() float64 { return s.set.Burst * s.part() }
 
-// Fill lets time pass. Spare is, by room, how many units a second it seems to spare of what it has done through this gateway.
-func (s *Spiller) Fill(now time.Duration, spare []float64) {
+// Refill lets time pass. Spare is, by room, how many units a second it seems to spare of what it has done through this gateway.
+func (s *SpilloverLimiter) Refill(now time.Duration, spare []float64) {
 	s.all.fill(now, s.rate(), s.most())
 	for i := range s.rooms {
 		s.rooms[i].fill(now, s.set.Share*max(0, spare[i]), s.most())
@@ -105,7 +107,7 @@
 }
 
 // Take asks for units that go into a room.
-func (s *Spiller) Take(now time.Duration, room int, units float64) bool {
+func (s *SpilloverLimiter) Take(now time.Duration, room int, units float64) bool {
 	s.all.fill(now, s.rate(), s.most())
 	if units > s.all.level {
 		return false
@@ -122,7 +124,7 @@
 }
 
 // Wait is after what time so many units may go, for those that are refused; not ever, as far as anybody can say, where so many may never spill at once.
-func (s *Spiller) Wait(now time.Duration, units float64) (wait time.Duration, ever bool) {
+func (s *SpilloverLimiter) Wait(now time.Duration, units float64) (wait time.Duration, ever bool) {
 	s.all.fill(now, s.rate(), s.most())
 	if s.rate() <= 0 || units > s.most() {
 		return 0, false
@@ -130,29 +132,29 @@
 	return time.Duration(max(0, units-s.all.level) / s.rate() * float64(time.Second)), true
 }
 
-// SpillState is a Spiller as plain data: first what holds for all, then by room.
-type SpillState struct {
-	_     struct{} `cbor:",toarray"`
-	Level float64
-	At    time.Duration
-	Begun bool
+// SpilloverState is a Spiller as plain data: first what holds for all, then by room.
+type SpilloverState struct {
+	_          struct{}      `cbor:",toarray"`
+	Tokens     float64       `json:"Level"`
+	RefilledAt time.Duration `json:"At"`
+	Started    bool          `json:"Begun"`
 }
 
 // Snapshot gives the state.
-func (s *Spiller) Snapshot() (out []SpillState) {
+func (s *SpilloverLimiter) Snapshot() (out []SpilloverState) {
 	for _, b := range append([]bucket{s.all}, s.rooms...) {
-		out = append(out, SpillState{Level: b.level, At: b.at, Begun: b.begun})
+		out = append(out, SpilloverState{Tokens: b.level, RefilledAt: b.at, Started: b.begun})
 	}
 	return out
 }
 
 // Resume goes on from a state; it tells whether that is of as many rooms.
-func (s *Spiller) Resume(from []SpillState) bool {
+func (s *SpilloverLimiter) Resume(from []SpilloverState) bool {
 	if len(from) != 1+len(s.rooms) {
 		return false
 	}
 	for i, b := range from {
-		next := bucket{b.Level, b.At, b.Begun}
+		next := bucket{b.Tokens, b.RefilledAt, b.Started}
 		if i == 0 {
 			s.all = next
 		} else {
--- a/internal/zonefailover/view.go
+++ b/internal/zonefailover/view.go
@@ -17,26 +17,26 @@
 
 // The States. A room is thin where a part of it is gone or dark.
 const (
-	Here State = iota
-	Thin
-	Suspected
-	Dark
-	Returning
+	Available State = iota
+	Degraded
+	Suspect
+	Unavailable
+	Recovering
 )
 
 var stateNames = [...]string{"here", "thin", "suspected", "dark", "returning"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Sight is what a gateway sees of a node now.
-type Sight struct {
-	ID      string
-	Room    int
-	Size    float64       // share of what a usual node can do; 0 counts as 1
-	Gone    bool          // it is listed as removed or draining: nobody expects an answer of it
-	Waiting time.Duration // for how long its oldest attempt has been out; 0: none is
-	Usual   time.Duration // that an answer takes there, as far as is known
-	Heard   time.Duration // when anything came from it last, an answer or a refused connection; 0: never
+// Observation is what a gateway sees of a node now.
+type Observation struct {
+	ID            string
+	Zone          int           `json:"Room"`
+	Size          float64       // share of what a usual node can do; 0 counts as 1
+	Removed       bool          `json:"Gone"`    // it is listed as removed or draining: nobody expects an answer of it
+	UnansweredFor time.Duration `json:"Waiting"` // for how long its oldest attempt has been out; 0: none is
+	UsualLatency  time.Duration `json:"Usual"`   // that an answer takes there, as far as is known
+	LastResponse  time.Duration `json:"Heard"`   // when anything came from it last, an answer or a refused connection; 0: never
 }
 
 // Tuned values, all ours.
@@ -59,81 +59,81 @@
 
 // node is what is held of a node.
 type node struct {
-	Sight
+	Observation
 	state   State
 	since   time.Duration
 	tryAt   time.Duration // when the next request may try it
 	tryStep time.Duration
 }
 
-// Room is what is believed of a room, and why.
-type Room struct {
-	State  State
-	Since  time.Duration
-	Flaps  int           // times it went dark again lately
-	Calm   time.Duration // for which it must be heard before it counts as here
-	Heard  float64       // share of its nodes, by size, that answer
-	Silent float64       // share of those asked that don't
-	Gone   float64       // share that is listed as gone
-	Nodes  int
+// Zone is what is believed of a room, and why.
+type ZoneHealth struct {
+	State           State
+	Since           time.Duration
+	Flaps           int           // times it went dark again lately
+	RecoveryTime    time.Duration `json:"Calm"`   // for which it must be heard before it counts as here
+	RespondingShare float64       `json:"Heard"`  // share of its nodes, by size, that answer
+	SilentShare     float64       `json:"Silent"` // share of those asked that don't
+	RemovedShare    float64       `json:"Gone"`   // share that is listed as gone
+	Nodes           int
 
 	SilentSince time.Duration // since when it is silent enough to be dark; 0: it is not
 }
 
 // Change tells that a room, or a node in it, is believed to be something else.
 type Change struct {
-	At       time.Duration
-	Room     int
-	Node     string // empty: the room
-	From, To State
-	Silent   float64
-	Cut      bool // all rooms are silent at once: it is this gateway that is cut off
+	At          time.Duration
+	Zone        int
+	Node        string // empty: the room
+	From, To    State
+	SilentShare float64
+	Isolated    bool // all rooms are silent at once: it is this gateway that is cut off
 }
 
-// View is what one gateway believes of all rooms.
-type View struct {
+// Tracker is what one gateway believes of all rooms.
+type Tracker struct {
 	nodes map[string]*node
-	rooms []Room
+	rooms []ZoneHealth
 	cut   bool
 }
 
-// MostNodes bounds the nodes of which a View holds anything. What is beyond it is taken to be here.
-const MostNodes = 1 << 16
+// MaxNodes bounds the nodes of which a View holds anything. What is beyond it is taken to be here.
+const MaxNodes = 1 << 16
 
-// NewView makes a View of so many rooms, all of them here.
-func NewView(rooms int) *View {
-	v := &View{nodes: map[string]*node{}, rooms: make([]Room, max(rooms, 1))}
+// NewTracker makes a View of so many rooms, all of them here.
+func NewTracker(rooms int) *Tracker {
+	v := &Tracker{nodes: map[string]*node{}, rooms: make([]ZoneHealth, max(rooms, 1))}
 	for i := range v.rooms {
-		v.rooms[i].Calm = calmFirst
+		v.rooms[i].RecoveryTime = calmFirst
 	}
 	return v
 }
 
-// Look takes what is seen of all listed nodes and gives what changes by it. What is not among them any more is forgotten. It costs one pass over the nodes, whatever
+// Update takes what is seen of all listed nodes and gives what changes by it. What is not among them any more is forgotten. It costs one pass over the nodes, whatever
 // the number of rooms.
-func (v *View) Look(now time.Duration, all []Sight) (changes []Change) {
+func (v *Tracker) Update(now time.Duration, all []Observation) (changes []Change) {
 	tallies := make([]tally, len(v.rooms))
 	seen := 0
 	for i := range all {
 		s := &all[i]
-		if s.Room < 0 || s.Room >= len(v.rooms) {
+		if s.Zone < 0 || s.Zone >= len(v.rooms) {
 			continue
 		}
 		n := v.nodes[s.ID]
 		if n == nil {
-			if len(v.nodes) >= MostNodes {
+			if len(v.nodes) >= MaxNodes {
 				continue
 			}
 			n = &node{since: now}
 			v.nodes[s.ID] = n
 		}
 		seen++
-		heard := s.Heard > n.Heard
-		n.Sight = *s
+		heard := s.LastResponse > n.LastResponse
+		n.Observation = *s
 		if c := n.step(now, heard); c != nil {
 			changes = append(changes, *c)
 		}
-		tallies[s.Room].add(now, n)
+		tallies[s.Zone].add(now, n)
 	}
 	if seen < len(v.nodes) {
 		v.forget(all)
@@ -147,7 +147,7 @@
 	return changes
 }
 
-func (v *View) forget(all []Sight) {
+func (v *Tracker) forget(all []Observation) {
 	listed := make(map[string]bool, len(all))
 	for i := range all {
 		listed[all[i].ID] = true
@@ -161,32 +161,32 @@
 
 // silence is after what time an attempt without an answer tells of silence.
 func (n *node) silence() time.Duration {
-	return min(max(silentTimes*n.Usual, silentLeast), silentMost)
+	return min(max(silentTimes*n.UsualLatency, silentLeast), silentMost)
 }
 
 // silent tells whether something is out for too long at a node from which nothing came meanwhile.
 func (n *node) silent(now time.Duration) bool {
-	return !n.Gone && n.Waiting > n.silence() && now-n.Heard > n.silence()
+	return !n.Removed && n.UnansweredFor > n.silence() && now-n.LastResponse > n.silence()
 }
 
 func (n *node) step(now time.Duration, heard bool) *Change {
 	from := n.state
 	silent := n.silent(now)
 	switch {
-	case silent && n.Waiting > n.silence()+darkAfter && n.state != Dark:
-		n.state, n.tryStep, n.tryAt = Dark, tryFirst, now+tryFirst
-	case silent && n.state == Here:
-		n.state = Suspected
-	case heard && n.state == Dark:
-		n.state = Returning
-	case heard && n.state == Suspected, n.state == Returning && now-n.since >= calmFirst && !silent:
-		n.state = Here
+	case silent && n.UnansweredFor > n.silence()+darkAfter && n.state != Unavailable:
+		n.state, n.tryStep, n.tryAt = Unavailable, tryFirst, now+tryFirst
+	case silent && n.state == Available:
+		n.state = Suspect
+	case heard && n.state == Unavailable:
+		n.state = Recovering
+	case heard && n.state == Suspect, n.state == Recovering && now-n.since >= calmFirst && !silent:
+		n.state = Available
 	}
 	if n.state == from {
 		return nil
 	}
 	n.since = now
-	return &Change{At: now, Room: n.Room, Node: n.ID, From: from, To: n.state}
+	return &Change{At: now, Zone: n.Zone, Node: n.ID, From: from, To: n.state}
 }
 
 // tally is what a room's nodes come to, by size.
@@ -201,23 +201,23 @@
 	t.nodes++
 	t.all += size
 	switch {
-	case n.Gone:
+	case n.Removed:
 		t.gone += size
 		return
-	case n.state == Dark:
+	case n.state == Unavailable:
 		if now-n.since > darkOld {
 			t.old += size
 		}
 		t.dark += size
 		t.asked += size
 		t.silent += size
-	case n.state == Suspected:
+	case n.state == Suspect:
 		t.asked += size
 		t.silent += size
-	case n.Waiting > 0 || n.Heard > 0:
+	case n.UnansweredFor > 0 || n.LastResponse > 0:
 		t.asked += size
 	}
-	if n.state == Here || n.state == Returning {
+	if n.state == Available || n.state == Recovering {
 		t.heard += size
 	}
 }
@@ -247,12 +247,12 @@
 	return asked > 1
 }
 
-func (r *Room) step(now time.Duration, number int, t *tally, cut bool) *Change {
+func (r *ZoneHealth) step(now time.Duration, number int, t *tally, cut bool) *Change {
 	from, share := r.State, t.share()
-	r.Silent, r.Nodes = share, t.nodes
-	r.Heard, r.Gone = 0, 0
+	r.SilentShare, r.Nodes = share, t.nodes
+	r.RespondingShare, r.RemovedShare = 0, 0
 	if t.all > 0 {
-		r.Heard, r.Gone = t.heard/t.all, t.gone/t.all
+		r.RespondingShare, r.RemovedShare = t.heard/t.all, t.gone/t.all
 	}
 	if share >= darkShare && !cut {
 		if r.SilentSince == 0 {
@@ -264,36 +264,36 @@
 	down := r.SilentSince > 0 && now-r.SilentSince >= darkAfter
 	thin := t.all > 0 && (t.gone+t.dark)/t.all >= thinShare
 	switch r.State {
-	case Here, Thin:
+	case Available, Degraded:
 		switch {
 		case share >= suspectShare && !cut:
-			r.State = Suspected
+			r.State = Suspect
 		case thin:
-			r.State = Thin
+			r.State = Degraded
 		default:
-			r.State = Here
+			r.State = Available
 			if r.Flaps > 0 && now-r.Since >= calmForget {
-				r.Flaps, r.Calm = 0, calmFirst
+				r.Flaps, r.RecoveryTime = 0, calmFirst
 			}
 		}
-	case Suspected:
+	case Suspect:
 		switch {
 		case down:
 			r.goDark()
 		case share < suspectShare || cut:
-			r.State = Here
+			r.State = Available
 		}
-	case Dark:
+	case Unavailable:
 		if t.heard > 0 && share < darkShare {
-			r.State = Returning
+			r.State = Recovering
 		}
-	case Returning:
+	case Recovering:
 		switch {
 		case down || share >= darkShare && !cut:
 			r.goDark()
-		case now-r.Since >= r.Calm && r.Heard+r.Gone >= backShare && share < suspectShare:
-			if r.State = Here; thin {
-				r.State = Thin
+		case now-r.Since >= r.RecoveryTime && r.RespondingShare+r.RemovedShare >= backShare && share < suspectShare:
+			if r.State = Available; thin {
+				r.State = Degraded
 			}
 		}
 	}
@@ -301,47 +301,47 @@
 		return nil
 	}
 	r.Since = now
-	return &Change{At: now, Room: number, From: from, To: r.State, Silent: share, Cut: cut}
+	return &Change{At: now, Zone: number, From: from, To: r.State, SilentShare: share, Isolated: cut}
 }
 
 // goDark makes the room prove itself for longer each time, so that one that flaps does not drag traffic along.
-func (r *Room) goDark() {
-	if r.State == Returning || r.Flaps > 0 {
+func (r *ZoneHealth) goDark() {
+	if r.State == Recovering || r.Flaps > 0 {
 		r.Flaps++
-		r.Calm = min(2*r.Calm, calmMost)
+		r.RecoveryTime = min(2*r.RecoveryTime, calmMost)
 	} else {
 		r.Flaps = 1
 	}
-	r.State = Dark
+	r.State = Unavailable
 }
 
-// Room is what is believed of a room; one that is not known is here.
-func (v *View) Room(number int) Room {
+// Zone is what is believed of a room; one that is not known is here.
+func (v *Tracker) Zone(number int) ZoneHealth {
 	if number < 0 || number >= len(v.rooms) {
-		return Room{State: Here}
+		return ZoneHealth{State: Available}
 	}
 	return v.rooms[number]
 }
 
-// Rooms is how many there are.
-func (v *View) Rooms() int { return len(v.rooms) }
+// Zones is how many there are.
+func (v *Tracker) Zones() int { return len(v.rooms) }
 
-// Cut tells whether this gateway seems to be cut off from all rooms.
-func (v *View) Cut() bool { return v.cut }
+// Isolated tells whether this gateway seems to be cut off from all rooms.
+func (v *Tracker) Isolated() bool { return v.cut }
 
 // Node is what is believed of a node; one that is not known is here.
-func (v *View) Node(id string) State {
+func (v *Tracker) Node(id string) State {
 	if n := v.nodes[id]; n != nil {
 		return n.state
 	}
-	return Here
+	return Available
 }
 
-// Try tells whether a request may try a dark node, and takes the turn: one at a time, at intervals that double. Somebody has to, or nobody would hear that
+// AllowTrial tells whether a request may try a dark node, and takes the turn: one at a time, at intervals that double. Somebody has to, or nobody would hear that
 // it is back.
-func (v *View) Try(now time.Duration, id string) bool {
+func (v *Tracker) AllowTrial(now time.Duration, id string) bool {
 	n := v.nodes[id]
-	if n == nil || n.state != Dark {
+	if n == nil || n.state != Unavailable {
 		return true
 	}
 	if now < n.tryAt {
@@ -352,57 +352,57 @@
 	return true
 }
 
-// Overdue tells whether a dark node should have been tried long ago: nobody came who could do it without a loss.
-func (v *View) Overdue(now time.Duration, id string) bool {
+// TrialOverdue tells whether a dark node should have been tried long ago: nobody came who could do it without a loss.
+func (v *Tracker) TrialOverdue(now time.Duration, id string) bool {
 	n := v.nodes[id]
-	return n != nil && n.state == Dark && now-n.tryAt > tryMost
+	return n != nil && n.state == Unavailable && now-n.tryAt > tryMost
 }
 
-// Until is when a dark node is tried next: nobody who is refused need come back before.
-func (v *View) Until(now time.Duration, id string) time.Duration {
-	if n := v.nodes[id]; n != nil && n.state == Dark {
+// UntilTrial is when a dark node is tried next: nobody who is refused need come back before.
+func (v *Tracker) UntilTrial(now time.Duration, id string) time.Duration {
+	if n := v.nodes[id]; n != nil && n.state == Unavailable {
 		return max(0, n.tryAt-now)
 	}
 	return 0
 }
 
-// ViewState is a View as plain data.
-type ViewState struct {
-	_     struct{} `cbor:",toarray"`
-	Nodes []NodeState
-	Rooms []Room
-	Cut   bool
+// TrackerState is a View as plain data.
+type TrackerState struct {
+	_        struct{} `cbor:",toarray"`
+	Nodes    []NodeState
+	Zones    []ZoneHealth `json:"Rooms"`
+	Isolated bool         `json:"Cut"`
 }
 
 // NodeState is what is held of a node.
 type NodeState struct {
-	_       struct{} `cbor:",toarray"`
-	Sight   Sight
-	State   State
-	Since   time.Duration
-	TryAt   time.Duration
-	TryStep time.Duration
+	_             struct{}    `cbor:",toarray"`
+	Observation   Observation `json:"Sight"`
+	State         State
+	Since         time.Duration
+	TrialAt       time.Duration `json:"TryAt"`
+	TrialInterval time.Duration `json:"TryStep"`
 }
 
 // Snapshot gives the state.
-func (v *View) Snapshot() ViewState {
-	out := ViewState{Rooms: slices.Clone(v.rooms), Cut: v.cut}
+func (v *Tracker) Snapshot() TrackerState {
+	out := TrackerState{Zones: slices.Clone(v.rooms), Isolated: v.cut}
 	for _, n := range v.nodes {
-		out.Nodes = append(out.Nodes, NodeState{Sight: n.Sight, State: n.state, Since: n.since, TryAt: n.tryAt, TryStep: n.tryStep})
+		out.Nodes = append(out.Nodes, NodeState{Observation: n.Observation, State: n.state, Since: n.since, TrialAt: n.tryAt, TrialInterval: n.tryStep})
 	}
-	slices.SortFunc(out.Nodes, func(a, b NodeState) int { return cmp.Compare(a.Sight.ID, b.Sight.ID) })
+	slices.SortFunc(out.Nodes, func(a, b NodeState) int { return cmp.Compare(a.Observation.ID, b.Observation.ID) })
 	return out
 }
 
 // Resume goes on from a state; it tells whether that is of as many rooms.
-func (v *View) Resume(from ViewState) bool {
-	if len(from.Rooms) != len(v.rooms) || len(from.Nodes) > MostNodes {
+func (v *Tracker) Resume(from TrackerState) bool {
+	if len(from.Zones) != len(v.rooms) || len(from.Nodes) > MaxNodes {
 		return false
 	}
 	for _, n := range from.Nodes {
-		v.nodes[n.Sight.ID] = &node{Sight: n.Sight, state: n.State, since: n.Since, tryAt: n.TryAt, tryStep: n.TryStep}
+		v.nodes[n.Observation.ID] = &node{Observation: n.Observation, state: n.State, since: n.Since, tryAt: n.TrialAt, tryStep: n.TrialInterval}
 	}
-	copy(v.rooms, from.Rooms)
-	v.cut = from.Cut
+	copy(v.rooms, from.Zones)
+	v.cut = from.Isolated
 	return true
 }
--- a/internal/zonefailover/view_test.go
+++ b/internal/zonefailover/view_test.go
@@ -19,24 +19,24 @@
 
 // site shows a View nodes that answer 40 ms after each question, or say nothing.
 type site struct {
-	v       *View
+	v       *Tracker
 	now     time.Duration
 	nodes   []*spot
 	changes []string
 }
 
 type spot struct {
-	Sight
+	Observation
 	silent bool
 	idle   bool // nothing is asked of it
 	asked  time.Duration
 }
 
 func newSite(rooms, each int) *site {
-	s := &site{v: NewView(rooms), now: time.Hour}
+	s := &site{v: NewTracker(rooms), now: time.Hour}
 	for r := range rooms {
 		for i := range each {
-			s.nodes = append(s.nodes, &spot{Sight: Sight{ID: fmt.Sprintf("%d-%d", r, i), Room: r, Usual: 40 * ms}})
+			s.nodes = append(s.nodes, &spot{Observation: Observation{ID: fmt.Sprintf("%d-%d", r, i), Zone: r, UsualLatency: 40 * ms}})
 		}
 	}
 	return s
@@ -46,24 +46,24 @@
 func (s *site) run(d time.Duration) *site {
 	for end := s.now + d; s.now < end; {
 		s.now += tick
-		var all []Sight
+		var all []Observation
 		for _, n := range s.nodes {
 			switch {
-			case n.Gone, n.idle:
-				n.asked, n.Waiting = 0, 0
+			case n.Removed, n.idle:
+				n.asked, n.UnansweredFor = 0, 0
 			case n.silent:
 				if n.asked == 0 {
 					n.asked = s.now
 				}
-				n.Waiting = s.now - n.asked
+				n.UnansweredFor = s.now - n.asked
 			default:
-				n.asked, n.Waiting, n.Heard = 0, 0, s.now
+				n.asked, n.UnansweredFor, n.LastResponse = 0, 0, s.now
 			}
-			all = append(all, n.Sight)
+			all = append(all, n.Observation)
 		}
-		for _, c := range s.v.Look(s.now, all) {
+		for _, c := range s.v.Update(s.now, all) {
 			if c.Node == "" {
-				s.changes = append(s.changes, fmt.Sprintf("%d %v", c.Room, c.To))
+				s.changes = append(s.changes, fmt.Sprintf("%d %v", c.Zone, c.To))
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 
 func (s *site) room(number int, change func(*spot)) *site {
 	for _, n := range s.nodes {
-		if n.Room == number {
+		if n.Zone == number {
 			change(n)
 		}
 	}
@@ -85,7 +85,7 @@
 	s := newSite(2, 5).run(time.Second)
 	dark := s.now
 	s.room(0, silent(true))
-	for s.v.Room(0).State != Dark {
+	for s.v.Zone(0).State != Unavailable {
 		if s.run(tick); s.now-dark > time.Second {
 			t.Fatal("not dark after a second")
 		}
@@ -104,13 +104,13 @@
 	s := newSite(2, 5).run(time.Second)
 	s.nodes[0].silent = true
 	s.run(5 * time.Second)
-	if s.v.Room(0).State != Thin || s.v.Node("0-0") != Dark || s.v.Node("0-1") != Here {
-		t.Errorf("%v, %v", s.v.Room(0), s.v.Node("0-0"))
+	if s.v.Zone(0).State != Degraded || s.v.Node("0-0") != Unavailable || s.v.Node("0-1") != Available {
+		t.Errorf("%v, %v", s.v.Zone(0), s.v.Node("0-0"))
 	}
-	s.nodes[0].silent, s.nodes[1].Gone, s.nodes[2].Gone = false, true, true
+	s.nodes[0].silent, s.nodes[1].Removed, s.nodes[2].Removed = false, true, true
 	s.run(5 * time.Second)
-	if s.v.Room(0).State != Thin || s.v.Room(0).Gone != 0.4 {
-		t.Errorf("%+v", s.v.Room(0))
+	if s.v.Zone(0).State != Degraded || s.v.Zone(0).RemovedShare != 0.4 {
+		t.Errorf("%+v", s.v.Zone(0))
 	}
 	for _, state := range s.changes {
 		if state == "0 dark" {
@@ -126,8 +126,8 @@
 		s.nodes[i].silent = false
 	}
 	s.run(10 * time.Second)
-	if s.v.Room(0).State != Thin || s.v.Node("0-5") != Dark {
-		t.Errorf("%+v %v", s.v.Room(0), s.changes)
+	if s.v.Zone(0).State != Degraded || s.v.Node("0-5") != Unavailable {
+		t.Errorf("%+v %v", s.v.Zone(0), s.changes)
 	}
 }
 
@@ -138,11 +138,11 @@
 		s.room(r, silent(true))
 	}
 	s.run(5 * time.Second)
-	if !s.v.Cut() {
+	if !s.v.Isolated() {
 		t.Error("it is not told to be cut off")
 	}
 	for r := range 3 {
-		if got := s.v.Room(r).State; got == Dark {
+		if got := s.v.Zone(r).State; got == Unavailable {
 			t.Errorf("room %d is %v", r, got)
 		}
 	}
@@ -151,7 +151,7 @@
 // A room of which nothing is asked tells nothing: it stays what it was.
 func TestNothingAsked(t *testing.T) {
 	s := newSite(2, 4).room(0, func(n *spot) { n.idle = true }).run(time.Minute)
-	if s.v.Room(0).State != Here || len(s.changes) > 0 {
+	if s.v.Zone(0).State != Available || len(s.changes) > 0 {
 		t.Error(s.changes)
 	}
 }
@@ -182,11 +182,11 @@
 	tries := 0
 	for range 600 {
 		s.run(100 * ms)
-		if s.v.Try(s.now, "0-0") {
+		if s.v.AllowTrial(s.now, "0-0") {
 			tries++
 		}
 	}
-	if tries < 15 || tries > 30 || s.v.Until(s.now, "0-0") > tryMost || !s.v.Try(s.now, "1-0") {
+	if tries < 15 || tries > 30 || s.v.UntilTrial(s.now, "0-0") > tryMost || !s.v.AllowTrial(s.now, "1-0") {
 		t.Errorf("%d tries in a minute", tries)
 	}
 }
@@ -201,13 +201,13 @@
 				case 0:
 					n.silent = !n.silent
 				case 1:
-					n.Gone = !n.Gone
+					n.Removed = !n.Removed
 				case 2:
 					n.idle = !n.idle
 				}
 			}
 			s.run(time.Duration(rapid.IntRange(1, 80).Draw(t, "ticks")) * tick)
-			twin := NewView(s.v.Rooms())
+			twin := NewTracker(s.v.Zones())
 			if !twin.Resume(s.v.Snapshot()) {
 				t.Fatal("not resumed")
 			}
@@ -216,15 +216,15 @@
 			}
 		}
 		for _, n := range s.nodes {
-			n.silent, n.idle, n.Gone = false, false, false
+			n.silent, n.idle, n.Removed = false, false, false
 		}
 		s.run(2 * calmMost)
-		for r := range s.v.Rooms() {
-			if state := s.v.Room(r).State; state != Here {
+		for r := range s.v.Zones() {
+			if state := s.v.Zone(r).State; state != Available {
 				t.Fatalf("room %d is %v", r, state)
 			}
 		}
-		if s.v.Look(s.now, nil); len(s.v.nodes) > 0 {
+		if s.v.Update(s.now, nil); len(s.v.nodes) > 0 {
 			t.Fatalf("%d nodes are held", len(s.v.nodes))
 		}
 	})
@@ -233,11 +233,11 @@
 // However many gateways ask and whatever each of them does, what spills keeps to the bound of all of them together, over any time.
 func TestSpillKeepsToItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{Tiers: []int{0, 1}, Spill: float64(rapid.IntRange(0, 100).Draw(t, "spill")), Burst: float64(rapid.IntRange(0, 40).Draw(t, "burst")),
+		set := Settings{Tiers: []int{0, 1}, Spillover: float64(rapid.IntRange(0, 100).Draw(t, "spill")), Burst: float64(rapid.IntRange(0, 40).Draw(t, "burst")),
 			Share: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "share"), Siblings: rapid.IntRange(1, 5).Draw(t, "gateways")}
-		var all []*Spiller
+		var all []*SpilloverLimiter
 		for range set.Siblings {
-			all = append(all, NewSpiller(set))
+			all = append(all, NewSpilloverLimiter(set))
 		}
 		type taken struct {
 			at    time.Duration
@@ -249,13 +249,13 @@
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * ms
 			units := float64(rapid.IntRange(1, 8).Draw(t, "units"))
 			for _, one := range all {
-				one.Fill(now, []float64{0, 50})
+				one.Refill(now, []float64{0, 50})
 			}
 			s := all[rapid.IntRange(0, set.Siblings-1).Draw(t, "gateway")]
 			if s.Take(now, 1, units) {
 				log = append(log, taken{now, units})
 			} else if wait, ever := s.Wait(now, units); ever && set.Share == 0 {
-				again := NewSpiller(set)
+				again := NewSpilloverLimiter(set)
 				again.Resume(s.Snapshot())
 				if !again.Take(now+wait+time.Microsecond, 1, units) {
 					t.Fatalf("%v units are not taken after %v", units, wait)
@@ -266,7 +266,7 @@
 			sum := 0.0
 			for j := i; j < len(log); j++ {
 				sum += log[j].units
-				if most := set.Spill*(log[j].at-log[i].at).Seconds() + set.Burst; sum > most+1e-6 {
+				if most := set.Spillover*(log[j].at-log[i].at).Seconds() + set.Burst; sum > most+1e-6 {
 					t.Fatalf("%v units within %v, %v are allowed", sum, log[j].at-log[i].at, most)
 				}
 			}
@@ -284,7 +284,7 @@
 			t.Errorf("%v: tier %d, want %d", at, got, want)
 		}
 	}
-	for _, bad := range []Settings{{Tiers: []int{0}}, {Tiers: []int{0}, Siblings: 1, Spill: -1}, {Tiers: []int{0, 1}, Siblings: 1, Work: []Work{{Tiers: []int{0}}}}, {Tiers: []int{0}, Siblings: 1, ListLate: -1}} {
+	for _, bad := range []Settings{{Tiers: []int{0}}, {Tiers: []int{0}, Siblings: 1, Spillover: -1}, {Tiers: []int{0, 1}, Siblings: 1, Work: []Work{{Tiers: []int{0}}}}, {Tiers: []int{0}, Siblings: 1, MembershipDelay: -1}} {
 		if bad.Check() == nil {
 			t.Errorf("%+v is good", bad)
 		}
@@ -296,15 +296,15 @@
 	for _, nodes := range []int{10, 100, 1000} {
 		for _, rooms := range []int{2, 10} {
 			s := newSite(rooms, nodes/rooms).run(time.Second)
-			var all []Sight
+			var all []Observation
 			for _, n := range s.nodes {
-				all = append(all, n.Sight)
+				all = append(all, n.Observation)
 			}
 			b.Run(fmt.Sprintf("%d nodes in %d rooms", nodes, rooms), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					s.now += tick
-					s.v.Look(s.now, all)
+					s.v.Update(s.now, all)
 				}
 			})
 		}
--- a/scheduler/bound.go
+++ b/scheduler/bound.go
@@ -8,68 +8,68 @@
 	"reachpulley/internal/retrybudget"
 )
 
-// Bound tells how far a request may be repeated. As a part of a Request it narrows what the class allows and never widens it; the zero
+// RetryPolicy tells how far a request may be repeated. As a part of a Request it narrows what the class allows and never widens it; the zero
 // value narrows nothing.
-type Bound struct {
-	_       struct{} `cbor:",toarray"`
-	Repeats Repeats
-	Group   Group         // for Keyed: the nodes that discard a repeat
-	For     time.Duration // for Keyed: how long they discard it
+type RetryPolicy struct {
+	_           struct{}      `cbor:",toarray"`
+	Idempotency Idempotency   `json:"Repeats"`
+	Scope       DedupScope    `json:"Group"` // for Keyed: the nodes that discard a repeat
+	Window      time.Duration `json:"For"`   // for Keyed: how long they discard it
 }
 
-// Bound is what the class allows.
-func (c *Class) Bound() Bound {
-	return Bound{Repeats: c.Repeats, Group: c.RepeatGroup, For: c.RepeatFor}
+// RetryPolicy is what the class allows.
+func (c *Class) RetryPolicy() RetryPolicy {
+	return RetryPolicy{Idempotency: c.Idempotency, Scope: c.DedupScope, Window: c.DedupWindow}
 }
 
-// Narrowed is what both allow. Groups of two kinds have no nodes in common that anybody vouches for.
-func (b Bound) Narrowed(by Bound) Bound {
+// NarrowedBy is what both allow. Groups of two kinds have no nodes in common that anybody vouches for.
+func (b RetryPolicy) NarrowedBy(by RetryPolicy) RetryPolicy {
 	switch {
-	case b.Repeats != by.Repeats:
-		if by.Repeats > b.Repeats {
+	case b.Idempotency != by.Idempotency:
+		if by.Idempotency > b.Idempotency {
 			return by
 		}
 		return b
-	case b.Repeats != Keyed:
+	case b.Idempotency != IdempotentWithKey:
 		return b
-	case b.Group != by.Group && b.Group != GroupAll && by.Group != GroupAll:
-		return Bound{Repeats: Unsafe}
+	case b.Scope != by.Scope && b.Scope != ScopeAll && by.Scope != ScopeAll:
+		return RetryPolicy{Idempotency: NonIdempotent}
 	}
-	return Bound{Repeats: Keyed, Group: max(b.Group, by.Group), For: min(b.For, by.For)}
+	return RetryPolicy{Idempotency: IdempotentWithKey, Scope: max(b.Scope, by.Scope), Window: min(b.Window, by.Window)}
 }
 
-// Care is how carefully an operation is handled at a node that was seen to contradict its description. Each level holds what is below it.
-type Care int
+// RestrictionLevel is how carefully an operation is handled at a node that was seen to contradict its description. Each level holds what is below it.
+type RestrictionLevel int
 
 // The levels of Care.
 const (
-	CareNone    Care = iota
-	CareCopies       // what may still run is not sent again
-	CareRepeats      // what may have run is not sent again, and a claim not to have run is not believed
-	CareAvoid        // nothing new is sent while another node may take it; where none may, it is refused
+	Unrestricted RestrictionLevel = iota
+	NoHedging                     // what may still run is not sent again
+	NoRetries                     // what may have run is not sent again, and a claim not to have run is not believed
+	AvoidNode                     // nothing new is sent while another node may take it; where none may, it is refused
 )
 
-// Caution tells how carefully to handle an operation at a node; Node "" stands for all nodes.
-type Caution struct {
+// Restriction tells how carefully to handle an operation at a node; Node "" stands for all nodes.
+type Restriction struct {
 	Operation string
 	Node      string
-	Level     Care
+	Level     RestrictionLevel
 }
 
-// MostCautions bounds the Cautions above CareNone that a Scheduler holds. Beyond it, all operations that have one are handled as the most
+// MaxRestrictions bounds the Cautions above Unrestricted that a Scheduler holds. Beyond it, all operations that have one are handled as the most
 // careful Caution that found no room says, at every node.
-const MostCautions = 4096
+const MaxRestrictions = 4096
 
 type careKey struct{ operation, node string }
 
-// Caution takes how carefully an operation is to be handled from now on.
-func (s *Scheduler) Caution(now time.Duration, c Caution) {
+// Restriction takes how carefully an operation is to be handled from now on.
+func (s *Scheduler) Restrict(now time.Duration, c Restriction) {
 	s.tick(now)
 	key := careKey{c.Operation, c.Node}
 	switch _, known := s.cares[key]; {
-	case c.Level <= CareNone:
+	case c.Level <= Unrestricted:
 		delete(s.cares, key)
-	case known || len(s.cares) < MostCautions:
+	case known || len(s.cares) < MaxRestrictions:
 		s.cares[key] = c.Level
 	default:
 		s.careful = max(s.careful, c.Level)
@@ -87,9 +87,9 @@
 }
 
 // care is how carefully a request is to be handled at a node.
-func (s *Scheduler) care(r *request, n *node) Care {
+func (s *Scheduler) care(r *request, n *node) RestrictionLevel {
 	if r.Operation == "" {
-		return CareNone
+		return Unrestricted
 	}
 	return max(s.careful, s.cares[careKey{r.Operation, ""}], s.cares[careKey{r.Operation, n.ID}])
 }
@@ -97,15 +97,15 @@
 // doubted tells whether what may have run at a node is not to be sent again.
 func (s *Scheduler) doubted(r *request, n *node) bool {
 	care := s.care(r, n)
-	return care >= CareRepeats || care == CareCopies && r.mayRun
+	return care >= NoRetries || care == NoHedging && r.mayRun
 }
 
 // cautions gives what a snapshot keeps.
-func (s *Scheduler) cautions() (out []Caution) {
+func (s *Scheduler) cautions() (out []Restriction) {
 	for key, level := range s.cares {
-		out = append(out, Caution{key.operation, key.node, level})
+		out = append(out, Restriction{key.operation, key.node, level})
 	}
-	slices.SortFunc(out, func(a, b Caution) int {
+	slices.SortFunc(out, func(a, b Restriction) int {
 		return cmp.Or(cmp.Compare(a.Operation, b.Operation), cmp.Compare(a.Node, b.Node))
 	})
 	return out
@@ -123,7 +123,7 @@
 // spent tells the budget how an attempt ended.
 func (s *Scheduler) spent(a *attempt, result Result) {
 	if s.budget != nil {
-		s.budget.Ended(s.now, retryKey(a.request, a.node), a.number > 0, result == Served)
+		s.budget.AttemptEnded(s.now, retryKey(a.request, a.node), a.number > 0, result == Served)
 	}
 }
 
@@ -136,7 +136,7 @@
 	found := false
 	for _, n := range s.listed {
 		if n.Phase == Up && (r.Shard == AnyShard || r.Shard == n.Shard) {
-			if found = true; s.care(r, n) < CareAvoid {
+			if found = true; s.care(r, n) < AvoidNode {
 				return false
 			}
 		}
@@ -144,12 +144,12 @@
 	return found
 }
 
-// BeginWithin tells within what time the latest attempt of a request has to begin, where nodes discard repeats for some time only: the way to
+// RetryWindowLeft tells within what time the latest attempt of a request has to begin, where nodes discard repeats for some time only: the way to
 // a node may outlast the rest of it. It may be asked while the attempt is being sent.
-func (s *Scheduler) BeginWithin(id string) (within time.Duration, bound bool) {
+func (s *Scheduler) RetryWindowLeft(id string) (within time.Duration, bound bool) {
 	r := s.requests[id]
-	if r == nil || r.bound.Repeats != Keyed || r.ranOn == nil || r.ranBy == r.attempts-1 {
+	if r == nil || r.bound.Idempotency != IdempotentWithKey || r.ranOn == nil || r.ranBy == r.attempts-1 {
 		return 0, false
 	}
-	return r.ranAt + r.bound.For - s.now, true
+	return r.ranAt + r.bound.Window - s.now, true
 }
--- a/scheduler/bound_test.go
+++ b/scheduler/bound_test.go
@@ -13,24 +13,24 @@
 // What a request's description says narrows its class and never widens it.
 func TestBoundsOnlyNarrow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bound := rapid.Custom(func(t *rapid.T) Bound {
-			return Bound{Repeats: Repeats(rapid.IntRange(0, 2).Draw(t, "repeats")), Group: Group(rapid.IntRange(0, 2).Draw(t, "group")),
-				For: time.Duration(rapid.IntRange(0, 5).Draw(t, "for")) * time.Second}
+		bound := rapid.Custom(func(t *rapid.T) RetryPolicy {
+			return RetryPolicy{Idempotency: Idempotency(rapid.IntRange(0, 2).Draw(t, "repeats")), Scope: DedupScope(rapid.IntRange(0, 2).Draw(t, "group")),
+				Window: time.Duration(rapid.IntRange(0, 5).Draw(t, "for")) * time.Second}
 		})
 		a, b := bound.Draw(t, "a"), bound.Draw(t, "b")
-		both := a.Narrowed(b)
-		if both != b.Narrowed(a) && both.Repeats == Keyed {
+		both := a.NarrowedBy(b)
+		if both != b.NarrowedBy(a) && both.Idempotency == IdempotentWithKey {
 			t.Fatalf("%+v and %+v: the order counts", a, b)
 		}
 		// A keyed call may be repeated at a node by the group, and within the time.
-		allows := func(by Bound, sameZone, sameShard bool, after time.Duration) bool {
-			switch by.Repeats {
-			case Safe:
+		allows := func(by RetryPolicy, sameZone, sameShard bool, after time.Duration) bool {
+			switch by.Idempotency {
+			case Idempotent:
 				return true
-			case Unsafe:
+			case NonIdempotent:
 				return false
 			}
-			return after < by.For && (by.Group == GroupAll || by.Group == GroupZone && sameZone || by.Group == GroupShard && sameShard)
+			return after < by.Window && (by.Scope == ScopeAll || by.Scope == ScopeZone && sameZone || by.Scope == ScopeShard && sameShard)
 		}
 		for after := time.Duration(0); after < 6*time.Second; after += time.Second {
 			for i := range 4 {
@@ -45,19 +45,19 @@
 // A request whose description is stricter than its class is handled as its description says.
 func TestDescriptionNarrowsTheClass(t *testing.T) {
 	for name, c := range map[string]struct {
-		bound  Bound
+		bound  RetryPolicy
 		result Result
 		want   string
 	}{
-		"the class alone":        {Bound{}, Errored, "send r1"},
-		"unsafe, may have run":   {Bound{Repeats: Unsafe}, Errored, "fail r1"},
-		"unsafe, broken":         {Bound{Repeats: Unsafe}, Reset, "fail r1"},
-		"unsafe, never ran":      {Bound{Repeats: Unsafe}, Full, "send r1"},
-		"keyed, at its own node": {Bound{Repeats: Keyed, Group: GroupShard, For: time.Second}, Errored, "send r1 a"},
-		"keyed, no time left":    {Bound{Repeats: Keyed, Group: GroupShard}, Errored, "fail r1"},
+		"the class alone":        {RetryPolicy{}, Errored, "send r1"},
+		"unsafe, may have run":   {RetryPolicy{Idempotency: NonIdempotent}, Errored, "fail r1"},
+		"unsafe, broken":         {RetryPolicy{Idempotency: NonIdempotent}, ConnectionReset, "fail r1"},
+		"unsafe, never ran":      {RetryPolicy{Idempotency: NonIdempotent}, Overloaded, "send r1"},
+		"keyed, at its own node": {RetryPolicy{Idempotency: IdempotentWithKey, Scope: ScopeShard, Window: time.Second}, Errored, "send r1 a"},
+		"keyed, no time left":    {RetryPolicy{Idempotency: IdempotentWithKey, Scope: ScopeShard}, Errored, "fail r1"},
 	} {
 		h := start(t, base())
-		h.ask(Request{Bound: c.bound})
+		h.ask(Request{RetryPolicy: c.bound})
 		h.lines = nil
 		h.end("r1", 0, c.result)
 		h.wait(200 * ms)
@@ -70,26 +70,26 @@
 func TestCautions(t *testing.T) {
 	const op = "GET /sheets/{id}"
 	for name, c := range map[string]struct {
-		caution Caution
+		caution Restriction
 		result  Result
 		want    string
 	}{
-		"none":                                  {Caution{}, Reset, "send r1"},
-		"of another operation":                  {Caution{"GET /else", "a", CareRepeats}, Reset, "send r1"},
-		"of another node":                       {Caution{op, "b", CareRepeats}, Reset, "send r1 a"},
-		"no copies: it may still run":           {Caution{op, "a", CareCopies}, Reset, "fail r1"},
-		"no copies: it ended":                   {Caution{op, "a", CareCopies}, Errored, "send r1"},
-		"no repeats":                            {Caution{op, "a", CareRepeats}, Errored, "fail r1"},
-		"no repeats, at any node":               {Caution{op, "", CareRepeats}, Errored, "fail r1"},
-		"no repeats: 'not run' is not believed": {Caution{op, "a", CareRepeats}, Full, "fail r1"},
-		"no repeats: it never went out":         {Caution{op, "a", CareRepeats}, ConnectFailed, "send r1"},
-		"lifted":                                {Caution{op, "a", CareNone}, Errored, "send r1"},
+		"none":                                  {Restriction{}, ConnectionReset, "send r1"},
+		"of another operation":                  {Restriction{"GET /else", "a", NoRetries}, ConnectionReset, "send r1"},
+		"of another node":                       {Restriction{op, "b", NoRetries}, ConnectionReset, "send r1 a"},
+		"no copies: it may still run":           {Restriction{op, "a", NoHedging}, ConnectionReset, "fail r1"},
+		"no copies: it ended":                   {Restriction{op, "a", NoHedging}, Errored, "send r1"},
+		"no repeats":                            {Restriction{op, "a", NoRetries}, Errored, "fail r1"},
+		"no repeats, at any node":               {Restriction{op, "", NoRetries}, Errored, "fail r1"},
+		"no repeats: 'not run' is not believed": {Restriction{op, "a", NoRetries}, Overloaded, "fail r1"},
+		"no repeats: it never went out":         {Restriction{op, "a", NoRetries}, ConnectFailed, "send r1"},
+		"lifted":                                {Restriction{op, "a", Unrestricted}, Errored, "send r1"},
 	} {
 		h := start(t, base())
 		if name == "lifted" {
-			h.Caution(h.now, Caution{op, "a", CareAvoid})
+			h.Restrict(h.now, Restriction{op, "a", AvoidNode})
 		}
-		h.Caution(h.now, c.caution)
+		h.Restrict(h.now, c.caution)
 		h.ask(Request{Operation: op})
 		h.want("send r1 a", 1)
 		h.lines = nil
@@ -111,7 +111,7 @@
 	if sent == 20 || h.count("refuse") > 0 {
 		t.Fatalf("%d sent at once", sent)
 	}
-	h.Caution(h.now, Caution{"o", "a", CareAvoid})
+	h.Restrict(h.now, Restriction{"o", "a", AvoidNode})
 	if h.count("refuse") != 20-sent || h.count("send") != sent {
 		t.Errorf("%d of %d refused, %d more sent", h.count("refuse"), 20-sent, h.count("send")-sent)
 	}
@@ -127,10 +127,10 @@
 // Beyond their bound, cautions only ever make it more careful.
 func TestCautionsAreBounded(t *testing.T) {
 	h := start(t, base())
-	for i := range MostCautions + 100 {
-		h.Caution(h.now, Caution{string(rune('a' + i)), "a", CareRepeats})
+	for i := range MaxRestrictions + 100 {
+		h.Restrict(h.now, Restriction{string(rune('a' + i)), "a", NoRetries})
 	}
-	if len(h.cares) != MostCautions || h.careful != CareRepeats {
+	if len(h.cares) != MaxRestrictions || h.careful != NoRetries {
 		t.Errorf("%d held, %d for the rest", len(h.cares), h.careful)
 	}
 }
@@ -139,7 +139,7 @@
 func TestBudgetOfFurtherAttempts(t *testing.T) {
 	further := func(set retrybudget.Settings) int {
 		s := base()
-		s.Retry = set
+		s.RetryBudget = set
 		h := start(t, s)
 		for i := range 200 {
 			id := h.ask(Request{Key: fmt.Sprint(i)})
@@ -154,7 +154,7 @@
 		}
 		return h.count("send") - 200
 	}
-	with, without := further(retrybudget.Settings{Share: 0.2, Least: 0.02, Trickle: 0.5, Burst: 10, Cells: 16}), further(retrybudget.Settings{})
+	with, without := further(retrybudget.Settings{Share: 0.2, MinShare: 0.02, Trickle: 0.5, Burst: 10, Cells: 16}), further(retrybudget.Settings{})
 	if with > 20 || without < 500 {
 		t.Errorf("%d further attempts with a budget, %d without", with, without)
 	}
--- a/scheduler/decide.go
+++ b/scheduler/decide.go
@@ -1,7 +1,6 @@
 // Package scheduler makes the decisions of a scheduler of reads and writes before shared storage nodes: which
 // request waits, which goes to which node and when, which is turned away, and what is done when nodes fail.
 // Its settings, events and actions are in api.go, the types of its state in state.go; why: docs/design.md.
-//
 // A Scheduler is deterministic, not safe for concurrent use, and shares nothing with other Schedulers.
 package scheduler
 
@@ -20,46 +19,46 @@
 
 // Tuned values. "Design" marks what the design gives, "ours" what we set.
 const (
-	alpha          = 0.3                    // growth of latency that a cap accepts (design's default)
-	emaAlpha       = 0.1                    // pull of a lower window on minLatency; a tenth on maxRate (ours)
-	windowSpan     = 500 * time.Millisecond // a window closes after this time (design)
-	windowAnswers  = 8                      // or after so many answers (ours)
-	smoothAnswers  = 4                      // answers that weigh as much as all earlier windows (ours)
-	longWork       = 2                      // times its expected work that a request may well take (ours)
-	nodeForget     = 5 * time.Second        // in this time what is known of a node's queue fades by e (ours)
-	lostAims       = 4                      // shortest aims until what is overdue counts as lost (ours)
-	poolForget     = 3 * time.Second        // nodes heard so lately tell of the queue elsewhere (ours)
-	poolAnswers    = 1                      // answers that the queue elsewhere is worth at a node (ours)
-	retestEvery    = 10 * time.Second       // between two cuts that remeasure minLatency (design)
-	retestDepth    = 0.5                    // a cut leaves this share of the units out (ours)
-	retestDrain    = 2                      // a cut waits for this many latencies (design)
-	retestRaise    = 1.05                   // a cut raises minLatency by this factor at most (ours)
-	luckyTime      = 0.6                    // part of the time expected that may well do (ours)
-	sharedAim      = 0.6                    // part of the shortest aim that unreserved units may queue (ours)
-	holdAim        = 0.1                    // part of it that a queue may take when they leave for it (ours)
-	StartRequests  = 8                      // requests' worth of an unheard node's cap (design)
-	mostRequests   = 32                     // requests' worth of the highest cap (design)
-	startLatency   = 50 * time.Millisecond  // taken for a request until an answer came (ours)
-	meterSpan      = time.Second            // over which a host's part of a volume is smoothed (ours)
-	workPull       = 0.02                   // pull of one answer on the relative work of its class (ours)
-	housekeepEvery = 25 * time.Millisecond  // between two looks at all queues (ours)
-	sweepEvery     = 5 * time.Second        // between two looks for what can be forgotten (ours)
-	answerEarly    = 3 * time.Millisecond   // a final answer leaves so long before it is due (ours)
-	holdFirst      = 40 * time.Millisecond  // pause of a node after it turned a request away (ours)
-	holdMost       = 2 * time.Second        // longest such pause (ours)
-	askFirst       = 250 * time.Millisecond // until the list is asked for again after a failed call (ours)
-	askMost        = 6 * askFirst           // longest such pause: news counts as told after 6 s (ours)
-	adviceLeast    = 100 * time.Millisecond // least advice to a refused client (ours)
-	lostTimes      = 6                      // expected times until what a later one passed seems lost (ours)
-	doubtTimes     = 3                      // expected times until what others passed holds no room (ours)
-	doubtPassed    = 2                      // and so many of them (ours)
-	coldChance     = 0.3                    // of a cold node's part for new objects; twice for its own (ours)
-	coldDemand     = 2                      // usual demand at a node, in what it does when warm (ours)
-	askedSpans     = 6                      // windows of the cold rule over which demand is smoothed (ours)
-	leavingSeen    = 0.2                    // share of early leavers from which they set the aim (ours)
-	leastWeight    = 0.001                  // taken for a plan without weight (ours)
-	answerPull     = 0.1                    // pull of one request on what is learned of clients (ours)
-	logEvery       = time.Second            // between two log lines (ours)
+	alpha           = 0.3                    // growth of latency that a cap accepts (design's default)
+	emaAlpha        = 0.1                    // pull of a lower window on minLatency, a tenth on maxRate
+	windowSpan      = 500 * time.Millisecond // a window closes after this time (design)
+	windowAnswers   = 8                      // or after so many answers (ours)
+	smoothAnswers   = 4                      // answers that weigh as much as all earlier windows (ours)
+	longWork        = 2                      // times its expected work that a request may well take (ours)
+	nodeForget      = 5 * time.Second        // in this time what is known of a node's queue fades by e (ours)
+	lostAims        = 4                      // shortest aims until what is overdue counts as lost (ours)
+	poolForget      = 3 * time.Second        // nodes heard so lately tell of the queue elsewhere (ours)
+	poolAnswers     = 1                      // answers that the queue elsewhere is worth at a node (ours)
+	retestEvery     = 10 * time.Second       // between two cuts that remeasure minLatency (design)
+	retestDepth     = 0.5                    // a cut leaves this share of the units out (ours)
+	retestDrain     = 2                      // a cut waits for this many latencies (design)
+	retestRaise     = 1.05                   // a cut raises minLatency by this factor at most (ours)
+	luckyTime       = 0.6                    // part of the time expected that may well do (ours)
+	sharedAim       = 0.6                    // part of the shortest aim that unreserved units may queue
+	holdAim         = 0.1                    // part of it that a queue may take when they leave for it (ours)
+	InitialRequests = 8                      // requests' worth of an unheard node's cap (design)
+	mostRequests    = 32                     // requests' worth of the highest cap (design)
+	startLatency    = 50 * time.Millisecond  // taken for a request until an answer came (ours)
+	meterSpan       = time.Second            // over which a host's part of a volume is smoothed (ours)
+	workPull        = 0.02                   // pull of one answer on the relative work of its class (ours)
+	housekeepEvery  = 25 * time.Millisecond  // between two looks at all queues (ours)
+	sweepEvery      = 5 * time.Second        // between two looks for what can be forgotten (ours)
+	answerEarly     = 3 * time.Millisecond   // a final answer leaves so long before it is due (ours)
+	holdFirst       = 40 * time.Millisecond  // pause of a node after it turned a request away (ours)
+	holdMost        = 2 * time.Second        // longest such pause (ours)
+	askFirst        = 250 * time.Millisecond // until the list is asked for again after a failed call (ours)
+	askMost         = 6 * askFirst           // longest such pause: news counts as told after 6 s (ours)
+	adviceLeast     = 100 * time.Millisecond // least advice to a refused client (ours)
+	lostTimes       = 6                      // expected times until what a later one passed seems lost (ours)
+	doubtTimes      = 3                      // expected times until what others passed holds no room (ours)
+	doubtPassed     = 2                      // and so many of them (ours)
+	coldChance      = 0.3                    // of a cold node's part for new objects; twice for its own
+	coldDemand      = 2                      // usual demand at a node, in what it does when warm (ours)
+	askedSpans      = 6                      // windows of the cold rule over which demand is smoothed (ours)
+	leavingSeen     = 0.2                    // share of early leavers from which they set the aim (ours)
+	leastWeight     = 0.001                  // taken for a plan without weight (ours)
+	answerPull      = 0.1                    // pull of one request on what is learned of clients (ours)
+	logEvery        = time.Second            // between two log lines (ours)
 )
 
 // Tiers of waiting requests, in the order in which they leave.
@@ -80,17 +79,17 @@
 		nodes: map[string]*node{}, volumes: map[string]*volume{}, requests: map[string]*request{},
 		timers: map[uint64]*request{}, turns: map[string]*turn{},
 		leaving: make([]float64, len(settings.Classes)), patience: make([]float64, len(settings.Classes)),
-		givenUp: map[signature]*request{}, shortestAim: settings.Classes[0].Aim,
-		cares: map[careKey]Care{}, budget: retrybudget.New(settings.Retry),
+		givenUp: map[signature]*request{}, shortestAim: settings.Classes[0].LatencyObjective,
+		cares: map[careKey]RestrictionLevel{}, budget: retrybudget.New(settings.RetryBudget),
 	}
-	if settings.Rooms.On() {
-		s.view = zonefailover.NewView(len(settings.Rooms.Tiers))
-		s.spill = zonefailover.NewSpiller(settings.Rooms)
+	if settings.ZoneFailover.Enabled() {
+		s.view = zonefailover.NewTracker(len(settings.ZoneFailover.Tiers))
+		s.spill = zonefailover.NewSpilloverLimiter(settings.ZoneFailover)
 	}
 	s.set.Sizes.MeanUnits = cmp.Or(s.set.Sizes.MeanUnits, 1)
-	s.set.Sizes.MostUnits = max(s.set.Sizes.MostUnits, s.set.Sizes.MeanUnits)
+	s.set.Sizes.MaxUnits = max(s.set.Sizes.MaxUnits, s.set.Sizes.MeanUnits)
 	for _, c := range settings.Classes {
-		s.work, s.shortestAim = append(s.work, 1), min(s.shortestAim, c.Aim)
+		s.work, s.shortestAim = append(s.work, 1), min(s.shortestAim, c.LatencyObjective)
 	}
 	s.unitTime = startLatency.Seconds() / s.set.Sizes.MeanUnits
 	return s, nil
@@ -98,8 +97,8 @@
 
 // ---- Events ----
 
-// Arrived takes a client's request: it gets one final answer before its patience ends.
-func (s *Scheduler) Arrived(now time.Duration, q Request) {
+// RequestArrived takes a client's request: it gets one final answer before its patience ends.
+func (s *Scheduler) RequestArrived(now time.Duration, q Request) {
 	s.tick(now)
 	if s.requests[q.ID] != nil {
 		return
@@ -108,19 +107,19 @@
 		s.act.Fail(q.ID)
 		return
 	}
-	if s.set.Rules.BudgetWindow > 0 {
+	if s.set.Rules.RetryBudgetWindow > 0 {
 		s.takenAt = append(s.takenAt, s.now)
 	}
 	s.sequence++
 	r := &request{Request: q, class: &s.set.Classes[q.Class], sequence: s.sequence, luck: s.rand.Float64()}
-	r.bound = r.class.Bound().Narrowed(q.Bound)
+	r.bound = r.class.RetryPolicy().NarrowedBy(q.RetryPolicy)
 	r.volume = s.volumeOf(q)
 	r.Units = max(q.Units, 0)
 	s.times(r)
 	r.volume.silentAt = max(r.volume.silentAt, r.endAt+sweepEvery)
 	s.requests[q.ID] = r
 	for _, n := range s.byShard[r.Shard] {
-		n.asked.add(s.now, askedSpans*s.set.Rules.ColdWindow, r.Units)
+		n.asked.add(s.now, askedSpans*s.set.Rules.SlowStartWindow, r.Units)
 	}
 	s.timers[r.sequence] = r
 	s.act.SetTimer(max(0, r.endAt-s.now), r.sequence)
@@ -138,8 +137,8 @@
 	s.pump()
 }
 
-// Ended takes the outcome of an attempt.
-func (s *Scheduler) Ended(now time.Duration, o Outcome) {
+// AttemptEnded takes the outcome of an attempt.
+func (s *Scheduler) AttemptEnded(now time.Duration, o Outcome) {
 	s.tick(now)
 	r := s.requests[o.ID]
 	if r == nil {
@@ -161,7 +160,7 @@
 	s.word(a, o)
 	s.judge(a, o)
 	s.settleRun(r, a, o.Result)
-	if o.Done {
+	if o.Concluded {
 		s.finish(r)
 	} else if !r.ended && len(r.open) == 0 {
 		s.again(r, n, o.Result)
@@ -170,16 +169,16 @@
 	s.pump()
 }
 
-// Began tells that a stream has started: its time no longer runs out.
-func (s *Scheduler) Began(now time.Duration, id string, _ int) {
+// StreamStarted tells that a stream has started: its time no longer runs out.
+func (s *Scheduler) StreamStarted(now time.Duration, id string, _ int) {
 	s.tick(now)
 	if r := s.requests[id]; r != nil {
 		r.began = true
 	}
 }
 
-// Left tells that the client of a request is gone.
-func (s *Scheduler) Left(now time.Duration, id string) {
+// ClientDisconnected tells that the client of a request is gone.
+func (s *Scheduler) ClientDisconnected(now time.Duration, id string) {
 	s.tick(now)
 	if r := s.requests[id]; r != nil && !r.ended {
 		stayed := (s.now - r.cameAt).Seconds()
@@ -192,8 +191,8 @@
 	s.pump()
 }
 
-// Timer tells that a timer set earlier has run out.
-func (s *Scheduler) Timer(now time.Duration, key uint64) {
+// TimerFired tells that a timer set earlier has run out.
+func (s *Scheduler) TimerFired(now time.Duration, key uint64) {
 	s.tick(now)
 	if key == 0 {
 		s.housekeep()
@@ -212,7 +211,7 @@
 	if !s.alive {
 		s.alive = true
 		s.act.SetTimer(housekeepEvery, 0)
-		if s.set.MustAsk || s.set.Agent {
+		if s.set.PollMembership || s.set.LocalAgent {
 			s.act.Watch()
 		}
 	}
@@ -226,7 +225,7 @@
 		}
 		s.retest(n)
 		if s.cold(n) && s.now >= n.lotUntil {
-			n.lot, n.lotUntil = s.rand.Float64(), s.now+s.set.Rules.ColdWindow
+			n.lot, n.lotUntil = s.rand.Float64(), s.now+s.set.Rules.SlowStartWindow
 		}
 		s.withdrawLost(n)
 		s.forecast(n)
@@ -257,7 +256,7 @@
 		for tier := range n.finish {
 			maps.DeleteFunc(n.finish[tier], func(v *volume, _ float64) bool { return silent(v) })
 		}
-		gone := n.Phase == Removed && len(n.pending) == 0 && s.now-n.sentAt > s.set.Rules.WarmWithin
+		gone := n.Phase == Removed && len(n.pending) == 0 && s.now-n.sentAt > s.set.Rules.SlowStartDuration
 		if gone {
 			delete(s.nodes, n.ID)
 		}
@@ -327,7 +326,7 @@
 	if n.drained > 0 {
 		n.cap = min(n.cap, n.cutCap)
 	}
-	n.cap = min(max(n.cap, s.set.Sizes.MostUnits), mostRequests*s.set.Sizes.MeanUnits)
+	n.cap = min(max(n.cap, s.set.Sizes.MaxUnits), mostRequests*s.set.Sizes.MeanUnits)
 }
 
 // retest cuts the cap below what is out, now and then: the latency seen once the node's queue has drained
@@ -354,7 +353,7 @@
 		hosts := float64(max(q.Hosts, 1))
 		v.weight, v.hosts = max(v.plan.Weight, leastWeight), hosts
 		rate := v.plan.Reserve / hosts
-		v.reserve = store{rate: rate, most: rate + s.set.Sizes.MostUnits, level: rate, at: s.now}
+		v.reserve = store{rate: rate, most: rate + s.set.Sizes.MaxUnits, level: rate, at: s.now}
 		// An earlier life of this host may have spent its part of the limit, so a store holds half the even
 		// part of burst and slack: the other half covers what one life before this one spent.
 		part := (v.plan.Burst + v.plan.Slack) / hosts / 2
@@ -373,7 +372,7 @@
 		part := min(max(v.own.level/meterSpan.Seconds()/(use*v.plan.Rate), 1/v.hosts), 1)
 		v.reserve.fill(s.now)
 		v.reserve.rate = v.plan.Reserve * part
-		v.reserve.most = v.reserve.rate + s.set.Sizes.MostUnits
+		v.reserve.most = v.reserve.rate + s.set.Sizes.MaxUnits
 	}
 }
 
@@ -381,8 +380,9 @@
 // known by its data and size, and by a patience that ends within the first try's deadline.
 func (s *Scheduler) times(r *request) {
 	work := r.Units * s.work[r.Class] * s.unitTime // seconds; the aim may grow by a multiple of it
-	r.endAt = s.now + r.Patience - answerEarly
-	r.aimAt = min(s.now+r.class.Aim+time.Duration(r.class.AimStretch*work*float64(time.Second)), r.endAt)
+	r.endAt = s.now + r.ClientTimeout - answerEarly
+	stretch := time.Duration(r.class.ObjectiveStretch * work * float64(time.Second))
+	r.aimAt = min(s.now+r.class.LatencyObjective+stretch, r.endAt)
 	if s.leaving[r.Class] > leavingSeen {
 		r.aimAt = min(r.aimAt, s.now+time.Duration(s.patience[r.Class]*float64(time.Second)))
 	}
@@ -428,7 +428,7 @@
 
 // mayHold tells whether the request may wait for the node.
 func (s *Scheduler) mayHold(r *request, n *node) bool {
-	return n.Phase == Up && (r.Shard == AnyShard || r.Shard == n.Shard) && s.care(r, n) < CareAvoid &&
+	return n.Phase == Up && (r.Shard == AnyShard || r.Shard == n.Shard) && s.care(r, n) < AvoidNode &&
 		s.repeatable(r, n)
 }
 
@@ -440,7 +440,7 @@
 		t += (n.holdUntil - s.now).Seconds()
 	}
 	if !s.guardCold(r, n) {
-		t += s.set.Rules.ColdWindow.Seconds()
+		t += s.set.Rules.SlowStartWindow.Seconds()
 	}
 	return t
 }
@@ -537,7 +537,7 @@
 }
 
 // density is what a request is worth for the work that it causes.
-func (s *Scheduler) density(r *request) float64 { return r.class.Worth / s.work[r.Class] }
+func (s *Scheduler) density(r *request) float64 { return r.class.PriorityWeight / s.work[r.Class] }
 
 // pump sends what may leave.
 func (s *Scheduler) pump() {
@@ -644,7 +644,7 @@
 func (s *Scheduler) standing(r *request) float64 {
 	best := 0.0
 	for i := range s.set.Classes {
-		best = max(best, s.set.Classes[i].Worth/s.work[i])
+		best = max(best, s.set.Classes[i].PriorityWeight/s.work[i])
 	}
 	return math.Sqrt(s.density(r) / best)
 }
@@ -675,7 +675,7 @@
 	refusable := s.refusable(r)
 	s.finish(r)
 	if refusable {
-		s.act.Refuse(r.ID, advice)
+		s.act.Reject(r.ID, advice)
 	} else {
 		s.act.Fail(r.ID)
 	}
@@ -727,7 +727,7 @@
 	if !r.drew && r.volume.plan.Limit > 0 {
 		r.volume.limit.level -= r.Units
 	}
-	if r.attempts > 0 && s.set.Rules.BudgetWindow > 0 {
+	if r.attempts > 0 && s.set.Rules.RetryBudgetWindow > 0 {
 		s.extraAt = append(s.extraAt, s.now)
 	}
 	r.drew = true
@@ -743,7 +743,7 @@
 	n.sentAt = s.now
 	n.askedAt = cmp.Or(n.askedAt, s.now)
 	n.atNode++
-	old := func(x sending) bool { return x.at <= s.now-s.set.Rules.ColdWindow }
+	old := func(x sending) bool { return x.at <= s.now-s.set.Rules.SlowStartWindow }
 	n.sent = append(slices.DeleteFunc(n.sent, old), sending{s.now, r.Units})
 	s.act.Send(r.ID, n.ID, 0)
 	return true
@@ -777,16 +777,16 @@
 	if s.doubted(r, r.ranOn) || s.doubted(r, n) {
 		return false
 	}
-	if r.bound.Repeats == Safe {
+	if r.bound.Idempotency == Idempotent {
 		return true
 	}
-	if r.bound.Repeats == Unsafe || s.now >= r.ranAt+r.bound.For {
+	if r.bound.Idempotency == NonIdempotent || s.now >= r.ranAt+r.bound.Window {
 		return false
 	}
-	switch r.bound.Group {
-	case GroupAll:
+	switch r.bound.Scope {
+	case ScopeAll:
 		return true
-	case GroupZone:
+	case ScopeZone:
 		return n.Zone == r.ranOn.Zone
 	}
 	return n.Shard == r.ranOn.Shard
@@ -794,24 +794,25 @@
 
 // refusable tells whether a refusal, which calls a retry harmless, is true.
 func (s *Scheduler) refusable(r *request) bool {
-	return r.ranOn == nil || !s.doubted(r, r.ranOn) && (r.bound.Repeats == Safe ||
-		r.bound.Repeats == Keyed && r.bound.Group == GroupAll)
+	return r.ranOn == nil || !s.doubted(r, r.ranOn) && (r.bound.Idempotency == Idempotent ||
+		r.bound.Idempotency == IdempotentWithKey && r.bound.Scope == ScopeAll)
 }
 
 // settleRun keeps which attempt may have run.
 func (s *Scheduler) settleRun(r *request, a *attempt, result Result) {
 	switch result {
-	case Full, ConnectFailed, Moot:
-		if result == Full && s.care(r, a.node) >= CareRepeats { // it was seen to run what it says it has not
+	case Overloaded, ConnectFailed, NotSent:
+		// It was seen to run what it says it has not.
+		if result == Overloaded && s.care(r, a.node) >= NoRetries {
 			return
 		}
 		if r.ranBy == a.number { // later attempts may follow in the same instant
 			r.ranOn = nil
 		}
-	case TimedOut, Reset, Canceled:
+	case TimedOut, ConnectionReset, Canceled:
 		r.mayRun = true
 		if t := s.turns[r.Key]; t != nil && r.class.Ordered {
-			t.restUntil, t.restFor = s.now+s.set.Rules.TurnGap, r
+			t.restUntil, t.restFor = s.now+s.set.Rules.OrderedKeyQuietPeriod, r
 		}
 	}
 }
@@ -840,34 +841,35 @@
 		return true
 	}
 	rules := s.set.Rules
-	warmed := max(0, s.now-n.coldSince).Seconds() / rules.WarmWithin.Seconds()
-	grown := rules.ColdFrom + (1-rules.ColdFrom)*warmed
-	part := rules.ColdUnits / float64(s.set.Siblings) * grown / rules.ColdFrom
-	if used := n.sentSince(s.now - rules.ColdWindow); part >= s.set.Sizes.MostUnits {
+	warmed := max(0, s.now-n.coldSince).Seconds() / rules.SlowStartDuration.Seconds()
+	grown := rules.SlowStartShare + (1-rules.SlowStartShare)*warmed
+	part := rules.SlowStartAllowance / float64(s.set.Siblings) * grown / rules.SlowStartShare
+	if used := n.sentSince(s.now - rules.SlowStartWindow); part >= s.set.Sizes.MaxUnits {
 		return used+r.Units <= part
 	} else if r.Shard == AnyShard {
 		return used+(1-n.lot)*r.Units <= coldChance*part
 	}
-	usual := coldDemand / (rules.ColdMultiple * grown) * part
-	asked := n.asked.at(s.now, askedSpans*rules.ColdWindow) / askedSpans
+	usual := coldDemand / (rules.SlowStartMultiple * grown) * part
+	asked := n.asked.at(s.now, askedSpans*rules.SlowStartWindow) / askedSpans
 	return r.luck*max(asked, usual, part) < 2*coldChance*part
 }
 
 // cold tells whether the node has started so lately that it may not be warm.
 func (s *Scheduler) cold(n *node) bool {
-	return n.coldSince > 0 && s.now-n.coldSince < s.set.Rules.WarmWithin && s.set.Rules.ColdFrom > 0
+	rules := s.set.Rules
+	return rules.SlowStartShare > 0 && n.coldSince > 0 && s.now-n.coldSince < rules.SlowStartDuration
 }
 
 // guardBudget: further attempts stay within the budget, where there is one.
 func (s *Scheduler) guardBudget(r *request) bool {
-	span := s.set.Rules.BudgetWindow
+	span := s.set.Rules.RetryBudgetWindow
 	if r.attempts == 0 || span == 0 {
 		return true
 	}
 	old := func(at time.Duration) bool { return at <= s.now-span }
 	s.takenAt = slices.DeleteFunc(s.takenAt, old)
 	s.extraAt = slices.DeleteFunc(s.extraAt, old)
-	allowed := s.set.Rules.BudgetExtra + s.set.Rules.BudgetShare*float64(len(s.takenAt))
+	allowed := s.set.Rules.RetryBudgetBase + s.set.Rules.RetryBudgetShare*float64(len(s.takenAt))
 	return float64(len(s.extraAt)+1) <= allowed
 }
 
@@ -887,12 +889,12 @@
 			n.down, n.coldSince = false, max(n.coldSince, a.at)
 		}
 		n.failures, n.holdUntil = 0, 0
-		s.meter(a.request.volume, a.request.Units, o.Use)
+		s.meter(a.request.volume, a.request.Units, o.VolumeUse)
 		s.observe(n, a.request, o.Latency, o.Load)
 	case Canceled, TimedOut: // what has lasted will last as long again; clients that leave hide long queues
 		late := 2*s.unanswered(a) - longWork*s.ownTime(n, a.request)
 		s.queueSeen(n, max(n.queue, late))
-	case Full, ConnectFailed:
+	case Overloaded, ConnectFailed:
 		if s.now >= n.holdUntil {
 			n.holdUntil = s.now + min(holdFirst<<min(n.failures, 10), holdMost)
 			n.failures++
@@ -906,7 +908,7 @@
 
 // again decides on a further attempt.
 func (s *Scheduler) again(r *request, n *node, result Result) {
-	if result == TimedOut || s.stale(r) || s.now >= r.endAt || result != Moot && !s.earned(r, n) {
+	if result == TimedOut || s.stale(r) || s.now >= r.endAt || result != NotSent && !s.earned(r, n) {
 		s.giveUp(r, s.advice(nil))
 		return
 	}
@@ -943,21 +945,21 @@
 
 // ---- 6. Membership ----
 
-// Members takes news of the list.
-func (s *Scheduler) Members(now time.Duration, m Membership) {
+// MembershipChanged takes news of the list.
+func (s *Scheduler) MembershipChanged(now time.Duration, m Membership) {
 	s.tick(now)
-	if m.Kind == Refused {
+	if m.Kind == WatchFailed {
 		if s.askAgain == 0 { // else it is on its way already
 			// All hosts lose discovery at once. Were they to come back in step, it could serve few of them.
 			s.askPause = min(max(2*s.askPause, askFirst), askMost)
 			s.askAgain = s.now + time.Duration((1+s.rand.Float64())/2*float64(s.askPause))
 		}
-		if s.set.Agent { // it is on this machine, and what it has counts as told
+		if s.set.LocalAgent { // it is on this machine, and what it has counts as told
 			s.askAgain = s.now
 		}
 		return
 	}
-	if m.Kind != Remembered {
+	if m.Kind != CachedList {
 		s.askPause = 0
 	}
 	present := map[string]bool{}
@@ -967,7 +969,7 @@
 	}
 	s.index()
 	for _, n := range s.listed {
-		if m.Kind != Changes && !present[n.ID] {
+		if m.Kind != DeltaList && !present[n.ID] {
 			n.Phase = Removed
 		}
 		if n.Phase != Up {
@@ -982,7 +984,7 @@
 func (s *Scheduler) list(e Node) {
 	n := s.nodes[e.ID]
 	if n == nil {
-		n = &node{cap: StartRequests * s.set.Sizes.MeanUnits, opened: s.now}
+		n = &node{cap: InitialRequests * s.set.Sizes.MeanUnits, opened: s.now}
 		n.finish = [tiers]map[*volume]float64{{}, {}}
 		n.retestAt = s.now + time.Duration((0.5+s.rand.Float64())*float64(retestEvery))
 		s.nodes[e.ID] = n
--- a/scheduler/decide_test.go
+++ b/scheduler/decide_test.go
@@ -32,7 +32,7 @@
 	r.add("send %s %s", id, node)
 }
 func (r *recorder) Cancel(id string, n int)               { r.add("cancel %s %d", id, n) }
-func (r *recorder) Refuse(id string, after time.Duration) { r.add("refuse %s %v", id, after) }
+func (r *recorder) Reject(id string, after time.Duration) { r.add("refuse %s %v", id, after) }
 func (r *recorder) Fail(id string)                        { r.add("fail %s", id) }
 func (r *recorder) Probe(node string)                     { r.add("probe %s", node) }
 func (r *recorder) SetTimer(after time.Duration, key uint64) {
@@ -56,10 +56,10 @@
 func base() Settings {
 	return Settings{
 		Siblings: 1, Tick: 2 * ms,
-		Classes: []Class{{Name: "read", Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1}},
+		Classes: []Class{{Name: "read", LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}},
 		Plans:   []Plan{{Name: "plain", Rate: 100, Weight: 1, Price: 1}},
 		Allowed: Allowed{Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 4},
-		Sizes:   Sizes{MeanUnits: 2, MostUnits: 6, ShareWorth: 0.3, SpareWorth: 0.1},
+		Sizes:   Sizes{MeanUnits: 2, MaxUnits: 6, ShareWeight: 0.3, SpareWeight: 0.1},
 	}
 }
 
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	h := &host{Scheduler: s, recorder: rec, t: t, now: time.Minute}
-	h.Members(h.now, Membership{Kind: Remembered, Nodes: []Node{{ID: "a"}, {ID: "b", Shard: 1, Zone: 1}}})
+	h.MembershipChanged(h.now, Membership{Kind: CachedList, Nodes: []Node{{ID: "a"}, {ID: "b", Shard: 1, Zone: 1}}})
 	return h
 }
 
@@ -89,10 +89,10 @@
 func (h *host) wait(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now = min(end, h.now+5*ms)
-		h.Timer(h.now, 0)
+		h.TimerFired(h.now, 0)
 		for key := uint64(1); key <= h.sequence; key++ {
 			if r := h.timers[key]; r != nil && h.now >= r.endAt {
-				h.Timer(h.now, key)
+				h.TimerFired(h.now, key)
 			}
 		}
 	}
@@ -107,13 +107,13 @@
 	if q.Units == 0 {
 		q.Units = 2
 	}
-	if q.Patience == 0 {
-		q.Patience = h.set.Classes[q.Class].Deadline
+	if q.ClientTimeout == 0 {
+		q.ClientTimeout = h.set.Classes[q.Class].Deadline
 	}
 	if q.Hosts == 0 {
 		q.Hosts = 1
 	}
-	h.Arrived(h.now, q)
+	h.RequestArrived(h.now, q)
 	return q.ID
 }
 
@@ -124,8 +124,8 @@
 			node = s.node
 		}
 	}
-	h.Ended(h.now, Outcome{ID: id, Attempt: attempt, Node: node, Result: result, Latency: 20 * ms,
-		Done: result == Served, Use: -1})
+	h.AttemptEnded(h.now, Outcome{ID: id, Attempt: attempt, Node: node, Result: result, Latency: 20 * ms,
+		Concluded: result == Served, VolumeUse: -1})
 }
 
 // serveAll answers all that is out.
@@ -151,7 +151,7 @@
 		"no scheduler":    func(s *Settings) { s.Siblings = 0 },
 		"negative rate":   func(s *Settings) { s.Plans[0].Limit = -1 },
 		"negative weight": func(s *Settings) { s.Plans[0].Weight = -1 },
-		"negative size":   func(s *Settings) { s.Sizes.MostUnits = -1 },
+		"negative size":   func(s *Settings) { s.Sizes.MaxUnits = -1 },
 	} {
 		set := base()
 		spoil(&set)
@@ -182,14 +182,14 @@
 
 func TestNoTimeLeftIsAnsweredAtOnce(t *testing.T) {
 	h := start(t, base())
-	h.ask(Request{Patience: -5 * ms})
+	h.ask(Request{ClientTimeout: -5 * ms})
 	h.want("refuse", 1)
 	h.want("send", 0)
 }
 
 func TestUnknownClassFails(t *testing.T) {
 	h := start(t, base())
-	h.Arrived(h.now, Request{ID: "x", Class: 9, Patience: time.Second})
+	h.RequestArrived(h.now, Request{ID: "x", Class: 9, ClientTimeout: time.Second})
 	h.want("fail x", 1)
 }
 
@@ -199,12 +199,12 @@
 	h.end(id, 0, Served)
 	before := len(h.lines)
 	h.end(id, 0, Served)
-	h.Ended(h.now, Outcome{ID: "never", Result: Errored})
-	h.Left(h.now, id)
-	h.Left(h.now, "never")
-	h.Timer(h.now, 12345)
-	h.Probed(h.now, ProbeResult{Node: "never"})
-	h.Began(h.now, "never", 0)
+	h.AttemptEnded(h.now, Outcome{ID: "never", Result: Errored})
+	h.ClientDisconnected(h.now, id)
+	h.ClientDisconnected(h.now, "never")
+	h.TimerFired(h.now, 12345)
+	h.ProbeEnded(h.now, ProbeResult{Node: "never"})
+	h.StreamStarted(h.now, "never", 0)
 	if len(h.lines) != before {
 		t.Fatalf("acted: %v", h.lines[before:])
 	}
@@ -214,11 +214,11 @@
 	h := start(t, base())
 	id := h.ask(Request{})
 	r := h.requests[id]
-	h.end(id, 0, Full) // it waits for the node's rest to end
+	h.end(id, 0, Overloaded) // it waits for the node's rest to end
 	h.wait(holdFirst - 10*ms)
-	h.Left(h.now, id)
+	h.ClientDisconnected(h.now, id)
 	h.now += holdFirst
-	h.Timer(h.now, 0)
+	h.TimerFired(h.now, 0)
 	if h.send(r, h.nodes["a"]) {
 		t.Fatal("sent after the end")
 	}
@@ -233,7 +233,7 @@
 func TestGuardDrain(t *testing.T) {
 	for _, phase := range []Phase{Draining, Removed} {
 		h := start(t, base())
-		h.Members(h.now, Membership{Kind: Changes, Nodes: []Node{{ID: "a", Phase: phase}}})
+		h.MembershipChanged(h.now, Membership{Kind: DeltaList, Nodes: []Node{{ID: "a", Phase: phase}}})
 		h.ask(Request{})
 		h.want("send", 0)
 		h.wait(600 * ms)
@@ -242,7 +242,7 @@
 		h.want("send r2 b", 1)
 	}
 	h := start(t, base())
-	h.Members(h.now, Membership{Kind: Whole, Nodes: []Node{{ID: "b", Shard: 1}}})
+	h.MembershipChanged(h.now, Membership{Kind: FullList, Nodes: []Node{{ID: "b", Shard: 1}}})
 	h.ask(Request{})
 	h.want("send", 0)
 	r := h.requests["r1"]
@@ -251,10 +251,10 @@
 	}
 }
 
-func keyed(group Group) Settings {
+func keyed(group DedupScope) Settings {
 	set := base()
-	set.Classes[0].Repeats, set.Classes[0].RepeatGroup = Keyed, group
-	set.Classes[0].RepeatFor = 300 * ms
+	set.Classes[0].Idempotency, set.Classes[0].DedupScope = IdempotentWithKey, group
+	set.Classes[0].DedupWindow = 300 * ms
 	return set
 }
 
@@ -266,11 +266,11 @@
 		delay time.Duration
 		again string // the second attempt, or the end
 	}{
-		{"keyed, may have run: its own shard", keyed(GroupShard), Errored, 0, "send r1 a"},
-		{"keyed, too late", keyed(GroupShard), Errored, 310 * ms, "fail r1"},
-		{"keyed, broken connection", keyed(GroupZone), Reset, 310 * ms, "fail r1"},
-		{"keyed everywhere, too late", keyed(GroupAll), Errored, 310 * ms, "refuse r1"},
-		{"keyed, never ran", keyed(GroupShard), Full, 310 * ms, "send r1"},
+		{"keyed, may have run: its own shard", keyed(ScopeShard), Errored, 0, "send r1 a"},
+		{"keyed, too late", keyed(ScopeShard), Errored, 310 * ms, "fail r1"},
+		{"keyed, broken connection", keyed(ScopeZone), ConnectionReset, 310 * ms, "fail r1"},
+		{"keyed everywhere, too late", keyed(ScopeAll), Errored, 310 * ms, "refuse r1"},
+		{"keyed, never ran", keyed(ScopeShard), Overloaded, 310 * ms, "send r1"},
 	} {
 		h := start(t, c.set)
 		h.ask(Request{Shard: AnyShard})
@@ -284,7 +284,7 @@
 		}
 	}
 	set := base()
-	set.Classes[0].Repeats = Unsafe
+	set.Classes[0].Idempotency = NonIdempotent
 	h := start(t, set)
 	h.ask(Request{})
 	h.end("r1", 0, Errored)
@@ -297,7 +297,7 @@
 }
 
 func TestKeyedRefusedOnlyBeforeItMayHaveRun(t *testing.T) {
-	h := start(t, keyed(GroupShard))
+	h := start(t, keyed(ScopeShard))
 	h.ask(Request{})
 	h.wait(2 * time.Second)
 	h.want("fail r1", 1)
@@ -320,7 +320,7 @@
 func TestGuardOrder(t *testing.T) {
 	set := base()
 	set.Classes[0].Ordered = true
-	set.Rules.TurnGap = 200 * ms
+	set.Rules.OrderedKeyQuietPeriod = 200 * ms
 	set.Plans[0].Reserve = 1000 // a queue at the node holds back only what is beyond it
 	h := start(t, set)
 	h.ask(Request{Key: "k"})
@@ -330,7 +330,7 @@
 	h.want("send r2", 0)
 	h.want("send r3", 1)
 	h.want("send r4", 1)
-	h.Left(h.now, "r1") // finished, but its attempt has no outcome
+	h.ClientDisconnected(h.now, "r1") // finished, but its attempt has no outcome
 	h.wait(50 * ms)
 	h.want("send r2", 0)
 	h.end("r1", 0, Canceled)
@@ -345,7 +345,7 @@
 	set.Classes[0].Ordered = true
 	h := start(t, set)
 	h.ask(Request{Key: "k"})
-	h.ask(Request{Key: "k", Patience: 100 * ms})
+	h.ask(Request{Key: "k", ClientTimeout: 100 * ms})
 	h.ask(Request{Key: "k"})
 	h.wait(150 * ms)
 	h.want("refuse r2", 1)
@@ -385,7 +385,7 @@
 // A request larger than a host's store leaves when the store is full, and its debt is repaid before the next.
 func TestLimitLetsALargeRequestLeave(t *testing.T) {
 	set := limited()
-	set.Plans[0].Burst, set.Plans[0].Limit, set.Classes[0].Aim = 12, 12, 2*time.Second
+	set.Plans[0].Burst, set.Plans[0].Limit, set.Classes[0].LatencyObjective = 12, 12, 2*time.Second
 	h := start(t, set)
 	h.end(h.ask(Request{Hosts: 6, Units: 6, Shard: 1, Key: "1"}), 0, Served)
 	h.want("send r1", 1)
@@ -448,13 +448,13 @@
 func cold() Settings {
 	set := base()
 	set.Siblings = 2
-	set.Rules = Rules{ColdFrom: 0.25, WarmWithin: 10 * time.Second, ColdWindow: time.Second, ColdUnits: 12}
+	set.Rules = Rules{SlowStartShare: 0.25, SlowStartDuration: 10 * time.Second, SlowStartWindow: time.Second, SlowStartAllowance: 12}
 	return set
 }
 
 func TestGuardCold(t *testing.T) {
 	h := start(t, cold())
-	h.Members(h.now, Membership{Kind: Changes, Nodes: []Node{{ID: "c", Shard: 2, StartedAt: h.now - 500*ms}}})
+	h.MembershipChanged(h.now, Membership{Kind: DeltaList, Nodes: []Node{{ID: "c", Shard: 2, StartedAt: h.now - 500*ms}}})
 	for range 8 {
 		id := h.ask(Request{Shard: 2})
 		h.end(id, 0, Errored) // errors count too
@@ -478,8 +478,8 @@
 	const hosts = 100
 	set := base()
 	set.Siblings = hosts
-	set.Rules = Rules{ColdFrom: 0.2, WarmWithin: 10 * time.Second, ColdWindow: time.Second, ColdUnits: 30, ColdMultiple: 2.5}
-	warm := set.Rules.ColdUnits / set.Rules.ColdFrom / set.Rules.ColdMultiple // units in a window
+	set.Rules = Rules{SlowStartShare: 0.2, SlowStartDuration: 10 * time.Second, SlowStartWindow: time.Second, SlowStartAllowance: 30, SlowStartMultiple: 2.5}
+	warm := set.Rules.SlowStartAllowance / set.Rules.SlowStartShare / set.Rules.SlowStartMultiple // units in a window
 	all := make([]*host, hosts)
 	for i := range all {
 		rec := &recorder{}
@@ -488,7 +488,7 @@
 			t.Fatal(err)
 		}
 		all[i] = &host{Scheduler: s, recorder: rec, t: t, now: time.Minute}
-		all[i].Members(time.Minute, Membership{Kind: Whole, Nodes: []Node{{ID: "c", StartedAt: time.Minute}}})
+		all[i].MembershipChanged(time.Minute, Membership{Kind: FullList, Nodes: []Node{{ID: "c", StartedAt: time.Minute}}})
 	}
 	asked, sent := 0.0, 0.0
 	for second := range 10 {
@@ -503,7 +503,7 @@
 				h.serveAll()
 			}
 		}
-		bears := warm * set.Rules.ColdMultiple * (0.2 + 0.8*float64(second)/10)
+		bears := warm * set.Rules.SlowStartMultiple * (0.2 + 0.8*float64(second)/10)
 		if sent += units; units > bears {
 			t.Errorf("second %d: sent %v units, the node bears %v", second, units, bears)
 		}
@@ -521,9 +521,9 @@
 			for seed := range uint64(4) {
 				set := base()
 				set.Siblings = hosts
-				set.Sizes.MeanUnits, set.Sizes.MostUnits = 2, 6
-				set.Rules = Rules{ColdFrom: 0.18, WarmWithin: 17 * time.Second, ColdWindow: 3 * time.Second, ColdUnits: 76, ColdMultiple: 4}
-				warm := set.Rules.ColdUnits / set.Rules.ColdFrom / set.Rules.ColdMultiple / set.Rules.ColdWindow.Seconds() // units a second
+				set.Sizes.MeanUnits, set.Sizes.MaxUnits = 2, 6
+				set.Rules = Rules{SlowStartShare: 0.18, SlowStartDuration: 17 * time.Second, SlowStartWindow: 3 * time.Second, SlowStartAllowance: 76, SlowStartMultiple: 4}
+				warm := set.Rules.SlowStartAllowance / set.Rules.SlowStartShare / set.Rules.SlowStartMultiple / set.Rules.SlowStartWindow.Seconds() // units a second
 				random := rand.New(rand.NewPCG(seed, uint64(hosts)))
 				all := make([]*host, hosts)
 				for i := range all {
@@ -533,7 +533,7 @@
 						t.Fatal(err)
 					}
 					all[i] = &host{Scheduler: s, recorder: rec, t: t, now: time.Minute}
-					all[i].Members(time.Minute, Membership{Kind: Whole, Nodes: []Node{{ID: "old", StartedAt: 0}}})
+					all[i].MembershipChanged(time.Minute, Membership{Kind: FullList, Nodes: []Node{{ID: "old", StartedAt: 0}}})
 				}
 				const began, burst = 10 * time.Second, 15 * time.Second // it is replaced, and five seconds later asked for twice as much
 				type sending struct {
@@ -556,22 +556,22 @@
 					if now >= began && h.nodes["new"] == nil {
 						for _, each := range all {
 							each.now = time.Minute + began
-							each.Members(each.now, Membership{Kind: Whole, Nodes: []Node{{ID: "new", StartedAt: time.Minute + began}}})
+							each.MembershipChanged(each.now, Membership{Kind: FullList, Nodes: []Node{{ID: "new", StartedAt: time.Minute + began}}})
 						}
 					}
 					h.now = time.Minute + now
 					units := []float64{1, 1, 1, 2, 2, 2, 2, 2, 3, 6}[random.IntN(10)]
-					h.Timer(h.now, 0)
+					h.TimerFired(h.now, 0)
 					before := len(h.sends)
-					h.Arrived(h.now, Request{ID: fmt.Sprint(number), Volume: fmt.Sprint(number), Units: units, Patience: 100 * ms, Hosts: 1})
+					h.RequestArrived(h.now, Request{ID: fmt.Sprint(number), Volume: fmt.Sprint(number), Units: units, ClientTimeout: 100 * ms, Hosts: 1})
 					for _, one := range h.sends[before:] {
 						sent = append(sent, sending{now, units})
-						h.Ended(h.now, Outcome{ID: one.id, Node: one.node, Result: Served, Latency: 40 * ms, Done: true, Use: -1})
+						h.AttemptEnded(h.now, Outcome{ID: one.id, Node: one.node, Result: Served, Latency: 40 * ms, Concluded: true, VolumeUse: -1})
 					}
 					if now < began || len(h.sends) == before {
 						continue
 					}
-					for sent[0].at < began || sent[0].at <= now-set.Rules.ColdWindow {
+					for sent[0].at < began || sent[0].at <= now-set.Rules.SlowStartWindow {
 						sent = sent[1:]
 					}
 					sum := 0.0
@@ -614,8 +614,8 @@
 func TestResetIsNoSignOfARestart(t *testing.T) {
 	h := start(t, cold())
 	h.ask(Request{})
-	h.end("r1", 0, Reset)
-	h.end("r1", 1, Reset)
+	h.end("r1", 0, ConnectionReset)
+	h.end("r1", 1, ConnectionReset)
 	h.want("send r1", 3)
 	for range 8 {
 		h.end(h.ask(Request{}), 0, Served)
@@ -625,7 +625,7 @@
 
 func TestGuardBudget(t *testing.T) {
 	set := base()
-	set.Rules.BudgetWindow, set.Rules.BudgetExtra, set.Rules.BudgetShare = time.Second, 1, 0.5
+	set.Rules.RetryBudgetWindow, set.Rules.RetryBudgetBase, set.Rules.RetryBudgetShare = time.Second, 1, 0.5
 	h := start(t, set)
 	h.ask(Request{})
 	h.end("r1", 0, Errored)
@@ -639,7 +639,7 @@
 func TestGuardHealth(t *testing.T) {
 	h := start(t, base())
 	h.ask(Request{})
-	h.end("r1", 0, Full)
+	h.end("r1", 0, Overloaded)
 	h.ask(Request{})
 	h.want("send", 1)
 	h.wait(holdFirst + 10*ms)
@@ -653,7 +653,7 @@
 	for range 20 {
 		h.ask(Request{Volume: "big", Units: 3})
 	}
-	if out := h.nodes["a"].out; out > StartRequests*2 {
+	if out := h.nodes["a"].out; out > InitialRequests*2 {
 		t.Fatalf("%v units out over a cap of %v", out, h.nodes["a"].cap)
 	}
 	h.want("send", 5)
@@ -669,7 +669,7 @@
 	}
 	n.latency = 1
 	h.setCap(n)
-	if n.cap != h.set.Sizes.MostUnits {
+	if n.cap != h.set.Sizes.MaxUnits {
 		t.Fatalf("cap %v under the largest request", n.cap)
 	}
 	n.maxRate, n.latency = 1e6, 0.02
@@ -767,7 +767,7 @@
 	}
 }
 
-// Work varies: what would take a little longer than its aim in the mean is often served in time all the same.
+// ClassWork varies: what would take a little longer than its aim in the mean is often served in time all the same.
 func TestLuckIsGivenAChance(t *testing.T) {
 	for latency, sent := range map[float64]int{0.7: 1, 0.9: 0} {
 		h := start(t, base())
@@ -787,7 +787,7 @@
 		for range 20 { // 20 units a second
 			h.wait(100 * ms)
 			id := h.ask(Request{Hosts: 4})
-			h.Ended(h.now, Outcome{ID: id, Node: "a", Result: Served, Latency: 20 * ms, Done: true, Use: use})
+			h.AttemptEnded(h.now, Outcome{ID: id, Node: "a", Result: Served, Latency: 20 * ms, Concluded: true, VolumeUse: use})
 		}
 		if got := h.volumes["v"].reserve.rate; got < 0.8*want || got > 1.2*want {
 			t.Errorf("at a use of %v the part is %v, want about %v", use, got, want)
@@ -810,7 +810,7 @@
 // Long-aim requests beyond the reserve must not keep a node full while others with a short aim have to pass.
 func TestQueueAtNodeIsMeasuredAgainstTheShortestAim(t *testing.T) {
 	set := base()
-	set.Classes = append(set.Classes, Class{Name: "bulk", Aim: 5 * time.Second, Deadline: 9 * time.Second, Worth: 1})
+	set.Classes = append(set.Classes, Class{Name: "bulk", LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1})
 	h := start(t, set)
 	n := h.nodes["a"]
 	n.minLatency, n.latency, n.queue, n.known, n.heardAt = 0.05, 0.8, 0.8, smoothAnswers, h.now
@@ -826,7 +826,7 @@
 func TestQueueElsewhereIsThePriorOfAnUnheardNode(t *testing.T) {
 	for slow, refused := range map[int]int{1: 0, 2: 1} {
 		h := start(t, base())
-		h.Members(h.now, Membership{Kind: Changes, Nodes: []Node{{ID: "c", Shard: 2}, {ID: "d", Shard: 3}}})
+		h.MembershipChanged(h.now, Membership{Kind: DeltaList, Nodes: []Node{{ID: "c", Shard: 2}, {ID: "d", Shard: 3}}})
 		for i, id := range []string{"a", "b", "c"} {
 			n := h.nodes[id]
 			n.minLatency, n.latency, n.known, n.heardAt = 0.05, 0.05, 1, h.now
@@ -874,16 +874,16 @@
 
 func TestAsksWhereAskingIsNeeded(t *testing.T) {
 	set := base()
-	set.MustAsk = true
+	set.PollMembership = true
 	h := start(t, set)
 	h.want("watch", 1)
-	h.Members(h.now, Membership{Kind: Refused})
+	h.MembershipChanged(h.now, Membership{Kind: WatchFailed})
 	h.wait(120 * ms)
 	h.want("watch", 1)
 	h.wait(160 * ms)
 	h.want("watch", 2)
-	h.Members(h.now, Membership{Kind: Refused})
-	h.Members(h.now, Membership{Kind: Refused}) // the same failure, told twice
+	h.MembershipChanged(h.now, Membership{Kind: WatchFailed})
+	h.MembershipChanged(h.now, Membership{Kind: WatchFailed}) // the same failure, told twice
 	h.wait(240 * ms)
 	h.want("watch", 2) // it backs off
 	h.wait(290 * ms)
@@ -895,7 +895,7 @@
 // Where a whole fleet had lost discovery, it came back to it in step: most were turned away, again and again, and were told of drains too late.
 func TestAsksAgainOutOfStep(t *testing.T) {
 	set := base()
-	set.MustAsk = true
+	set.PollMembership = true
 	at := map[time.Duration]int{}
 	for seed := range uint64(300) {
 		r := &recorder{}
@@ -903,13 +903,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Members(time.Hour, Membership{Kind: Whole})
+		s.MembershipChanged(time.Hour, Membership{Kind: FullList})
 		last := time.Hour
 		for try := range 12 { // of a long outage
-			s.Members(last, Membership{Kind: Refused})
+			s.MembershipChanged(last, Membership{Kind: WatchFailed})
 			now := last
 			for before := len(r.lines); !slices.Contains(r.lines[before:], "watch"); now += housekeepEvery {
-				s.Timer(now, 0)
+				s.TimerFired(now, 0)
 			}
 			if now-last > askMost+2*housekeepEvery {
 				t.Fatalf("a pause of %v at try %d", now-last, try)
@@ -928,11 +928,11 @@
 // An agent on this machine is silent while discovery is down, and what it has at its return counts as told at once.
 func TestWatchesAnAgentWithoutPause(t *testing.T) {
 	set := base()
-	set.Agent = true
+	set.LocalAgent = true
 	h := start(t, set)
 	h.want("watch", 1)
 	for try := range 8 {
-		h.Members(h.now, Membership{Kind: Refused})
+		h.MembershipChanged(h.now, Membership{Kind: WatchFailed})
 		h.wait(2 * housekeepEvery)
 		h.want("watch", 2+try)
 	}
@@ -940,10 +940,10 @@
 
 func TestHomelessRequestFindsTheReplacement(t *testing.T) {
 	h := start(t, base())
-	h.Members(h.now, Membership{Kind: Changes, Nodes: []Node{{ID: "a", Phase: Removed}}})
+	h.MembershipChanged(h.now, Membership{Kind: DeltaList, Nodes: []Node{{ID: "a", Phase: Removed}}})
 	h.ask(Request{})
 	h.wait(50 * ms)
-	h.Members(h.now, Membership{Kind: Changes, Nodes: []Node{{ID: "a2"}}})
+	h.MembershipChanged(h.now, Membership{Kind: DeltaList, Nodes: []Node{{ID: "a2"}}})
 	h.want("send r1 a2", 1)
 }
 
@@ -951,7 +951,7 @@
 func TestLittlePatienceIsNoRepetition(t *testing.T) {
 	h := start(t, base())
 	h.ask(Request{})
-	h.ask(Request{Patience: 300 * ms})
+	h.ask(Request{ClientTimeout: 300 * ms})
 	h.want("send r2", 1)
 }
 
@@ -966,9 +966,9 @@
 	h.want("refuse r2", 1)
 	h.ask(Request{Key: "k2"}) // patience for the whole deadline: another client's first try
 	h.want("refuse r3", 0)
-	h.ask(Request{Key: "k2", Patience: 1300 * ms})
+	h.ask(Request{Key: "k2", ClientTimeout: 1300 * ms})
 	h.want("refuse r4", 1)
-	h.ask(Request{Key: "k2", Patience: 1300 * ms}) // known once
+	h.ask(Request{Key: "k2", ClientTimeout: 1300 * ms}) // known once
 	h.want("refuse r5", 1)
 }
 
@@ -990,7 +990,7 @@
 		if n.out != want {
 			t.Errorf("%v units are taken for out after %d passed, want %v", n.out, passed, want)
 		}
-		if h.end(hangs, 0, Reset); n.out != 2 { // it goes out again
+		if h.end(hangs, 0, ConnectionReset); n.out != 2 { // it goes out again
 			t.Errorf("%v units are taken for out once it was sent again", n.out)
 		}
 	}
@@ -1004,7 +1004,7 @@
 	}
 	id := h.ask(Request{})
 	h.now += 15 * ms
-	h.Left(h.now, id)
+	h.ClientDisconnected(h.now, id)
 	if h.end(id, 0, Canceled); h.nodes["a"].queue > 0 {
 		t.Errorf("a queue of %v s", h.nodes["a"].queue)
 	}
@@ -1033,7 +1033,7 @@
 	h.want("cancel r9 0", 1)
 	h.want("log node a", 1)
 	h.want("send r9", 2)
-	h = lose(keyed(GroupShard)) // its window has passed
+	h = lose(keyed(ScopeShard)) // its window has passed
 	h.want("send r9", 1)
 	h.want("fail r9", 1)
 	set := base()
@@ -1058,7 +1058,7 @@
 	set.Classes[0].Streamed = true
 	h := start(t, set)
 	h.ask(Request{})
-	h.Began(h.now, "r1", 0)
+	h.StreamStarted(h.now, "r1", 0)
 	h.wait(5 * time.Second)
 	h.want("refuse", 0)
 	h.want("fail", 0)
@@ -1067,7 +1067,7 @@
 
 // drive plays one mixed load and gives all actions.
 func drive(h *host) string {
-	results := []Result{Served, Errored, Served, Served, ConnectFailed, Served, Reset, Served, Served, TimedOut}
+	results := []Result{Served, Errored, Served, Served, ConnectFailed, Served, ConnectionReset, Served, Served, TimedOut}
 	for i := range 200 {
 		id := h.ask(Request{Volume: fmt.Sprint("v", i%7), Units: float64(1 + i%6), Shard: i%3 - 1, Key: fmt.Sprint(i % 5)})
 		if i%3 == 0 {
@@ -1079,7 +1079,7 @@
 			}
 		}
 		if i%11 == 0 {
-			h.Left(h.now, id)
+			h.ClientDisconnected(h.now, id)
 		}
 	}
 	h.wait(3 * time.Second)
@@ -1150,7 +1150,7 @@
 		id := h.ask(Request{Key: fmt.Sprint(i)})
 		h.wait(100 * ms)
 		if i%2 == 0 {
-			h.Left(h.now, id)
+			h.ClientDisconnected(h.now, id)
 			h.end(id, 0, Canceled)
 		} else {
 			h.end(id, 0, Served)
@@ -1176,7 +1176,7 @@
 				latency = 20 * ms
 			}
 			n.queue, n.known, n.minLatency, n.latency = 0, 0, 0.02, 0.02
-			h.Ended(h.now, Outcome{ID: id, Node: "a", Result: Served, Latency: latency, Done: true, Use: -1,
+			h.AttemptEnded(h.now, Outcome{ID: id, Node: "a", Result: Served, Latency: latency, Concluded: true, VolumeUse: -1,
 				Load: &Load{InFlight: -1, Queued: queued, Busy: -1}})
 		}
 		return n.queue
@@ -1198,7 +1198,7 @@
 	for i := range 20 {
 		id := h.ask(Request{Key: fmt.Sprint(i)})
 		h.wait(100 * ms)
-		h.Left(h.now, id)
+		h.ClientDisconnected(h.now, id)
 		h.end(id, 0, Canceled)
 	}
 	n.minLatency, n.latency, n.queue, n.known, n.heardAt = 0.02, 0.02, 0.2, 4, h.now
@@ -1223,7 +1223,7 @@
 	h := start(t, limited())
 	h.ask(Request{Volume: "w", Units: 6, Shard: 1})
 	h.serveAll()
-	h.Members(h.now, Membership{Kind: Whole, Nodes: []Node{{ID: "a"}}})
+	h.MembershipChanged(h.now, Membership{Kind: FullList, Nodes: []Node{{ID: "a"}}})
 	spent := h.volumes["w"].limit.level
 	h.ask(Request{Volume: "w", Units: 6}) // over the limit and turned away
 	if h.volumes["w"].limit.level > spent {
@@ -1253,10 +1253,10 @@
 	sends := len(h.sends)
 	for i, id := range ids {
 		if i%3 == 0 {
-			h.Left(h.now, id)
+			h.ClientDisconnected(h.now, id)
 		}
 		if r := h.requests[id]; r != nil && len(r.open) > 0 {
-			h.Ended(h.now, Outcome{ID: id, Node: "a", Result: TimedOut, Latency: 10 * time.Second, Use: -1})
+			h.AttemptEnded(h.now, Outcome{ID: id, Node: "a", Result: TimedOut, Latency: 10 * time.Second, VolumeUse: -1})
 		}
 	}
 	h.wait(50 * ms)
@@ -1281,8 +1281,8 @@
 // ordered keys in turn, keyed repeats in their group and time, one answer each.
 func TestRandomEventsKeepTheRules(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
-		set := keyed(GroupShard)
-		set.Classes[0].Ordered, set.Rules.TurnGap = true, 50*ms
+		set := keyed(ScopeShard)
+		set.Classes[0].Ordered, set.Rules.OrderedKeyQuietPeriod = true, 50*ms
 		set.Plans[0].Limit, set.Plans[0].Burst = 200, 200
 		h := start(t, set)
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -1302,7 +1302,7 @@
 					if r.out || r.ended || !up[word[2]] {
 						t.Fatalf("seed %d: %s: out %v, ended %v, node up %v", seed, h.lines[seen], r.out, r.ended, up[word[2]])
 					}
-					if r.ranOn != "" && (r.ranOn != word[2] || h.now >= r.ranAt+set.Classes[0].RepeatFor) {
+					if r.ranOn != "" && (r.ranOn != word[2] || h.now >= r.ranAt+set.Classes[0].DedupWindow) {
 						t.Fatalf("seed %d: %s may run twice: ran on %s %v ago", seed, h.lines[seen], r.ranOn, h.now-r.ranAt)
 					}
 					for _, id := range order {
@@ -1334,14 +1334,14 @@
 				id := fmt.Sprint("r", h.id+1)
 				all[id] = &state{key: fmt.Sprint(step % 3)}
 				order = append(order, id)
-				h.ask(Request{Key: all[id].key, Shard: random.IntN(3) - 1, Patience: time.Duration(1+random.IntN(2000)) * ms})
+				h.ask(Request{Key: all[id].key, Shard: random.IntN(3) - 1, ClientTimeout: time.Duration(1+random.IntN(2000)) * ms})
 			case 2:
 				for _, s := range slices.Clone(h.sends) {
 					if r := h.requests[s.id]; r != nil && len(r.open) > 0 && random.IntN(3) == 0 {
-						result := Result(random.IntN(int(Moot)))
+						result := Result(random.IntN(int(NotSent)))
 						n := r.open[0].number
 						all[s.id].out = false
-						if result == Full || result == ConnectFailed {
+						if result == Overloaded || result == ConnectFailed {
 							if attempts[s.id] == 0 {
 								all[s.id].ranOn = ""
 							}
