--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -12,7 +12,7 @@
 
 func (printer) Send(id, node string, _ time.Duration)      { fmt.Println("send", id, "to", node) }
 func (printer) Cancel(id string, attempt int)              { fmt.Println("cancel", id, attempt) }
-func (printer) Refuse(id string, retryAfter time.Duration) { fmt.Println("refuse", id) }
+func (printer) Reject(id string, retryAfter time.Duration) { fmt.Println("refuse", id) }
 func (printer) Fail(id string)                             { fmt.Println("fail", id) }
 func (printer) Probe(node string)                          { fmt.Println("probe", node) }
 func (printer) SetTimer(after time.Duration, key uint64)   {}
@@ -25,10 +25,10 @@
 	settings := scheduler.Settings{
 		Siblings: 1,
 		Classes: []scheduler.Class{
-			{Name: "read", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1},
+			{Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1},
 		},
 		Plans: []scheduler.Plan{{Name: "basic", Rate: 50, Reserve: 50, Weight: 1, Price: 1}},
-		Sizes: scheduler.Sizes{MeanUnits: 2, MostUnits: 6},
+		Sizes: scheduler.Sizes{MeanUnits: 2, MaxUnits: 6},
 	}
 	s, err := scheduler.New(settings, 1, printer{})
 	if err != nil {
@@ -36,12 +36,12 @@
 		return
 	}
 	now := time.Second
-	s.Members(now, scheduler.Membership{Kind: scheduler.Whole, Nodes: []scheduler.Node{{ID: "disk-1"}}})
-	s.Arrived(now, scheduler.Request{ID: "r1", Volume: "vol", Units: 2, Patience: 2 * time.Second, Hosts: 1})
-	s.Ended(now+20*time.Millisecond, scheduler.Outcome{
+	s.MembershipChanged(now, scheduler.Membership{Kind: scheduler.FullList, Nodes: []scheduler.Node{{ID: "disk-1"}}})
+	s.RequestArrived(now, scheduler.Request{ID: "r1", Volume: "vol", Units: 2, ClientTimeout: 2 * time.Second, Hosts: 1})
+	s.AttemptEnded(now+20*time.Millisecond, scheduler.Outcome{
 		ID: "r1", Node: "disk-1", Result: scheduler.Errored, Latency: 20 * time.Millisecond})
-	s.Ended(now+50*time.Millisecond, scheduler.Outcome{
-		ID: "r1", Attempt: 1, Node: "disk-1", Result: scheduler.Served, Latency: 30 * time.Millisecond, Done: true})
+	s.AttemptEnded(now+50*time.Millisecond, scheduler.Outcome{
+		ID: "r1", Attempt: 1, Node: "disk-1", Result: scheduler.Served, Latency: 30 * time.Millisecond, Concluded: true})
 	// Output:
 	// send r1 to disk-1
 	// send r1 to disk-1
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Choice tells how a node stood before a request: what a choice between the nodes would go by.
-type Choice struct {
-	Node     string
-	Phase    Phase
-	Expected time.Duration // until the node would have served the request
-	Queue    time.Duration // that its queue takes
-	Own      time.Duration // that the request takes there without a queue
-	Out      float64       // units
-	Waiting  float64       // units
-	Cap      float64       // units
-	Hold     time.Duration // left of a pause
-	Cold     bool
-	Bars     string // what keeps the request from leaving for it now; empty: nothing does
+// Candidate tells how a node stood before a request: what a choice between the nodes would go by.
+type Candidate struct {
+	Node        string
+	Phase       Phase
+	Expected    time.Duration // until the node would have served the request
+	Queue       time.Duration // that its queue takes
+	ServiceTime time.Duration // that the request takes there without a queue
+	InFlight    float64       // units
+	Waiting     float64       // units
+	Cap         float64       // units
+	Backoff     time.Duration // left of a pause
+	WarmingUp   bool
+	BlockedBy   string // what keeps the request from leaving for it now; empty: nothing does
 }
 
 // Explain tells how every listed node stands before a request, one that is held or one that might come. It may move the stores of
 // volumes on in time, so it is for copies of a Scheduler, as Resume makes them, and never for one that decides.
-func (s *Scheduler) Explain(q Request) []Choice {
+func (s *Scheduler) Explain(q Request) []Candidate {
 	if q.Class < 0 || q.Class >= len(s.set.Classes) {
 		return nil
 	}
@@ -31,10 +31,10 @@
 		r = &request{Request: q, class: &s.set.Classes[q.Class], sequence: math.MaxUint64, luck: 1, volume: s.volumeOf(q)}
 		s.times(r)
 	}
-	var out []Choice
+	var out []Candidate
 	for _, n := range s.listed {
-		c := Choice{Node: n.ID, Phase: n.Phase, Expected: seconds(s.expected(n, r)), Queue: seconds(s.queueAt(n)), Own: seconds(s.ownTime(n, r)),
-			Out: n.out, Waiting: n.queuedUnits(), Cap: n.cap, Cold: s.cold(n), Hold: max(0, n.holdUntil-s.now), Bars: s.bars(r, n)}
+		c := Candidate{Node: n.ID, Phase: n.Phase, Expected: seconds(s.expected(n, r)), Queue: seconds(s.queueAt(n)), ServiceTime: seconds(s.ownTime(n, r)),
+			InFlight: n.out, Waiting: n.queuedUnits(), Cap: n.cap, WarmingUp: s.cold(n), Backoff: max(0, n.holdUntil-s.now), BlockedBy: s.bars(r, n)}
 		out = append(out, c)
 	}
 	return out
--- a/scheduler/rooms.go
+++ b/scheduler/rooms.go
@@ -26,20 +26,20 @@
 // pickBound finds the node that holds the data. Where nothing may be probed, a dark one gets a request now and then, to hear whether it is back; the others are
 // refused at once.
 func (s *Scheduler) pickBound(r *request) (*node, time.Duration, bool) {
-	best, _ := s.soonest(r, func(n *node) bool { return s.view.Node(n.ID) != zonefailover.Dark })
+	best, _ := s.soonest(r, func(n *node) bool { return s.view.Node(n.ID) != zonefailover.Unavailable })
 	if best != nil {
 		return best, 0, false
 	}
-	if best, _ = s.soonest(r, anyNode); best == nil || !s.set.Allowed.Probes && s.view.Try(s.now, best.ID) {
+	if best, _ = s.soonest(r, anyNode); best == nil || !s.set.Allowed.Probes && s.view.AllowTrial(s.now, best.ID) {
 		return best, 0, false
 	}
-	return nil, s.view.Until(s.now, best.ID), true
+	return nil, s.view.UntilTrial(s.now, best.ID), true
 }
 
 // pickFree finds a node for a new object: in the first tier that has one which is believed to answer, and in time; further on only as far as the bound on what
 // spills allows.
 func (s *Scheduler) pickFree(r *request) (*node, time.Duration, bool) {
-	set := &s.set.Rooms
+	set := &s.set.ZoneFailover
 	home, last := s.tiers(r)
 	left := (r.aimAt - s.now).Seconds()
 	var late *node
@@ -67,7 +67,7 @@
 	}
 	// Nothing is believed to answer at home. What tries it may be lost, so new objects do so only where nobody else does.
 	n, _ := s.soonest(r, func(n *node) bool { return set.Tier(n.Zone, r.Class, r.Plan) == home })
-	if n != nil && (s.view.Cut() || !s.set.Allowed.Probes && s.view.Overdue(s.now, n.ID) && s.view.Try(s.now, n.ID)) {
+	if n != nil && (s.view.Isolated() || !s.set.Allowed.Probes && s.view.TrialOverdue(s.now, n.ID) && s.view.AllowTrial(s.now, n.ID)) {
 		return n, 0, false
 	}
 	if n == nil && !spilled {
@@ -80,8 +80,8 @@
 // tiers gives the first and the last tier that a request may go to by its settings, whatever its rooms are like.
 func (s *Scheduler) tiers(r *request) (home, last int) {
 	home = -1
-	for room := range s.set.Rooms.Tiers {
-		if tier := s.set.Rooms.Tier(room, r.Class, r.Plan); tier != zonefailover.Forbidden {
+	for room := range s.set.ZoneFailover.Tiers {
+		if tier := s.set.ZoneFailover.Tier(room, r.Class, r.Plan); tier != zonefailover.Forbidden {
 			if last = max(last, tier); home < 0 || tier < home {
 				home = tier
 			}
@@ -93,20 +93,20 @@
 // answers tells whether a node is believed to answer a new object. A room that returns gets more of them with the time for which it has been heard; one that
 // flaps gets none until it has been heard long enough.
 func (s *Scheduler) answers(r *request, n *node) bool {
-	if s.view.Cut() { // nothing can be told of rooms
+	if s.view.Isolated() { // nothing can be told of rooms
 		return true
 	}
-	room := s.view.Room(n.Zone)
+	room := s.view.Zone(n.Zone)
 	switch room.State {
-	case zonefailover.Dark, zonefailover.Suspected:
+	case zonefailover.Unavailable, zonefailover.Suspect:
 		return false
-	case zonefailover.Returning:
-		if room.Flaps > 1 || float64(s.now-room.Since) < r.luck*float64(room.Calm) {
+	case zonefailover.Recovering:
+		if room.Flaps > 1 || float64(s.now-room.Since) < r.luck*float64(room.RecoveryTime) {
 			return false
 		}
 	}
 	state := s.view.Node(n.ID)
-	return state == zonefailover.Here || state == zonefailover.Returning
+	return state == zonefailover.Available || state == zonefailover.Recovering
 }
 
 // word takes what an outcome tells of whether its node is there at all: an answer, a turn away and a connection that is refused at once do.
@@ -117,21 +117,21 @@
 	n := a.node
 	spoke := false
 	switch o.Result {
-	case Reset:
+	case ConnectionReset:
 		// All that was out broke, or two at once: it may have started anew, faster than anybody noticed. The list will tell.
 		if len(n.pending) == 0 || n.resetAt > 0 && s.now-n.resetAt < resetsApart {
 			n.down = true
 		}
 		n.resetAt = s.now
-	case Served, Errored, Full:
+	case Served, Errored, Overloaded:
 		spoke = true
 	case ConnectFailed:
-		spoke = 2*o.Latency < s.set.Allowed.ConnectWithin
-	case Moot:
+		spoke = 2*o.Latency < s.set.Allowed.ConnectTimeout
+	case NotSent:
 		spoke = len(n.pending) == 0 && n.askedAt == a.at // nothing went out: nothing is missing
 	}
 	switch {
-	case spoke && o.Result != Moot:
+	case spoke && o.Result != NotSent:
 		if n.wordAt = s.now; n.down && o.Result != ConnectFailed {
 			n.backAt = s.now
 		}
@@ -144,8 +144,8 @@
 	}
 }
 
-// Probed takes the result of a probe.
-func (s *Scheduler) Probed(now time.Duration, p ProbeResult) {
+// ProbeEnded takes the result of a probe.
+func (s *Scheduler) ProbeEnded(now time.Duration, p ProbeResult) {
 	s.tick(now)
 	if n := s.nodes[p.Node]; s.view != nil && n != nil && p.Served {
 		if n.wordAt, n.askedAt = s.now, 0; n.down {
@@ -166,30 +166,30 @@
 	if s.view == nil {
 		return
 	}
-	all := make([]zonefailover.Sight, 0, len(s.listed))
-	spare := make([]float64, len(s.set.Rooms.Tiers)) // what the nodes of a room have been seen to do beyond what they do now, in units a second of this host
+	all := make([]zonefailover.Observation, 0, len(s.listed))
+	spare := make([]float64, len(s.set.ZoneFailover.Tiers)) // what the nodes of a room have been seen to do beyond what they do now, in units a second of this host
 	for _, n := range s.listed {
 		if n.Phase == Up && n.Zone >= 0 && n.Zone < len(spare) {
 			spare[n.Zone] += max(0, n.maxRate-n.served/max(s.now-n.opened, windowSpan).Seconds())
 		}
-		sight := zonefailover.Sight{ID: n.ID, Room: n.Zone, Size: n.Size, Gone: n.Phase != Up, Heard: n.wordAt,
-			Usual: time.Duration(n.latency * float64(time.Second))}
+		sight := zonefailover.Observation{ID: n.ID, Zone: n.Zone, Size: n.Size, Removed: n.Phase != Up, LastResponse: n.wordAt,
+			UsualLatency: time.Duration(n.latency * float64(time.Second))}
 		if n.askedAt > 0 {
-			sight.Waiting = s.now - n.askedAt
+			sight.UnansweredFor = s.now - n.askedAt
 		}
 		all = append(all, sight)
 		s.settle(n)
-		if s.set.Allowed.Probes && s.view.Node(n.ID) == zonefailover.Dark && s.view.Try(s.now, n.ID) {
+		if s.set.Allowed.Probes && s.view.Node(n.ID) == zonefailover.Unavailable && s.view.AllowTrial(s.now, n.ID) {
 			s.act.Probe(n.ID)
 		}
 	}
-	s.spill.Fill(s.now, spare)
-	for _, c := range s.view.Look(s.now, all) {
+	s.spill.Refill(s.now, spare)
+	for _, c := range s.view.Update(s.now, all) {
 		if c.Node == "" {
-			s.log("room %d: %v, it was %v; %.0f%% of what was asked is silent", c.Room, c.To, c.From, 100*c.Silent)
+			s.log("room %d: %v, it was %v; %.0f%% of what was asked is silent", c.Zone, c.To, c.From, 100*c.SilentShare)
 			continue
 		}
-		if n := s.nodes[c.Node]; c.To == zonefailover.Dark && n != nil {
+		if n := s.nodes[c.Node]; c.To == zonefailover.Unavailable && n != nil {
 			n.down, n.backAt = true, 0
 			for _, a := range n.pending { // they tell nothing of its queue, once it is back
 				a.doubt()
@@ -202,7 +202,7 @@
 
 // settle ends the cold start of a node that came back from the dark, once the list would have told that it had started anew: then only the way to it was cut.
 func (s *Scheduler) settle(n *node) {
-	late := s.set.Rooms.ListLate
+	late := s.set.ZoneFailover.MembershipDelay
 	if n.backAt == 0 || late == 0 || s.now-n.backAt < late {
 		return
 	}
--- a/scheduler/rooms_test.go
+++ b/scheduler/rooms_test.go
@@ -11,9 +11,9 @@
 // roomed makes settings of two rooms: a, where the host is, and b. Nodes a and b of start are in them.
 func roomed(change func(*Settings)) Settings {
 	set := base()
-	set.Allowed.ConnectWithin = 250 * ms
-	set.Rules.ColdFrom, set.Rules.WarmWithin, set.Rules.ColdWindow, set.Rules.ColdUnits, set.Rules.ColdMultiple = 0.18, 17*time.Second, 3*time.Second, 20, 4
-	set.Rooms = zonefailover.Settings{Tiers: []int{0, 1}, Spill: 10, Burst: 10, Siblings: 1, ListLate: 5 * time.Second}
+	set.Allowed.ConnectTimeout = 250 * ms
+	set.Rules.SlowStartShare, set.Rules.SlowStartDuration, set.Rules.SlowStartWindow, set.Rules.SlowStartAllowance, set.Rules.SlowStartMultiple = 0.18, 17*time.Second, 3*time.Second, 20, 4
+	set.ZoneFailover = zonefailover.Settings{Tiers: []int{0, 1}, Spillover: 10, Burst: 10, Siblings: 1, MembershipDelay: 5 * time.Second}
 	if change != nil {
 		change(&set)
 	}
@@ -26,7 +26,7 @@
 	h.ask(Request{Key: "lost"})
 	for range 40 {
 		h.wait(25 * ms)
-		if h.view.Node("a") == zonefailover.Dark {
+		if h.view.Node("a") == zonefailover.Unavailable {
 			return
 		}
 	}
@@ -75,14 +75,14 @@
 
 func TestWorkThatMustNotSpill(t *testing.T) {
 	h := start(t, roomed(func(s *Settings) {
-		s.Rooms.Work = []zonefailover.Work{{Class: 0, Plan: -1, Tiers: []int{0, zonefailover.Forbidden}}}
+		s.ZoneFailover.Work = []zonefailover.Work{{Class: 0, Plan: -1, Tiers: []int{0, zonefailover.Forbidden}}}
 	}))
 	h.wait(2 * time.Second)
 	h.silence()
 	id := h.ask(Request{Shard: AnyShard})
 	h.want("refuse "+id, 1)
 	h = start(t, roomed(func(s *Settings) {
-		s.Rooms.Work = []zonefailover.Work{{Class: -1, Plan: 0, Tiers: []int{zonefailover.Forbidden, 0}}}
+		s.ZoneFailover.Work = []zonefailover.Work{{Class: -1, Plan: 0, Tiers: []int{zonefailover.Forbidden, 0}}}
 	}))
 	id = h.ask(Request{Shard: AnyShard})
 	h.want("send "+id+" b", 1) // its home is the other room, so nothing spills
@@ -112,7 +112,7 @@
 	if probing.count("send") != sent || probing.count("probe a") < 2 || probing.count("probe a") > 5 {
 		t.Errorf("%d sent, %d probes", probing.count("send")-sent, probing.count("probe a"))
 	}
-	probing.Probed(probing.now, ProbeResult{Node: "a", Served: true})
+	probing.ProbeEnded(probing.now, ProbeResult{Node: "a", Served: true})
 	probing.wait(30 * ms)
 	id := probing.ask(Request{Key: "back"})
 	probing.want("send "+id+" a", 1)
@@ -131,7 +131,7 @@
 		}
 		if anew {
 			h.wait(2 * time.Second)
-			h.Members(h.now, Membership{Kind: Changes, Nodes: []Node{{ID: "a", StartedAt: h.now - 2*time.Second}}})
+			h.MembershipChanged(h.now, Membership{Kind: DeltaList, Nodes: []Node{{ID: "a", StartedAt: h.now - 2*time.Second}}})
 		}
 		h.wait(6 * time.Second)
 		if h.cold(n) != anew {
@@ -145,8 +145,8 @@
 	h := start(t, roomed(nil))
 	h.ask(Request{Key: "1"})
 	h.ask(Request{Key: "2"})
-	h.end("r1", 0, Reset)
-	h.end("r2", 0, Reset)
+	h.end("r1", 0, ConnectionReset)
+	h.end("r2", 0, ConnectionReset)
 	h.serveAll()
 	if !h.cold(h.nodes["a"]) {
 		t.Error("it is taken for warm")
@@ -158,16 +158,16 @@
 	h := start(t, roomed(nil))
 	id := h.ask(Request{Key: "1"})
 	h.wait(10 * ms)
-	h.Left(h.now, id)
-	h.Ended(h.now, Outcome{ID: id, Node: "a", Result: Canceled, Latency: 10 * ms, Use: -1})
+	h.ClientDisconnected(h.now, id)
+	h.AttemptEnded(h.now, Outcome{ID: id, Node: "a", Result: Canceled, Latency: 10 * ms, VolumeUse: -1})
 	h.wait(5 * time.Second)
-	if state := h.view.Node("a"); state != zonefailover.Here {
+	if state := h.view.Node("a"); state != zonefailover.Available {
 		t.Errorf("%v after a client that left", state)
 	}
 	id = h.ask(Request{Key: "2"})
-	h.Ended(h.now, Outcome{ID: id, Node: "a", Result: ConnectFailed, Latency: ms, Use: -1})
+	h.AttemptEnded(h.now, Outcome{ID: id, Node: "a", Result: ConnectFailed, Latency: ms, VolumeUse: -1})
 	h.wait(20 * ms)
-	if h.view.Node("a") != zonefailover.Here || h.nodes["a"].askedAt != 0 {
+	if h.view.Node("a") != zonefailover.Available || h.nodes["a"].askedAt != 0 {
 		t.Errorf("%v after a refused connection", h.view.Node("a"))
 	}
 }
@@ -177,7 +177,7 @@
 
 func (quiet) Send(string, string, time.Duration) {}
 func (quiet) Cancel(string, int)                 {}
-func (quiet) Refuse(string, time.Duration)       {}
+func (quiet) Reject(string, time.Duration)       {}
 func (quiet) Fail(string)                        {}
 func (quiet) Probe(string)                       {}
 func (quiet) SetTimer(time.Duration, uint64)     {}
@@ -192,11 +192,11 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		list := Membership{Kind: Whole}
+		list := Membership{Kind: FullList}
 		for i := range nodes {
 			list.Nodes = append(list.Nodes, Node{ID: fmt.Sprint("n", i), Zone: i % 2, Shard: i})
 		}
-		s.Members(time.Hour, list)
+		s.MembershipChanged(time.Hour, list)
 		for kind, shard := range map[string]int{"for its data": nodes - 1, "a new object": AnyShard} {
 			r := &request{Request: Request{Class: 0, Units: 2, Shard: shard}, class: &s.set.Classes[0], aimAt: s.now + time.Second, endAt: s.now + time.Second}
 			r.volume = s.volumeOf(r.Request)
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -16,40 +16,40 @@
 // done, to the byte. Pointers between its parts are places in Nodes, Volumes and Requests, none is -1. It decides nothing; the arrays
 // that it is written as carry no names, so any change of these types is a change of SnapshotVersion.
 type Snapshot struct {
-	_         struct{} `cbor:",toarray"`
-	Version   int
-	Random    []byte
-	Now       time.Duration
-	Alive     bool
-	Nodes     []SnapshotNode
-	Listed    int // of Nodes; the others are gone and only held by requests that ran there
-	Volumes   []SnapshotVolume
-	Requests  []SnapshotRequest // in the order of their arrival
-	Homeless  []int
-	Turns     []SnapshotTurn
-	GivenUp   []SnapshotGivenUp
-	Sequence  uint64
-	Work      []float64
-	Leaving   []float64
-	Patience  []float64
-	UnitTime  float64
-	PerQueued float64
-	Elsewhere float64
-	Least     float64
-	TakenAt   []time.Duration
-	ExtraAt   []time.Duration
-	AskAgain  time.Duration
-	AskPause  time.Duration
-	LoggedAt  time.Duration
-	SweepAt   time.Duration
-	Cautions  []Caution
-	Careful   Care
-	Budget    []retrybudget.Cell
-	View      zonefailover.ViewState
-	Spill     []zonefailover.SpillState
-
-	Recalled      Learned // of an earlier life, not asked for yet
-	RecalledUntil time.Duration
+	_                   struct{} `cbor:",toarray"`
+	Version             int
+	Random              []byte
+	Now                 time.Duration
+	Started             bool `json:"Alive"`
+	Nodes               []SnapshotNode
+	Listed              int // of Nodes; the others are gone and only held by requests that ran there
+	Volumes             []SnapshotVolume
+	Requests            []SnapshotRequest    // in the order of their arrival
+	Unassigned          []int                `json:"Homeless"`
+	OrderedKeys         []SnapshotOrderedKey `json:"Turns"`
+	Rejected            []SnapshotRejected   `json:"GivenUp"`
+	Sequence            uint64
+	ClassWork           []float64       `json:"Work"`
+	DisconnectShare     []float64       `json:"Leaving"`
+	DisconnectAfter     []float64       `json:"Patience"`
+	ServiceTimePerUnit  float64         `json:"UnitTime"`
+	QueueTimePerRequest float64         `json:"PerQueued"`
+	FleetQueue          float64         `json:"Elsewhere"`
+	MinLatencyMedian    float64         `json:"Least"`
+	ArrivedAt           []time.Duration `json:"TakenAt"`
+	RetriedAt           []time.Duration `json:"ExtraAt"`
+	WatchAgainAt        time.Duration   `json:"AskAgain"`
+	WatchBackoff        time.Duration   `json:"AskPause"`
+	LoggedAt            time.Duration
+	SweepAt             time.Duration
+	Restrictions        []Restriction                 `json:"Cautions"`
+	OverflowRestriction RestrictionLevel              `json:"Careful"`
+	RetryBudget         []retrybudget.Budget          `json:"Budget"`
+	ZoneHealth          zonefailover.TrackerState     `json:"View"`
+	Spillover           []zonefailover.SpilloverState `json:"Spill"`
+
+	Restored      LearnedState  `json:"Recalled"` // of an earlier life, not asked for yet
+	RestoredUntil time.Duration `json:"RecalledUntil"`
 }
 
 // SnapshotVersion is the version of Snapshot that this program takes and goes on from.
@@ -57,55 +57,55 @@
 
 // SnapshotNode is what is known of a node; its fields are those of the state.
 type SnapshotNode struct {
-	_          struct{} `cbor:",toarray"`
-	Node       Node
-	Waiting    []int
-	Out        float64
-	AtNode     int
-	HeardAt    time.Duration
-	Queue      float64
-	Known      float64
-	Cap        float64
-	Opened     time.Duration
-	Served     float64
-	Answers    int
-	Spent      time.Duration
-	Weight     float64
-	MaxRate    float64
-	Latency    float64
-	MinLatency float64
-	LearnedAt  time.Duration
-	RetestAt   time.Duration
-	Drained    time.Duration
-	CutCap     float64
-	Virtual    [tiers]float64
-	Finish     [tiers][]SnapshotFinish
-	Failures   int
-	HoldUntil  time.Duration
-	Down       bool
-	ColdSince  time.Duration
-	Pending    []SnapshotAttempt
-	SentAt     time.Duration
-	Asked      float64
-	AskedFor   time.Duration
-	Lot        float64
-	LotUntil   time.Duration
-	AskedAt    time.Duration
-	WordAt     time.Duration
-	BackAt     time.Duration
-	ResetAt    time.Duration
-	Sent       []SnapshotSending
+	_                  struct{} `cbor:",toarray"`
+	Node               Node
+	Waiting            []int
+	UnitsInFlight      float64       `json:"Out"`
+	AttemptsInFlight   int           `json:"AtNode"`
+	LastServedAt       time.Duration `json:"HeardAt"`
+	Queue              float64
+	QueueConfidence    float64 `json:"Known"`
+	Cap                float64
+	WindowOpenedAt     time.Duration `json:"Opened"`
+	WindowUnits        float64       `json:"Served"`
+	WindowResponses    int           `json:"Answers"`
+	WindowLatency      time.Duration `json:"Spent"`
+	WindowWork         float64       `json:"Weight"`
+	MaxRate            float64
+	Latency            float64
+	MinLatency         float64
+	LearnedAt          time.Duration
+	RetestAt           time.Duration
+	CutDrainedAt       time.Duration `json:"Drained"`
+	CutCap             float64
+	VirtualTime        [tiers]float64             `json:"Virtual"`
+	FinishTags         [tiers][]SnapshotFinishTag `json:"Finish"`
+	Failures           int
+	BackoffUntil       time.Duration `json:"HoldUntil"`
+	Down               bool
+	WarmingSince       time.Duration `json:"ColdSince"`
+	Pending            []SnapshotAttempt
+	SentAt             time.Duration
+	Demand             float64       `json:"Asked"`
+	DemandAt           time.Duration `json:"AskedFor"`
+	SlowStartDraw      float64       `json:"Lot"`
+	SlowStartDrawUntil time.Duration `json:"LotUntil"`
+	UnansweredSince    time.Duration `json:"AskedAt"`
+	LastResponseAt     time.Duration `json:"WordAt"`
+	RecoveredAt        time.Duration `json:"BackAt"`
+	ResetAt            time.Duration
+	RecentSends        []SnapshotSend `json:"Sent"`
 }
 
-// SnapshotFinish is the tag at which a volume's last request at a node ends.
-type SnapshotFinish struct {
+// SnapshotFinishTag is the tag at which a volume's last request at a node ends.
+type SnapshotFinishTag struct {
 	_      struct{} `cbor:",toarray"`
 	Volume int
 	Tag    float64
 }
 
-// SnapshotSending is a sending that the rule of cold nodes counts.
-type SnapshotSending struct {
+// SnapshotSend is a sending that the rule of cold nodes counts.
+type SnapshotSend struct {
 	_     struct{} `cbor:",toarray"`
 	At    time.Duration
 	Units float64
@@ -113,83 +113,85 @@
 
 // SnapshotVolume is what is kept of a volume.
 type SnapshotVolume struct {
-	_        struct{} `cbor:",toarray"`
-	Name     string
-	Held     bool // it is found by its name; otherwise only its requests hold it
-	Plan     int
-	SilentAt time.Duration
-	Weight   float64
-	Hosts    float64
-	Reserve  SnapshotStore
-	Limit    SnapshotStore
-	Own      float64
-	OwnAt    time.Duration
+	_          struct{} `cbor:",toarray"`
+	Name       string
+	Indexed    bool `json:"Held"` // it is found by its name; otherwise only its requests hold it
+	Plan       int
+	IdleAt     time.Duration `json:"SilentAt"`
+	Weight     float64
+	Hosts      float64
+	Reserve    SnapshotTokenBucket
+	Limit      SnapshotTokenBucket
+	OwnUnits   float64       `json:"Own"`
+	OwnUnitsAt time.Duration `json:"OwnAt"`
 }
 
-// SnapshotStore is a store that fills.
-type SnapshotStore struct {
-	_                 struct{} `cbor:",toarray"`
-	Level, Rate, Most float64
-	At                time.Duration
+// SnapshotTokenBucket is a store that fills.
+type SnapshotTokenBucket struct {
+	_          struct{} `cbor:",toarray"`
+	Tokens     float64  `json:"Level"`
+	Rate       float64
+	Burst      float64       `json:"Most"`
+	RefilledAt time.Duration `json:"At"`
 }
 
 // SnapshotRequest is a request that is open.
 type SnapshotRequest struct {
-	_        struct{} `cbor:",toarray"`
-	Request  Request
-	Volume   int
-	Sequence uint64
-	CameAt   time.Duration
-	AimAt    time.Duration
-	EndAt    time.Duration
-	LastAt   time.Duration
-	Tier     int
-	Tag      float64
-	Luck     float64
-	Node     int
-	Open     []SnapshotAttempt
-	Attempts int
-	Drew     bool
-	RanOn    int
-	RanAt    time.Duration
-	RanBy    int
-	MayRun   bool
-	Spilt    bool
-	Began    bool
-	Ended    bool
-	Timed    bool // its timer is out
+	_               struct{} `cbor:",toarray"`
+	Request         Request
+	Volume          int
+	Sequence        uint64
+	ArrivedAt       time.Duration `json:"CameAt"`
+	ObjectiveAt     time.Duration `json:"AimAt"`
+	AnswerBy        time.Duration `json:"EndAt"`
+	ClientTimeoutAt time.Duration `json:"LastAt"`
+	Tier            int
+	Tag             float64
+	RandomDraw      float64 `json:"Luck"`
+	Node            int
+	InFlight        []SnapshotAttempt `json:"Open"`
+	Attempts        int
+	Charged         bool          `json:"Drew"`
+	FirstNode       int           `json:"RanOn"`
+	FirstSentAt     time.Duration `json:"RanAt"`
+	FirstAttempt    int           `json:"RanBy"`
+	MayStillRun     bool          `json:"MayRun"`
+	SpilledOver     bool          `json:"Spilt"`
+	StreamStarted   bool          `json:"Began"`
+	Ended           bool
+	TimerSet        bool `json:"Timed"` // its timer is out
 }
 
 // SnapshotAttempt is an attempt that is out. At its node only Request and Number are told, at its request all.
 type SnapshotAttempt struct {
-	_       struct{} `cbor:",toarray"`
-	Request int
-	Number  int
-	Node    int
-	At      time.Duration
-	Passed  int
-	Given   bool
-	Doubted bool
+	_          struct{} `cbor:",toarray"`
+	Request    int
+	Number     int
+	Node       int
+	SentAt     time.Duration `json:"At"`
+	Overtaken  int           `json:"Passed"`
+	Canceled   bool          `json:"Given"`
+	Discounted bool          `json:"Doubted"`
 }
 
-// SnapshotTurn is the queue of an ordered key.
-type SnapshotTurn struct {
-	_         struct{} `cbor:",toarray"`
-	Key       string
-	Line      []int
-	RestUntil time.Duration
-	RestFor   int
+// SnapshotOrderedKey is the queue of an ordered key.
+type SnapshotOrderedKey struct {
+	_          struct{} `cbor:",toarray"`
+	Key        string
+	Waiters    []int         `json:"Line"`
+	QuietUntil time.Duration `json:"RestUntil"`
+	QuietFor   int           `json:"RestFor"`
 }
 
-// SnapshotGivenUp is a request lately given up.
-type SnapshotGivenUp struct {
-	_      struct{} `cbor:",toarray"`
-	Volume string
-	Key    string
-	Class  int
-	Units  float64
-	AimAt  time.Duration
-	LastAt time.Duration
+// SnapshotRejected is a request lately given up.
+type SnapshotRejected struct {
+	_               struct{} `cbor:",toarray"`
+	Volume          string
+	Key             string
+	Class           int
+	Units           float64
+	ObjectiveAt     time.Duration `json:"AimAt"`
+	ClientTimeoutAt time.Duration `json:"LastAt"`
 }
 
 // Snapshot takes the whole state. Parts that no later event can reach are left out.
@@ -198,14 +200,14 @@
 	if err != nil {
 		panic(err) // a PCG always gives its state
 	}
-	out := &Snapshot{Version: SnapshotVersion, Random: random, Now: s.now, Alive: s.alive, Sequence: s.sequence, Listed: len(s.listed),
-		Work: slices.Clone(s.work), Leaving: slices.Clone(s.leaving), Patience: slices.Clone(s.patience),
-		UnitTime: s.unitTime, PerQueued: s.perQueued, Elsewhere: s.elsewhere, Least: s.least,
-		TakenAt: slices.Clone(s.takenAt), ExtraAt: slices.Clone(s.extraAt), AskAgain: s.askAgain, AskPause: s.askPause,
-		LoggedAt: s.loggedAt, SweepAt: s.sweepAt, Cautions: s.cautions(), Careful: s.careful, Budget: s.budget.Snapshot(), RecalledUntil: s.recalledUntil,
-		Recalled: Learned{Nodes: recalled(s.recalledNodes), Volumes: recalled(s.recalledVolumes)}}
+	out := &Snapshot{Version: SnapshotVersion, Random: random, Now: s.now, Started: s.alive, Sequence: s.sequence, Listed: len(s.listed),
+		ClassWork: slices.Clone(s.work), DisconnectShare: slices.Clone(s.leaving), DisconnectAfter: slices.Clone(s.patience),
+		ServiceTimePerUnit: s.unitTime, QueueTimePerRequest: s.perQueued, FleetQueue: s.elsewhere, MinLatencyMedian: s.least,
+		ArrivedAt: slices.Clone(s.takenAt), RetriedAt: slices.Clone(s.extraAt), WatchAgainAt: s.askAgain, WatchBackoff: s.askPause,
+		LoggedAt: s.loggedAt, SweepAt: s.sweepAt, Restrictions: s.cautions(), OverflowRestriction: s.careful, RetryBudget: s.budget.Snapshot(), RestoredUntil: s.recalledUntil,
+		Restored: LearnedState{Nodes: recalled(s.recalledNodes), Volumes: recalled(s.recalledVolumes)}}
 	if s.view != nil {
-		out.View, out.Spill = s.view.Snapshot(), s.spill.Snapshot()
+		out.ZoneHealth, out.Spillover = s.view.Snapshot(), s.spill.Snapshot()
 	}
 	t := taking{s: s, nodes: map[*node]int{}, volumes: map[*volume]int{}, requests: map[*request]int{}}
 	t.number()
@@ -218,15 +220,15 @@
 	for _, r := range t.requestList {
 		out.Requests = append(out.Requests, t.request(r))
 	}
-	out.Homeless = t.places(s.homeless)
+	out.Unassigned = t.places(s.homeless)
 	for key, turn := range s.turns {
-		out.Turns = append(out.Turns, SnapshotTurn{Key: key, Line: t.places(turn.line), RestUntil: turn.restUntil, RestFor: place(t.requests, turn.restFor)})
+		out.OrderedKeys = append(out.OrderedKeys, SnapshotOrderedKey{Key: key, Waiters: t.places(turn.line), QuietUntil: turn.restUntil, QuietFor: place(t.requests, turn.restFor)})
 	}
-	slices.SortFunc(out.Turns, func(a, b SnapshotTurn) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(out.OrderedKeys, func(a, b SnapshotOrderedKey) int { return cmp.Compare(a.Key, b.Key) })
 	for g, r := range s.givenUp {
-		out.GivenUp = append(out.GivenUp, SnapshotGivenUp{Volume: g.volume, Key: g.key, Class: g.class, Units: g.units, AimAt: r.aimAt, LastAt: r.lastAt})
+		out.Rejected = append(out.Rejected, SnapshotRejected{Volume: g.volume, Key: g.key, Class: g.class, Units: g.units, ObjectiveAt: r.aimAt, ClientTimeoutAt: r.lastAt})
 	}
-	slices.SortFunc(out.GivenUp, func(a, b SnapshotGivenUp) int {
+	slices.SortFunc(out.Rejected, func(a, b SnapshotRejected) int {
 		return cmp.Or(cmp.Compare(a.Volume, b.Volume), cmp.Compare(a.Key, b.Key), a.Class-b.Class, cmp.Compare(a.Units, b.Units))
 	})
 	return out
@@ -300,24 +302,24 @@
 }
 
 func (t *taking) node(n *node) SnapshotNode {
-	out := SnapshotNode{Node: n.Node, Waiting: t.places(n.waiting), Out: n.out, AtNode: n.atNode, HeardAt: n.heardAt, Queue: n.queue, Known: n.known,
-		Cap: n.cap, Opened: n.opened, Served: n.served, Answers: n.answers, Spent: n.spent, Weight: n.weight, MaxRate: n.maxRate, Latency: n.latency,
-		MinLatency: n.minLatency, LearnedAt: n.learnedAt, RetestAt: n.retestAt, Drained: n.drained, CutCap: n.cutCap, Virtual: n.virtual,
-		Failures: n.failures, HoldUntil: n.holdUntil, Down: n.down, ColdSince: n.coldSince, SentAt: n.sentAt, Asked: n.asked.level, AskedFor: n.asked.since, Lot: n.lot, LotUntil: n.lotUntil,
-		AskedAt: n.askedAt, WordAt: n.wordAt, BackAt: n.backAt, ResetAt: n.resetAt}
+	out := SnapshotNode{Node: n.Node, Waiting: t.places(n.waiting), UnitsInFlight: n.out, AttemptsInFlight: n.atNode, LastServedAt: n.heardAt, Queue: n.queue, QueueConfidence: n.known,
+		Cap: n.cap, WindowOpenedAt: n.opened, WindowUnits: n.served, WindowResponses: n.answers, WindowLatency: n.spent, WindowWork: n.weight, MaxRate: n.maxRate, Latency: n.latency,
+		MinLatency: n.minLatency, LearnedAt: n.learnedAt, RetestAt: n.retestAt, CutDrainedAt: n.drained, CutCap: n.cutCap, VirtualTime: n.virtual,
+		Failures: n.failures, BackoffUntil: n.holdUntil, Down: n.down, WarmingSince: n.coldSince, SentAt: n.sentAt, Demand: n.asked.level, DemandAt: n.asked.since, SlowStartDraw: n.lot, SlowStartDrawUntil: n.lotUntil,
+		UnansweredSince: n.askedAt, LastResponseAt: n.wordAt, RecoveredAt: n.backAt, ResetAt: n.resetAt}
 	for tier := range n.finish {
 		for v, tag := range n.finish[tier] {
 			if i, ok := t.volumes[v]; ok {
-				out.Finish[tier] = append(out.Finish[tier], SnapshotFinish{Volume: i, Tag: tag})
+				out.FinishTags[tier] = append(out.FinishTags[tier], SnapshotFinishTag{Volume: i, Tag: tag})
 			}
 		}
-		slices.SortFunc(out.Finish[tier], func(a, b SnapshotFinish) int { return a.Volume - b.Volume })
+		slices.SortFunc(out.FinishTags[tier], func(a, b SnapshotFinishTag) int { return a.Volume - b.Volume })
 	}
 	for _, a := range n.pending {
 		out.Pending = append(out.Pending, SnapshotAttempt{Request: t.requests[a.request], Number: a.number})
 	}
 	for _, x := range n.sent {
-		out.Sent = append(out.Sent, SnapshotSending{At: x.at, Units: x.units})
+		out.RecentSends = append(out.RecentSends, SnapshotSend{At: x.at, Units: x.units})
 	}
 	return out
 }
@@ -329,21 +331,21 @@
 			plan = i
 		}
 	}
-	return SnapshotVolume{Name: name, Held: t.s.volumes[name] == v, Plan: plan, SilentAt: v.silentAt, Weight: v.weight, Hosts: v.hosts,
-		Reserve: v.reserve.snapshot(), Limit: v.limit.snapshot(), Own: v.own.level, OwnAt: v.own.since}
+	return SnapshotVolume{Name: name, Indexed: t.s.volumes[name] == v, Plan: plan, IdleAt: v.silentAt, Weight: v.weight, Hosts: v.hosts,
+		Reserve: v.reserve.snapshot(), Limit: v.limit.snapshot(), OwnUnits: v.own.level, OwnUnitsAt: v.own.since}
 }
 
-func (s store) snapshot() SnapshotStore {
-	return SnapshotStore{Level: s.level, Rate: s.rate, Most: s.most, At: s.at}
+func (s store) snapshot() SnapshotTokenBucket {
+	return SnapshotTokenBucket{Tokens: s.level, Rate: s.rate, Burst: s.most, RefilledAt: s.at}
 }
 
 func (t *taking) request(r *request) SnapshotRequest {
-	out := SnapshotRequest{Request: r.Request, Volume: t.volumes[r.volume], Sequence: r.sequence, CameAt: r.cameAt, AimAt: r.aimAt, EndAt: r.endAt,
-		LastAt: r.lastAt, Tier: r.tier, Tag: r.tag, Luck: r.luck, Node: place(t.nodes, r.node), Attempts: r.attempts, Drew: r.drew,
-		RanOn: place(t.nodes, r.ranOn), RanAt: r.ranAt, RanBy: r.ranBy, MayRun: r.mayRun, Spilt: r.spilt, Began: r.began, Ended: r.ended, Timed: t.s.timers[r.sequence] == r}
+	out := SnapshotRequest{Request: r.Request, Volume: t.volumes[r.volume], Sequence: r.sequence, ArrivedAt: r.cameAt, ObjectiveAt: r.aimAt, AnswerBy: r.endAt,
+		ClientTimeoutAt: r.lastAt, Tier: r.tier, Tag: r.tag, RandomDraw: r.luck, Node: place(t.nodes, r.node), Attempts: r.attempts, Charged: r.drew,
+		FirstNode: place(t.nodes, r.ranOn), FirstSentAt: r.ranAt, FirstAttempt: r.ranBy, MayStillRun: r.mayRun, SpilledOver: r.spilt, StreamStarted: r.began, Ended: r.ended, TimerSet: t.s.timers[r.sequence] == r}
 	for _, a := range r.open {
-		out.Open = append(out.Open, SnapshotAttempt{Request: t.requests[r], Number: a.number, Node: t.nodes[a.node], At: a.at, Passed: a.passed,
-			Given: a.given, Doubted: a.doubted})
+		out.InFlight = append(out.InFlight, SnapshotAttempt{Request: t.requests[r], Number: a.number, Node: t.nodes[a.node], SentAt: a.at, Overtaken: a.passed,
+			Canceled: a.given, Discounted: a.doubted})
 	}
 	return out
 }
@@ -366,23 +368,23 @@
 		return nil, fmt.Errorf("%w: random numbers: %w", ErrSnapshot, err)
 	}
 	classes := len(settings.Classes)
-	if len(from.Work) != classes || len(from.Leaving) != classes || len(from.Patience) != classes {
-		return nil, fmt.Errorf("%w: it is of %d classes, the settings name %d", ErrSnapshot, len(from.Work), classes)
+	if len(from.ClassWork) != classes || len(from.DisconnectShare) != classes || len(from.DisconnectAfter) != classes {
+		return nil, fmt.Errorf("%w: it is of %d classes, the settings name %d", ErrSnapshot, len(from.ClassWork), classes)
 	}
 	g := giving{s: s, from: from}
 	s.source, s.rand = source, rand.New(source)
-	s.now, s.alive, s.sequence = from.Now, from.Alive, from.Sequence
-	copy(s.work, from.Work)
-	copy(s.leaving, from.Leaving)
-	copy(s.patience, from.Patience)
-	s.unitTime, s.perQueued, s.elsewhere, s.least = from.UnitTime, from.PerQueued, from.Elsewhere, from.Least
-	s.takenAt, s.extraAt = slices.Clone(from.TakenAt), slices.Clone(from.ExtraAt)
-	s.askAgain, s.askPause, s.loggedAt, s.sweepAt = from.AskAgain, from.AskPause, from.LoggedAt, from.SweepAt
+	s.now, s.alive, s.sequence = from.Now, from.Started, from.Sequence
+	copy(s.work, from.ClassWork)
+	copy(s.leaving, from.DisconnectShare)
+	copy(s.patience, from.DisconnectAfter)
+	s.unitTime, s.perQueued, s.elsewhere, s.least = from.ServiceTimePerUnit, from.QueueTimePerRequest, from.FleetQueue, from.MinLatencyMedian
+	s.takenAt, s.extraAt = slices.Clone(from.ArrivedAt), slices.Clone(from.RetriedAt)
+	s.askAgain, s.askPause, s.loggedAt, s.sweepAt = from.WatchAgainAt, from.WatchBackoff, from.LoggedAt, from.SweepAt
 	if err := g.all(); err != nil {
 		return nil, err
 	}
-	if s.recalledUntil = from.RecalledUntil; s.recalledUntil > 0 {
-		s.remember(from.Recalled)
+	if s.recalledUntil = from.RestoredUntil; s.recalledUntil > 0 {
+		s.remember(from.Restored)
 	}
 	return s, nil
 }
@@ -404,17 +406,17 @@
 	if from.Listed < 0 || from.Listed > len(from.Nodes) {
 		return fmt.Errorf("%w: %d of %d nodes are listed", ErrSnapshot, from.Listed, len(from.Nodes))
 	}
-	if len(from.Cautions) > MostCautions {
-		return fmt.Errorf("%w: %d cautions", ErrSnapshot, len(from.Cautions))
+	if len(from.Restrictions) > MaxRestrictions {
+		return fmt.Errorf("%w: %d cautions", ErrSnapshot, len(from.Restrictions))
 	}
-	s.careful = from.Careful
-	for _, c := range from.Cautions {
+	s.careful = from.OverflowRestriction
+	for _, c := range from.Restrictions {
 		s.cares[careKey{c.Operation, c.Node}] = c.Level
 	}
-	if err := s.budget.Resume(from.Budget); err != nil {
+	if err := s.budget.Resume(from.RetryBudget); err != nil {
 		return fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
-	if s.view != nil && (!s.view.Resume(from.View) || !s.spill.Resume(from.Spill)) {
+	if s.view != nil && (!s.view.Resume(from.ZoneHealth) || !s.spill.Resume(from.Spillover)) {
 		return fmt.Errorf("%w: its rooms are others", ErrSnapshot)
 	}
 	for i := range from.Nodes {
@@ -437,21 +439,21 @@
 		}
 	}
 	var err error
-	if s.homeless, err = g.list(from.Homeless); err != nil {
+	if s.homeless, err = g.list(from.Unassigned); err != nil {
 		return err
 	}
-	for _, t := range from.Turns {
-		line, err := g.list(t.Line)
-		if err != nil || !in(t.RestFor, len(g.requests), true) {
+	for _, t := range from.OrderedKeys {
+		line, err := g.list(t.Waiters)
+		if err != nil || !in(t.QuietFor, len(g.requests), true) {
 			return fmt.Errorf("%w: the turn of key %q", ErrSnapshot, t.Key)
 		}
-		s.turns[t.Key] = &turn{line: line, restUntil: t.RestUntil}
-		if t.RestFor >= 0 {
-			s.turns[t.Key].restFor = g.requests[t.RestFor]
+		s.turns[t.Key] = &turn{line: line, restUntil: t.QuietUntil}
+		if t.QuietFor >= 0 {
+			s.turns[t.Key].restFor = g.requests[t.QuietFor]
 		}
 	}
-	for _, r := range from.GivenUp {
-		s.givenUp[signature{r.Volume, r.Key, r.Class, r.Units}] = &request{aimAt: r.AimAt, lastAt: r.LastAt}
+	for _, r := range from.Rejected {
+		s.givenUp[signature{r.Volume, r.Key, r.Class, r.Units}] = &request{aimAt: r.ObjectiveAt, lastAt: r.ClientTimeoutAt}
 	}
 	return nil
 }
@@ -467,12 +469,12 @@
 }
 
 func (g *giving) node(from *SnapshotNode, listed bool) {
-	n := &node{Node: from.Node, out: from.Out, atNode: from.AtNode, heardAt: from.HeardAt, queue: from.Queue, known: from.Known, cap: from.Cap,
-		opened: from.Opened, served: from.Served, answers: from.Answers, spent: from.Spent, weight: from.Weight, maxRate: from.MaxRate,
-		latency: from.Latency, minLatency: from.MinLatency, learnedAt: from.LearnedAt, retestAt: from.RetestAt, drained: from.Drained,
-		cutCap: from.CutCap, virtual: from.Virtual, failures: from.Failures, holdUntil: from.HoldUntil, down: from.Down, coldSince: from.ColdSince,
-		sentAt: from.SentAt, asked: flow{from.Asked, from.AskedFor}, lot: from.Lot, lotUntil: from.LotUntil, askedAt: from.AskedAt, wordAt: from.WordAt, backAt: from.BackAt, resetAt: from.ResetAt, finish: [tiers]map[*volume]float64{{}, {}}}
-	for _, x := range from.Sent {
+	n := &node{Node: from.Node, out: from.UnitsInFlight, atNode: from.AttemptsInFlight, heardAt: from.LastServedAt, queue: from.Queue, known: from.QueueConfidence, cap: from.Cap,
+		opened: from.WindowOpenedAt, served: from.WindowUnits, answers: from.WindowResponses, spent: from.WindowLatency, weight: from.WindowWork, maxRate: from.MaxRate,
+		latency: from.Latency, minLatency: from.MinLatency, learnedAt: from.LearnedAt, retestAt: from.RetestAt, drained: from.CutDrainedAt,
+		cutCap: from.CutCap, virtual: from.VirtualTime, failures: from.Failures, holdUntil: from.BackoffUntil, down: from.Down, coldSince: from.WarmingSince,
+		sentAt: from.SentAt, asked: flow{from.Demand, from.DemandAt}, lot: from.SlowStartDraw, lotUntil: from.SlowStartDrawUntil, askedAt: from.UnansweredSince, wordAt: from.LastResponseAt, backAt: from.RecoveredAt, resetAt: from.ResetAt, finish: [tiers]map[*volume]float64{{}, {}}}
+	for _, x := range from.RecentSends {
 		n.sent = append(n.sent, sending{x.At, x.Units})
 	}
 	g.nodes = append(g.nodes, n)
@@ -483,8 +485,8 @@
 }
 
 func (g *giving) volume(from *SnapshotVolume) error {
-	v := &volume{plan: &Plan{Weight: 1, Price: 1}, silentAt: from.SilentAt, weight: from.Weight, hosts: from.Hosts,
-		reserve: from.Reserve.store(), limit: from.Limit.store(), own: flow{from.Own, from.OwnAt}}
+	v := &volume{plan: &Plan{Weight: 1, Price: 1}, silentAt: from.IdleAt, weight: from.Weight, hosts: from.Hosts,
+		reserve: from.Reserve.store(), limit: from.Limit.store(), own: flow{from.OwnUnits, from.OwnUnitsAt}}
 	if !in(from.Plan, len(g.s.set.Plans), true) {
 		return fmt.Errorf("%w: volume %q has plan %d of %d", ErrSnapshot, from.Name, from.Plan, len(g.s.set.Plans))
 	}
@@ -492,40 +494,40 @@
 		v.plan = &g.s.set.Plans[from.Plan]
 	}
 	g.volumes = append(g.volumes, v)
-	if from.Held {
+	if from.Indexed {
 		g.s.volumes[from.Name] = v
 	}
 	return nil
 }
 
-func (s SnapshotStore) store() store {
-	return store{level: s.Level, rate: s.Rate, most: s.Most, at: s.At}
+func (s SnapshotTokenBucket) store() store {
+	return store{level: s.Tokens, rate: s.Rate, most: s.Burst, at: s.RefilledAt}
 }
 
 func (g *giving) request(i int, from *SnapshotRequest) error {
 	if !in(from.Request.Class, len(g.s.set.Classes), false) || !in(from.Volume, len(g.volumes), false) || !in(from.Node, len(g.nodes), true) ||
-		!in(from.RanOn, len(g.nodes), true) || from.Tier < 0 || from.Tier >= tiers {
+		!in(from.FirstNode, len(g.nodes), true) || from.Tier < 0 || from.Tier >= tiers {
 		return fmt.Errorf("%w: request %q", ErrSnapshot, from.Request.ID)
 	}
 	r := &request{Request: from.Request, class: &g.s.set.Classes[from.Request.Class], volume: g.volumes[from.Volume], sequence: from.Sequence,
-		cameAt: from.CameAt, aimAt: from.AimAt, endAt: from.EndAt, lastAt: from.LastAt, tier: from.Tier, tag: from.Tag, luck: from.Luck,
-		attempts: from.Attempts, drew: from.Drew, ranAt: from.RanAt, ranBy: from.RanBy, mayRun: from.MayRun, spilt: from.Spilt, began: from.Began, ended: from.Ended}
+		cameAt: from.ArrivedAt, aimAt: from.ObjectiveAt, endAt: from.AnswerBy, lastAt: from.ClientTimeoutAt, tier: from.Tier, tag: from.Tag, luck: from.RandomDraw,
+		attempts: from.Attempts, drew: from.Charged, ranAt: from.FirstSentAt, ranBy: from.FirstAttempt, mayRun: from.MayStillRun, spilt: from.SpilledOver, began: from.StreamStarted, ended: from.Ended}
 	if from.Node >= 0 {
 		r.node = g.nodes[from.Node]
 	}
-	if from.RanOn >= 0 {
-		r.ranOn = g.nodes[from.RanOn]
+	if from.FirstNode >= 0 {
+		r.ranOn = g.nodes[from.FirstNode]
 	}
-	for _, a := range from.Open {
+	for _, a := range from.InFlight {
 		if a.Request != i || !in(a.Node, len(g.nodes), false) {
 			return fmt.Errorf("%w: an attempt of request %q", ErrSnapshot, from.Request.ID)
 		}
-		r.open = append(r.open, &attempt{request: r, number: a.Number, node: g.nodes[a.Node], at: a.At, passed: a.Passed, given: a.Given, doubted: a.Doubted})
+		r.open = append(r.open, &attempt{request: r, number: a.Number, node: g.nodes[a.Node], at: a.SentAt, passed: a.Overtaken, given: a.Canceled, doubted: a.Discounted})
 	}
-	r.bound = r.class.Bound().Narrowed(r.Bound)
+	r.bound = r.class.RetryPolicy().NarrowedBy(r.RetryPolicy)
 	g.requests = append(g.requests, r)
 	g.s.requests[r.ID] = r
-	if from.Timed {
+	if from.TimerSet {
 		g.s.timers[r.sequence] = r
 	}
 	return nil
@@ -539,8 +541,8 @@
 	if n.waiting, err = g.list(from.Waiting); err != nil {
 		return fmt.Errorf("node %q: %w", n.ID, err)
 	}
-	for tier := range from.Finish {
-		for _, f := range from.Finish[tier] {
+	for tier := range from.FinishTags {
+		for _, f := range from.FinishTags[tier] {
 			if !in(f.Volume, len(g.volumes), false) {
 				return fmt.Errorf("%w: node %q has volume %d of %d", ErrSnapshot, n.ID, f.Volume, len(g.volumes))
 			}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -43,11 +43,11 @@
 	askPause    time.Duration
 	loggedAt    time.Duration
 	sweepAt     time.Duration
-	cares       map[careKey]Care
-	careful     Care                  // of all operations that have a name: cares is full
-	budget      *retrybudget.Budgets  // nil: further attempts need not be earned
-	view        *zonefailover.View    // nil: nobody looks at zones as a whole
-	spill       *zonefailover.Spiller // of the view
+	cares       map[careKey]RestrictionLevel
+	careful     RestrictionLevel               // of all operations that have a name: cares is full
+	budget      *retrybudget.Budgets           // nil: further attempts need not be earned
+	view        *zonefailover.Tracker          // nil: nobody looks at zones as a whole
+	spill       *zonefailover.SpilloverLimiter // of the view
 
 	recalledNodes   map[string]*LearnedNode // of an earlier life of this host, until they are listed
 	recalledVolumes map[string]*LearnedVolume
@@ -152,7 +152,7 @@
 type request struct {
 	Request
 	class    *Class
-	bound    Bound // how far it may be repeated
+	bound    RetryPolicy // how far it may be repeated
 	volume   *volume
 	sequence uint64
 	cameAt   time.Duration
