--- /dev/null
+++ b/tools/doccheck/check.go
@@ -0,0 +1,133 @@
+package main
+
+import (
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path/filepath"
+	"slices"
+	"strings"
+)
+
+// skippedDirectories hold no source code of the product.
+var skippedDirectories = []string{".git", "journal", "testdata", "tools"}
+
+// check walks the source tree below root and returns a line for each missing doc comment, ordered by file and position.
+func check(root string) ([]string, error) {
+	checker := &checker{root: root, fileSet: token.NewFileSet(), packages: map[string]bool{}}
+	if err := filepath.WalkDir(root, checker.visit); err != nil {
+		return nil, err
+	}
+	return append(checker.findings, checker.undocumentedPackages()...), nil
+}
+
+// checker collects what lacks a doc comment.
+type checker struct {
+	root     string
+	fileSet  *token.FileSet
+	findings []string
+	packages map[string]bool // by directory: whether any file documents the package
+}
+
+// visit is an fs.WalkDirFunc that reads each source file that is not a test.
+func (c *checker) visit(path string, entry fs.DirEntry, err error) error {
+	if err != nil {
+		return err
+	}
+	if entry.IsDir() {
+		if slices.Contains(skippedDirectories, entry.Name()) {
+			return filepath.SkipDir
+		}
+		return nil
+	}
+	if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+		return nil
+	}
+	file, err := parser.ParseFile(c.fileSet, path, nil, parser.ParseComments)
+	if err != nil {
+		return err
+	}
+	directory := filepath.Dir(path)
+	c.packages[directory] = c.packages[directory] || file.Doc != nil
+	for _, declaration := range file.Decls {
+		c.checkDeclaration(declaration)
+	}
+	return nil
+}
+
+func (c *checker) checkDeclaration(declaration ast.Decl) {
+	switch declaration := declaration.(type) {
+	case *ast.FuncDecl:
+		if declaration.Doc == nil && isExported(declaration) {
+			c.report(declaration.Name)
+		}
+	case *ast.GenDecl:
+		for _, spec := range declaration.Specs {
+			c.checkSpec(spec, declaration.Doc != nil)
+		}
+	}
+}
+
+// checkSpec checks a type, constant or variable. Constants and variables may share the comment of their group.
+func (c *checker) checkSpec(spec ast.Spec, groupDocumented bool) {
+	switch spec := spec.(type) {
+	case *ast.TypeSpec:
+		if spec.Doc == nil && !groupDocumented && spec.Name.IsExported() {
+			c.report(spec.Name)
+		}
+	case *ast.ValueSpec:
+		if spec.Doc != nil || spec.Comment != nil || groupDocumented {
+			return
+		}
+		for _, name := range spec.Names {
+			if name.IsExported() {
+				c.report(name)
+			}
+		}
+	}
+}
+
+func (c *checker) report(name *ast.Ident) {
+	position := c.fileSet.Position(name.Pos())
+	c.findings = append(c.findings, fmt.Sprintf("%s:%d: %s has no doc comment", c.relative(position.Filename), position.Line, name.Name))
+}
+
+func (c *checker) undocumentedPackages() []string {
+	var findings []string
+	for directory, documented := range c.packages {
+		if !documented {
+			findings = append(findings, c.relative(directory)+": the package has no doc comment")
+		}
+	}
+	slices.Sort(findings)
+	return findings
+}
+
+func (c *checker) relative(path string) string {
+	relative, err := filepath.Rel(c.root, path)
+	if err != nil {
+		return path
+	}
+	return relative
+}
+
+// isExported reports whether a function, or a method of an exported type, can be used by other packages.
+func isExported(function *ast.FuncDecl) bool {
+	if !function.Name.IsExported() {
+		return false
+	}
+	if function.Recv == nil {
+		return true
+	}
+	receiver := function.Recv.List[0].Type
+	if pointer, ok := receiver.(*ast.StarExpr); ok {
+		receiver = pointer.X
+	}
+	if generic, ok := receiver.(*ast.IndexExpr); ok {
+		receiver = generic.X
+	}
+	name, ok := receiver.(*ast.Ident)
+	return ok && name.IsExported()
+}
