--- a/internal/ratelimit/race_test.go
+++ b/internal/ratelimit/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package limits
+package ratelimit
 
 const raceEnabled = true
