--- /dev/null
+++ b/internal/warmrestart/assess_test.go
@@ -0,0 +1,243 @@
+package warmrestart
+
+import (
+	"bytes"
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"reachpulley/internal/capture"
+	"reachpulley/internal/capture/capturetest"
+	"reachpulley/scheduler"
+)
+
+// Whatever is restored after whatever time, no guard is looser than it would be for a host that knows nothing.
+func TestRestoredStateLoosensNoGuard(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		previous := stateAfter(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(10, 800).Draw(t, "events"))
+		age := time.Duration(rapid.Int64Range(-5000, 20*60_000).Draw(t, "age")) * ms
+		restored := newNext(t, previous, age)
+		unknowing := newNext(t, nil, 0)
+		for _, s := range []*scheduler.Scheduler{restored, unknowing} {
+			announceNodesAndVolumes(s)
+		}
+		expectNoLooserGuard(t, restored.Snapshot(), unknowing.Snapshot())
+	})
+}
+
+// announceNodesAndVolumes lists six nodes of different ages and sends a request for each of five volumes.
+func announceNodesAndVolumes(s *scheduler.Scheduler) {
+	list := scheduler.Membership{Kind: scheduler.FullList}
+	for i := range 6 {
+		list.Nodes = append(list.Nodes, scheduler.Node{
+			ID:        fmt.Sprint("n", i),
+			Shard:     i % 3,
+			StartedAt: startOfNext - time.Duration(i)*time.Second,
+		})
+	}
+	s.MembershipChanged(startOfNext, list)
+	for i := range 5 {
+		s.RequestArrived(startOfNext, scheduler.Request{
+			ID:            fmt.Sprint("a", i),
+			Class:         0,
+			Plan:          i % 2,
+			Volume:        fmt.Sprint("v", i),
+			Units:         0,
+			Shard:         9,
+			ClientTimeout: time.Second,
+			Hosts:         1 + i%2,
+		})
+	}
+}
+
+// expectNoLooserGuard compares what the guards depend on in two states with the same nodes and volumes.
+func expectNoLooserGuard(t *rapid.T, restored, unknowing *scheduler.Snapshot) {
+	t.Helper()
+	for i := range unknowing.Nodes {
+		got, base := restored.Nodes[i], unknowing.Nodes[i]
+		if got.Node.ID != base.Node.ID || got.WarmingSince < base.WarmingSince || base.Down && !got.Down ||
+			len(got.RecentSends) < len(base.RecentSends) {
+			t.Fatalf("%+v\n%+v", got, base)
+		}
+		if got.Cap < 0 || math.IsNaN(got.Cap) || got.LastServedAt > startOfNext {
+			t.Fatalf("%+v", got)
+		}
+	}
+	for i := range unknowing.Volumes {
+		got, base := restored.Volumes[i], unknowing.Volumes[i]
+		if got.Name != base.Name || got.Limit.Tokens > base.Limit.Tokens || got.Limit.Burst != base.Limit.Burst ||
+			got.Limit.Rate != base.Limit.Rate {
+			t.Fatalf("%+v\n%+v", got, base)
+		}
+	}
+	if len(restored.RetriedAt) < len(unknowing.RetriedAt) || len(restored.ArrivedAt) > len(unknowing.ArrivedAt) {
+		t.Fatalf("%d retries, %d arrivals", len(restored.RetriedAt), len(restored.ArrivedAt))
+	}
+}
+
+// A captured incarnation that begins with a restored state replays to the byte, from its begin and from every snapshot.
+func TestRestoredIncarnationReplays(t *testing.T) {
+	previous := stateAfter(t, 3, 600)
+	workload := capturetest.NewWorkloadAt(4, startOfNext)
+	recorder, err := capture.NewRecorder(capturetest.Settings, 1, capture.Options{MaxBytes: 500_000}, workload)
+	if err != nil {
+		t.Fatal(err)
+	}
+	recorder.Restore(startOfNext, assess(previous, startOfNext, 3*time.Second).Learned)
+	workload.Play(recorder, 2000)
+	file, err := recorder.Recording().File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	reader, err := capture.NewReader(bytes.NewReader(file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if events, err := capture.Replay(reader); err != nil || events < 1000 {
+		t.Errorf("%d events, %v", events, err)
+	}
+}
+
+// sendCounter counts the units sent to a node.
+type sendCounter struct {
+	capturetest.Workload
+	units int
+}
+
+func (c *sendCounter) Send(string, string, time.Duration) { c.units++ }
+func (*sendCounter) SetTimer(time.Duration, uint64)       {}
+
+// sendAcrossRestart sends all that a warming node may get, restarts the host and sends again within the same window. It
+// returns the units sent by the first and by the second incarnation.
+func sendAcrossRestart(t *testing.T, restore bool) (first, second int) {
+	t.Helper()
+	settings := capturetest.Settings
+	settings.Siblings = 1
+	started := time.Hour
+	var firstCounter, secondCounter sendCounter
+	before, err := scheduler.New(settings, 1, &firstCounter)
+	if err != nil {
+		t.Fatal(err)
+	}
+	saturateWarmingNode(before, started, "a", started-10*ms)
+	previous := before.Snapshot()
+	after, err := scheduler.New(settings, 2, &secondCounter)
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := started + 500*ms
+	if restore {
+		const shift = 0 // both clocks agree here
+		after.Restore(now, Assess(previous, settings, now, 500*ms, shift).Learned)
+	}
+	saturateWarmingNode(after, now, "b", started-10*ms)
+	return firstCounter.units, secondCounter.units
+}
+
+// saturateWarmingNode lists one node that has just started and has it serve as many requests as the Scheduler sends.
+func saturateWarmingNode(s *scheduler.Scheduler, now time.Duration, prefix string, nodeStartedAt time.Duration) {
+	s.MembershipChanged(now, scheduler.Membership{
+		Kind:  scheduler.FullList,
+		Nodes: []scheduler.Node{{ID: "n", StartedAt: nodeStartedAt}},
+	})
+	for i := range 300 {
+		id := fmt.Sprint(prefix, i)
+		s.RequestArrived(now, scheduler.Request{
+			ID:            id,
+			Volume:        "tin",
+			Plan:          1,
+			Units:         1,
+			Shard:         scheduler.AnyShard, // it is sent by the node's allowance alone, not by chance
+			ClientTimeout: time.Second,
+			Hosts:         1,
+		})
+		s.AttemptEnded(now+ms, scheduler.Outcome{
+			ID:        id,
+			Node:      "n",
+			Result:    scheduler.Served,
+			Latency:   ms,
+			Concluded: true,
+			VolumeUse: -1,
+		})
+	}
+}
+
+// A restart during the slow start of a node must not overload the node: what the previous incarnation sent counts in
+// the same window.
+func TestSlowStartAllowanceHoldsAcrossRestart(t *testing.T) {
+	maxUnits := int(capturetest.Settings.Rules.SlowStartAllowance) + 20 // the node warms up a little meanwhile
+	first, second := sendAcrossRestart(t, true)
+	if first < 50 || first+second > maxUnits {
+		t.Errorf("%d units, then %d, of %d", first, second, maxUnits)
+	}
+	if first, second := sendAcrossRestart(t, false); first+second <= maxUnits {
+		t.Errorf("%d units, then %d without a restored state: the test shows nothing", first, second)
+	}
+}
+
+// A node that has restarted since is warming up and unknown, whatever was known of it.
+func TestRestartedNodeIsUnknown(t *testing.T) {
+	previous := stateAfter(t, 5, 800)
+	for i := range previous.Nodes {
+		node := &previous.Nodes[i]
+		node.Node.Phase = scheduler.Up
+		node.Node.StartedAt = 0
+		node.WarmingSince = 0
+		node.Cap = 40
+		node.MinLatency = 0.01
+		node.Latency = 0.011
+		node.MaxRate = 2000
+	}
+	restartedAt := startOfNext - 200*ms
+	s := newNext(t, previous, time.Second)
+	s.MembershipChanged(startOfNext, scheduler.Membership{
+		Kind:  scheduler.FullList,
+		Nodes: []scheduler.Node{{ID: "n0"}, {ID: "n1", StartedAt: restartedAt}},
+	})
+	got := s.Snapshot()
+	if n := got.Nodes[0]; n.WarmingSince != 0 || n.Cap < 35 || n.MinLatency == 0 {
+		t.Errorf("the same incarnation of the node: %+v", n)
+	}
+	if n := got.Nodes[1]; n.WarmingSince != restartedAt || n.Cap != 16 || n.MinLatency != 0 {
+		t.Errorf("another incarnation of the node: %+v", n)
+	}
+}
+
+// Estimates count less the older they are, and nothing in the end. Implausible figures are not restored.
+func TestConfidenceDecaysWithAge(t *testing.T) {
+	previous := stateAfter(t, 5, 800)
+	for i := range previous.Nodes {
+		node := &previous.Nodes[i]
+		node.Node.Phase = scheduler.Up
+		node.Cap = 60
+		node.MinLatency = 0.01
+		node.Latency = 0.02
+		node.MaxRate = 3000
+	}
+	lastCap := math.Inf(1)
+	ages := []time.Duration{
+		0, time.Second, 10 * time.Second, time.Minute, 2 * time.Minute, 9 * time.Minute, time.Hour,
+	}
+	for _, age := range ages {
+		got := Assess(previous, capturetest.Settings, time.Hour, age, 0)
+		restoredCap := got.Learned.Nodes[0].Cap
+		if restoredCap > lastCap || restoredCap < 0 ||
+			age > maxEstimateAge && (got.KnownNodes > 0 || len(got.Learned.ClassWork) > 0) {
+			t.Errorf("%v: cap %v after %v, %d nodes", age, restoredCap, lastCap, got.KnownNodes)
+		}
+		lastCap = restoredCap
+	}
+	if got := Assess(previous, capturetest.Settings, time.Hour, -time.Minute, 0); got.KnownNodes > 0 {
+		t.Error("estimates of a state of the future are restored")
+	}
+	previous.Nodes[0].Cap = math.NaN()
+	previous.Nodes[1].Latency = math.Inf(1)
+	previous.ClassWork[0] = math.NaN()
+	got := Assess(previous, capturetest.Settings, time.Hour, 0, 0)
+	if got.Learned.Nodes[0].Cap != 0 || got.Learned.Nodes[1].Cap != 0 || len(got.Learned.ClassWork) > 0 {
+		t.Errorf("%+v", got.Learned)
+	}
+}
--- a/internal/warmrestart/store.go
+++ b/internal/warmrestart/store.go
@@ -1,6 +1,7 @@
 package warmrestart
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"io"
@@ -14,36 +15,54 @@
 	"reachpulley/scheduler"
 )
 
-// mostState bounds the file of a state.
-const mostState = 8 << 20
+// Reasons for which a stored state is rejected, beside those of capture.NewReader and scheduler.Resume.
+var (
+	// ErrSettingsChanged means that a state was stored under other settings than the present ones.
+	ErrSettingsChanged = errors.New("the settings have changed since the state was stored")
+	// ErrNoOrigin means that a stored state does not say when its clock began, so its age is unknown.
+	ErrNoOrigin = errors.New("the stored state has no origin of its clock")
+	// ErrNoSnapshot means that a file is a capture, but does not begin with a state.
+	ErrNoSnapshot = errors.New("the file does not begin with a snapshot")
+)
+
+// maxStateBytes is the size up to which the file of a state is read.
+const maxStateBytes = 8 << 20
+
+// Suffixes of the files that stand beside the newest generation.
+const (
+	previousSuffix = ".old"       // the generation before the newest
+	nextSuffix     = ".new"       // a generation that is complete and not yet renamed
+	rejectedSuffix = ".set-aside" // a state that was rejected
+)
 
 // Store keeps the state of one gateway on disk, in two generations. It is used by one goroutine at a time.
 type Store struct {
 	FS   filesystem.FS
-	Path string // of the newest generation; the other and what is set aside stand beside it
+	Path string // of the newest generation; all other files stand beside it
 	Log  *slog.Logger
 }
 
-// Path gives where a gateway's state is kept.
+// Path returns the path of a gateway's state in a directory.
 func Path(directory, gateway string) string {
 	return filepath.Join(directory, "state-"+gateway+".capture")
 }
 
-func (s *Store) older() string { return s.Path + ".old" }
+func (s *Store) previousPath() string { return s.Path + previousSuffix }
 
-// Save writes a state, whole or not at all; the one before it stays as the older generation. A state is a capture of one snapshot, so the commands
-// for captures read it.
+// Save writes a state completely or not at all. The newest state until now becomes the previous generation. A stored
+// state is a capture of one snapshot, so the commands for captures read it.
 func (s *Store) Save(head capture.Head, state *scheduler.Snapshot) error {
-	file, err := capture.Compress(head, []capture.Record{{Kind: capture.KindSnapshot, At: state.Now, State: state}})
+	snapshot := capture.Record{Kind: capture.KindSnapshot, At: state.Now, State: state}
+	content, err := capture.Compress(head, []capture.Record{snapshot})
 	if err != nil {
 		return err
 	}
-	next := s.Path + ".new"
-	if err := filesystem.ReplaceFile(s.FS, next, file); err != nil {
+	next := s.Path + nextSuffix
+	if err := filesystem.ReplaceFile(s.FS, next, content); err != nil {
 		return err
 	}
-	// Between the two renames there is only the older generation, which Load finds.
-	if err := s.FS.Rename(s.Path, s.older()); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	// Between the two renames only the previous generation exists, and Load finds it.
+	if err := s.FS.Rename(s.Path, s.previousPath()); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	if err := s.FS.Rename(next, s.Path); err != nil {
@@ -52,57 +71,74 @@
 	return s.FS.SyncDirectory(filepath.Dir(s.Path))
 }
 
-// Load gives the newest state that can be read and is of these settings, and when it was taken; nil where there is none. What can't be read is set aside
-// with a log line: it is neither believed nor lost.
+// Load returns the newest state that is readable and was stored under the same settings, and when it was taken. It
+// returns nil if there is none. Files that can't be used are logged and renamed, so that they are neither used nor
+// lost.
 func (s *Store) Load(settings scheduler.Settings) (state *scheduler.Snapshot, taken time.Time) {
-	for _, path := range []string{s.Path, s.older()} {
-		head, state, err := s.read(path)
-		if err == nil && !same(head.Settings, settings) {
-			err = errors.New("it is of other settings")
-		}
-		if err == nil && head.Origin == 0 {
-			err = errors.New("it does not tell when it was taken")
-		}
+	for _, path := range []string{s.Path, s.previousPath()} {
+		state, taken, err := s.load(path, settings)
 		switch {
 		case err == nil:
-			return state, time.Unix(0, head.Origin).Add(state.Now)
+			return state, taken
 		case errors.Is(err, fs.ErrNotExist):
 		default:
-			aside := path + ".set-aside"
-			s.Log.Warn("the state of an earlier life can't be used: it is set aside", "file", aside, "err", err)
-			if err := s.FS.Rename(path, aside); err != nil {
-				s.Log.Warn("it could not be set aside", "file", path, "err", err)
-			}
+			s.reject(path, err)
 		}
 	}
 	return nil, time.Time{}
 }
 
+// load reads the state of a file and checks that it can be used under the settings.
+func (s *Store) load(path string, settings scheduler.Settings) (*scheduler.Snapshot, time.Time, error) {
+	head, state, err := s.read(path)
+	if err != nil {
+		return nil, time.Time{}, err
+	}
+	if !equalSettings(head.Settings, settings) {
+		return nil, time.Time{}, ErrSettingsChanged
+	}
+	if head.Origin == 0 {
+		return nil, time.Time{}, ErrNoOrigin
+	}
+	return state, time.Unix(0, head.Origin).Add(state.Now), nil
+}
+
+// reject renames a file that can't be used.
+func (s *Store) reject(path string, reason error) {
+	renamed := path + rejectedSuffix
+	s.Log.Warn("stored state rejected; renaming it", "file", path, "renamed_to", renamed, "err", reason)
+	if err := s.FS.Rename(path, renamed); err != nil {
+		s.Log.Warn("renaming of the rejected state failed", "file", path, "err", err)
+	}
+}
+
+// read returns the head and the state of a file. The state has passed the checks of scheduler.Resume.
 func (s *Store) read(path string) (head capture.Head, state *scheduler.Snapshot, err error) {
-	in, err := s.FS.Open(path)
+	file, err := s.FS.Open(path)
 	if err != nil {
 		return head, nil, err
 	}
-	defer in.Close()
-	c, err := capture.NewReader(io.LimitReader(in, mostState))
+	defer file.Close()
+	reader, err := capture.NewReader(io.LimitReader(file, maxStateBytes))
 	if err != nil {
 		return head, nil, err
 	}
-	r, err := c.Next()
+	record, err := reader.Next()
 	if err != nil {
 		return head, nil, err
 	}
-	if r.Kind != capture.KindSnapshot || r.State == nil {
-		return head, nil, fmt.Errorf("it holds a %s in place of a state", r.Kind)
+	if record.Kind != capture.KindSnapshot || record.State == nil {
+		return head, nil, fmt.Errorf("%w: its first record is a %s", ErrNoSnapshot, record.Kind)
 	}
-	if _, err := scheduler.Resume(c.Head.Settings, r.State, nil); err != nil { // its places are checked there
+	if _, err := scheduler.Resume(reader.Head.Settings, record.State, nil); err != nil {
 		return head, nil, err
 	}
-	return c.Head, r.State, nil
+	return reader.Head, record.State, nil
 }
 
-func same(a, b scheduler.Settings) bool {
-	x, err := capture.EncodeHeader(&capture.Head{Settings: a})
-	y, err2 := capture.EncodeHeader(&capture.Head{Settings: b})
-	return err == nil && err2 == nil && string(x) == string(y)
+// equalSettings reports whether two settings are stored as the same bytes.
+func equalSettings(a, b scheduler.Settings) bool {
+	encodedA, errA := capture.EncodeHeader(&capture.Head{Settings: a})
+	encodedB, errB := capture.EncodeHeader(&capture.Head{Settings: b})
+	return errA == nil && errB == nil && bytes.Equal(encodedA, encodedB)
 }
--- /dev/null
+++ b/internal/warmrestart/store_test.go
@@ -0,0 +1,140 @@
+package warmrestart
+
+import (
+	"bytes"
+	"errors"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"reachpulley/internal/capture"
+	"reachpulley/internal/capture/capturetest"
+	"reachpulley/internal/filesystem/filesystemtest"
+)
+
+// newStore makes a Store on a file system and returns the buffer that it logs to.
+func newStore(f *filesystemtest.FS) (*Store, *bytes.Buffer) {
+	var log bytes.Buffer
+	return &Store{FS: f, Path: Path("d", "gate"), Log: slog.New(slog.NewTextHandler(&log, nil))}, &log
+}
+
+var testHead = capture.Head{
+	Version:  capture.Version,
+	Program:  "test",
+	Settings: capturetest.Settings,
+	Origin:   time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC).UnixNano(),
+}
+
+const logOfRejection = "stored state rejected"
+
+// Whenever the power is lost while a state is written, the next start finds this state or the one before it, complete.
+func TestPowerLossLeavesOneGeneration(t *testing.T) {
+	workload := capturetest.NewWorkload(1)
+	s := newScheduler(t, 1, workload)
+	workload.Play(s, 60)
+	first := s.Snapshot()
+	s.TimerFired(first.Now+time.Second, 0)
+	second := s.Snapshot()
+	for writtenBytes := 0; ; writtenBytes += 3 {
+		disk := filesystemtest.New()
+		before, _ := newStore(disk)
+		if err := before.Save(testHead, first); err != nil {
+			t.Fatal(err)
+		}
+		disk.Kill = writtenBytes
+		err := before.Save(testHead, second)
+		for _, unsyncedBytes := range []int{0, 5, 1 << 20} {
+			after, log := newStore(disk.Restart(unsyncedBytes))
+			got, taken := after.Load(capturetest.Settings)
+			if got == nil || got.Now != first.Now && got.Now != second.Now ||
+				strings.Contains(log.String(), logOfRejection) {
+				t.Fatalf("power lost after %d bytes: %v %s", writtenBytes, got, log)
+			}
+			if want := time.Unix(0, testHead.Origin).Add(got.Now); !taken.Equal(want) {
+				t.Fatalf("taken %v, want %v", taken, want)
+			}
+		}
+		if err == nil { // everything was written
+			return
+		}
+	}
+}
+
+// A file that can't be used is renamed, and the previous generation is loaded.
+func TestUnusableFileIsRenamedAndPreviousLoaded(t *testing.T) {
+	state := stateAfter(t, 1, 300)
+	for _, test := range []struct {
+		name  string
+		spoil func(file []byte) []byte
+	}{
+		{"damaged", func(file []byte) []byte { file[len(file)-20] ^= 1; return file }},
+		{"cut", func(file []byte) []byte { return file[:len(file)/2] }},
+		{"foreign", func([]byte) []byte { return []byte("somebody else's file, which is of no use") }},
+		{"empty", func([]byte) []byte { return nil }},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			disk := filesystemtest.New()
+			s, log := newStore(disk)
+			for range 2 {
+				if err := s.Save(testHead, state); err != nil {
+					t.Fatal(err)
+				}
+			}
+			content := test.spoil(disk.Content(s.Path))
+			disk.Remove(s.Path)
+			disk.Put(s.Path, content)
+			if got, _ := s.Load(capturetest.Settings); got == nil || !strings.Contains(log.String(), logOfRejection) {
+				t.Errorf("%v %s", got, log)
+			}
+			if renamed := disk.Content(s.Path + ".set-aside"); !bytes.Equal(renamed, content) {
+				t.Error("the file is lost")
+			}
+		})
+	}
+}
+
+// The log says why a state is rejected, and the reason is a typed error.
+func TestReasonsOfRejection(t *testing.T) {
+	state := stateAfter(t, 1, 300)
+	changed := capturetest.Settings
+	changed.Siblings++
+	disk := filesystemtest.New()
+	s, log := newStore(disk)
+	if err := s.Save(testHead, state); err != nil {
+		t.Fatal(err)
+	}
+	if _, _, err := s.load(s.Path, changed); !errors.Is(err, ErrSettingsChanged) {
+		t.Errorf("%v, want %v", err, ErrSettingsChanged)
+	}
+	if got, _ := s.Load(changed); got != nil || !strings.Contains(log.String(), ErrSettingsChanged.Error()) {
+		t.Errorf("%v %s", got, log)
+	}
+	withoutOrigin := testHead
+	withoutOrigin.Origin = 0
+	if err := s.Save(withoutOrigin, state); err != nil {
+		t.Fatal(err)
+	}
+	if _, _, err := s.load(s.Path, capturetest.Settings); !errors.Is(err, ErrNoOrigin) {
+		t.Errorf("%v, want %v", err, ErrNoOrigin)
+	}
+	note, err := capture.Compress(testHead, []capture.Record{{Kind: capture.KindNote, Text: "no state"}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	disk.Put(s.Path, note)
+	if _, _, err := s.load(s.Path, capturetest.Settings); !errors.Is(err, ErrNoSnapshot) {
+		t.Errorf("%v, want %v", err, ErrNoSnapshot)
+	}
+	disk.Capacity = 10
+	if err := s.Save(testHead, state); err == nil {
+		t.Error("no error of a full disk")
+	}
+}
+
+func TestNoFileIsNoState(t *testing.T) {
+	s := &Store{FS: filesystemtest.New(), Path: "d/none", Log: slog.New(slog.DiscardHandler)}
+	if got, _ := s.Load(capturetest.Settings); got != nil {
+		t.Error("a state out of nothing")
+	}
+}
