--- /dev/null
+++ b/internal/zonefailover/settings_test.go
@@ -0,0 +1,53 @@
+package zonefailover
+
+import "testing"
+
+func TestTierByClassAndPlan(t *testing.T) {
+	settings := Settings{
+		Tiers:    []int{0, 1, 2},
+		Siblings: 1,
+		Work: []Work{
+			{Class: 1, Plan: -1, Tiers: []int{Forbidden, 0, 0}},
+			{Class: -1, Plan: 2, Tiers: []int{1, 0, Forbidden}},
+		},
+	}
+	if err := settings.Check(); err != nil {
+		t.Fatal(err)
+	}
+	for _, test := range []struct {
+		name              string
+		zone, class, plan int
+		want              int
+	}{
+		{"the preferred zone", 0, 0, 0, 0},
+		{"a zone far away", 2, 0, 0, 2},
+		{"a class in a forbidden zone", 0, 1, 2, Forbidden},
+		{"a class in another zone", 1, 1, 0, 0},
+		{"a plan in a forbidden zone", 2, 0, 2, Forbidden},
+		{"an unknown zone", 9, 0, 0, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := settings.Tier(test.zone, test.class, test.plan); got != test.want {
+				t.Errorf("tier %d, want %d", got, test.want)
+			}
+		})
+	}
+}
+
+func TestCheckRejectsFaultySettings(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		settings Settings
+	}{
+		{"no gateways", Settings{Tiers: []int{0}}},
+		{"spillover below 0", Settings{Tiers: []int{0}, Siblings: 1, Spillover: -1}},
+		{"tiers missing", Settings{Tiers: []int{0, 1}, Siblings: 1, Work: []Work{{Tiers: []int{0}}}}},
+		{"delay below 0", Settings{Tiers: []int{0}, Siblings: 1, MembershipDelay: -1}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if test.settings.Check() == nil {
+				t.Errorf("%+v is accepted", test.settings)
+			}
+		})
+	}
+}
