--- /dev/null
+++ b/internal/retrybudget/budget_test.go
@@ -0,0 +1,116 @@
+package retrybudget
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"pgregory.net/rapid"
+)
+
+// Every run of the property tests draws the same cases.
+func init() { flag.Set("rapid.seed", "1") }
+
+var testSettings = Settings{Share: 0.5, MinShare: 0.05, Trickle: 1, Burst: 5, Cells: 64}
+
+// Whatever happens, there are no more retries than the burst, the trickle and the share of what was served allow.
+func TestNoMoreRetriesThanAreEarned(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		budgets := New(testSettings)
+		key := Key{Operation: "a"}
+		now := time.Duration(0)
+		served, retries := 0, 0
+		for range rapid.IntRange(1, 300).Draw(t, "steps") {
+			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
+			switch rapid.IntRange(0, 3).Draw(t, "event") {
+			case 0:
+				budgets.AttemptEnded(now, key, false, true)
+				served++
+			case 1:
+				budgets.AttemptEnded(now, key, false, false)
+			case 2:
+				if budgets.Take(now, key) {
+					retries++
+				}
+			case 3:
+				budgets.AttemptEnded(now, key, true, rapid.Bool().Draw(t, "served"))
+			}
+		}
+		trickled := testSettings.Trickle * now.Seconds()
+		earned := testSettings.Burst + trickled + testSettings.Share*float64(served)
+		if float64(retries) > earned+1e-9 {
+			t.Fatalf("%d retries, %.2f are earned", retries, earned)
+		}
+	})
+}
+
+// retriesTaken returns how many retries a thousand served first attempts earn, after as many to learn from.
+func retriesTaken(retriesServed bool) (taken int) {
+	budgets := New(Settings{Share: 0.5, MinShare: 0.05, Burst: 5, Cells: 64})
+	for i := range 2000 {
+		now := time.Duration(i) * time.Millisecond
+		budgets.AttemptEnded(now, Key{}, false, true)
+		if budgets.Take(now, Key{}) {
+			budgets.AttemptEnded(now, Key{}, true, retriesServed)
+			if i >= 1000 {
+				taken++
+			}
+		}
+	}
+	return taken
+}
+
+func TestEarnedShareFollowsSuccessOfRetries(t *testing.T) {
+	for _, test := range []struct {
+		name               string
+		retriesServed      bool
+		minTaken, maxTaken int
+	}{
+		{"all retries are served", true, 450, 510},
+		{"no retry is served", false, 45, 100},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if taken := retriesTaken(test.retriesServed); taken < test.minTaken || taken > test.maxTaken {
+				t.Errorf("%d of 1000, want %d to %d", taken, test.minTaken, test.maxTaken)
+			}
+		})
+	}
+}
+
+// Failures of an operation at one group of nodes spend no other budget, and new operations take no memory.
+func TestBudgetsAreSeparateAndBounded(t *testing.T) {
+	budgets := New(testSettings)
+	spent := Key{Operation: "a", Shard: 1}
+	other := Key{Operation: "a", Shard: 2}
+	for budgets.Take(0, spent) {
+	}
+	if !budgets.Take(0, other) {
+		t.Error("another group's budget is spent")
+	}
+	for i := range 10_000 {
+		budgets.Take(0, Key{Operation: fmt.Sprint(i)})
+	}
+	if len(budgets.cells) != testSettings.Cells {
+		t.Errorf("%d cells", len(budgets.cells))
+	}
+}
+
+func TestResume(t *testing.T) {
+	budgets := New(testSettings)
+	for i := range 10_000 {
+		budgets.Take(0, Key{Operation: fmt.Sprint(i)})
+	}
+	resumed := New(testSettings)
+	if err := resumed.Resume(budgets.Snapshot()); err != nil || !cmp.Equal(resumed.cells, budgets.cells) {
+		t.Errorf("not the same after Resume: %v", err)
+	}
+	if err := resumed.Resume(budgets.Snapshot()[1:]); !errors.Is(err, ErrSettingsChanged) {
+		t.Errorf("another number of budgets: %v, want %v", err, ErrSettingsChanged)
+	}
+	if err := New(Settings{}).Resume(budgets.Snapshot()); !errors.Is(err, ErrSettingsChanged) {
+		t.Errorf("no budgets: %v, want %v", err, ErrSettingsChanged)
+	}
+}
