--- /dev/null
+++ b/internal/configfile/document.go
@@ -0,0 +1,126 @@
+package configfile
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"unicode/utf8"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// MaxBytes bounds the size of a file. A file of 10,000 rules takes about a third of it.
+const MaxBytes = 8 << 20
+
+// Document is a file that is syntactically valid TOML. It knows where each of its keys stands.
+type Document struct {
+	Path       string
+	text       []byte
+	tree       map[string]any
+	lineStarts []int           // offset of the first byte of each line
+	spans      map[string]span // by dotted key
+}
+
+// Read parses the file at path.
+func Read(path string) (*Document, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, err
+	}
+	if info.Size() > MaxBytes {
+		message := fmt.Sprintf("the file has %d bytes, more than %d", info.Size(), MaxBytes)
+		return nil, Faults{{File: path, Message: message}}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return Parse(path, text)
+}
+
+// Parse parses text; faults name the file as path.
+func Parse(path string, text []byte) (*Document, error) {
+	d := &Document{
+		Path:       path,
+		text:       text,
+		tree:       map[string]any{},
+		lineStarts: []int{0},
+		spans:      map[string]span{},
+	}
+	for i, b := range text {
+		if b == '\n' {
+			d.lineStarts = append(d.lineStarts, i+1)
+		}
+	}
+	if err := toml.Unmarshal(text, &d.tree); err != nil {
+		return nil, Faults{syntaxFault(path, text, err)}
+	}
+	d.indexKeys()
+	return d, nil
+}
+
+// syntaxFault converts an error of the TOML parser.
+func syntaxFault(path string, text []byte, err error) Fault {
+	fault := Fault{File: path, Message: strings.TrimPrefix(err.Error(), "toml: ")}
+	var decodeError *toml.DecodeError
+	if !errors.As(err, &decodeError) {
+		return fault
+	}
+	fault.Line, fault.Column = decodeError.Position()
+	fault.Key = strings.Join(decodeError.Key(), ".")
+	if lines := strings.Split(string(text), "\n"); fault.Line <= len(lines) {
+		fault.Text = strings.TrimSuffix(lines[fault.Line-1], "\r")
+	}
+	return fault
+}
+
+// Text returns the file's text. The caller must not change it.
+func (d *Document) Text() []byte { return d.text }
+
+// Fault returns a fault at a key. If the key is missing, the fault points at the closest table around it.
+func (d *Document) Fault(key, format string, args ...any) Fault {
+	fault := Fault{File: d.Path, Key: key, Message: fmt.Sprintf(format, args...)}
+	if s, ok := d.enclosingSpan(key); ok {
+		fault.Line, fault.Column, fault.Text = d.position(s.key)
+	}
+	return fault
+}
+
+// FaultWithin returns a fault at an offset in bytes within the decoded value of a string.
+func (d *Document) FaultWithin(key string, offset int, format string, args ...any) Fault {
+	fault := d.Fault(key, format, args...)
+	if s, ok := d.spans[key]; ok && s.end > s.value {
+		raw := string(d.text[s.value:s.end])
+		fault.Line, fault.Column, fault.Text = d.position(s.value + rawOffset(raw, offset))
+	}
+	return fault
+}
+
+// enclosingSpan returns the span of a key or, if it is missing, of the closest table or list around it.
+func (d *Document) enclosingSpan(key string) (span, bool) {
+	for {
+		if s, ok := d.spans[key]; ok {
+			return s, true
+		}
+		cut := strings.LastIndexAny(key, ".[")
+		if cut < 0 {
+			return span{}, false
+		}
+		key = key[:cut]
+	}
+}
+
+// position returns the line and the column, both from 1, of a byte of the text, and the text of that line.
+func (d *Document) position(offset int) (line, column int, lineText string) {
+	offset = min(max(offset, 0), len(d.text))
+	line, _ = slices.BinarySearch(d.lineStarts, offset+1) // the number of lines that begin at offset or before it
+	start := d.lineStarts[line-1]
+	end := len(d.text)
+	if line < len(d.lineStarts) {
+		end = d.lineStarts[line] - 1
+	}
+	column = 1 + utf8.RuneCount(d.text[start:offset])
+	return line, column, strings.TrimSuffix(string(d.text[start:end]), "\r")
+}
--- a/internal/configfile/tomlfile_test.go
+++ b/internal/configfile/document_test.go
@@ -24,8 +24,8 @@
 	} `toml:"list"`
 }
 
-func TestAllFaultsAtOnceEachWithItsPlace(t *testing.T) {
-	d, err := Parse("f.toml", []byte(`name = 5
+func TestDecodeReportsAllFaultsWithTheirPlaces(t *testing.T) {
+	document, err := Parse("f.toml", []byte(`name = 5
 wait = 7
 count = 3.5
 share = 1
@@ -46,8 +46,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var s sample
-	err = d.Decode(&s).Err()
+	var decoded sample
+	err = document.Decode(&decoded).Err()
 	want := `f.toml:1:1: name: want a string, got 5
 f.toml:2:1: wait: want a duration such as "250ms", got 7
 f.toml:3:1: count: want a whole number, got 3.5
@@ -60,8 +60,8 @@
 	if diff := cmp.Diff(want, err.Error()); diff != "" {
 		t.Error(diff)
 	}
-	if s.Share != 1 {
-		t.Errorf("share %v", s.Share)
+	if decoded.Share != 1 {
+		t.Errorf("share %v", decoded.Share)
 	}
 }
 
@@ -73,8 +73,8 @@
 	}
 }
 
-// A fault within a string is shown under the very character, whatever kind of string it stands in.
-func TestFaultsWithinStrings(t *testing.T) {
+// Whatever kind of string it is, a fault within it points at the exact character.
+func TestFaultWithinStringPointsAtCharacter(t *testing.T) {
 	for name, text := range map[string]string{
 		"basic":               `k = "ab@"`,
 		"escaped":             `k = "\"\u0062@"`,
@@ -83,17 +83,21 @@
 		"a backslashed break": "k = \"\"\"\\\n   ab@\"\"\"",
 		"in a table":          "k = 'ab@'",
 	} {
-		d, err := Parse("f", []byte(text))
-		if err != nil {
-			t.Fatal(err)
-		}
-		f := d.FaultWithin("k", 2, "here")
-		if at := strings.Split(text, "\n")[f.Line-1]; []rune(at)[f.Column-1] != '@' {
-			t.Errorf("%s: points at %d:%d of %q", name, f.Line, f.Column, text)
-		}
-		if shown := strings.Split(f.Show(), "\n"); strings.IndexByte(shown[1], '@') != strings.IndexByte(shown[2], '^') {
-			t.Errorf("%s:\n%s", name, f.Show())
-		}
+		t.Run(name, func(t *testing.T) {
+			document, err := Parse("f", []byte(text))
+			if err != nil {
+				t.Fatal(err)
+			}
+			fault := document.FaultWithin("k", 2, "here")
+			line := strings.Split(text, "\n")[fault.Line-1]
+			if []rune(line)[fault.Column-1] != '@' {
+				t.Errorf("points at %d:%d of %q", fault.Line, fault.Column, text)
+			}
+			shown := strings.Split(fault.Show(), "\n")
+			if strings.IndexByte(shown[1], '@') != strings.IndexByte(shown[2], '^') {
+				t.Errorf("the caret is misplaced:\n%s", fault.Show())
+			}
+		})
 	}
 }
 
@@ -101,17 +105,17 @@
 	f.Add([]byte("a = 1\n[b]\nc = 'x'\n[[d]]\ne = [1, {f = \"\\u0041\"}]\n[[d.g]]\nh = 1"), 1)
 	f.Add([]byte("a.b.c = \"\"\"\\\n  x\"\"\""), 0)
 	f.Fuzz(func(t *testing.T, text []byte, offset int) {
-		d, err := Parse("f", text)
+		document, err := Parse("f", text)
 		if err != nil {
 			return
 		}
-		var s sample
-		for _, fault := range d.Decode(&s) {
+		var decoded sample
+		for _, fault := range document.Decode(&decoded) {
 			_ = fault.Show()
 		}
-		for key := range d.places {
-			if f := d.FaultWithin(key, offset, "x"); f.Line < 1 || f.Column < 1 {
-				t.Errorf("%s is at %d:%d", key, f.Line, f.Column)
+		for key := range document.spans {
+			if fault := document.FaultWithin(key, offset, "x"); fault.Line < 1 || fault.Column < 1 {
+				t.Errorf("%s is at %d:%d", key, fault.Line, fault.Column)
 			}
 		}
 	})
