--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -51,7 +51,7 @@
 type Log struct {
 	Format   string        `toml:"format"` // json or text
 	Level    string        `toml:"level"`
-	Repeat   time.Duration `toml:"repeat"` // lines with the same message within it are written MostRepeats times at most; 0: all are
+	Repeat   time.Duration `toml:"repeat"` // lines with the same message within it are written logging.MaxRepeats times at most; 0: all are
 	MinLevel slog.Level    `toml:"-"`      // Level, or what the environment says
 }
 
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -11,7 +11,7 @@
 	"reachpulley/internal/config"
 )
 
-func TestRepeatedLinesAreThinnedOutAndCounted(t *testing.T) {
+func TestRepeatedMessagesAreSuppressedAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		log := New(&out, config.Log{Repeat: time.Second}, false)
@@ -21,29 +21,29 @@
 		}
 		time.Sleep(time.Second)
 		log.Info("same")
-		if n := strings.Count(out.String(), `"same"`); n != MostRepeats+1 {
+		if n := strings.Count(out.String(), `"same"`); n != MaxRepeats+1 {
 			t.Errorf("%d lines", n)
 		}
 		if n := strings.Count(out.String(), `"fault"`); n != 100 {
 			t.Errorf("%d errors", n)
 		}
-		if !strings.Contains(out.String(), `"left_out":90}`) {
-			t.Error("what was left out is not told")
+		if !strings.Contains(out.String(), `"suppressed":90}`) {
+			t.Error("the number of suppressed records is missing")
 		}
 	})
 }
 
-func TestMessagesAreBounded(t *testing.T) {
-	c := &counts{every: time.Hour, of: map[string]*count{}}
-	for i := range 2 * mostMessages {
-		c.take(fmt.Sprint(i))
+func TestCountedMessagesAreBounded(t *testing.T) {
+	messages := newMessageCounts(time.Hour)
+	for i := range 2 * maxMessages {
+		messages.count(fmt.Sprint(i))
 	}
-	if len(c.of) != mostMessages {
-		t.Errorf("%d messages are held", len(c.of))
+	if len(messages.counts) != maxMessages {
+		t.Errorf("%d messages are counted", len(messages.counts))
 	}
 }
 
-func TestText(t *testing.T) {
+func TestTextFormat(t *testing.T) {
 	var out bytes.Buffer
 	New(&out, config.Log{Format: config.LogText}, false).Info("serving", "name", "n")
 	if !strings.HasSuffix(out.String(), "INF serving name=n\n") {
