--- a/cmd/reachpulley/api.go
+++ b/cmd/reachpulley/api.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, show(s, err)
 	}
-	b, err := config.Describe(files, settings)
+	b, err := config.LoadCatalog(files, settings)
 	if err != nil {
 		return nil, show(s, err)
 	}
@@ -143,7 +143,7 @@
 	if _, err = described(s, a.Files); err != nil {
 		return err
 	}
-	b, err := config.Describe(a.Files, settings)
+	b, err := config.LoadCatalog(a.Files, settings)
 	if err != nil {
 		return show(s, err)
 	}
--- a/cmd/reachpulley/replayother.go
+++ b/cmd/reachpulley/replayother.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return show(s, err)
 	}
-	settings, err := config.Settings(text)
+	settings, err := config.ParseSettings(text)
 	if err != nil {
 		return show(s, fmt.Errorf("%s: %w", a.With, err))
 	}
--- a/internal/config/capture.go
+++ b/internal/config/capture.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"fmt"
 	"regexp"
 	"time"
 
@@ -12,80 +11,106 @@
 
 // Capture is the table [capture].
 type Capture struct {
-	Memory       int           `toml:"memory_kb"`   // that a capture of the decisions may take; 0: nothing is recorded
+	Memory       int           `toml:"memory_kb"`   // for the events and actions in memory; 0: nothing is recorded
 	Directory    string        `toml:"directory"`   // where captures are written
-	Disk         int           `toml:"disk_mb"`     // that segments may take there; 0: none are written
-	Segment      int           `toml:"segment_mb"`  // after which a segment ends
-	SegmentAge   time.Duration `toml:"segment_age"` // and after this time
-	MaxTriggered int           `toml:"kept"`        // captures of triggers that stay, the oldest going first
+	Disk         int           `toml:"disk_mb"`     // for all segments on disk; 0: none are written
+	Segment      int           `toml:"segment_mb"`  // size at which a segment ends
+	SegmentAge   time.Duration `toml:"segment_age"` // at which a segment ends
+	MaxTriggered int           `toml:"kept"`        // retained captures of triggers; the oldest are removed first
 	Triggers     []Trigger     `toml:"trigger"`
 }
 
 // Trigger is a table [[capture.trigger]].
 type Trigger struct {
 	Name   string        `toml:"name"`
-	When   string        `toml:"when"`   // a condition over a second
-	Before time.Duration `toml:"before"` // of what came before it that is kept at least, as far as the memory reaches
-	After  time.Duration `toml:"after"`  // of what comes after
-	Quiet  time.Duration `toml:"quiet"`  // between two captures
+	When   string        `toml:"when"`   // condition over one second
+	Before time.Duration `toml:"before"` // minimum span before the trigger to retain, as far as the memory reaches
+	After  time.Duration `toml:"after"`  // span after the trigger to retain
+	Quiet  time.Duration `toml:"quiet"`  // minimum time between two captures of this trigger
 
-	when *expression.Over[trigger.Second]
+	condition *expression.Over[trigger.Second] // When, compiled
 }
 
 var defaultCapture = Capture{Segment: 8, SegmentAge: 10 * time.Minute, MaxTriggered: 20}
 
 const (
-	mostCapture   = 1 << 20 // KB
-	leastWithDisk = 1 << 10 // KB: parts of a capture are a quarter of it, and each begins with a snapshot
-	mostDisk      = 1 << 20 // MB
-	leastSegments = 2       // that fit, so that the oldest can go while the newest is written
-	leastAge      = time.Second
-	mostKept      = 10_000
-	mostTriggers  = 32
-	mostSpan      = time.Hour
+	maxCaptureMemoryKB  = 1 << 20
+	minMemoryWithDiskKB = 1 << 10 // parts of a capture are a quarter of it, and each begins with a snapshot
+	maxCaptureDiskMB    = 1 << 20
+	minSegmentsOnDisk   = 2 // so that the oldest can be removed while the newest is written
+	minSegmentAge       = time.Second
+	maxTriggered        = 10_000
+	maxTriggers         = 32
+	maxTriggerSpan      = time.Hour
 )
 
-var triggerName = regexp.MustCompile(`^[a-z0-9_]{1,32}$`) // it is a part of a file's name
+// triggerName restricts names of triggers because they become parts of file names.
+var triggerName = regexp.MustCompile(`^[a-z0-9_]{1,32}$`)
 
-func (r *Capture) check(c checker) {
-	c.unless(r.Memory >= 0 && r.Memory <= mostCapture, "memory_kb", "%d is not from 0 to %d", r.Memory, mostCapture)
-	c.unless(r.Memory == 0 || r.Directory != "", "directory", "is missing")
-	c.unless(r.Disk >= 0 && r.Disk <= mostDisk, "disk_mb", "%d is not from 0 to %d", r.Disk, mostDisk)
-	r.checkTriggers(c)
-	if r.Disk > 0 {
-		c.unless(r.Memory >= leastWithDisk, "memory_kb", "%d is less than %d, which segments on disk need", r.Memory, leastWithDisk)
-		c.unless(r.Segment >= 1 && r.Segment*leastSegments <= r.Disk, "segment_mb", "%d is not from 1 to a half of disk_mb", r.Segment)
-		c.unless(r.SegmentAge >= leastAge, "segment_age", "%v is less than %v", r.SegmentAge, leastAge)
+func (c *Capture) validate(v tableValidator) {
+	v.requireRange("memory_kb", c.Memory, 0, maxCaptureMemoryKB)
+	v.require(c.Memory == 0 || c.Directory != "", "directory", "is missing")
+	v.requireRange("disk_mb", c.Disk, 0, maxCaptureDiskMB)
+	c.validateTriggers(v)
+	if c.Disk > 0 {
+		c.validateSegments(v)
 	}
 }
 
-// checkTriggers compiles the conditions, too.
-func (r *Capture) checkTriggers(c checker) {
-	c.unless(r.MaxTriggered >= 1 && r.MaxTriggered <= mostKept, "kept", "%d is not from 1 to %d", r.MaxTriggered, mostKept)
-	c.unless(len(r.Triggers) <= mostTriggers, "trigger", "%d are more than %d", len(r.Triggers), mostTriggers)
-	c.unless(len(r.Triggers) == 0 || r.Memory > 0, "memory_kb", "triggers keep what the memory holds, and there is none")
-	for i := range r.Triggers {
-		t := &r.Triggers[i]
-		key := func(name string) string { return fmt.Sprintf("trigger[%d].%s", i, name) }
-		c.unless(triggerName.MatchString(t.Name), key("name"), "%q is not made of 1 to 32 letters a to z, digits and _", t.Name)
-		c.unless(t.Before >= 0 && t.Before <= mostSpan, key("before"), "%v is not from 0s to %v", t.Before, mostSpan)
-		c.unless(t.After >= 0 && t.After <= mostSpan, key("after"), "%v is not from 0s to %v", t.After, mostSpan)
-		c.unless(t.Quiet >= 0, key("quiet"), "%v is below 0s", t.Quiet)
-		var err error
-		t.when, err = expression.CompileOver[trigger.Second](t.When)
-		c.unless(err == nil, key("when"), "%v", err)
+func (c *Capture) validateSegments(v tableValidator) {
+	v.require(c.Memory >= minMemoryWithDiskKB, "memory_kb",
+		"%d is less than %d, which segments on disk need", c.Memory, minMemoryWithDiskKB)
+	v.require(c.Segment >= 1 && c.Segment*minSegmentsOnDisk <= c.Disk, "segment_mb",
+		"%d is not from 1 to a half of disk_mb", c.Segment)
+	v.require(c.SegmentAge >= minSegmentAge, "segment_age", "%v is less than %v", c.SegmentAge, minSegmentAge)
+}
+
+func (c *Capture) validateTriggers(v tableValidator) {
+	v.requireRange("kept", c.MaxTriggered, 1, maxTriggered)
+	v.require(len(c.Triggers) <= maxTriggers, "trigger", "%d are more than %d", len(c.Triggers), maxTriggers)
+	v.require(len(c.Triggers) == 0 || c.Memory > 0, "memory_kb",
+		"triggers retain what is in memory, and nothing is recorded")
+	for i := range c.Triggers {
+		c.Triggers[i].validate(v.element("trigger", i))
+	}
+}
+
+// validate also compiles the condition.
+func (t *Trigger) validate(v tableValidator) {
+	v.require(triggerName.MatchString(t.Name), "name",
+		"%q is not made of 1 to 32 letters a to z, digits and _", t.Name)
+	v.require(t.Before >= 0 && t.Before <= maxTriggerSpan, "before",
+		"%v is not from 0s to %v", t.Before, maxTriggerSpan)
+	v.require(t.After >= 0 && t.After <= maxTriggerSpan, "after",
+		"%v is not from 0s to %v", t.After, maxTriggerSpan)
+	v.require(t.Quiet >= 0, "quiet", "%v is below 0s", t.Quiet)
+	condition, err := expression.CompileOver[trigger.Second](t.When)
+	if err != nil {
+		v.fail("when", "%v", err)
 	}
+	t.condition = condition
 }
 
-// TriggerRules gives the triggers as they are watched.
-func (r *Capture) TriggerRules() (rules []trigger.Rule) {
-	for _, t := range r.Triggers {
-		rules = append(rules, trigger.Rule{Name: t.Name, Condition: t.when, Before: t.Before, After: t.After, Quiet: t.Quiet})
+// TriggerRules returns the triggers with their compiled conditions.
+func (c *Capture) TriggerRules() []trigger.Rule {
+	var triggerRules []trigger.Rule
+	for _, t := range c.Triggers {
+		triggerRules = append(triggerRules, trigger.Rule{
+			Name:      t.Name,
+			Condition: t.condition,
+			Before:    t.Before,
+			After:     t.After,
+			Quiet:     t.Quiet,
+		})
 	}
-	return rules
+	return triggerRules
 }
 
-// Limits are those of the segments.
-func (r *Capture) Limits() segment.Limits {
-	return segment.Limits{Size: int64(r.Segment) << 20, Age: r.SegmentAge, Total: int64(r.Disk) << 20}
+// Limits returns the limits of segments on disk.
+func (c *Capture) Limits() segment.Limits {
+	return segment.Limits{
+		Size:  int64(c.Segment) << 20,
+		Age:   c.SegmentAge,
+		Total: int64(c.Disk) << 20,
+	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,12 +1,11 @@
-// Package config is the one place where the gateway's configuration is read, checked and given defaults. Its
-// errors name the faulty key.
+// Package config reads, checks and completes the configuration of the gateway: the environment, the platform's JSON
+// file and the operator's TOML file. Its errors name the file and the key.
 package config
 
 import (
 	"cmp"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"math/rand/v2"
 	"net"
 	"os"
@@ -18,7 +17,7 @@
 	"reachpulley/scheduler"
 )
 
-// The environment's variables.
+// Environment variables that the platform sets.
 const (
 	envName      = "BALANCER_NAME"
 	envListen    = "BALANCER_LISTEN"
@@ -26,18 +25,21 @@
 	envConfig    = "BALANCER_CONFIG"
 )
 
-// What holds where the configuration names no limit.
+// Defaults for what the platform's file leaves out.
 const (
-	defaultCores   = 1
-	defaultMemory  = 192
-	defaultSockets = 1024
-	leastSockets   = 64
-	leastMemory    = 32
-	defaultConnect = 250 * time.Millisecond
-	defaultIdle    = 15 * time.Second
+	defaultCores          = 1
+	defaultMemoryMB       = 192
+	defaultSockets        = 1024
+	defaultConnectTimeout = 250 * time.Millisecond
+	defaultIdleTimeout    = 15 * time.Second
 )
 
-// Config is all that a gateway is told.
+const (
+	minSockets  = 64
+	minMemoryMB = 32
+)
+
+// Config is the platform's configuration of a gateway.
 type Config struct {
 	Name       string
 	Listen     string
@@ -55,7 +57,8 @@
 	Sockets  int     `json:"sockets"`
 }
 
-type file struct {
+// platformFile is the platform's file as it is written.
+type platformFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
@@ -65,126 +68,162 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// Load reads the environment by getenv and the file that it names. What the environment sets goes before what the
-// file says.
-func Load(getenv func(string) string) (*Config, error) { return read(getenv, Parse) }
+// precedence chooses between a value of the file and one of the environment. An empty value is not set.
+type precedence func(file, environment string) string
+
+func preferEnvironment(file, environment string) string { return cmp.Or(environment, file) }
+
+func preferFile(file, environment string) string { return cmp.Or(file, environment) }
+
+// Load reads the environment, by getenv, and the platform's file that it names. Values of the environment take
+// precedence over those of the file.
+func Load(getenv func(string) string) (*Config, error) { return read(getenv, preferEnvironment) }
 
-// Reload reads the file again for a gateway that runs. The environment is that of its start and can't have changed
-// since, so what the file says goes first now.
-func Reload(getenv func(string) string) (*Config, error) { return read(getenv, parseAgain) }
+// Reload reads the platform's file again for a running gateway. The environment cannot have changed since the start,
+// so values of the file take precedence.
+func Reload(getenv func(string) string) (*Config, error) { return read(getenv, preferFile) }
 
-func read(getenv func(string) string, parse func([]byte, func(string) string) (*Config, error)) (*Config, error) {
+// Parse parses the text of the platform's file as Load does.
+func Parse(text []byte, getenv func(string) string) (*Config, error) {
+	return parse(text, getenv, preferEnvironment)
+}
+
+// ParseSettings parses only the settings: either those of a platform's file, or a text that consists of nothing else.
+func ParseSettings(text []byte) (scheduler.Settings, error) {
+	var file platformFile
+	if err := json.Unmarshal(text, &file); err != nil {
+		return scheduler.Settings{}, jsonError(err)
+	}
+	if len(file.Settings) == 0 {
+		file.Settings = text
+	}
+	settings, err := simprotocol.ParseSettings(file.Settings)
+	if err != nil {
+		return settings, &Error{Key: "settings", Err: jsonError(err)}
+	}
+	return settings, nil
+}
+
+func read(getenv func(string) string, prefer precedence) (*Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
-		return nil, fmt.Errorf("%s: is not set", envConfig)
+		return nil, &Error{Source: envConfig, Err: errors.New("is not set")}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", envConfig, err)
+		return nil, &Error{Source: envConfig, Err: err}
 	}
-	c, err := parse(text, getenv)
+	c, err := parse(text, getenv, prefer)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, withSource(path, err)
 	}
 	return c, nil
 }
 
-// Parse reads the text of the file as Load does.
-func Parse(text []byte, getenv func(string) string) (*Config, error) {
-	return parse(text, getenv, func(file, env string) string { return cmp.Or(env, file) })
-}
-
-func parseAgain(text []byte, getenv func(string) string) (*Config, error) {
-	return parse(text, getenv, func(file, env string) string { return cmp.Or(file, env) })
-}
-
-func parse(text []byte, getenv func(string) string, choose func(file, env string) string) (*Config, error) {
-	f := file{Limits: Limits{Cores: defaultCores, MemoryMB: defaultMemory, Sockets: defaultSockets}}
-	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, named(err)
+func parse(text []byte, getenv func(string) string, prefer precedence) (*Config, error) {
+	file := platformFile{Limits: Limits{Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets}}
+	if err := json.Unmarshal(text, &file); err != nil {
+		return nil, jsonError(err)
 	}
-	for variable, into := range map[string]*string{
-		envName: &f.Name, envListen: &f.Listen, envDiscovery: &f.Discovery} {
-		*into = choose(*into, getenv(variable))
+	c := &Config{
+		Name:      prefer(file.Name, getenv(envName)),
+		Listen:    prefer(file.Listen, getenv(envListen)),
+		Discovery: prefer(file.Discovery, getenv(envDiscovery)),
+		Limits:    file.Limits,
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Limits: f.Limits}
-	if err := address("listen", c.Listen); err != nil {
+	if err := checkAddress("listen", c.Listen); err != nil {
 		return nil, err
 	}
-	if err := address("discovery", c.Discovery); err != nil {
+	if err := checkAddress("discovery", c.Discovery); err != nil {
 		return nil, err
 	}
-	switch l := c.Limits; {
-	case l.Cores <= 0:
-		return nil, fmt.Errorf("limits.cores: %v is not above 0", l.Cores)
-	case l.MemoryMB < leastMemory:
-		return nil, fmt.Errorf("limits.memory_mb: %d is under %d", l.MemoryMB, leastMemory)
-	case l.Sockets < leastSockets:
-		return nil, fmt.Errorf("limits.sockets: %d is under %d", l.Sockets, leastSockets)
+	if err := c.Limits.check(); err != nil {
+		return nil, err
 	}
 	var err error
-	if f.Seed == "" {
-		c.Seed = rand.Uint64()
-	} else if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q is not a number of 16 hex digits", f.Seed)
+	if c.Seed, err = parseSeed(file.Seed); err != nil {
+		return nil, err
 	}
-	if len(f.Known) > 0 && string(f.Known) != "null" {
-		if c.CachedList, err = discovery.ParseList(f.Known); err != nil {
-			return nil, fmt.Errorf("known: %w", named(err))
-		}
+	if c.CachedList, err = parseCachedList(file.Known); err != nil {
+		return nil, err
 	}
-	if len(f.Settings) == 0 {
-		return nil, errors.New("settings: is missing")
+	if c.Settings, err = parseGatewaySettings(file.Settings); err != nil {
+		return nil, err
 	}
-	if c.Settings, err = simprotocol.ParseSettings(f.Settings); err != nil {
-		return nil, fmt.Errorf("settings: %w", named(err))
+	return c, nil
+}
+
+func (l Limits) check() error {
+	switch {
+	case l.Cores <= 0:
+		return keyError("limits.cores", "%v is not above 0", l.Cores)
+	case l.MemoryMB < minMemoryMB:
+		return keyError("limits.memory_mb", "%d is under %d", l.MemoryMB, minMemoryMB)
+	case l.Sockets < minSockets:
+		return keyError("limits.sockets", "%d is under %d", l.Sockets, minSockets)
 	}
-	c.Settings.LocalAgent = !c.Settings.PollMembership // on sockets, what is pushed has to be watched, too
-	allowed := &c.Settings.Allowed
-	if allowed.ConnectTimeout < 0 {
-		return nil, fmt.Errorf("settings.ceilings.dialTimeoutMs: %v is below 0", allowed.ConnectTimeout)
+	return nil
+}
+
+// parseSeed parses 16 hexadecimal digits. Without any, the seed is random.
+func parseSeed(text string) (uint64, error) {
+	if text == "" {
+		return rand.Uint64(), nil
 	}
-	if allowed.IdleTimeout < 0 {
-		return nil, fmt.Errorf("settings.ceilings.connIdleMs: %v is below 0", allowed.IdleTimeout)
+	seed, err := strconv.ParseUint(text, 16, 64)
+	if err != nil {
+		return 0, keyError("seed", "%q is not a number of 16 hex digits", text)
 	}
-	allowed.ConnectTimeout = cmp.Or(allowed.ConnectTimeout, defaultConnect)
-	allowed.IdleTimeout = cmp.Or(allowed.IdleTimeout, defaultIdle)
-	return c, nil
+	return seed, nil
 }
 
-// Settings reads settings alone, from a file of this form or from its "settings".
-func Settings(text []byte) (scheduler.Settings, error) {
-	var f file
-	if err := json.Unmarshal(text, &f); err != nil {
-		return scheduler.Settings{}, named(err)
+func parseCachedList(text json.RawMessage) (*discovery.List, error) {
+	if len(text) == 0 || string(text) == "null" {
+		return nil, nil
+	}
+	list, err := discovery.ParseList(text)
+	if err != nil {
+		return nil, &Error{Key: "known", Err: jsonError(err)}
 	}
-	if len(f.Settings) == 0 {
-		f.Settings = text
+	return list, nil
+}
+
+// parseGatewaySettings parses the settings and completes them for a gateway on sockets.
+func parseGatewaySettings(text json.RawMessage) (scheduler.Settings, error) {
+	if len(text) == 0 {
+		return scheduler.Settings{}, keyError("settings", "is missing")
 	}
-	set, err := simprotocol.ParseSettings(f.Settings)
+	settings, err := simprotocol.ParseSettings(text)
 	if err != nil {
-		return set, fmt.Errorf("settings: %w", named(err))
+		return scheduler.Settings{}, &Error{Key: "settings", Err: jsonError(err)}
+	}
+	settings.LocalAgent = !settings.PollMembership // on sockets, a list that is pushed has to be watched, too
+	if err := completeTimeouts(&settings.Allowed); err != nil {
+		return scheduler.Settings{}, err
 	}
-	return set, nil
+	return settings, nil
 }
 
-// named words a fault of JSON by the key at which it stands.
-func named(err error) error {
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) && wrong.Field != "" {
-		return fmt.Errorf("%s: want %v, got %s", wrong.Field, wrong.Type, wrong.Value)
+func completeTimeouts(allowed *scheduler.Allowed) error {
+	if allowed.ConnectTimeout < 0 {
+		return keyError("settings.ceilings.dialTimeoutMs", "%v is below 0", allowed.ConnectTimeout)
 	}
-	return err
+	if allowed.IdleTimeout < 0 {
+		return keyError("settings.ceilings.connIdleMs", "%v is below 0", allowed.IdleTimeout)
+	}
+	allowed.ConnectTimeout = cmp.Or(allowed.ConnectTimeout, defaultConnectTimeout)
+	allowed.IdleTimeout = cmp.Or(allowed.IdleTimeout, defaultIdleTimeout)
+	return nil
 }
 
-func address(key, value string) error {
-	if err := hostPort(value); err != nil {
-		return fmt.Errorf("%s: %w", key, err)
+func checkAddress(key, value string) error {
+	if err := checkHostPort(value); err != nil {
+		return &Error{Key: key, Err: err}
 	}
 	return nil
 }
 
-func hostPort(value string) error {
+func checkHostPort(value string) error {
 	if value == "" {
 		return errors.New("is missing")
 	}
--- /dev/null
+++ b/internal/config/log.go
@@ -0,0 +1,30 @@
+package config
+
+import (
+	"log/slog"
+	"time"
+)
+
+// Log is the table [log].
+type Log struct {
+	Format   string        `toml:"format"` // LogJSON or LogText
+	Level    string        `toml:"level"`
+	Repeat   time.Duration `toml:"repeat"` // interval in which repeated messages are written once; 0: all are written
+	MinLevel slog.Level    `toml:"-"`      // that Level or the environment names
+}
+
+// Formats of the log.
+const (
+	LogJSON = "json"
+	LogText = "text"
+)
+
+var defaultLog = Log{Format: LogJSON, Level: "info"}
+
+func (l *Log) validate(v tableValidator) {
+	v.require(l.Format == LogJSON || l.Format == LogText, "format",
+		"%q is neither %s nor %s", l.Format, LogJSON, LogText)
+	if err := l.MinLevel.UnmarshalText([]byte(l.Level)); err != nil {
+		v.fail("level", "%q is not debug, info, warn or error", l.Level)
+	}
+}
--- a/internal/configfile/decode.go
+++ b/internal/configfile/decode.go
@@ -33,7 +33,7 @@
 			faults = append(faults, d.decodeFault(single))
 		}
 	}
-	return d.appendUnknownKeys(faults, "", d.tree, reflect.TypeOf(into).Elem())
+	return append(faults, d.unknownKeys("", d.tree, reflect.TypeOf(into).Elem())...)
 }
 
 // mapKey matches a key of a map as the decoder writes it. Faults write it dotted, as any other key.
@@ -49,37 +49,39 @@
 	return d.Fault(key, "%s", decodeMessage(decodeError.Unwrap()))
 }
 
-// appendUnknownKeys adds a fault for each key of a value for which its type has no field. The decoder reports unknown
+// unknownKeys returns a fault for each key within a value for which its type has no field. The decoder reports unknown
 // keys only if it finds no other fault.
-func (d *Document) appendUnknownKeys(faults Faults, path string, value any, valueType reflect.Type) Faults {
+func (d *Document) unknownKeys(path string, value any, valueType reflect.Type) Faults {
 	for valueType.Kind() == reflect.Pointer {
 		valueType = valueType.Elem()
 	}
+	var faults Faults
 	switch value := value.(type) {
 	case []any:
 		if valueType.Kind() == reflect.Slice {
 			for i, element := range value {
-				faults = d.appendUnknownKeys(faults, fmt.Sprintf("%s[%d]", path, i), element, valueType.Elem())
+				faults = append(faults, d.unknownKeys(fmt.Sprintf("%s[%d]", path, i), element, valueType.Elem())...)
 			}
 		}
 	case map[string]any:
 		if valueType.Kind() == reflect.Struct {
-			faults = d.appendUnknownFields(faults, path, value, valueType)
+			faults = d.unknownTableKeys(path, value, valueType)
 		}
 	}
 	return faults
 }
 
-func (d *Document) appendUnknownFields(faults Faults, path string, table map[string]any, tableType reflect.Type) Faults {
+func (d *Document) unknownTableKeys(path string, table map[string]any, structType reflect.Type) Faults {
 	fieldTypes := map[string]reflect.Type{}
-	for i := range tableType.NumField() {
-		if tag := tableType.Field(i).Tag.Get(tagName); tag != "" && tag != "-" {
-			fieldTypes[tag] = tableType.Field(i).Type
+	for i := range structType.NumField() {
+		if tag := structType.Field(i).Tag.Get(tagName); tag != "" && tag != "-" {
+			fieldTypes[tag] = structType.Field(i).Type
 		}
 	}
+	var faults Faults
 	for key, value := range table {
 		if fieldType, ok := fieldTypes[key]; ok {
-			faults = d.appendUnknownKeys(faults, joinKey(path, key), value, fieldType)
+			faults = append(faults, d.unknownKeys(joinKey(path, key), value, fieldType)...)
 			continue
 		}
 		suggestion := DidYouMean(key, slices.Sorted(maps.Keys(fieldTypes)))
