--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange holds the one object in which the client side and the server side of a gateway meet.
+// Package exchange holds the object through which the client side and the server side of a gateway handle one request.
 //
-// A front opens an Exchange for each request that it takes; the core carries it; a back reads its payload and
-// brings the reply. The Exchange knows no wire: payload and reply mean something to front and back alone.
+// A frontend opens an [Exchange] for each request that it accepts, the event loop schedules it, and a backend sends its
+// payload and delivers the reply. The Exchange knows no protocol: only frontend and backend interpret payload and reply.
 package exchange
 
 import (
@@ -17,63 +17,71 @@
 
 // The kinds of Verdict.
 const (
-	Served   Verdict = iota // the node's reply
-	Rejected                // trying again is harmless
-	Failed                  // nothing is promised
+	Served   Verdict = iota // a node replied
+	Rejected                // nothing ran, so retrying is harmless
+	Failed                  // the request may or may not have run
 )
 
+// String returns the name of the verdict as api/asyncapi.yaml spells it.
 func (v Verdict) String() string { return [...]string{"served", "refused", "failed"}[v] }
 
 // Answer is the final answer to a request.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter time.Duration // for Refused: when the client should return; 0 gives no advice
-	Reply      any           // for Served: what the back brought
+	RetryAfter time.Duration // for Rejected: when the client should retry; 0: no Retry-After is sent
+	Reply      any           // for Served: what the backend received
 }
 
-// Exchange is one request from the moment it is taken until it is answered or its client has left. The front
-// that makes it owns it; nothing in it needs to be given back.
+// Exchange is one request from the moment it is accepted until it is answered or its client has disconnected. The
+// frontend that makes it owns it; nothing in it needs to be released.
 type Exchange struct {
-	Request  scheduler.Request // the facts on which is decided; Patience is set when the core takes it
-	Deadline time.Time         // when the client gives up
-	Payload  any               // what a back sends; it must not be changed
+	Request  scheduler.Request // what the scheduler decides on; the event loop sets its ClientTimeout
+	Deadline time.Time         // when the client stops waiting
+	Payload  any               // what a backend sends; it must not be changed
 
 	once   sync.Once
 	done   chan struct{}
 	answer Answer
-	client context.Context // ends when the client leaves
-	leave  context.CancelFunc
+
+	clientContext context.Context // ends when the client disconnects
+	cancelClient  context.CancelFunc
 }
 
 // New makes an Exchange.
 func New(request scheduler.Request, deadline time.Time, payload any) *Exchange {
-	x := &Exchange{Request: request, Deadline: deadline, Payload: payload, done: make(chan struct{})}
-	x.client, x.leave = context.WithCancel(context.Background())
+	x := &Exchange{
+		Request:  request,
+		Deadline: deadline,
+		Payload:  payload,
+		done:     make(chan struct{}),
+	}
+	x.clientContext, x.cancelClient = context.WithCancel(context.Background())
 	return x
 }
 
-// Disconnect tells that the client has gone: no answer reaches it any more.
-func (x *Exchange) Disconnect() { x.leave() }
+// Disconnect records that the client has disconnected: no answer reaches it any more.
+func (x *Exchange) Disconnect() { x.cancelClient() }
 
-// Disconnected tells whether the client has gone.
-func (x *Exchange) Disconnected() bool { return x.client.Err() != nil }
+// Disconnected reports whether the client has disconnected.
+func (x *Exchange) Disconnected() bool { return x.clientContext.Err() != nil }
 
-// OnDisconnect has f called, in a goroutine of its own, once the client has left.
-func (x *Exchange) OnDisconnect(f func()) { context.AfterFunc(x.client, f) }
+// OnDisconnect arranges for f to be called, in its own goroutine, once the client has disconnected.
+func (x *Exchange) OnDisconnect(f func()) { context.AfterFunc(x.clientContext, f) }
 
-// Finish gives the final answer. Only the first call counts; it tells whether this was the one.
-func (x *Exchange) Finish(a Answer) (first bool) {
+// Finish sets the final answer. Only the first call counts; first reports whether this was that call.
+func (x *Exchange) Finish(answer Answer) (first bool) {
 	x.once.Do(func() {
-		x.answer, first = a, true
+		x.answer = answer
+		first = true
 		close(x.done)
 	})
 	return first
 }
 
-// Done is closed once the final answer is there.
+// Done returns a channel that is closed once the final answer is set.
 func (x *Exchange) Done() <-chan struct{} { return x.done }
 
-// Answer is the final answer; it may be read once Done is closed.
+// Answer returns the final answer. It blocks until Done is closed.
 func (x *Exchange) Answer() Answer {
 	<-x.done
 	return x.answer
