--- a/cmd/reachpulley/main_test.go
+++ b/cmd/reachpulley/main_test.go
@@ -207,7 +207,7 @@
 	hear("not taken", "discovery: ")
 	write("127.0.0.1:2")
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	hear("discovery has moved", `"to":"127.0.0.1:2"`)
+	hear("discovery address changed", `"to":"127.0.0.1:2"`)
 	hear("new configuration taken")
 	syscall.Kill(os.Getpid(), syscall.SIGUSR2)
 	hear("capture written")
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,53 +10,64 @@
 	"reachpulley/scheduler"
 )
 
-// List is a version of the list of nodes, or what changed in it, as discovery writes it.
+// List is a version of the list of nodes, or a change to it, as discovery writes it.
 type List struct {
 	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
+	Whole bool   `json:"whole"` // it replaces the list that is held; otherwise it changes it
 	Hosts []host `json:"hosts"`
 }
 
+// host is a node in a List.
 type host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMs int64   `json:"born_ms"`
+	ID          string  `json:"host"`
+	Address     string  `json:"dial"`
+	Zone        string  `json:"site"`
+	Shard       int     `json:"block"`
+	Health      string  `json:"health"` // a key of phases
+	Share       float64 `json:"share"`
+	StartedAtMs int64   `json:"born_ms"` // Unix time; 0: long ago
 }
 
-var phases = map[string]scheduler.Phase{"up": scheduler.Up, "draining": scheduler.Draining, "removed": scheduler.Removed}
+// phases maps the values of a host's health to the scheduler's terms.
+var phases = map[string]scheduler.Phase{
+	"up":       scheduler.Up,
+	"draining": scheduler.Draining,
+	"removed":  scheduler.Removed,
+}
 
-// ParseList reads a list and names what is wrong with it.
+// ParseList reads a list. Its errors name the faulty key.
 func ParseList(text []byte) (*List, error) {
-	var l List
-	if err := json.Unmarshal(text, &l); err != nil {
+	var list List
+	if err := json.Unmarshal(text, &list); err != nil {
 		return nil, err
 	}
-	for i, h := range l.Hosts {
-		if h.Host == "" {
+	for i, host := range list.Hosts {
+		if host.ID == "" {
 			return nil, fmt.Errorf("hosts[%d].host is missing", i)
 		}
-		phase, ok := phases[h.Health]
+		phase, ok := phases[host.Health]
 		if !ok {
-			return nil, fmt.Errorf("hosts[%d].health: unknown state %q", i, h.Health)
+			return nil, fmt.Errorf("hosts[%d].health: unknown state %q", i, host.Health)
 		}
-		if _, _, err := net.SplitHostPort(h.Dial); err != nil && phase != scheduler.Removed {
+		if _, _, err := net.SplitHostPort(host.Address); err != nil && phase != scheduler.Removed {
 			return nil, fmt.Errorf("hosts[%d].dial: %w", i, err)
 		}
 	}
-	return &l, nil
+	return &list, nil
 }
 
-// nodes turns a list into the core's terms. A node's start is converted to the core's clock here, once.
-func (l *List) nodes(zones []string, startedAt func(unixMilli int64) time.Duration) []scheduler.Node {
+// nodes converts a list to the scheduler's terms. This is the only place where a node's start is converted to the event
+// loop's clock.
+func (l *List) nodes(zones []string, clockTime func(unixMilli int64) time.Duration) []scheduler.Node {
 	nodes := make([]scheduler.Node, 0, len(l.Hosts))
-	for _, h := range l.Hosts {
+	for _, host := range l.Hosts {
 		nodes = append(nodes, scheduler.Node{
-			ID: h.Host, Zone: slices.Index(zones, h.Site), Shard: h.Block, Phase: phases[h.Health],
-			Size: h.Share, StartedAt: startedAt(h.BornMs),
+			ID:        host.ID,
+			Zone:      slices.Index(zones, host.Zone),
+			Shard:     host.Shard,
+			Phase:     phases[host.Health],
+			Size:      host.Share,
+			StartedAt: clockTime(host.StartedAtMs),
 		})
 	}
 	return nodes
--- /dev/null
+++ b/internal/discovery/watch_test.go
@@ -0,0 +1,219 @@
+package discovery
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"reachpulley/internal/scenariotest"
+	"reachpulley/scheduler"
+)
+
+// Parts of the scripts. The discovery of the scenarios is d; e is where it moves to.
+const (
+	request     = "d expect GET /v1/endpoints?stream=1&index="
+	requestToE  = "e expect GET /v1/endpoints?stream=1&index="
+	response    = "d send raw " + responseHead
+	responseOfE = "e send raw " + responseHead
+
+	responseHead = "HTTP/1.1 200 OK\\nConnection: close\\n\\n"
+
+	// watchStarts has the client send its first request.
+	watchStarts = "client send watch\n" + request + "0\n"
+
+	upList       = `{"seq":5,"whole":true,"hosts":[{"host":"n","dial":"n:1","health":"up"}]}`
+	drainingList = `{"seq":6,"whole":false,"hosts":[{"host":"n","dial":"n:1","health":"draining"}]}`
+
+	// What the client reports: the kind of the change, then each node with its phase.
+	upReported       = "1 n:0"
+	drainingReported = "2 n:1"
+	failureReported  = "3"
+)
+
+// indented spreads a list over several lines of a script's raw text.
+func indented(list string) string { return strings.ReplaceAll(list, ",", `,\n  `) }
+
+// watchScenario plays discovery against a client and states what the client reports.
+type watchScenario struct {
+	name            string
+	script          string
+	responseTimeout time.Duration // 0: the default
+	want            []string
+}
+
+var watchScenarios = []watchScenario{
+	{
+		name:   "a watch brings the list and its changes",
+		script: watchStarts + response + upList + "\\n\nd send raw " + drainingList + "\\n",
+		want:   []string{upReported, drainingReported},
+	},
+	{
+		name:   "a second call changes nothing while the watch lasts",
+		script: watchStarts + "client send watch\nd expect nothing",
+	},
+	{
+		name: "empty lines keep a watch alive",
+		script: watchStarts + response + upList + "\\n\n" +
+			"wait 2s\nd send raw \\n\nwait 2s\nd send raw \\n\nwait 2s",
+		want: []string{upReported},
+	},
+	{ // A machine that is cut off leaves the connection open and sends nothing.
+		name: "a silent watch has ended",
+		script: watchStarts + response + upList + "\\n\nwait 2500ms\n" +
+			"client send watch\nd expect end\n" + request + "5",
+		want: []string{upReported, failureReported},
+	},
+	{
+		name: "a list may span lines and arrive in pieces",
+		script: watchStarts + response + indented(upList) + "\\n\n" +
+			"d send raw " + indented(drainingList)[:20] + "\nwait 2s\n" +
+			"d send raw " + indented(drainingList)[20:] + "\\n\\n\nwait 2s\nd send raw \\n\nwait 2s",
+		want: []string{upReported, drainingReported},
+	},
+	{
+		name: "half a list is no list",
+		script: watchStarts + response + upList + "\\n\n" +
+			"d send raw " + drainingList[:30] + "\nwait 3s\nd expect end",
+		want: []string{upReported, failureReported},
+	},
+	{
+		name: "malformed JSON ends a watch and changes nothing",
+		script: watchStarts + response + upList + "\\n\nd send raw {\"seq\":6,]\\n\nd expect end\n" +
+			"client send watch\n" + request + "5",
+		want: []string{upReported, failureReported},
+	},
+	{
+		name:   "the end of a watch is reported",
+		script: watchStarts + response + upList + "\\n\nd close",
+		want:   []string{upReported, failureReported},
+	},
+	{
+		name: "a discovery that restarts its count is accepted",
+		script: "client send apply\nclient send watch\n" + request + "6\n" +
+			response + upList + "\\n\n",
+		want: []string{drainingReported, upReported},
+	},
+	{ // The old discovery goes on for a while; neither its lists, its errors nor its count matter any more.
+		name: "a discovery that moves is watched at its new address at once",
+		script: watchStarts + response + drainingList + "\\n\nclient send move\nd expect end\n" +
+			requestToE + "0\n" + responseOfE + upList + "\\n\n" +
+			"client send watch\nclient send move\ne expect nothing",
+		want: []string{drainingReported, upReported},
+	},
+	{
+		name: "what a discovery still sends after it has moved is dropped",
+		script: watchStarts + "client send move\nd expect end\n" +
+			requestToE + "0\n" + responseOfE + upList + "\\n",
+		want: []string{upReported},
+	},
+	{
+		name:   "a rejected call is reported",
+		script: watchStarts + "d send 503",
+		want:   []string{failureReported},
+	},
+	{
+		name:   "a malformed response is reported",
+		script: watchStarts + "d send 200 {",
+		want:   []string{failureReported},
+	},
+	{
+		name:   "a missing response is reported",
+		script: watchStarts + "wait 3s",
+		want:   []string{failureReported},
+	},
+	{
+		name:            "the silence of an agent is reported sooner",
+		script:          watchStarts + "wait 125ms\nd expect end\nclient send watch\n" + request + "0\nwithin 126ms",
+		responseTimeout: 125 * time.Millisecond,
+		want:            []string{failureReported},
+	},
+	{ // An older list would bring a draining node back.
+		name:   "an older list is dropped",
+		script: watchStarts + "client send apply\n" + response + upList + "\\n",
+		want:   []string{drainingReported},
+	},
+}
+
+func TestDiscovery(t *testing.T) {
+	for _, scenario := range watchScenarios {
+		t.Run(scenario.name, func(t *testing.T) {
+			got := scenario.play(t)
+			// The watch that the end of the test breaks off is reported too.
+			if len(got) > len(scenario.want) {
+				got = got[:len(scenario.want)]
+			}
+			if diff := cmp.Diff(scenario.want, got); diff != "" && len(scenario.want)+len(got) > 0 {
+				t.Error(diff)
+			}
+		})
+	}
+}
+
+// play runs the script and returns what the client reported.
+func (s watchScenario) play(t *testing.T) (reported []string) {
+	scenariotest.Run(t, s.script, func(stage *scenariotest.Stage) func() {
+		ctx, cancel := context.WithCancel(context.Background())
+		client := New(ctx, Options{
+			Address:         "d:1",
+			ResponseTimeout: s.responseTimeout,
+			ClockTime:       func(int64) time.Duration { return 0 },
+			Notify:          func(m scheduler.Membership) { reported = append(reported, describe(m)) },
+			Dial:            stage.Network.Dial,
+			Log:             slog.New(slog.DiscardHandler),
+		})
+		stage.Server("d", "d:1", scenariotest.HTTP{})
+		stage.Server("e", "e:1", scenariotest.HTTP{})
+		stage.Control("client", "move", func() { client.MoveTo("e:1") })
+		stage.Control("client", "watch", client.Watch)
+		stage.Control("client", "apply", func() {
+			list, err := ParseList([]byte(drainingList))
+			if err != nil {
+				t.Fatal(err)
+			}
+			client.apply(ctx, list, scheduler.DeltaList, 0)
+			if client.Directory().Lookup("n").Up {
+				t.Error("the directory lists a draining node as up")
+			}
+		})
+		return cancel
+	})
+	return reported
+}
+
+// describe words a report as its kind and each node with its phase.
+func describe(m scheduler.Membership) string {
+	words := fmt.Sprint(int(m.Kind))
+	for _, node := range m.Nodes {
+		words += fmt.Sprintf(" %s:%d", node.ID, node.Phase)
+	}
+	return words
+}
+
+// A list that cannot be read comes again with every call: it is a warning once, until a list was read.
+func TestFaultIsLoggedOnce(t *testing.T) {
+	malformed := request + "0\n" + response + "{]\\n\nd expect end\nclient send watch\n"
+	script := "client send watch\n" + malformed + malformed + malformed +
+		request + "0\n" + response + upList + "\\n{]\\n\nd expect end\n"
+	var log strings.Builder
+	scenariotest.Run(t, script, func(stage *scenariotest.Stage) func() {
+		ctx, cancel := context.WithCancel(context.Background())
+		client := New(ctx, Options{
+			Address:   "d:1",
+			ClockTime: func(int64) time.Duration { return 0 },
+			Notify:    func(scheduler.Membership) {},
+			Dial:      stage.Network.Dial,
+			Log:       slog.New(slog.NewTextHandler(&log, nil)),
+		})
+		stage.Server("d", "d:1", scenariotest.HTTP{})
+		stage.Control("client", "watch", client.Watch)
+		return cancel
+	})
+	if got := strings.Count(log.String(), "level=WARN"); got != 2 {
+		t.Errorf("%d warnings, want one before the list that was read and one after it:\n%s", got, log.String())
+	}
+}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -18,8 +18,8 @@
 // The kinds of Verdict.
 const (
 	Served   Verdict = iota // a node replied
-	Rejected                // nothing ran, so retrying is harmless
-	Failed                  // the request may or may not have run
+	Rejected                // not served, and retrying is harmless
+	Failed                  // nothing is promised: the request may or may not have run
 )
 
 // String returns the name of the verdict as api/asyncapi.yaml spells it.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -122,7 +122,7 @@
 	clock := eventloop.NewClock()
 	var loop *eventloop.Loop
 	lister := discovery.New(ctx, discovery.Options{
-		ResponseTimeout: listPatience(c.Settings), Address: c.Discovery, Zones: c.Settings.Zones, StartedAt: clock.AtUnixMilli, Dial: g.Dial, Log: log,
+		ResponseTimeout: listPatience(c.Settings), Address: c.Discovery, Zones: c.Settings.Zones, ClockTime: clock.AtUnixMilli, Dial: g.Dial, Log: log,
 		Notify: func(m scheduler.Membership) { loop.MembershipChanged(m) },
 	})
 	watch := watching(g, func(c scheduler.Restriction) { loop.Restrict(c) })
