--- /dev/null
+++ b/internal/eventloop/actions.go
@@ -0,0 +1,86 @@
+package eventloop
+
+import (
+	"container/heap"
+	"context"
+	"time"
+
+	"reachpulley/internal/exchange"
+	"reachpulley/scheduler"
+)
+
+// actions carries out what the scheduler calls for; it implements [scheduler.Actions]. Its methods run within the loop.
+type actions struct{ loop *Loop }
+
+// Send starts an attempt.
+//
+// Reports are posted rather than handled at once, also the one on an attempt that is not sent: the scheduler has not
+// returned from the event that called for Send.
+func (a actions) Send(id, node string, timeout time.Duration) {
+	l := a.loop
+	p := l.pending[id]
+	if p == nil {
+		l.log.Error("scheduler sent an unknown request", "id", id)
+		return
+	}
+	now := time.Now()
+	number := p.attempts
+	p.attempts++
+	deadline := p.exchange.Deadline
+	if timeout != 0 && now.Add(timeout).Before(deadline) {
+		deadline = now.Add(timeout)
+	}
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
+	p.inFlight[number] = inFlightAttempt{cancel: cancel, sentAt: l.clock.Now(), node: node}
+	report := func(r Report) { l.mailbox.post(func() { l.attemptEnded(p, number, r) }) }
+	exhausted := l.maxAttempts > 0 && number >= l.maxAttempts
+	if p.finished || !now.Before(deadline) || exhausted {
+		report(Report{Result: scheduler.NotSent, VolumeUse: -1})
+		return
+	}
+	attempt := Attempt{Exchange: p.exchange, Number: number, Node: node, Deadline: deadline}
+	if within, bound := l.scheduler.RetryWindowLeft(id); bound {
+		attempt.BeginBefore = now.Add(within)
+	}
+	l.backend.Start(ctx, attempt, report)
+}
+
+// Cancel ends an attempt. Its backend still reports on it.
+func (a actions) Cancel(id string, number int) {
+	p := a.loop.pending[id]
+	if p == nil {
+		return
+	}
+	if attempt, ok := p.inFlight[number]; ok {
+		attempt.cancel()
+	}
+}
+
+// Reject ends a request that its client may safely retry.
+func (a actions) Reject(id string, retryAfter time.Duration) {
+	a.loop.finish(a.loop.pending[id], exchange.Answer{Verdict: exchange.Rejected, RetryAfter: retryAfter})
+}
+
+// Fail ends a request of which nothing is promised.
+func (a actions) Fail(id string) {
+	a.loop.finish(a.loop.pending[id], exchange.Answer{Verdict: exchange.Failed})
+}
+
+// Probe requests the load of a node.
+func (a actions) Probe(node string) {
+	l := a.loop
+	l.backend.Probe(node, func(result scheduler.ProbeResult) {
+		l.mailbox.post(func() { l.scheduler.ProbeEnded(l.clock.Now(), result) })
+	})
+}
+
+// SetTimer has the scheduler called with key after a time.
+func (a actions) SetTimer(after time.Duration, key uint64) {
+	heap.Push(&a.loop.timers, timer{at: a.loop.clock.Now() + after, key: key})
+}
+
+// Watch subscribes to the list of nodes.
+func (a actions) Watch() { a.loop.membership.Watch() }
+
+// Log writes a line of the scheduler to the log.
+func (a actions) Log(text string) { a.loop.log.Info(text) }
--- a/internal/eventloop/mailbox.go
+++ b/internal/eventloop/mailbox.go
@@ -2,8 +2,11 @@
 
 import "sync"
 
-// mailbox carries events into the loop. Posting never blocks: what limits its length is that fronts hold a
-// bounded number of exchanges, each with a bounded number of attempts.
+// mailbox carries events into the loop. Posting never blocks. The number of events is bounded all the same: frontends
+// hold a bounded number of exchanges, each with a bounded number of attempts.
+//
+// An event is a function that the loop calls. It carries its own arguments, so that each kind of event is handled in one
+// place, beside the method that posts it.
 type mailbox struct {
 	mu     sync.Mutex
 	events []func()
@@ -12,17 +15,18 @@
 
 func newMailbox() *mailbox { return &mailbox{wake: make(chan struct{}, 1)} }
 
+// post adds an event and wakes the loop.
 func (m *mailbox) post(event func()) {
 	m.mu.Lock()
 	m.events = append(m.events, event)
 	m.mu.Unlock()
 	select {
 	case m.wake <- struct{}{}:
-	default:
+	default: // a wake-up is pending already
 	}
 }
 
-// take empties the box.
+// take empties the mailbox.
 func (m *mailbox) take() []func() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- /dev/null
+++ b/internal/eventloop/pending.go
@@ -0,0 +1,102 @@
+package eventloop
+
+import (
+	"context"
+	"time"
+
+	"reachpulley/internal/exchange"
+	"reachpulley/scheduler"
+)
+
+// pendingExchange is an exchange from its arrival until it has an answer and all its attempts have ended.
+type pendingExchange struct {
+	exchange *exchange.Exchange
+	attempts int // started so far
+	inFlight map[int]inFlightAttempt
+	finished bool // answered, or its client has disconnected
+}
+
+// inFlightAttempt is an attempt on which the backend has not reported yet. Its context is canceled at the latest when
+// the report is handled, in attemptEnded.
+type inFlightAttempt struct {
+	cancel context.CancelFunc
+	sentAt time.Duration
+	node   string
+}
+
+// requestArrived begins an exchange. Request IDs are unique; a second request with the ID of a pending one fails, as the
+// scheduler could not tell the two apart.
+func (l *Loop) requestArrived(x *exchange.Exchange) {
+	if l.pending[x.Request.ID] != nil {
+		x.Finish(exchange.Answer{Verdict: exchange.Failed})
+		return
+	}
+	l.pending[x.Request.ID] = &pendingExchange{exchange: x, inFlight: map[int]inFlightAttempt{}}
+	x.Request.ClientTimeout = time.Until(x.Deadline)
+	l.scheduler.RequestArrived(l.clock.Now(), x.Request)
+}
+
+// clientDisconnected ends an exchange that has no answer yet.
+func (l *Loop) clientDisconnected(x *exchange.Exchange) {
+	p := l.pending[x.Request.ID]
+	if p == nil || p.exchange != x || p.finished {
+		return
+	}
+	l.finish(p, exchange.Answer{Verdict: exchange.Failed})
+	l.scheduler.ClientDisconnected(l.clock.Now(), x.Request.ID)
+	// Nobody waits for these attempts any more, whether or not the scheduler has canceled them. It is harmless to cancel
+	// them twice.
+	for _, attempt := range p.inFlight {
+		attempt.cancel()
+	}
+}
+
+// finish gives an exchange its final answer. It does nothing where the exchange has one, or is not pending (p is nil).
+func (l *Loop) finish(p *pendingExchange, answer exchange.Answer) {
+	if p == nil || p.finished {
+		return
+	}
+	p.finished = true
+	p.exchange.Finish(answer)
+	l.removeIfDone(p)
+}
+
+// removeIfDone forgets an exchange that is finished and has no attempt in flight.
+func (l *Loop) removeIfDone(p *pendingExchange) {
+	if p.finished && len(p.inFlight) == 0 {
+		delete(l.pending, p.exchange.Request.ID)
+	}
+}
+
+// attemptEnded handles the report on an attempt. The first one that was served answers the request.
+func (l *Loop) attemptEnded(p *pendingExchange, number int, report Report) {
+	attempt := p.inFlight[number]
+	attempt.cancel()
+	delete(p.inFlight, number)
+	if report.Result == scheduler.Served {
+		l.finish(p, exchange.Answer{Verdict: exchange.Served, Reply: report.Reply})
+	}
+	l.removeIfDone(p)
+	now := l.clock.Now()
+	l.scheduler.AttemptEnded(now, scheduler.Outcome{
+		ID:         p.exchange.Request.ID,
+		Attempt:    number,
+		Node:       attempt.node,
+		Result:     report.Result,
+		Latency:    report.latency(now - attempt.sentAt),
+		Concluded:  p.finished,
+		VolumeUse:  report.VolumeUse,
+		OtherUnits: report.OtherUnits,
+		Load:       report.Load,
+	})
+}
+
+// failPending fails the exchanges that are pending when the loop ends, and cancels their attempts.
+func (l *Loop) failPending() {
+	for _, p := range l.pending {
+		p.exchange.Finish(exchange.Answer{Verdict: exchange.Failed})
+		for _, attempt := range p.inFlight {
+			attempt.cancel()
+		}
+	}
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -139,7 +139,15 @@
 	if err != nil {
 		return err
 	}
-	loop, err = eventloop.New(c.Settings, c.Seed, clock, carriers, lister, record, log)
+	loop, err = eventloop.New(eventloop.Options{
+		Settings:   c.Settings,
+		Seed:       c.Seed,
+		Clock:      clock,
+		Backend:    carriers,
+		Membership: lister,
+		Capture:    record,
+		Log:        log,
+	})
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
