--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,3 +1,5 @@
+// Package demo is a small deployment within one process, to try the gateway with: storage nodes that keep objects in
+// memory, their discovery, and a gateway in front of them. It listens on loopback only.
 package demo
 
 import (
@@ -10,6 +12,7 @@
 	"reachpulley/internal/config"
 	"reachpulley/internal/gateway"
 	"reachpulley/internal/rules"
+	"reachpulley/scheduler"
 )
 
 const (
@@ -17,54 +20,76 @@
 	freePort = "127.0.0.1:0"
 )
 
-// Run starts nodes, discovery and a gateway by the given configuration, or by the example on free ports where it is nil,
-// with the rules of a file where one is named, writes to w how to try them, and ends when stop does.
+// Run starts nodes, discovery and a gateway, and ends when stop does. The configuration is text, or the example on free
+// ports where text is nil; the rules are those of ruleFile, unless it is empty. Run writes to w how to try the gateway.
 func Run(stop context.Context, text []byte, ruleFile string, w io.Writer, log *slog.Logger) error {
+	configuration, operator, err := configure(text, ruleFile)
+	if err != nil {
+		return err
+	}
+	nodes, err := StartNodes(shards, configuration.Discovery, firstZone(configuration.Settings))
+	if err != nil {
+		return fmt.Errorf("nodes: %w", err)
+	}
+	defer nodes.Close()
+	configuration.Discovery = nodes.Discovery
+	options := gateway.Options{Config: configuration, Operator: operator, Log: log}
+	if err := options.Listen(); err != nil {
+		return err
+	}
+	printInstructions(w, options.Listener.Addr().String(), nodes, ruleFile != "")
+	return gateway.Serve(stop, options)
+}
+
+// configure reads the configuration and the rules.
+func configure(text []byte, ruleFile string) (*config.Config, *config.Operator, error) {
 	environment := map[string]string{}
 	if text == nil {
 		text = examples.Config()
 		environment = map[string]string{"BALANCER_LISTEN": freePort, "BALANCER_DISCOVERY": freePort}
 	}
-	c, err := config.Parse(text, func(name string) string { return environment[name] })
+	configuration, err := config.Parse(text, func(name string) string { return environment[name] })
 	if err != nil {
-		return fmt.Errorf("configuration: %w", err)
+		return nil, nil, fmt.Errorf("configuration: %w", err)
 	}
 	operator := config.DefaultOperator()
 	if ruleFile != "" {
-		if operator.Rules.Set, err = rules.Load(ruleFile, c.Settings); err != nil {
-			return err
+		operator.Rules.Set, err = rules.Load(ruleFile, configuration.Settings)
+		if err != nil {
+			return nil, nil, err
 		}
 	}
-	zone := ""
-	if len(c.Settings.Zones) > 0 {
-		zone = c.Settings.Zones[0]
-	}
-	nodes, err := StartNodes(shards, c.Discovery, zone)
-	if err != nil {
-		return fmt.Errorf("nodes: %w", err)
-	}
-	defer nodes.Close()
-	c.Discovery = nodes.Discovery
-	g := gateway.Options{Config: c, Operator: operator, Log: log}
-	if err := g.Listen(); err != nil {
-		return err
+	return configuration, operator, nil
+}
+
+// firstZone returns the zone in which the nodes are listed.
+func firstZone(settings scheduler.Settings) string {
+	if len(settings.Zones) == 0 {
+		return ""
 	}
-	at := g.Listener.Addr().String()
-	const curl = "curl -sS -w '\\n' "
-	const facts = "-H 'X-Qos-Policy: standard' -H 'X-Deadline: 1000m' -H 'X-Placement: units=1,shard=0,hosts=1' "
-	path := "http://" + at + "/api/00000003b4d60021/7f3a9c21e0b4d655"
-	fmt.Fprintf(w, "gateway   http://%s\ndiscovery http://%s\n", at, nodes.Discovery)
-	for i, dial := range nodes.Dials {
-		fmt.Fprintf(w, "node %d    http://%s\n", i, dial)
+	return settings.Zones[0]
+}
+
+// printInstructions writes the addresses and a command for each thing to try. The commands work as they are printed.
+func printInstructions(w io.Writer, gatewayAddress string, nodes *Nodes, withRules bool) {
+	const (
+		curl  = "curl -sS -w '\\n' "
+		facts = "-H 'X-Qos-Policy: standard' -H 'X-Deadline: 1000m' -H 'X-Placement: units=1,shard=0,hosts=1' "
+		body  = "-X PUT -d 'crew 7: 8 hours' "
+	)
+	gatewayURL := "http://" + gatewayAddress
+	fmt.Fprintf(w, "gateway   %s\ndiscovery http://%s\n", gatewayURL, nodes.Discovery)
+	for i, address := range nodes.Addresses {
+		fmt.Fprintf(w, "node %d    http://%s\n", i, address)
 	}
-	fmt.Fprintf(w, "\nwrite: %s-X PUT -d 'crew 7: 8 hours' -H 'X-Request-Id: 1' -H 'X-Class: entry-write' -H 'Idempotency-Key: 1' %s%s\n",
-		curl, facts, path)
-	fmt.Fprintf(w, "read:  %s-H 'X-Request-Id: 2' -H 'X-Class: sheet-read' %s%s\n", curl, facts, path)
-	if ruleFile != "" {
-		sheet := "http://" + at + "/api/bridge/sheets/7"
-		fmt.Fprintf(w, "old write: %s-X PUT -d 'crew 7: 8 hours' -H 'X-Project: bridge' -H 'Idempotency-Key: 2' %s\n", curl, sheet)
+	object := gatewayURL + "/api/00000003b4d60021/7f3a9c21e0b4d655"
+	fmt.Fprintf(w, "\nwrite: %s%s-H 'X-Request-Id: 1' -H 'X-Class: entry-write' -H 'Idempotency-Key: 1' %s%s\n",
+		curl, body, facts, object)
+	fmt.Fprintf(w, "read:  %s-H 'X-Request-Id: 2' -H 'X-Class: sheet-read' %s%s\n", curl, facts, object)
+	if withRules {
+		sheet := gatewayURL + "/api/bridge/sheets/7"
+		fmt.Fprintf(w, "old write: %s%s-H 'X-Project: bridge' -H 'Idempotency-Key: 2' %s\n", curl, body, sheet)
 		fmt.Fprintf(w, "old read:  %s-H 'X-Project: bridge' %s\n", curl, sheet)
 	}
-	fmt.Fprintf(w, "drain: %s-X POST http://%s/drain\n\nCtrl-C ends all of it.\n", curl, nodes.Dials[0])
-	return gateway.Serve(stop, g)
+	fmt.Fprintf(w, "drain: %s-X POST http://%s/drain\n\nCtrl-C ends all of it.\n", curl, nodes.Addresses[0])
 }
--- a/internal/demo/nodes.go
+++ b/internal/demo/nodes.go
@@ -1,93 +1,102 @@
-// Package demo is a small deployment within one process, to try the gateway with: storage nodes that keep pieces of
-// data in memory, and the discovery that lists them. It listens on loopback only.
 package demo
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 )
 
 const (
-	heartbeat = 2 * time.Second
-	mostBody  = 64 << 10
+	maxBodyBytes    = 64 << 10
+	shutdownTimeout = time.Second
 )
 
-// Nodes are storage nodes, each with a shard of its own, and their discovery. It owns their listeners and gives them
-// back in Close.
+// Nodes are storage nodes, each with a shard of its own, and their discovery. They share their objects. Nodes owns the
+// listeners and servers and ends them in Close.
 type Nodes struct {
-	Discovery string   // address
-	Dials     []string // addresses of the nodes, by shard
+	Discovery string   // address of discovery
+	Addresses []string // addresses of the nodes, by shard
 
 	mu       sync.Mutex
-	pieces   map[string][]byte
-	seq      int
-	draining []bool
-	changed  chan struct{} // closed at the next change of the list
+	objects  map[string][]byte // by path
+	seq      int               // version of the list of nodes
+	draining []bool            // by shard
+	changed  chan struct{}     // closed at the next change of the list
 	servers  []*http.Server
 }
 
-// StartNodes starts count nodes and discovery, which listens at an address of loopback.
+// StartNodes starts count nodes and their discovery, which listens at an address of loopback.
 func StartNodes(count int, discovery, zone string) (*Nodes, error) {
-	n := &Nodes{pieces: map[string][]byte{}, seq: 1, draining: make([]bool, count), changed: make(chan struct{})}
+	n := &Nodes{
+		objects:  map[string][]byte{},
+		seq:      1,
+		draining: make([]bool, count),
+		changed:  make(chan struct{}),
+	}
 	for shard := range count {
-		mux := http.NewServeMux()
-		mux.HandleFunc("GET /api/", n.read) // old clients' paths, too
-		mux.HandleFunc("PUT /api/", n.write)
-		mux.HandleFunc("GET /health", func(http.ResponseWriter, *http.Request) {})
-		mux.HandleFunc("POST /drain", func(http.ResponseWriter, *http.Request) { n.toggle(shard) })
-		at, err := n.serve("127.0.0.1:0", mux)
+		address, err := n.serve("127.0.0.1:0", n.nodeHandler(shard))
 		if err != nil {
 			return nil, errors.Join(err, n.Close())
 		}
-		n.Dials = append(n.Dials, at)
+		n.Addresses = append(n.Addresses, address)
 	}
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) { n.list(w, r, zone) })
 	var err error
-	if n.Discovery, err = n.serve(discovery, mux); err != nil {
+	n.Discovery, err = n.serve(discovery, n.discoveryHandler(zone))
+	if err != nil {
 		return nil, errors.Join(err, n.Close())
 	}
 	return n, nil
 }
 
-func (n *Nodes) serve(address string, h http.Handler) (at string, err error) {
-	l, err := net.Listen("tcp", address)
+// nodeHandler serves the objects, also under the paths of old clients, and the drain of one node.
+func (n *Nodes) nodeHandler(shard int) http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /api/", n.read)
+	mux.HandleFunc("PUT /api/", n.write)
+	mux.HandleFunc("GET /health", func(http.ResponseWriter, *http.Request) {})
+	mux.HandleFunc("POST /drain", func(http.ResponseWriter, *http.Request) { n.toggleDrain(shard) })
+	return mux
+}
+
+// serve starts a server on loopback and returns the address that it listens at.
+func (n *Nodes) serve(address string, handler http.Handler) (listening string, err error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", err
 	}
-	if host, ok := l.Addr().(*net.TCPAddr); !ok || !host.IP.IsLoopback() {
-		return "", errors.Join(fmt.Errorf("%s is not on loopback", address), l.Close())
+	if host, ok := listener.Addr().(*net.TCPAddr); !ok || !host.IP.IsLoopback() {
+		return "", errors.Join(fmt.Errorf("%s is not on loopback", address), listener.Close())
 	}
-	// A request ends with the server, watches too.
+	// Requests end with the server, long-lived watches too.
 	ctx, cancel := context.WithCancel(context.Background())
-	server := &http.Server{Handler: h, BaseContext: func(net.Listener) context.Context { return ctx }}
+	server := &http.Server{
+		Handler:     handler,
+		BaseContext: func(net.Listener) context.Context { return ctx },
+	}
 	server.RegisterOnShutdown(cancel)
 	n.servers = append(n.servers, server)
-	go server.Serve(l)
-	return l.Addr().String(), nil
+	go server.Serve(listener)
+	return listener.Addr().String(), nil
 }
 
-// Close ends nodes and discovery, and what is under way with them.
+// Close ends nodes and discovery, and the requests that are in flight there.
 func (n *Nodes) Close() error {
 	var errs []error
-	for _, s := range n.servers {
-		within, done := context.WithTimeout(context.Background(), time.Second)
-		errs = append(errs, s.Shutdown(within), s.Close())
-		done()
+	for _, server := range n.servers {
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+		errs = append(errs, server.Shutdown(ctx), server.Close())
+		cancel()
 	}
 	return errors.Join(errs...)
 }
 
-// toggle begins or ends a drain.
-func (n *Nodes) toggle(shard int) {
+// toggleDrain begins or ends the drain of a node.
+func (n *Nodes) toggleDrain(shard int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.draining[shard] = !n.draining[shard]
@@ -98,61 +107,21 @@
 
 func (n *Nodes) read(w http.ResponseWriter, r *http.Request) {
 	n.mu.Lock()
-	piece, ok := n.pieces[r.URL.Path]
+	object, ok := n.objects[r.URL.Path]
 	n.mu.Unlock()
 	if !ok {
 		http.Error(w, "no such piece", http.StatusInternalServerError)
 		return
 	}
-	w.Write(piece)
+	w.Write(object)
 }
 
 func (n *Nodes) write(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, mostBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
 	n.mu.Lock()
-	n.pieces[r.URL.Path] = body
+	n.objects[r.URL.Path] = body
 	n.mu.Unlock()
 }
-
-type host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-}
-
-// list gives the list of nodes and, to a watch, what becomes of it.
-func (n *Nodes) list(w http.ResponseWriter, r *http.Request, zone string) {
-	for {
-		n.mu.Lock()
-		seq, changed := n.seq, n.changed
-		hosts := make([]host, len(n.Dials))
-		for i, dial := range n.Dials {
-			hosts[i] = host{Host: "demo-" + strconv.Itoa(i), Dial: dial, Site: zone, Block: i, Health: "up", Share: 1}
-			if n.draining[i] {
-				hosts[i].Health = "draining"
-			}
-		}
-		n.mu.Unlock()
-		json.NewEncoder(w).Encode(map[string]any{"seq": seq, "whole": true, "hosts": hosts})
-		if r.FormValue("stream") == "" {
-			return
-		}
-		for waiting := true; waiting; {
-			w.(http.Flusher).Flush()
-			select {
-			case <-r.Context().Done():
-				return
-			case <-changed:
-				waiting = false
-			case <-time.After(heartbeat):
-				fmt.Fprintln(w)
-			}
-		}
-	}
-}
