--- a/cmd/reachpulley/main_test.go
+++ b/cmd/reachpulley/main_test.go
@@ -204,11 +204,11 @@
 	hear(`"msg":"serving"`)
 	write("here")
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	hear("not taken", "discovery: ")
+	hear("configuration rejected", "discovery: ")
 	write("127.0.0.1:2")
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	hear("discovery address changed", `"to":"127.0.0.1:2"`)
-	hear("new configuration taken")
+	hear("configuration reloaded")
 	syscall.Kill(os.Getpid(), syscall.SIGUSR2)
 	hear("capture written")
 	files, err := filepath.Glob(filepath.Join(captures, "*-asked.capture"))
@@ -236,7 +236,7 @@
 	}
 	// Another life goes on from what this one has learned.
 	lines = start()
-	hear("an earlier life's state was taken over")
+	hear("restored state from previous incarnation")
 	hear(`"msg":"serving"`)
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
 	hear(`"msg":"stopped"`)
--- /dev/null
+++ b/internal/gateway/assembly.go
@@ -0,0 +1,134 @@
+package gateway
+
+import (
+	"context"
+	"log/slog"
+	"sync"
+	"time"
+
+	"reachpulley/internal/contract/registry"
+	"reachpulley/internal/discovery"
+	"reachpulley/internal/eventloop"
+	"reachpulley/internal/frontend/h2frontend"
+	"reachpulley/internal/frontend/httpfrontend"
+	"reachpulley/internal/frontend/iscsitarget"
+	"reachpulley/internal/rules/engine"
+	"reachpulley/scheduler"
+)
+
+// gateway is the parts of one gateway.
+type gateway struct {
+	options          Options            // Config.Settings are those in force
+	platformSettings scheduler.Settings // without what the operator's file adds
+	log              *slog.Logger
+
+	sockets     socketBudget
+	clock       eventloop.Clock
+	discovery   *discovery.Client
+	conformance conformanceMonitor
+	backends    backends
+	recording   recording
+	loop        *eventloop.Loop
+	checkpoints *checkpointer // nil where warm restarts are off
+	rules       *engine.Engine
+	contracts   *registry.Registry
+
+	iscsiTarget  *iscsitarget.Target // nil where the iSCSI frontend is off
+	httpFrontend *httpfrontend.Frontend
+	h2Server     *h2frontend.Server // nil where HTTP/2 is off
+	httpServer   *httpfrontend.Server
+
+	goroutines sync.WaitGroup
+}
+
+// assemble builds the parts. ctx is the serving context. The package documentation explains the order.
+func assemble(ctx context.Context, options Options) (*gateway, error) {
+	platformSettings := options.Config.Settings
+	inForce := *options.Config
+	inForce.Settings = options.Operator.Settings(platformSettings)
+	options.Config = &inForce
+
+	g := &gateway{options: options, platformSettings: platformSettings, log: options.Log}
+	var err error
+	if g.sockets, err = divideSockets(inForce.Limits.Sockets, options.Operator); err != nil {
+		return nil, err
+	}
+	g.clock = eventloop.NewClock()
+	g.discovery = g.newDiscovery(ctx)
+	g.conformance = g.newConformanceMonitor()
+	g.backends = g.newBackends()
+	if g.recording, err = g.newRecording(); err != nil {
+		return nil, err
+	}
+	if g.loop, err = g.newLoop(); err != nil {
+		return nil, err
+	}
+	if g.checkpoints = g.newCheckpointer(); g.checkpoints != nil {
+		g.checkpoints.restore()
+	}
+	g.conformance.NotifyRestored()
+	if g.rules, err = g.newRuleEngine(); err != nil {
+		return nil, err
+	}
+	if g.contracts, err = g.newContractRegistry(); err != nil {
+		return nil, err
+	}
+	if g.iscsiTarget, err = g.newISCSITarget(); err != nil {
+		return nil, err
+	}
+	if cached := inForce.CachedList; cached != nil {
+		g.discovery.Seed(cached)
+	}
+	g.httpFrontend = g.newHTTPFrontend()
+	if g.h2Server, err = g.newH2Server(); err != nil {
+		return nil, err
+	}
+	g.httpServer = g.newHTTPServer()
+	return g, nil
+}
+
+func (g *gateway) newDiscovery(ctx context.Context) *discovery.Client {
+	return discovery.New(ctx, discovery.Options{
+		Address:         g.options.Config.Discovery,
+		Zones:           g.options.Config.Settings.Zones,
+		ResponseTimeout: agentResponseTimeout(g.options.Config.Settings),
+		ClockTime:       g.clock.AtUnixMilli,
+		Notify:          func(m scheduler.Membership) { g.loop.MembershipChanged(m) },
+		Dial:            g.options.Dial,
+		Log:             g.log,
+	})
+}
+
+// agentResponseTimeout is how long a discovery agent on the same machine may take to respond. It normally responds at
+// once, and a list that it holds when it recovers from silence counts as announced at that moment. So a call that it
+// leaves unanswered has to end within a part of the time that a drain leaves. 0: discovery is not such an agent.
+func agentResponseTimeout(settings scheduler.Settings) time.Duration {
+	if !settings.LocalAgent {
+		return 0
+	}
+	return settings.Rules.DrainGrace / 2
+}
+
+func (g *gateway) newLoop() (*eventloop.Loop, error) {
+	loop, err := eventloop.New(eventloop.Options{
+		Settings:   g.options.Config.Settings,
+		Seed:       g.options.Config.Seed,
+		Clock:      g.clock,
+		Backend:    g.backends,
+		Membership: g.discovery,
+		Capture:    g.recording.options,
+		Log:        g.log,
+	})
+	if err != nil {
+		return nil, &ConfigError{Key: "settings", Err: err}
+	}
+	return loop, nil
+}
+
+func (g *gateway) newRuleEngine() (*engine.Engine, error) {
+	rules := engine.New(g.log)
+	if err := rules.Swap(g.options.Operator.Rules.Set, g.options.Operator.Rules.ShadowSet); err != nil {
+		return nil, &ConfigError{Key: "rules", Err: err}
+	}
+	return rules, nil
+}
--- /dev/null
+++ b/internal/gateway/contracts.go
@@ -0,0 +1,64 @@
+package gateway
+
+import (
+	"context"
+	"sync"
+
+	"reachpulley/internal/config"
+	"reachpulley/internal/contract/conformance"
+	"reachpulley/internal/contract/registry"
+	"reachpulley/internal/filesystem"
+	"reachpulley/scheduler"
+)
+
+// newContractRegistry makes the registry of operations, with the descriptions of the operator's file in force.
+func (g *gateway) newContractRegistry() (*registry.Registry, error) {
+	settings := &g.options.Operator.Contracts
+	contracts, err := registry.New(settings.Options(), g.log)
+	if err != nil {
+		return nil, &ConfigError{Key: "contracts", Err: err}
+	}
+	contracts.Swap(settings.Catalog, rejectsUndescribed(settings))
+	return contracts, nil
+}
+
+func rejectsUndescribed(settings *config.Contracts) bool {
+	return settings.Undescribed == config.RejectUndescribed
+}
+
+// conformanceMonitor checks what nodes do against their descriptions, and keeps the distrust that follows from it.
+type conformanceMonitor struct {
+	*conformance.Observer
+	store *conformance.Store // nil: distrust records are not stored
+}
+
+// newConformanceMonitor makes the monitor, with the distrust records of the previous incarnation where they were stored.
+// The loop is notified of those by NotifyRestored.
+func (g *gateway) newConformanceMonitor() conformanceMonitor {
+	settings := &g.options.Operator.Contracts
+	options := conformance.Options{
+		Sample:         settings.Sample,
+		MaxRestriction: settings.MaxRestriction(),
+		Notify:         func(r scheduler.Restriction) { g.loop.Restrict(r) },
+		Log:            g.log,
+	}
+	if settings.DistrustFile == "" {
+		return conformanceMonitor{Observer: conformance.New(options, nil, 0)}
+	}
+	store := conformance.NewStore(filesystem.OS{}, settings.DistrustFile, g.log)
+	records, age := store.Load()
+	options.Save = store.Save
+	return conformanceMonitor{Observer: conformance.New(options, records, age), store: store}
+}
+
+// run runs the observer and the store until ctx ends. The store ends last, so that what the observer saved is written.
+func (m conformanceMonitor) run(ctx context.Context) {
+	observed, endObserved := context.WithCancel(context.Background())
+	var storing sync.WaitGroup
+	if m.store != nil {
+		storing.Go(func() { m.store.Run(observed) })
+	}
+	m.Observer.Run(ctx)
+	endObserved()
+	storing.Wait()
+}
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -188,7 +188,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			log := play(t, script, nil, scenariotest.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Qos-Policy"}})
-			if strings.Contains(name, "other classes") && !strings.Contains(log, "they wait for the next one") {
+			if strings.Contains(name, "other classes") && !strings.Contains(log, errCatalogChanged.Error()) {
 				t.Error(log)
 			}
 			if strings.HasPrefix(name, "what nothing describes is never") && !strings.Contains(log, `"path":"/other`) {
--- /dev/null
+++ b/internal/gateway/doc.go
@@ -0,0 +1,53 @@
+// Package gateway assembles a whole gateway and runs it: listeners, frontends, event loop, backends and discovery.
+// Programs, tests and tools start as many as they want within one process.
+//
+// [Serve] does three things, each in a file of its own: assemble (assembly.go) builds the parts, start (run.go) runs
+// them, and drain or abort (shutdown.go) ends them. A change of the configuration while the gateway runs is the
+// reloader's (reload.go).
+//
+// # Order of construction
+//
+// The order of the constructors in assemble matters:
+//
+//   - Sockets are divided first. A configuration that leaves too few is an error before anything has been opened.
+//   - Discovery and the conformance monitor come before the event loop and report to it. That is safe because neither
+//     does anything before the loop exists: discovery waits for the scheduler's Watch, the monitor for observations.
+//   - The learned state of the previous incarnation is restored by the first event that is posted to the loop, as the
+//     scheduler expects it before any other.
+//   - The restrictions that follow from distrust of the previous incarnation are the next events, before the list of
+//     nodes and before any request, so that no request goes to a node that was avoided.
+//   - The cached list of nodes follows, so that the first request finds nodes while discovery is still being called.
+//   - The frontends come last: what they hand requests to is complete by then.
+//
+// # Contexts
+//
+// The context that is passed to [Serve] only asks for a graceful shutdown. It is the parent of none of the others, as
+// requests are served for some time after it has ended.
+//
+// The serving context is canceled once the frontends have ended. It ends the loop, which fails what is still pending;
+// the backends, which close their idle connections; discovery's calls; and the reloader. So a reload takes effect
+// during a drain too: discovery may move, and drains of nodes are still followed.
+//
+// The recording context is canceled when the loop has returned. What writes the loop's output (segments, triggered
+// captures, checkpoints) ends with it, after a last write of what the loop left.
+//
+// # Order of start
+//
+// The loop is started first: everything else posts to it. The frontends are started last, with the one for HTTP first,
+// as the end of its server ends the gateway.
+//
+// # Order of shutdown
+//
+// On a planned stop:
+//
+//  1. Every HTTP response is the last of its connection, and HTTP/2 clients receive the first GOAWAY.
+//  2. The listeners stay open for the notice period. Clients learn of a planned stop a moment later, and until then they
+//     are served as before, over new connections too.
+//  3. The listeners of iSCSI and HTTP/2 are closed, and these frontends shut down beside the HTTP server. All of them
+//     answer what they have accepted, within one common drain timeout.
+//  4. The serving context is canceled: nothing can be pending any more for a client that is still connected.
+//  5. When the loop has returned, the last records and the last checkpoint are written, and all goroutines are joined.
+//
+// Where the HTTP server fails, steps 1 to 3 are replaced: the other frontends are ended at once. A gateway that cannot
+// serve HTTP must exit, so that whoever supervises the process starts it anew.
+package gateway
--- /dev/null
+++ b/internal/gateway/frontends.go
@@ -0,0 +1,89 @@
+package gateway
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sync/atomic"
+
+	"reachpulley/internal/config"
+	"reachpulley/internal/frontend/h2frontend"
+	"reachpulley/internal/frontend/httpfrontend"
+	"reachpulley/internal/frontend/iscsitarget"
+	"reachpulley/internal/scsihttp"
+)
+
+func (g *gateway) newHTTPFrontend() *httpfrontend.Frontend {
+	return httpfrontend.New(httpfrontend.Options{
+		Settings:  g.options.Config.Settings,
+		Loop:      g.loop,
+		Rules:     g.rules,
+		Contracts: g.contracts,
+		Plan:      g.options.Operator.Contracts.Plan,
+		NewID:     newRequestIDs(),
+		Log:       g.log,
+	})
+}
+
+func (g *gateway) newHTTPServer() *httpfrontend.Server {
+	maxHeaderBytes := g.options.Operator.Rules.Head
+	return httpfrontend.NewServer(g.httpFrontend, g.options.Listener, g.sockets.clients, maxHeaderBytes, g.log)
+}
+
+// newH2Server makes the server for HTTP/2, which hands its requests to the HTTP frontend; nil where HTTP/2 is off.
+func (g *gateway) newH2Server() (*h2frontend.Server, error) {
+	h2c := g.options.Operator.H2C
+	if !h2c.Enabled {
+		return nil, nil
+	}
+	server, err := h2frontend.New(h2frontend.Options{
+		Carrier:        g.httpFrontend,
+		Admission:      h2c.Admission(),
+		Seed:           g.options.Config.Seed,
+		MaxHeaderBytes: h2c.Head,
+		Log:            g.log,
+	})
+	if err != nil {
+		return nil, &ConfigError{Key: "h2c", Err: err}
+	}
+	return server, nil
+}
+
+// newISCSITarget makes the iSCSI frontend; nil where it is off. Before nodes that speak HTTP it translates commands by
+// an API description.
+func (g *gateway) newISCSITarget() (*iscsitarget.Target, error) {
+	iscsi := g.options.Operator.ISCSI
+	if iscsi == nil {
+		return nil, nil
+	}
+	settings := g.options.Config.Settings
+	var translator iscsitarget.Translator = iscsitarget.Native{}
+	if iscsi.Nodes == config.NodesHTTP {
+		loaded, err := scsihttp.Load(iscsi.Description, settings)
+		if err != nil {
+			return nil, &ConfigError{Key: "iscsi.description", Err: err}
+		}
+		translator = loaded
+	}
+	return iscsitarget.New(iscsitarget.Options{
+		Name:       iscsi.Target,
+		Units:      iscsi.Units,
+		Classes:    settings.Classes,
+		Plans:      settings.Plans,
+		Rules:      g.rules,
+		Contracts:  g.contracts,
+		Sessions:   iscsi.Sessions,
+		Depth:      iscsi.Depth,
+		Loop:       g.loop,
+		Translator: translator,
+		NewID:      newRequestIDs(),
+		Log:        g.log,
+	}), nil
+}
+
+// newRequestIDs returns a generator of request IDs: a random prefix, which keeps them apart from those of another
+// frontend or incarnation, and a counter.
+func newRequestIDs() func() string {
+	prefix := rand.Uint32()
+	var count atomic.Uint32
+	return func() string { return fmt.Sprintf("%08x%08x", prefix, count.Add(1)) }
+}
--- /dev/null
+++ b/internal/gateway/limits.go
@@ -0,0 +1,72 @@
+package gateway
+
+import (
+	"fmt"
+	"math"
+	"runtime"
+	"runtime/debug"
+
+	"reachpulley/internal/config"
+)
+
+// How memory is divided.
+const (
+	heapShare = 0.7 // of the memory limit; the rest is for stacks, the program itself and garbage
+	// Share of the memory limit that may be allocated between two collections, which cost a part of a core dearly.
+	allocationShare = 0.2
+	minHeapMB       = 4     // what the runtime takes a heap for at least, times GOGC/100
+	maxGCPercent    = 400   // GOGC
+	responseShare   = 0.125 // of the memory limit, for long responses that are being read from nodes
+)
+
+// How sockets are divided.
+const (
+	reservedSockets   = 48  // for listeners, discovery, the standard streams and the runtime
+	iscsiNodeSessions = 64  // iSCSI sessions with nodes
+	minHTTPSockets    = 48  // that have to be left for the HTTP frontend and backend
+	clientShare       = 0.6 // of the sockets for HTTP; clients' idle connections count too
+)
+
+// Bound sets what the Go runtime may use, for the whole process.
+func Bound(limits config.Limits) {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(limits.Cores))))
+	debug.SetGCPercent(gcPercent(limits.MemoryMB))
+	debug.SetMemoryLimit(int64(heapShare * float64(limits.MemoryMB) * (1 << 20)))
+}
+
+// gcPercent is GOGC for a memory limit. The heap in use is small, so it is the runtime's minimum heap that counts.
+func gcPercent(memoryMB int) int {
+	return min(maxGCPercent, max(100, int(100*allocationShare*float64(memoryMB)/minHeapMB)))
+}
+
+// socketBudget is how many sockets the HTTP frontend and the HTTP backend may use.
+type socketBudget struct {
+	clients int
+	nodes   int
+}
+
+// divideSockets takes what the other parts may use from the limit and divides the rest.
+func divideSockets(limit int, operator *config.Operator) (socketBudget, error) {
+	available := limit - reservedSockets
+	if iscsi := operator.ISCSI; iscsi != nil {
+		available -= 2 * iscsi.Sessions // a session that is rejected has a socket too
+		if iscsi.Nodes == config.NodesISCSI {
+			available -= iscsiNodeSessions
+		}
+		if available < minHTTPSockets {
+			return socketBudget{}, tooFewSockets("iscsi.sessions", iscsi.Sessions)
+		}
+	}
+	if h2c := operator.H2C; h2c.Enabled {
+		available -= h2c.Connections
+		if available < minHTTPSockets {
+			return socketBudget{}, tooFewSockets("h2c.connections", h2c.Connections)
+		}
+	}
+	clients := int(clientShare * float64(available))
+	return socketBudget{clients: clients, nodes: available - clients}, nil
+}
+
+func tooFewSockets(key string, value int) error {
+	return &ConfigError{Key: key, Err: fmt.Errorf("%d leave too few sockets for the HTTP frontend", value)}
+}
--- /dev/null
+++ b/internal/gateway/options.go
@@ -0,0 +1,75 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"os"
+
+	"reachpulley/internal/config"
+)
+
+// Options are what a gateway is assembled from. The gateway owns the listeners; its frontends close them.
+type Options struct {
+	Config        *config.Config
+	Operator      *config.Operator
+	Listener      net.Listener
+	ISCSIListener net.Listener // nil where the iSCSI frontend is off
+	H2CListener   net.Listener // nil where HTTP/2 is off
+	Log           *slog.Logger
+
+	Dial func(ctx context.Context, network, address string) (net.Conn, error) // nil: the network
+
+	Reloads  <-chan os.Signal // each asks for a reload
+	Captures <-chan os.Signal // each asks for a capture of what was recorded
+
+	// Reload reads and checks the whole configuration.
+	Reload func() (*config.Config, *config.Operator, error)
+}
+
+// ConfigError is a fault of the configuration that keeps a gateway from starting or from reloading.
+type ConfigError struct {
+	Key string // the key at fault
+	Err error
+}
+
+// Error returns the key and what is wrong with it.
+func (e *ConfigError) Error() string { return e.Key + ": " + e.Err.Error() }
+
+// Unwrap returns what is wrong with the key.
+func (e *ConfigError) Unwrap() error { return e.Err }
+
+// Listen opens the addresses that are configured and sets the listeners of o. On an error none stays open.
+func (o *Options) Listen() error {
+	type endpoint struct {
+		key      string
+		address  string
+		listener *net.Listener
+	}
+	endpoints := []endpoint{{"listen", o.Config.Listen, &o.Listener}}
+	if iscsi := o.Operator.ISCSI; iscsi != nil {
+		endpoints = append(endpoints, endpoint{"iscsi.listen", iscsi.Listen, &o.ISCSIListener})
+	}
+	if h2c := o.Operator.H2C; h2c.Enabled {
+		endpoints = append(endpoints, endpoint{"h2c.listen", h2c.Listen, &o.H2CListener})
+	}
+	var opened []net.Listener
+	for _, e := range endpoints {
+		listener, err := net.Listen("tcp", e.address)
+		if err != nil {
+			return errors.Join(&ConfigError{Key: e.key, Err: err}, closeAll(opened))
+		}
+		*e.listener = listener
+		opened = append(opened, listener)
+	}
+	return nil
+}
+
+func closeAll(listeners []net.Listener) error {
+	var errs []error
+	for _, l := range listeners {
+		errs = append(errs, l.Close())
+	}
+	return errors.Join(errs...)
+}
--- /dev/null
+++ b/internal/gateway/recording.go
@@ -0,0 +1,56 @@
+package gateway
+
+import (
+	"runtime/debug"
+	"time"
+
+	"reachpulley/internal/capture"
+	"reachpulley/internal/capture/segment"
+	"reachpulley/internal/capture/trigger"
+	"reachpulley/internal/filesystem"
+)
+
+// recording is how the loop's events and actions are recorded.
+type recording struct {
+	options  capture.Options
+	segments *segment.Writer // nil where nothing is written to disk continuously
+	files    *captureFiles
+}
+
+func (g *gateway) newRecording() (recording, error) {
+	settings := &g.options.Operator.Capture
+	files := g.newCaptureFiles()
+	options := capture.Options{
+		Program:  programVersion(),
+		MaxBytes: settings.Memory << 10,
+		OnCrash:  files.saveCrash,
+	}
+	if len(settings.Triggers) > 0 {
+		options.Triggers = trigger.New(settings.TriggerRules(), g.options.Config.Settings)
+		options.OnTrigger = files.enqueueTriggered
+	}
+	if settings.Memory == 0 || settings.Disk == 0 {
+		return recording{options: options, files: files}, nil
+	}
+	segments, err := segment.New(segment.Options{
+		FS:        filesystem.OS{},
+		Directory: settings.Directory,
+		Names:     segment.NamesOf(g.options.Config.Name),
+		Limits:    settings.Limits(),
+		Now:       time.Now,
+		Log:       g.log,
+	})
+	if err != nil {
+		return recording{}, &ConfigError{Key: "capture.directory", Err: err}
+	}
+	options.Sink = segments
+	return recording{options: options, segments: segments, files: files}, nil
+}
+
+// programVersion returns the version that the build recorded.
+func programVersion() string {
+	if info, ok := debug.ReadBuildInfo(); ok {
+		return info.Main.Version
+	}
+	return "unknown"
+}
