--- a/internal/capture/hash.go
+++ b/internal/capture/hash.go
@@ -11,104 +11,114 @@
 	"reachpulley/scheduler"
 )
 
-// LeastKey is the length of a key for Hash, in bytes, below which names could be found by trying all keys.
-const LeastKey = 16
+// MinHashKey is the minimum length of a key for Hash in bytes. With a shorter one, names could be found by trying
+// all keys.
+const MinHashKey = 16
 
-// hashedName is how many hex digits stand for a name: two of a million names share them once in 300 million captures.
-const hashedName = 24
+// hashLength is the number of hex digits that stand for a name. Two of a million names share them once in 300 million
+// captures.
+const hashLength = 24
 
-// hasher replaces names by keyed hashes (HMAC, RFC 2104, with SHA-256), the same one for the same name. Each kind of name has hashes of its own, so that a volume
-// and a key of one name can't be told to be one.
-type hasher struct{ key []byte }
-
-func (h hasher) name(kind, name string) string {
-	if name == "" {
-		return ""
-	}
-	mac := hmac.New(sha256.New, h.key)
-	io.WriteString(mac, kind+"\x00"+name)
-	return hex.EncodeToString(mac.Sum(nil))[:hashedName]
-}
-
-func (h hasher) id(name string) string     { return h.name("id", name) }
-func (h hasher) volume(name string) string { return h.name("volume", name) }
-func (h hasher) data(name string) string   { return h.name("key", name) }
-
-// Hash copies a capture with its ids, volumes and keys replaced by keyed hashes. Nodes keep their names. No decision goes by the order or content of a
-// name, so the copy replays as the original does; the order in which snapshots list volumes and keys follows the new names.
-func Hash(c *Reader, key []byte) ([]byte, error) {
-	if len(key) < LeastKey {
-		return nil, fmt.Errorf("the key has %d bytes, less than %d", len(key), LeastKey)
+// Hash returns a copy of a capture in which IDs, volumes and keys are replaced by keyed hashes. Nodes keep their
+// names. No decision depends on the order or the content of a hashed name, so the copy replays as the original
+// does. Only the order in which snapshots list volumes and keys follows the new names.
+func Hash(r *Reader, key []byte) ([]byte, error) {
+	if len(key) < MinHashKey {
+		return nil, fmt.Errorf("the key has %d bytes, less than %d", len(key), MinHashKey)
 	}
 	h := hasher{key}
 	var records []Record
 	for {
-		r, err := c.Next()
+		record, err := r.Next()
 		if errors.Is(err, io.EOF) {
-			return Compress(c.Head, records)
+			return Compress(r.Head, records)
 		}
 		if err != nil {
 			return nil, err
 		}
-		if err := h.record(r, c.Head.Settings); err != nil {
+		if err := h.hashRecord(record, r.Head.Settings); err != nil {
 			return nil, err
 		}
-		records = append(records, *r)
+		records = append(records, *record)
 	}
 }
 
-func (h hasher) record(r *Record, settings scheduler.Settings) error {
+// hasher replaces names by keyed hashes (HMAC, RFC 2104, with SHA-256): the same name by the same hash. Each kind
+// of name has its own hashes, so that a volume and a key with the same name can't be recognized as such.
+type hasher struct{ key []byte }
+
+func (h hasher) hash(kind, name string) string {
+	if name == "" {
+		return ""
+	}
+	mac := hmac.New(sha256.New, h.key)
+	io.WriteString(mac, kind+"\x00"+name)
+	return hex.EncodeToString(mac.Sum(nil))[:hashLength]
+}
+
+func (h hasher) id(name string) string      { return h.hash("id", name) }
+func (h hasher) volume(name string) string  { return h.hash("volume", name) }
+func (h hasher) dataKey(name string) string { return h.hash("key", name) }
+
+// hashRecord replaces the names in a record.
+func (h hasher) hashRecord(r *Record, settings scheduler.Settings) error {
 	if r.ID != "" {
 		r.ID = h.id(r.ID)
 	}
 	if r.Request != nil {
-		h.request(r.Request)
+		h.hashRequest(r.Request)
 	}
 	if r.Outcome != nil {
 		r.Outcome.ID = h.id(r.Outcome.ID)
 	}
 	if r.Learned != nil {
-		h.learned(r.Learned)
+		h.hashLearned(r.Learned)
 	}
 	if r.State == nil {
 		return nil
 	}
-	state, err := h.state(r.State, settings)
+	state, err := h.hashState(r.State, settings)
 	r.State = state
 	return err
 }
 
-func (h hasher) request(q *scheduler.Request) {
-	q.ID, q.Volume, q.Key = h.id(q.ID), h.volume(q.Volume), h.data(q.Key)
+func (h hasher) hashRequest(request *scheduler.Request) {
+	request.ID = h.id(request.ID)
+	request.Volume = h.volume(request.Volume)
+	request.Key = h.dataKey(request.Key)
 }
 
-func (h hasher) learned(l *scheduler.LearnedState) {
-	for i := range l.Volumes {
-		l.Volumes[i].Name = h.volume(l.Volumes[i].Name)
+func (h hasher) hashLearned(learned *scheduler.LearnedState) {
+	for i := range learned.Volumes {
+		learned.Volumes[i].Name = h.volume(learned.Volumes[i].Name)
 	}
-	for i := range l.Keys {
-		l.Keys[i].Key = h.data(l.Keys[i].Key)
+	for i := range learned.Keys {
+		learned.Keys[i].Key = h.dataKey(learned.Keys[i].Key)
 	}
 }
 
-// state gives a state with other names, its parts in the order that it has with them: a Scheduler that goes on from it says which.
-func (h hasher) state(s *scheduler.Snapshot, settings scheduler.Settings) (*scheduler.Snapshot, error) {
-	for i := range s.Volumes {
-		s.Volumes[i].Name = h.volume(s.Volumes[i].Name)
+// hashState replaces the names in a state and returns it with its parts in the order that the new names give them. A
+// Scheduler that is resumed from the state puts them in that order.
+func (h hasher) hashState(state *scheduler.Snapshot, settings scheduler.Settings) (*scheduler.Snapshot, error) {
+	for i := range state.Volumes {
+		state.Volumes[i].Name = h.volume(state.Volumes[i].Name)
 	}
-	for i := range s.Requests {
-		h.request(&s.Requests[i].Request)
+	for i := range state.Requests {
+		h.hashRequest(&state.Requests[i].Request)
 	}
-	for i := range s.OrderedKeys {
-		s.OrderedKeys[i].Key = h.data(s.OrderedKeys[i].Key)
+	for i := range state.OrderedKeys {
+		state.OrderedKeys[i].Key = h.dataKey(state.OrderedKeys[i].Key)
 	}
-	for i := range s.Rejected {
-		s.Rejected[i].Volume, s.Rejected[i].Key = h.volume(s.Rejected[i].Volume), h.data(s.Rejected[i].Key)
+	for i := range state.Rejected {
+		rejected := &state.Rejected[i]
+		rejected.Volume = h.volume(rejected.Volume)
+		rejected.Key = h.dataKey(rejected.Key)
 	}
-	h.learned(&s.Restored)
-	one, err := scheduler.Resume(settings, s, actionRecorder{func(Record) {}})
+	h.hashLearned(&state.Restored)
+	discard := RecordActions(func(Record) {})
+	resumed, err := scheduler.Resume(settings, state, discard)
 	if err != nil {
 		return nil, err
 	}
-	return one.Snapshot(), nil
+	return resumed.Snapshot(), nil
 }
--- a/internal/capture/hash_test.go
+++ b/internal/capture/hash_test.go
@@ -6,47 +6,44 @@
 	"testing"
 )
 
-// A capture whose names are hashed replays to the byte, tells no name, and is the same each time it is made.
-func TestHash(t *testing.T) {
+// A capture whose names are hashed can be replayed, contains none of the names, and is the same each time it is made.
+func TestHashedCaptureReplaysAndHidesNames(t *testing.T) {
+	key := []byte("a key of sixteen")
 	for seed := range uint64(5) {
-		original := captured(t, day(t, seed, 2500, 300_000))
-		key := []byte("a key of sixteen")
+		original := recordFile(t, seed, 2500, 300_000)
 		hash := func(key []byte) []byte {
-			c, err := NewReader(bytes.NewReader(original))
+			hashed, err := Hash(openFile(t, original), key)
 			if err != nil {
 				t.Fatal(err)
 			}
-			out, err := Hash(c, key)
-			if err != nil {
-				t.Fatal(err)
-			}
-			return out
+			return hashed
 		}
 		hashed := hash(key)
-		n, err := replay(hashed)
-		if want, _ := replay(original); err != nil || n != want {
-			t.Errorf("seed %d: %d of %d events, %v", seed, n, want, err)
+		events, err := replayFile(hashed)
+		if want, _ := replayFile(original); err != nil || events != want {
+			t.Errorf("seed %d: %d of %d events, %v", seed, events, want, err)
 		}
 		if !bytes.Equal(hashed, hash(key)) || bytes.Equal(hashed, hash([]byte("another key, too"))) {
-			t.Error("hashes do not follow from the key")
+			t.Error("the hashes do not follow from the key")
 		}
-		_, all := records(t, hashed)
-		for _, r := range all {
-			if r.Request != nil && (strings.HasPrefix(r.Request.Volume, "v") || len(r.Request.ID) != hashedName || r.Request.Volume == r.Request.Key) {
-				t.Fatalf("%+v", r.Request)
+		_, records := readFile(t, hashed)
+		for _, record := range records {
+			request := record.Request
+			if request == nil {
+				continue
+			}
+			if strings.HasPrefix(request.Volume, "v") || len(request.ID) != hashLength ||
+				request.Volume == request.Key {
+				t.Fatalf("%+v", request)
 			}
 		}
 	}
-	c, err := NewReader(bytes.NewReader(captured(t, day(t, 1, 20, 1<<20))))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := Hash(c, []byte("short")); err == nil {
-		t.Error("a short key was taken")
+	if _, err := Hash(openFile(t, recordFile(t, 1, 20, 1<<20)), []byte("short")); err == nil {
+		t.Error("a short key was accepted")
 	}
 }
 
-// BenchmarkHash is what one name costs.
+// BenchmarkHash measures the hash of one name.
 func BenchmarkHash(b *testing.B) {
 	h := hasher{[]byte("a key of sixteen")}
 	for b.Loop() {
--- /dev/null
+++ b/internal/capture/player.go
@@ -0,0 +1,203 @@
+package capture
+
+import (
+	"errors"
+	"fmt"
+	"io"
+
+	"reachpulley/scheduler"
+)
+
+// Step is an event of a capture with the actions that were recorded for it.
+type Step struct {
+	Number  uint64 // number of the event since the Recorder's start, from 0
+	Event   *Record
+	Actions []Record // as recorded
+	// From is the state before the event, if it was taken from the capture: at its beginning and after a gap. Otherwise
+	// it is nil.
+	From *scheduler.Snapshot
+}
+
+// Player replays a capture event by event on a Scheduler of this build.
+type Player struct {
+	// Gaps and Lost count the gaps so far and the records that were lost in them.
+	Gaps int
+	Lost int
+
+	reader    *Reader
+	pending   *Record // read ahead of its use; nil: none
+	scheduler *scheduler.Scheduler
+	from      *scheduler.Snapshot // the snapshot that the next event is replayed from; nil: it follows another event
+	replayed  []Record            // actions of the last event
+	played    int                 // events so far
+	number    uint64              // number of the next event
+	before    []Record            // the last events, for a Difference
+}
+
+// NewPlayer returns a Player that begins with the next record of a Reader. A replay must be able to begin there.
+func NewPlayer(r *Reader) *Player { return &Player{reader: r} }
+
+// Scheduler returns the Scheduler in its state after the last step.
+func (p *Player) Scheduler() *scheduler.Scheduler { return p.scheduler }
+
+// Next replays the next event. It compares the actions with the recorded ones and the states with recorded snapshots,
+// byte for byte; of a log line it compares the place among the actions but not the text.
+//
+// The error is io.EOF at the end of the capture and a *Difference if the replay differs. Any other error says where the
+// capture can't be read any further.
+func (p *Player) Next() (*Step, error) {
+	event, err := p.nextEvent()
+	if err != nil {
+		return nil, err
+	}
+	p.pending = nil
+	if p.scheduler == nil {
+		return nil, errNoSnapshot
+	}
+	step := &Step{Number: p.number, Event: event, From: p.from}
+	p.from = nil
+	p.played++
+	p.number++
+	p.replayed = p.replayed[:0]
+	if err := Apply(p.scheduler, event); err != nil {
+		return nil, fmt.Errorf("event %d: %w", step.Number, err)
+	}
+	if err := p.readActions(step); err != nil {
+		return step, err
+	}
+	err = p.compare(step)
+	p.before = append(p.before, *event)
+	if len(p.before) > maxEventsBefore {
+		p.before = p.before[1:]
+	}
+	return step, err
+}
+
+// Upcoming returns the number of the event that Next will replay. Scheduler then has the state before that event.
+func (p *Player) Upcoming() (uint64, error) {
+	_, err := p.nextEvent()
+	if err == nil && p.scheduler == nil {
+		err = errNoSnapshot
+	}
+	return p.number, err
+}
+
+var errNoSnapshot = fmt.Errorf("%w: no snapshot before the first event", ErrDamaged)
+
+// nextEvent reads gaps, notes and snapshots up to the next event, which stays pending.
+func (p *Player) nextEvent() (*Record, error) {
+	for {
+		record, err := p.read()
+		switch {
+		case err != nil:
+			return nil, err
+		case record.Kind.IsEvent():
+			p.pending = record
+			return record, nil
+		case record.Kind == KindGap:
+			p.gap(record.Lost)
+		case record.Kind == KindNote:
+		case record.Kind == KindSnapshot && record.State != nil:
+			if err := p.snapshot(record); err != nil {
+				return nil, err
+			}
+		default:
+			return nil, fmt.Errorf("%w: a %s that belongs to no event", ErrDamaged, record.Kind)
+		}
+	}
+}
+
+// read returns the pending record, or else the next one of the capture.
+func (p *Player) read() (*Record, error) {
+	if p.pending == nil {
+		return p.reader.Next()
+	}
+	record := p.pending
+	p.pending = nil
+	return record, nil
+}
+
+// readActions reads the recorded actions of a step. The record after them stays pending.
+func (p *Player) readActions(step *Step) error {
+	for {
+		record, err := p.read()
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		if !record.Kind.isAction() {
+			p.pending = record
+			return nil
+		}
+		step.Actions = append(step.Actions, *record)
+	}
+}
+
+// gap notes that records are missing. The replay goes on at the next snapshot.
+func (p *Player) gap(lost int) {
+	p.Gaps++
+	p.Lost += lost
+	p.scheduler = nil
+}
+
+// snapshot takes a recorded snapshot: the replay either resumes from it or must have reached the same state.
+func (p *Player) snapshot(recorded *Record) error {
+	if p.scheduler != nil && recorded.Key > p.number { // a segment in between is missing
+		p.gap(int(recorded.Key - p.number))
+	}
+	if p.scheduler == nil {
+		return p.resume(recorded)
+	}
+	if recorded.Key < p.number {
+		return fmt.Errorf("%w: after event %d stands what was before event %d", ErrDamaged, p.number, recorded.Key)
+	}
+	reached := &Record{
+		Kind:  KindSnapshot,
+		At:    recorded.At,
+		Key:   recorded.Key,
+		State: p.scheduler.Snapshot(),
+	}
+	if !sameRecord(reached, recorded) {
+		return p.difference(p.number, recorded, recorded, reached)
+	}
+	return nil
+}
+
+// resume makes a Scheduler from a recorded snapshot.
+func (p *Player) resume(recorded *Record) error {
+	record := func(action Record) { p.replayed = append(p.replayed, action) }
+	resumed, err := scheduler.Resume(p.reader.Head.Settings, recorded.State, RecordActions(record))
+	p.scheduler = resumed
+	p.number = recorded.Key
+	p.from = recorded.State
+	return err
+}
+
+// compare compares the actions of the replay with those that were recorded.
+func (p *Player) compare(step *Step) error {
+	for i := range max(len(step.Actions), len(p.replayed)) {
+		var recorded, replayed *Record
+		if i < len(step.Actions) {
+			recorded = &step.Actions[i]
+		}
+		if i < len(p.replayed) {
+			replayed = &p.replayed[i]
+		}
+		if recorded == nil || replayed == nil || !sameAction(recorded, replayed) {
+			return p.difference(step.Number, step.Event, recorded, replayed)
+		}
+	}
+	return nil
+}
+
+func (p *Player) difference(event uint64, input, recorded, replayed *Record) *Difference {
+	return &Difference{
+		Event:    event,
+		Input:    input,
+		Recorded: recorded,
+		Replayed: replayed,
+		Before:   p.before,
+	}
+}
--- /dev/null
+++ b/internal/capture/recorder_events.go
@@ -0,0 +1,68 @@
+package capture
+
+import (
+	"time"
+
+	"reachpulley/scheduler"
+)
+
+// RequestArrived records the arrival of a request and passes it on.
+func (r *Recorder) RequestArrived(now time.Duration, request scheduler.Request) {
+	r.request = request
+	r.addEvent(Record{Kind: KindRequestArrived, At: now, Request: &r.request})
+	r.Scheduler.RequestArrived(now, request)
+}
+
+// ClientDisconnected records that a client disconnected and passes it on.
+func (r *Recorder) ClientDisconnected(now time.Duration, id string) {
+	r.addEvent(Record{Kind: KindClientDisconnected, At: now, ID: id})
+	r.Scheduler.ClientDisconnected(now, id)
+}
+
+// AttemptEnded records the outcome of an attempt and passes it on.
+func (r *Recorder) AttemptEnded(now time.Duration, outcome scheduler.Outcome) {
+	r.outcome = outcome
+	r.addEvent(Record{Kind: KindAttemptEnded, At: now, Outcome: &r.outcome})
+	r.Scheduler.AttemptEnded(now, outcome)
+}
+
+// ProbeEnded records the result of a probe and passes it on.
+func (r *Recorder) ProbeEnded(now time.Duration, result scheduler.ProbeResult) {
+	r.addEvent(Record{Kind: KindProbeEnded, At: now, ProbeResult: &result})
+	r.Scheduler.ProbeEnded(now, result)
+}
+
+// MembershipChanged records a change of the endpoint list and passes it on.
+func (r *Recorder) MembershipChanged(now time.Duration, membership scheduler.Membership) {
+	r.addEvent(Record{Kind: KindMembershipChanged, At: now, Membership: &membership})
+	r.Scheduler.MembershipChanged(now, membership)
+}
+
+// TimerFired records that a timer fired and passes it on.
+func (r *Recorder) TimerFired(now time.Duration, key uint64) {
+	r.addEvent(Record{Kind: KindTimerFired, At: now, Key: key})
+	r.Scheduler.TimerFired(now, key)
+}
+
+// StreamStarted records that the response of an attempt started to stream and passes it on.
+func (r *Recorder) StreamStarted(now time.Duration, id string, attempt int) {
+	r.addEvent(Record{Kind: KindStreamStarted, At: now, ID: id, Attempt: attempt})
+	r.Scheduler.StreamStarted(now, id, attempt)
+}
+
+// Restore records the learned state of a previous incarnation and passes it on.
+func (r *Recorder) Restore(now time.Duration, learned scheduler.LearnedState) {
+	r.addEvent(Record{Kind: KindRestored, At: now, Learned: &learned})
+	r.Scheduler.Restore(now, learned)
+}
+
+// Restrict records a restriction of an operation and passes it on.
+func (r *Recorder) Restrict(now time.Duration, restriction scheduler.Restriction) {
+	r.addEvent(Record{Kind: KindRestricted, At: now, Restriction: &restriction})
+	r.Scheduler.Restrict(now, restriction)
+}
+
+// Note records a remark of another component. The Scheduler does not see it.
+func (r *Recorder) Note(now time.Duration, text string) {
+	r.add(Record{Kind: KindNote, At: now, Text: text})
+}
--- /dev/null
+++ b/internal/capture/recorder_test.go
@@ -0,0 +1,95 @@
+package capture
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"reachpulley/internal/capture/capturetest"
+	"reachpulley/scheduler"
+)
+
+// Beyond its bound a recorder keeps the newest parts, and they can be replayed without the older ones.
+func TestRecorderKeepsTheNewestParts(t *testing.T) {
+	const maxBytes = 300_000
+	r := record(t, 2, 20_000, maxBytes)
+	held := cap(r.part)
+	for _, part := range r.completed {
+		held += cap(part)
+	}
+	if held > maxBytes || len(r.completed) == 0 {
+		t.Errorf("%d bytes in %d parts", held, len(r.completed))
+	}
+	allEvents, _ := replayFile(recordFile(t, 2, 20_000, 64<<20))
+	events, err := replayFile(fileOf(t, r))
+	if err != nil || events == 0 || events >= allEvents {
+		t.Errorf("%d of %d events, %v", events, allEvents, err)
+	}
+}
+
+// A state that outgrows the memory ends the recording. It goes on once the state fits again, and the loss is a gap.
+func TestRecorderPausesWhileTheStateExceedsItsMemory(t *testing.T) {
+	const maxBytes = 30_000
+	r, err := NewRecorder(settings, 1, Options{MaxBytes: maxBytes}, capturetest.NewWorkload(1))
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := time.Hour
+	r.MembershipChanged(now, scheduler.Membership{Kind: scheduler.FullList})
+	requestID := func(i int) string { return fmt.Sprint("waits-", i) }
+	for i := range 1000 { // there is no node, so they wait
+		now += time.Millisecond
+		r.RequestArrived(now, scheduler.Request{
+			ID:            requestID(i),
+			Volume:        fmt.Sprint("v", i),
+			Units:         1,
+			ClientTimeout: time.Minute,
+			Hosts:         1,
+		})
+		if held := r.completedBytes + cap(r.part); held > 2*maxBytes {
+			t.Fatalf("%d bytes are held of %d", held, maxBytes)
+		}
+	}
+	if !r.broken || r.lost == 0 {
+		t.Error("the state still fits")
+	}
+	for i := range 1000 {
+		r.ClientDisconnected(now, requestID(i))
+	}
+	for range 400 { // until the Scheduler has dropped the volumes
+		now += time.Second
+		r.TimerFired(now, 0)
+	}
+	events, err := replayFile(fileOf(t, r))
+	if r.broken || events == 0 || err != nil && !errors.Is(err, ErrGap) {
+		t.Errorf("%d events, %v", events, err)
+	}
+}
+
+// Notes stand between events and do not affect a replay.
+func TestNotesDoNotAffectTheReplay(t *testing.T) {
+	workload := capturetest.NewWorkload(6)
+	r, err := NewRecorder(settings, 6, Options{MaxBytes: 8 << 20}, workload)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for range 20 {
+		workload.Play(r, 50)
+		r.Note(time.Hour, "12 connections closed for want of capacity")
+	}
+	file := fileOf(t, r)
+	if events, err := replayFile(file); err != nil || events < 500 {
+		t.Errorf("%d events, %v", events, err)
+	}
+	notes := 0
+	_, records := readFile(t, file)
+	for _, record := range records {
+		if record.Kind == KindNote && record.Text != "" {
+			notes++
+		}
+	}
+	if notes != 20 {
+		t.Errorf("%d notes", notes)
+	}
+}
--- /dev/null
+++ b/internal/capture/recording.go
@@ -0,0 +1,43 @@
+package capture
+
+import "time"
+
+// Recording is what a Recorder held at one time. It shares memory with the Recorder, which is safe because bytes
+// are only ever appended to a part. It holds that memory until it is released.
+type Recording struct {
+	head  Head
+	parts [][]byte
+	lost  int // records that were lost after the last part
+}
+
+// Recording returns what is in memory now.
+func (r *Recorder) Recording() Recording {
+	parts := make([][]byte, 0, len(r.completed)+1)
+	parts = append(parts, r.completed...)
+	parts = append(parts, r.part[:len(r.part):len(r.part)])
+	return Recording{head: r.head, parts: parts, lost: r.lost}
+}
+
+// recordingFrom returns the parts that hold the records from a time on.
+func (r *Recorder) recordingFrom(from time.Duration) Recording {
+	recording := r.Recording()
+	for i := 1; i < len(r.startedAt) && r.startedAt[i] <= from; i++ {
+		recording.parts = recording.parts[1:]
+	}
+	return recording
+}
+
+// File returns the recording as a capture file with one block for each part. A gap at the end stands for lost records.
+func (r Recording) File() ([]byte, error) {
+	out, err := EncodeHeader(&r.head)
+	if err != nil {
+		return nil, err
+	}
+	for _, part := range r.parts {
+		out = AppendBlock(out, part, true)
+	}
+	if r.lost == 0 {
+		return out, nil
+	}
+	return appendFrame(out, Record{Kind: KindGap, Lost: r.lost})
+}
