--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -133,6 +133,9 @@
 	if len(r.part) > 0 {
 		r.completed = append(r.completed, r.part)
 		r.completedBytes += cap(r.part)
+	} else {
+		// The snapshot of the part did not fit, so the next part takes its place.
+		r.startedAt = r.startedAt[:len(r.completed)]
 	}
 	size := r.snapshotBytes + r.partCapacity() + partSlack
 	r.dropOldest(size)
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -93,3 +93,43 @@
 		t.Errorf("%d notes", notes)
 	}
 }
+
+// recordOutgrowingState records a state that does not fit into the memory, over a time in which several parts are begun
+// in vain.
+func recordOutgrowingState(t *testing.T, options Options) (r *Recorder, now time.Duration) {
+	t.Helper()
+	r, err := NewRecorder(settings, 1, options, capturetest.NewWorkload(1))
+	if err != nil {
+		t.Fatal(err)
+	}
+	now = time.Hour
+	for i := range 1000 {
+		r.RequestArrived(now, scheduler.Request{
+			ID:            fmt.Sprint("waits-", i),
+			Volume:        fmt.Sprint("v", i),
+			Units:         1,
+			ClientTimeout: time.Hour,
+			Hosts:         1,
+		})
+	}
+	for range 50 {
+		now += time.Second
+		r.ClientDisconnected(now, "unknown")
+	}
+	return r, now
+}
+
+// A recording from a time on can be taken while the state does not fit into the memory.
+func TestRecordingWhileTheStateExceedsTheMemory(t *testing.T) {
+	r, now := recordOutgrowingState(t, Options{MaxBytes: 30_000})
+	if !r.broken || r.lost == 0 {
+		t.Fatal("the state still fits")
+	}
+	file, err := r.recordingFrom(now).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, records := readFile(t, file); len(records) == 0 || records[len(records)-1].Kind != KindGap {
+		t.Errorf("%d records, the last is not the gap", len(records))
+	}
+}
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -83,6 +83,9 @@
 		if err != nil && !errors.Is(err, io.EOF) {
 			return nil, err
 		}
+		if p.scheduler == nil {
+			return nil, fmt.Errorf("%w: no snapshot between the gap and %v", ErrGap, at)
+		}
 		return p.scheduler.Snapshot(), nil
 	}
 }
--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -218,3 +218,14 @@
 		t.Error("there is a state before the beginning")
 	}
 }
+
+// A capture that ends with a gap holds no state for a time after the gap.
+func TestNoStateAfterAGapAtTheEnd(t *testing.T) {
+	file, err := appendFrame(recordFile(t, 4, 600, 64<<20), Record{Kind: KindGap, Lost: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if state, err := At(bytes.NewReader(file), 1<<62); err == nil || state != nil {
+		t.Errorf("state %v, error %v", state, err)
+	}
+}
