--- a/internal/capture/replaytest/replaytest.go
+++ b/internal/capture/replaytest/replaytest.go
@@ -1,4 +1,4 @@
-// Package replaytest checks captures that tests have made on the way.
+// Package replaytest checks captures that tests have recorded.
 package replaytest
 
 import (
@@ -11,46 +11,52 @@
 	"reachpulley/internal/capture/invariants"
 )
 
-// ReplayTwice plays a capture two times, every action as recorded, and has the model of the rules follow it. It gives the number of events.
+// ReplayTwice replays a capture two times and returns the number of its events. The test fails if an action differs
+// from the recorded one, if a record is missing, or if the capture violates an invariant.
 func ReplayTwice(t testing.TB, file []byte) (events int) {
 	t.Helper()
 	for range 2 {
-		c, err := capture.NewReader(bytes.NewReader(file))
-		if err != nil {
-			t.Fatal(err)
+		events = replay(t, file)
+	}
+	return events
+}
+
+func replay(t testing.TB, file []byte) (events int) {
+	t.Helper()
+	reader, err := capture.NewReader(bytes.NewReader(file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	player := capture.NewPlayer(reader)
+	checker := invariants.New(reader.Head.Settings)
+	for {
+		step, err := player.Next()
+		if errors.Is(err, io.EOF) {
+			break
 		}
-		player, checker := capture.NewPlayer(c), invariants.New(c.Head.Settings)
-		for events = 0; ; events++ {
-			step, err := player.Next()
-			if errors.Is(err, io.EOF) {
-				break
-			}
-			if err != nil {
-				t.Fatalf("after %d events: %v", events, err)
-			}
-			for _, b := range checker.Step(step) {
-				t.Error(b)
-			}
+		if err != nil {
+			t.Fatalf("after %d events: %v", events, err)
 		}
-		if player.Gaps > 0 {
-			t.Errorf("%d gaps", player.Gaps)
+		for _, violation := range checker.Step(step) {
+			t.Error(violation)
 		}
+		events++
+	}
+	if player.Gaps > 0 {
+		t.Errorf("%d gaps", player.Gaps)
 	}
 	return events
 }
 
-// WarmUp has what compresses made before a test's bubble begins: what is made within one may not be used by another.
+// WarmUp makes the compressor and the decompressor before the bubble of a test (testing/synctest) begins. What is made
+// within a bubble must not be used by another one.
 func WarmUp() {
-	block := capture.AppendBlock(nil, nil, false)
-	if c, err := capture.NewReader(bytes.NewReader(append(mustBegin(), block...))); err == nil {
-		c.Next()
-	}
-}
-
-func mustBegin() []byte {
-	begin, err := capture.EncodeHeader(&capture.Head{Version: capture.Version})
+	header, err := capture.EncodeHeader(&capture.Head{Version: capture.Version})
 	if err != nil {
-		panic(err)
+		panic(err) // the head is constant
+	}
+	file := capture.AppendBlock(header, nil, false)
+	if reader, err := capture.NewReader(bytes.NewReader(file)); err == nil {
+		reader.Next()
 	}
-	return begin
 }
