--- /dev/null
+++ b/internal/capture/segment/recovery_test.go
@@ -0,0 +1,120 @@
+package segment
+
+import (
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"reachpulley/internal/capture"
+	"reachpulley/internal/filesystem"
+	"reachpulley/internal/filesystem/filesystemtest"
+)
+
+// chunkList is a sink that takes every chunk.
+type chunkList struct{ chunks []capture.Chunk }
+
+func (l *chunkList) Offer(chunk capture.Chunk) bool {
+	l.chunks = append(l.chunks, chunk)
+	return true
+}
+
+// Wherever the power fails, the segments on the disk can be replayed from their beginning, and the next incarnation
+// goes on behind them.
+func TestPowerLossAtEveryByte(t *testing.T) {
+	limits := Limits{Size: 1500, Age: time.Hour, Total: 1 << 20}
+	const recordedEvents = 70
+	chunks := recordChunks(t, recordedEvents, limits)
+	events, segments := 0, 0
+	for killAt := 0; events < recordedEvents; killAt++ {
+		fs := filesystemtest.New()
+		fs.Kill = killAt
+		writer := newPowerLossWriter(t, fs, limits)
+		for _, chunk := range chunks {
+			writer.write(chunk)
+		}
+		for _, unsyncedBytes := range []int{0, 30} {
+			restarted := fs.Restart(unsyncedBytes)
+			checkRecovery(t, restarted, limits)
+			if killAt%50 > 0 { // replays take most of the time
+				continue
+			}
+			name := fmt.Sprintf("killed at %d, %d unsynced bytes kept", killAt, unsyncedBytes)
+			found, files := continueRecording(t, name, restarted, limits)
+			if found < events {
+				t.Fatalf("%s: %d events, %d before", name, found, events)
+			}
+			if unsyncedBytes == 0 {
+				events, segments = found, files
+			}
+		}
+	}
+	if segments < 2 {
+		t.Errorf("there is only one segment")
+	}
+}
+
+// recordChunks records events and returns the chunks that are offered to a sink.
+func recordChunks(t *testing.T, events int, limits Limits) []capture.Chunk {
+	t.Helper()
+	sink := &chunkList{}
+	f := newFixture(t, filesystemtest.New(), limits)
+	f.recorder = newRecorder(t, 8<<10, sink)
+	f.record(events)
+	f.recorder.Flush(f.now)
+	return sink.chunks
+}
+
+func newPowerLossWriter(t *testing.T, fs filesystem.FS, limits Limits) *Writer {
+	t.Helper()
+	now := func() time.Time { return time.Unix(0, 0) }
+	return newWriter(t, fs, limits, now, slog.New(slog.DiscardHandler))
+}
+
+// checkRecovery starts a writer after a power loss and checks that the newest segment is complete then.
+func checkRecovery(t *testing.T, fs *filesystemtest.FS, limits Limits) {
+	t.Helper()
+	newPowerLossWriter(t, fs, limits)
+	if segments := list(t, fs); len(segments) > 0 {
+		checkComplete(t, fs, segments[len(segments)-1])
+	}
+	if t.Failed() {
+		t.FailNow()
+	}
+}
+
+// continueRecording checks that the segments on a disk can be replayed without a gap, and that the next incarnation
+// records behind them. It returns the events and the segments that it found.
+func continueRecording(t *testing.T, name string, fs *filesystemtest.FS, limits Limits) (events, segments int) {
+	t.Helper()
+	segments = len(list(t, fs))
+	next := newFixture(t, fs, limits)
+	events, gaps := replayAll(t, fs)
+	if gaps > 0 {
+		t.Fatalf("%s: %d gaps", name, gaps)
+	}
+	next.record(100)
+	next.finish()
+	if len(list(t, fs)) == 0 {
+		t.Fatalf("%s: the next incarnation recorded nothing", name)
+	}
+	return events, segments
+}
+
+// Files that are no segments, or can't be read, stay unchanged.
+func TestForeignFilesStayUnchanged(t *testing.T) {
+	fs := filesystemtest.New()
+	fs.Put(pathOf(7), []byte("something that somebody else has put here"))
+	fs.Put(directory+"/notes.txt", []byte("mine"))
+	f := newFixture(t, fs, Limits{Size: 1 << 20, Age: time.Hour, Total: 1 << 21})
+	f.record(50)
+	f.finish()
+	if string(fs.Content(directory+"/notes.txt")) != "mine" ||
+		len(fs.Content(pathOf(7))) == 0 || len(fs.Content(pathOf(8))) == 0 {
+		t.Error(fs.List(directory))
+	}
+	if !strings.Contains(f.log.String(), "unreadable segment left unchanged") {
+		t.Error(f.log.String())
+	}
+}
--- a/internal/capture/segment/writer.go
+++ b/internal/capture/segment/writer.go
@@ -1,5 +1,6 @@
-// Package segment keeps captures on disk: files that only grow, end by size or age, and go when they are the oldest of too many. Whoever
-// records never waits for it: what the disk does not take in time is lost, and told as a gap.
+// Package segment writes captures to disk as segments: files that are only appended to, end by size or age, and are
+// removed when they are the oldest of too many. The recorder never waits for the disk: what is not written in time is
+// lost, and a gap in the capture stands for it.
 package segment
 
 import (
@@ -15,13 +16,13 @@
 	"reachpulley/internal/filesystem"
 )
 
-// What waits for the disk is bounded by both.
+// The bounds of what is queued for the disk.
 const (
-	mostWaiting      = 64
-	mostWaitingBytes = 4 << 20
+	maxQueuedChunks = 64
+	maxQueuedBytes  = 4 << 20
 )
 
-// Options are a Writer's surroundings.
+// Options are the surroundings of a Writer.
 type Options struct {
 	FS        filesystem.FS
 	Directory string
@@ -31,226 +32,267 @@
 	Log       *slog.Logger
 }
 
-// Writer takes pieces of a capture and writes them. It owns the open segment, which is closed where it is given up or rotated.
+// Writer is a capture.Sink that writes chunks to segments. Offer may be called from any goroutine, everything else
+// belongs to the goroutine of Run. The Writer owns the open segment and closes it when it is full, fails, or Run
+// ends.
 type Writer struct {
-	o       Options
-	queue   chan capture.Chunk
-	waiting atomic.Int64 // bytes
+	options     Options
+	queue       chan capture.Chunk
+	queuedBytes atomic.Int64
 
-	segments []held
-	file     filesystem.File // nil: none is open
-	number   uint64
-	size     int64 // of what is whole
+	files       []file // in the order of their numbers
+	lostRecords int    // records that were not written since the last that were
+
+	// The open segment, the last of files.
+	open     filesystem.File // nil: none is open
+	number   uint64          // of the newest segment, open or not
+	size     int64           // bytes that were written and synced
 	openedAt time.Time
-	missed   int // records that were not written since the last that were
-	failures int // in a row
-	notUntil time.Time
+
+	// The pause after failures.
+	failures int       // in a row
+	retryAt  time.Time // no segment is opened before
 }
 
-// New finds what is on disk, cuts off what an earlier life left half written, and removes what is too much.
-func New(o Options) (*Writer, error) {
-	w := &Writer{o: o, queue: make(chan capture.Chunk, mostWaiting)}
-	list, err := o.FS.List(o.Directory)
+// New returns a Writer that goes on behind the segments on disk. It truncates what the previous incarnation left
+// incomplete and removes the oldest segments beyond the limits.
+func New(options Options) (*Writer, error) {
+	w := &Writer{
+		options: options,
+		queue:   make(chan capture.Chunk, maxQueuedChunks),
+	}
+	list, err := options.FS.List(options.Directory)
 	if err != nil {
 		return nil, err
 	}
 	for _, info := range list {
-		if number, ok := o.Names.Number(info.Name); ok {
-			w.segments = append(w.segments, held{number, info.Size})
+		if number, ok := options.Names.Number(info.Name); ok {
+			w.files = append(w.files, file{number, info.Size})
 			w.number = max(w.number, number)
 		}
 	}
-	if len(w.segments) > 0 {
-		if err := w.mend(&w.segments[len(w.segments)-1]); err != nil {
-			return nil, err
-		}
+	if err := w.recoverNewest(); err != nil {
+		return nil, err
 	}
-	return w, w.makeRoom()
+	return w, w.removeOutdated()
 }
 
-// mend cuts the newest segment to what is whole. Earlier ones were whole when they were closed. One that is foreign or of another
-// version stays as it is: it is nobody's to cut.
-func (w *Writer) mend(last *held) error {
-	name := w.path(last.number)
-	in, err := w.o.FS.Open(name)
+// recoverNewest truncates the newest segment to its complete frames. Earlier segments were complete when they were
+// closed. A file that is no capture or is of another version stays unchanged, because it may belong to somebody
+// else.
+func (w *Writer) recoverNewest() error {
+	if len(w.files) == 0 {
+		return nil
+	}
+	newest := &w.files[len(w.files)-1]
+	path := w.path(newest.number)
+	input, err := w.options.FS.Open(path)
 	if err != nil {
 		return err
 	}
-	whole, err := capture.CompleteLength(in)
-	in.Close()
+	complete, err := capture.CompleteLength(input)
+	input.Close()
 	switch {
-	case errors.Is(err, capture.ErrTruncated): // not even its head was written
-		w.segments = w.segments[:len(w.segments)-1]
-		return w.o.FS.Remove(name)
+	case errors.Is(err, capture.ErrTruncated): // not even its head is complete
+		w.files = w.files[:len(w.files)-1]
+		return w.options.FS.Remove(path)
 	case err != nil:
-		w.o.Log.Warn("a segment can't be read; it stays as it is", "file", name, "err", err)
+		w.options.Log.Warn("unreadable segment left unchanged", "file", path, "err", err)
 		return nil
-	case whole == last.size:
+	case complete == newest.size:
 		return nil
 	}
-	w.o.Log.Info("half a record was cut off", "file", name, "bytes", last.size-whole)
-	last.size = whole
-	return w.o.FS.Truncate(name, whole)
+	w.options.Log.Info("incomplete record truncated", "file", path, "bytes", newest.size-complete)
+	newest.size = complete
+	return w.options.FS.Truncate(path, complete)
 }
 
 func (w *Writer) path(number uint64) string {
-	return filepath.Join(w.o.Directory, w.o.Names.Name(number))
+	return filepath.Join(w.options.Directory, w.options.Names.File(number))
 }
 
-// Offer takes a piece unless too much waits.
-func (w *Writer) Offer(p capture.Chunk) bool {
-	size := int64(len(p.Frames))
-	if w.waiting.Add(size) > mostWaitingBytes {
-		w.waiting.Add(-size)
+// Offer queues a chunk for the disk unless too much is queued. It never blocks.
+func (w *Writer) Offer(chunk capture.Chunk) bool {
+	size := int64(len(chunk.Frames))
+	if w.queuedBytes.Add(size) > maxQueuedBytes {
+		w.queuedBytes.Add(-size)
 		return false
 	}
 	select {
-	case w.queue <- p:
+	case w.queue <- chunk:
 		return true
 	default:
-		w.waiting.Add(-size)
+		w.queuedBytes.Add(-size)
 		return false
 	}
 }
 
-// Run writes until ctx ends, then what was offered by then.
+// Run writes until ctx ends, then what was queued by then.
 func (w *Writer) Run(ctx context.Context) {
-	defer w.close()
+	defer w.closeSegment()
 	for {
 		select {
-		case p := <-w.queue:
-			w.take(p)
+		case chunk := <-w.queue:
+			w.write(chunk)
 		case <-ctx.Done():
-			for {
-				select {
-				case p := <-w.queue:
-					w.take(p)
-				default:
-					return
-				}
-			}
+			w.drain()
+			return
 		}
 	}
 }
 
-// take writes a piece and syncs it. An error ends the segment, never the writer.
-func (w *Writer) take(p capture.Chunk) {
-	w.waiting.Add(-int64(len(p.Frames)))
-	w.missed += p.Lost
-	err := w.open(p)
-	if err == nil && w.file != nil {
-		if err = w.write(p); err == nil {
-			if w.failures > 0 {
-				w.failures = 0
-				w.o.Log.Info("recording to disk again", "file", w.path(w.number))
-			}
+// drain writes what is queued.
+func (w *Writer) drain() {
+	for {
+		select {
+		case chunk := <-w.queue:
+			w.write(chunk)
+		default:
 			return
 		}
 	}
-	w.missed += p.Records
+}
+
+// write writes a chunk and syncs it. An error ends the segment, never the Writer.
+func (w *Writer) write(chunk capture.Chunk) {
+	w.queuedBytes.Add(-int64(len(chunk.Frames)))
+	w.lostRecords += chunk.Lost
+	written, err := w.tryWrite(chunk)
+	if !written {
+		w.lostRecords += chunk.Records
+	}
 	if err != nil {
 		w.fail(err)
+		return
+	}
+	if written && w.failures > 0 {
+		w.failures = 0
+		w.options.Log.Info("recording to disk resumed", "file", w.path(w.number))
 	}
 }
 
-// open sees to a segment into which the piece may go: none while the disk is left alone, and only the first piece of a part begins one.
-func (w *Writer) open(p capture.Chunk) error {
-	now := w.o.Now()
-	if w.file != nil && p.StartsPart && w.o.Limits.due(w.size, now.Sub(w.openedAt)) {
-		w.close()
+// tryWrite writes a chunk to the open segment or a new one. It writes nothing if no segment can take the chunk.
+func (w *Writer) tryWrite(chunk capture.Chunk) (written bool, err error) {
+	if err := w.prepareSegment(chunk); err != nil {
+		return false, err
+	}
+	if w.open == nil {
+		return false, nil
+	}
+	if err := w.appendChunk(chunk); err != nil {
+		return false, err
 	}
-	if w.file != nil || !p.StartsPart || now.Before(w.notUntil) {
+	return true, nil
+}
+
+// prepareSegment opens or rotates the segment for a chunk. No segment is open afterwards if the chunk does not
+// start a part, because a replay could not begin with it, or during the pause after a failure.
+func (w *Writer) prepareSegment(chunk capture.Chunk) error {
+	now := w.options.Now()
+	if w.open != nil && chunk.StartsPart && w.options.Limits.full(w.size, now.Sub(w.openedAt)) {
+		w.closeSegment()
+	}
+	if w.open != nil || !chunk.StartsPart || now.Before(w.retryAt) {
 		return nil
 	}
-	if err := w.makeRoom(); err != nil {
+	return w.createSegment(chunk.Head, now)
+}
+
+func (w *Writer) createSegment(head *capture.Head, now time.Time) error {
+	if err := w.removeOutdated(); err != nil {
 		return err
 	}
-	head, err := capture.EncodeHeader(p.Head)
+	header, err := capture.EncodeHeader(head)
 	if err != nil {
 		return err
 	}
 	w.number++
-	file, err := w.o.FS.Create(w.path(w.number))
+	created, err := w.options.FS.Create(w.path(w.number))
 	if err != nil {
 		return err
 	}
-	w.file, w.size, w.openedAt = file, 0, now
-	w.segments = append(w.segments, held{number: w.number})
-	if err := w.add(head); err != nil {
+	w.open = created
+	w.size = 0
+	w.openedAt = now
+	w.files = append(w.files, file{number: w.number})
+	if err := w.appendAndSync(header); err != nil {
 		return err
 	}
-	return w.o.FS.SyncDirectory(w.o.Directory)
+	return w.options.FS.SyncDirectory(w.options.Directory)
 }
 
-func (w *Writer) write(p capture.Chunk) error {
-	frames := p.Frames
-	if w.missed > 0 {
-		gap, err := capture.GapFrame(w.missed)
+// appendChunk appends a chunk to the open segment, after a gap if records were lost before it.
+func (w *Writer) appendChunk(chunk capture.Chunk) error {
+	frames := chunk.Frames
+	if w.lostRecords > 0 {
+		gap, err := capture.GapFrame(w.lostRecords)
 		if err != nil {
 			return err
 		}
 		frames = append(gap, frames...)
 	}
-	if err := w.add(capture.AppendBlock(nil, frames, p.StartsPart)); err != nil {
+	if err := w.appendAndSync(capture.AppendBlock(nil, frames, chunk.StartsPart)); err != nil {
 		return err
 	}
-	w.missed = 0
+	w.lostRecords = 0
 	return nil
 }
 
-// add writes and syncs bytes; only then do they count.
-func (w *Writer) add(bytes []byte) error {
-	if _, err := w.file.Write(bytes); err != nil {
+// appendAndSync appends bytes to the open segment. They count as written only once they are synced.
+func (w *Writer) appendAndSync(bytes []byte) error {
+	if _, err := w.open.Write(bytes); err != nil {
 		return err
 	}
-	if err := w.file.Sync(); err != nil {
+	if err := w.open.Sync(); err != nil {
 		return err
 	}
 	w.size += int64(len(bytes))
-	w.segments[len(w.segments)-1].size = w.size
+	w.files[len(w.files)-1].size = w.size
 	return nil
 }
 
-// fail gives the open segment up: after a failed write or sync nobody knows what of it lasts. What was whole before stays.
+// fail ends the open segment and begins a pause. After a failed write or sync it is not known what of it reached
+// the disk, so the segment is truncated to what was synced before.
 func (w *Writer) fail(err error) {
 	w.failures++
-	wait := pause(w.failures)
-	w.notUntil = w.o.Now().Add(wait)
-	w.o.Log.Error("recording to disk stopped", "err", err, "again", wait)
-	if w.file == nil {
+	pause := backoff(w.failures)
+	w.retryAt = w.options.Now().Add(pause)
+	w.options.Log.Error("recording to disk paused", "err", err, "retry_in", pause)
+	if w.open == nil {
 		return
 	}
-	w.file.Close()
-	w.file = nil
-	name := w.path(w.number)
+	w.open.Close()
+	w.open = nil
+	path := w.path(w.number)
 	if w.size == 0 {
-		w.segments = w.segments[:len(w.segments)-1]
-		err = w.o.FS.Remove(name)
+		w.files = w.files[:len(w.files)-1]
+		err = w.options.FS.Remove(path)
 	} else {
-		err = w.o.FS.Truncate(name, w.size)
+		err = w.options.FS.Truncate(path, w.size)
 	}
 	if err != nil {
-		w.o.Log.Warn("what is half written stays", "file", name, "err", err)
+		w.options.Log.Warn("incomplete segment data not removed", "file", path, "err", err)
 	}
 }
 
-func (w *Writer) close() {
-	if w.file == nil {
+func (w *Writer) closeSegment() {
+	if w.open == nil {
 		return
 	}
-	if err := w.file.Close(); err != nil {
-		w.o.Log.Warn("a segment was not closed", "err", err)
+	if err := w.open.Close(); err != nil {
+		w.options.Log.Warn("segment close failed", "err", err)
 	}
-	w.file = nil
+	w.open = nil
 }
 
-// makeRoom removes the oldest segments until another one fits.
-func (w *Writer) makeRoom() error {
-	for _, one := range w.o.Limits.outdated(w.segments) {
-		if err := w.o.FS.Remove(w.path(one.number)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+// removeOutdated removes the oldest segments until another one fits.
+func (w *Writer) removeOutdated() error {
+	for _, outdated := range w.options.Limits.outdated(w.files) {
+		err := w.options.FS.Remove(w.path(outdated.number))
+		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
-		w.segments = w.segments[1:] // they are in order
+		w.files = w.files[1:] // they are in the order of their numbers
 	}
 	return nil
 }
