--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -30,7 +30,7 @@
 	}
 	long := request("GET", "/api/app1/7", "X-Project", strings.Repeat("p", 63<<10))
 	for _, f := range []*expression.Facts{one, many, long} {
-		f.Head = 64 << 10 // as a front tells that bounds them
+		f.HeaderBytes = 64 << 10 // as a front tells that bounds them
 	}
 	return map[string]*expression.Facts{"one-header": one, "500-headers": many, "long-key": long}
 }
--- a/internal/rules/evaluate.go
+++ b/internal/rules/evaluate.go
@@ -71,7 +71,7 @@
 
 // End gives the evaluator back and tells what the evaluation cost.
 func (e *Evaluation) End() (cost int) {
-	cost = e.w.Spent()
+	cost = e.w.Cost()
 	e.w.Clear()
 	e.set.pool.Put(e.w)
 	e.w = nil
@@ -117,7 +117,7 @@
 // RuleFault: the request is to be refused.
 func (e *Evaluation) Claims(class, plan, volume string, asks []ratelimit.Claim) ([]ratelimit.Claim, []RuleFault, error) {
 	var faults []RuleFault
-	e.w.SetDecided(class, plan, volume)
+	e.w.SetDecision(class, plan, volume)
 	for i, l := range e.set.limits {
 		holds, fault := true, (*RuleFault)(nil)
 		if l.when != nil {
@@ -186,7 +186,7 @@
 // check holds a computed value to what the settings and the platform allow. What is constant was checked at load.
 func (s *Set) check(f Field, v any) (any, *expression.Fault) {
 	unread := func(format string, args ...any) *expression.Fault {
-		return &expression.Fault{Cause: expression.Unread, Wants: fmt.Sprintf(format, args...)}
+		return &expression.Fault{Cause: expression.CauseUnparsable, Wants: fmt.Sprintf(format, args...)}
 	}
 	switch f {
 	case Class:
--- a/internal/rules/expression/amount.go
+++ b/internal/rules/expression/amount.go
@@ -2,64 +2,72 @@
 
 import "maps"
 
-// Amount is a cost or a length that grows with the bytes of the request's headers. All headers together are bounded, so
-// that not each of them can be as long as all: what is reckoned keeps them apart.
+// Amount is a cost or a length that grows with the request's headers. The size of all headers together is bounded, so
+// not every header can have the full size at once. An Amount therefore counts each header on its own.
 type Amount struct {
 	fixed   float64
-	headers map[string]float64 // for each byte of the header; nil: of none
+	headers map[string]float64 // what each byte of a header adds; nil: no header adds anything
 }
 
-// Fixed is an amount that does not depend on headers.
+// Fixed returns an amount that does not depend on headers.
 func Fixed(n float64) Amount { return Amount{fixed: n} }
 
-func ofHeader(name string) Amount { return Amount{headers: map[string]float64{name: 1}} }
+// lengthOfHeader is the length of a header's value.
+func lengthOfHeader(name string) Amount {
+	return Amount{headers: map[string]float64{name: 1}}
+}
 
-// Plus adds amounts.
-func (a Amount) Plus(b Amount) Amount { return a.merge(b, func(x, y float64) float64 { return x + y }) }
+// Plus returns the sum of two amounts.
+func (a Amount) Plus(b Amount) Amount {
+	return a.combine(b, func(x, y float64) float64 { return x + y })
+}
 
-// Max is an amount that is never below a or b.
+// Max returns an amount that is below neither a nor b.
 func (a Amount) Max(b Amount) Amount {
-	return a.merge(b, func(x, y float64) float64 { return max(x, y) })
+	return a.combine(b, func(x, y float64) float64 { return max(x, y) })
 }
 
-func (a Amount) merge(b Amount, f func(x, y float64) float64) Amount {
-	sum := Amount{fixed: f(a.fixed, b.fixed)}
-	if len(a.headers)+len(b.headers) > 0 {
-		sum.headers = maps.Clone(a.headers)
-		if sum.headers == nil {
-			sum.headers = map[string]float64{}
-		}
-		for name, rate := range b.headers {
-			sum.headers[name] = f(sum.headers[name], rate)
-		}
+// combine applies a function to the fixed parts and to the parts of each header.
+func (a Amount) combine(b Amount, function func(x, y float64) float64) Amount {
+	result := Amount{fixed: function(a.fixed, b.fixed)}
+	if len(a.headers)+len(b.headers) == 0 {
+		return result
+	}
+	result.headers = maps.Clone(a.headers)
+	if result.headers == nil {
+		result.headers = map[string]float64{}
+	}
+	for name, perByte := range b.headers {
+		result.headers[name] = function(result.headers[name], perByte)
 	}
-	return sum
+	return result
 }
 
-func (a Amount) times(x float64) Amount {
-	product := Amount{fixed: a.fixed * x}
-	if len(a.headers) > 0 && x > 0 {
+// times returns the product with a factor.
+func (a Amount) times(factor float64) Amount {
+	product := Amount{fixed: a.fixed * factor}
+	if len(a.headers) > 0 && factor > 0 {
 		product.headers = make(map[string]float64, len(a.headers))
-		for name, rate := range a.headers {
-			product.headers[name] = rate * x
+		for name, perByte := range a.headers {
+			product.headers[name] = perByte * factor
 		}
 	}
 	return product
 }
 
-// Worst is the most that the amount can be where all headers together have the given bytes: they are then all in
-// the header that counts most.
-func (a Amount) Worst(headers int) int {
-	most := 0.0
-	for _, rate := range a.headers {
-		most = max(most, rate)
+// WorstCase returns the largest value of the amount if all headers together have headerBytes: the one that adds most
+// has them all.
+func (a Amount) WorstCase(headerBytes int) int {
+	highest := 0.0
+	for _, perByte := range a.headers {
+		highest = max(highest, perByte)
 	}
-	return int(a.fixed + most*float64(headers))
+	return int(a.fixed + highest*float64(headerBytes))
 }
 
-// shorter is the smaller of two amounts, by what they are at most.
-func shorter(a, b Amount, headers int) Amount {
-	if a.Worst(headers) <= b.Worst(headers) {
+// smaller returns the amount with the smaller worst case.
+func smaller(a, b Amount, headerBytes int) Amount {
+	if a.WorstCase(headerBytes) <= b.WorstCase(headerBytes) {
 		return a
 	}
 	return b
--- /dev/null
+++ b/internal/rules/expression/conjuncts.go
@@ -0,0 +1,63 @@
+package expression
+
+import "github.com/expr-lang/expr/ast"
+
+// Conjunct is one of the conditions that must all hold. If it requires an attribute of the request to have one value,
+// an index can find the rule by it.
+type Conjunct struct {
+	Text      string
+	Attribute string // "method", "path" or "header NAME"; empty for any other condition
+	Value     string
+}
+
+// Conjuncts splits a condition at its "and" operators.
+func (p *Program) Conjuncts() []Conjunct { return appendConjuncts(nil, p.tree) }
+
+func appendConjuncts(all []Conjunct, n ast.Node) []Conjunct {
+	if and, ok := n.(*ast.BinaryNode); ok && (and.Operator == "&&" || and.Operator == "and") {
+		return appendConjuncts(appendConjuncts(all, and.Left), and.Right)
+	}
+	attribute, value := requiredValue(n)
+	return append(all, Conjunct{Text: n.String(), Attribute: attribute, Value: value})
+}
+
+// requiredValue returns the attribute of the request that a comparison requires to have a value; "" if there is none.
+func requiredValue(n ast.Node) (attribute, value string) {
+	comparison, ok := n.(*ast.BinaryNode)
+	if !ok || comparison.Operator != "==" {
+		return "", ""
+	}
+	operand, literal := comparison.Left, comparison.Right
+	if _, reversed := operand.(*ast.StringNode); reversed {
+		operand, literal = literal, operand
+	}
+	text, ok := literal.(*ast.StringNode)
+	if !ok {
+		return "", ""
+	}
+	switch operand := operand.(type) {
+	case *ast.IdentifierNode:
+		if operand.Value == "method" || operand.Value == "path" {
+			return operand.Value, text.Value
+		}
+	case *ast.CallNode:
+		// An index by values does not find a missing header, which reads as "".
+		if name, ok := headerName(operand); ok && text.Value != "" {
+			return "header " + name, text.Value
+		}
+	}
+	return "", ""
+}
+
+// headerName returns the name of the header that a call of headerOr reads.
+func headerName(call *ast.CallNode) (name string, ok bool) {
+	callee, ok := call.Callee.(*ast.IdentifierNode)
+	if !ok || callee.Value != "headerOr" || len(call.Arguments) == 0 {
+		return "", false
+	}
+	argument, ok := call.Arguments[0].(*ast.StringNode)
+	if !ok {
+		return "", false
+	}
+	return argument.Value, true
+}
--- a/internal/rules/expression/cost.go
+++ b/internal/rules/expression/cost.go
@@ -1,226 +1,280 @@
 package expression
 
 import (
-	"fmt"
 	"reflect"
 	"regexp/syntax"
 
 	"github.com/expr-lang/expr/ast"
 )
 
-// meter reckons what an expression costs at worst and how long its value can be. Both follow from the sizes that are
-// declared, as there are no loops but those over the values of one header.
-type meter struct {
-	sizes   Sizes
-	lets    map[string]*Program
-	index   map[string]int
-	locals  map[string]Amount // lengths of the names that the expression itself gives
-	list    Amount            // length of the values that any, all and none go through
-	fault   *placed
-	most    int
-	dearest string
-}
+// Worst-case costs in estimated nanoseconds, measured and rounded up.
+const (
+	startCost             = 250  // starting an evaluation
+	nodeCost              = 30   // any operator, constant or variable
+	compareCostPerByte    = 0.1  // equality
+	containsCostPerByte   = 1.0  // the operator contains
+	lookupCostPerByte     = 0.1  // a look-up among constants
+	joinCostPerByte       = 0.35 // of a joined text, which is allocated
+	matchCostPerStep      = 5    // a byte and an instruction of a regular expression
+	globCostPerBytePair   = 3    // a byte of the text and a byte of the pattern
+	caseCostPerByte       = 4    // a byte that lower or upper changes
+	matchOverheadBytes    = 8    // what a regular expression takes for an empty text, as bytes of one
+	unknownPatternProgram = 1000 // instructions of a pattern that can't be compiled
+)
 
-// Worst costs in reckoned nanoseconds, measured by BenchmarkPrices64K and rounded up.
+// Lengths of values in bytes.
 const (
-	runCost     = 250  // of starting an expression
-	node        = 30   // any operator, constant or variable
-	figureSize  = 20   // characters of a number
-	compareCost = 0.1  // a byte: equality
-	searchCost  = 1.0  // a byte: contains
-	mapCost     = 0.1  // a byte: a look-up among constants
-	joinCost    = 0.35 // a byte of a joined text, which is allocated
-	stepCost    = 5    // a byte and an instruction of a regular expression
-	globCost    = 3    // a byte and a byte of a pattern
-	letterCost  = 4    // a byte that lower or upper changes
+	numberLength       = 20 // anything that is no text
+	hashLength         = 16
+	shortNameLength    = 64 // words of the request such as the method or a class
+	caseGrowth         = 2  // some letters get longer when their case changes
+	maxFunctionOperand = 4  // no function takes more arguments
 )
 
-var noAmount Amount
+// costEstimator bounds what an expression costs and how long its value can be. Both follow from the declared sizes, as
+// the only loops are those over the values of one header.
+type costEstimator struct {
+	sizes         Sizes
+	lets          map[string]*Program
+	letIndex      map[string]int
+	localLengths  map[string]Amount // lengths of the names that the expression defines by let
+	elementLength Amount            // length of the values that any, all and none go through
+	err           *locatedError     // the first one
+
+	highestTermCost int
+	costliestTerm   string
+}
 
-func (m *meter) fail(n ast.Node, format string, args ...any) (cost, size Amount) {
-	if m.fault == nil {
-		m.fault = &placed{n.Location(), fmt.Sprintf(format, args...)}
+func (c *costEstimator) fail(n ast.Node, format string, args ...any) (cost, length Amount) {
+	if c.err == nil {
+		c.err = newLocatedError(n, format, args...)
 	}
-	return noAmount, noAmount
+	return Amount{}, Amount{}
 }
 
-// own notes a term and what it costs without its parts.
-func (m *meter) own(n ast.Node, cost Amount) Amount {
-	if worst := cost.Worst(m.sizes.Headers); worst > m.most {
-		m.most, m.dearest = worst, n.String()
+// recordTerm notes a term by the cost that it has without its parts, and returns that cost.
+func (c *costEstimator) recordTerm(n ast.Node, cost Amount) Amount {
+	worst := cost.WorstCase(c.sizes.Headers)
+	if worst > c.highestTermCost {
+		c.highestTermCost = worst
+		c.costliestTerm = n.String()
 	}
 	return cost
 }
 
-// of gives the worst cost of a node and the length of its value.
-func (m *meter) of(n ast.Node) (cost, size Amount) {
+// estimate returns the worst-case cost of a node and the length of its value.
+func (c *costEstimator) estimate(n ast.Node) (cost, length Amount) {
 	switch n := n.(type) {
 	case *ast.NilNode, *ast.BoolNode, *ast.IntegerNode, *ast.FloatNode:
-		return Fixed(node), Fixed(figureSize)
+		return Fixed(nodeCost), Fixed(numberLength)
 	case *ast.StringNode:
-		return Fixed(node), Fixed(float64(len(n.Value)))
+		return Fixed(nodeCost), Fixed(float64(len(n.Value)))
 	case *ast.ConstantNode:
-		return Fixed(node), constantSize(n.Value)
+		return Fixed(nodeCost), constantLength(n.Value)
 	case *ast.IdentifierNode:
-		return Fixed(node), m.variable(n.Value)
+		return Fixed(nodeCost), c.variableLength(n.Value)
 	case *ast.PointerNode:
-		return Fixed(node), m.list
+		return Fixed(nodeCost), c.elementLength
 	case *ast.UnaryNode:
-		cost, size = m.of(n.Node)
-		return cost.Plus(Fixed(node)), size
+		cost, length = c.estimate(n.Node)
+		return cost.Plus(Fixed(nodeCost)), length
 	case *ast.ConditionalNode:
-		c, _ := m.of(n.Cond)
-		a, sa := m.of(n.Exp1)
-		b, sb := m.of(n.Exp2)
-		return c.Plus(a.Max(b)).Plus(Fixed(node)), sa.Max(sb)
+		return c.estimateConditional(n)
 	case *ast.VariableDeclaratorNode:
-		value, held := m.of(n.Value)
-		m.locals[n.Name] = held
-		cost, size = m.of(n.Expr)
-		return value.Plus(cost).Plus(Fixed(2 * node)), size
+		return c.estimateDeclaration(n)
 	case *ast.PredicateNode:
-		return m.of(n.Node)
-	case *ast.BuiltinNode: // any, all, none: over the values of one header
-		list, size := m.of(n.Arguments[0])
-		m.list = size
-		body, _ := m.of(n.Arguments[1])
-		return list.Plus(m.own(n, body.Plus(Fixed(4*node)).times(MostValues))), Fixed(figureSize)
+		return c.estimate(n.Node)
+	case *ast.BuiltinNode:
+		return c.estimateLoop(n)
 	case *ast.ArrayNode:
-		for _, one := range n.Nodes {
-			c, s := m.of(one)
-			cost, size = cost.Plus(c).Plus(Fixed(node)), size.Max(s)
-		}
-		return cost, size
+		return c.estimateArray(n)
 	case *ast.BinaryNode:
-		return m.binary(n)
+		return c.estimateBinary(n)
 	case *ast.CallNode:
-		return m.call(n)
+		return c.estimateCall(n)
 	case *ast.MemberNode, *ast.ChainNode:
-		return m.fail(n, "parts of values can't be named; use a function")
+		return c.fail(n, "values have no members; use a function")
 	case *ast.SliceNode:
-		return m.fail(n, "use first(TEXT, N) or field(TEXT, SEPARATOR, I)")
+		return c.fail(n, "use first(TEXT, N) or field(TEXT, SEPARATOR, I)")
 	}
-	return m.fail(n, "%s is no part of the language", n)
+	return c.fail(n, "%s is not part of the language", n)
 }
 
-func constantSize(value any) Amount {
+func constantLength(value any) Amount {
 	if v := reflect.ValueOf(value); v.Kind() == reflect.String {
 		return Fixed(float64(v.Len()))
 	}
-	return Fixed(figureSize)
+	return Fixed(numberLength)
 }
 
-func (m *meter) variable(name string) Amount {
-	if size, ok := m.locals[name]; ok {
-		return size
+func (c *costEstimator) variableLength(name string) Amount {
+	if length, ok := c.localLengths[name]; ok {
+		return length
 	}
 	switch name {
 	case "path":
-		return Fixed(float64(m.sizes.Path))
+		return Fixed(float64(c.sizes.Path))
 	case "host", "who":
 		return Fixed(MaxNameBytes)
 	}
-	return Fixed(64)
+	return Fixed(shortNameLength)
+}
+
+func (c *costEstimator) estimateConditional(n *ast.ConditionalNode) (cost, length Amount) {
+	condition, _ := c.estimate(n.Cond)
+	thenCost, thenLength := c.estimate(n.Exp1)
+	elseCost, elseLength := c.estimate(n.Exp2)
+	cost = condition.Plus(thenCost.Max(elseCost)).Plus(Fixed(nodeCost))
+	return cost, thenLength.Max(elseLength)
+}
+
+func (c *costEstimator) estimateDeclaration(n *ast.VariableDeclaratorNode) (cost, length Amount) {
+	valueCost, valueLength := c.estimate(n.Value)
+	c.localLengths[n.Name] = valueLength
+	bodyCost, bodyLength := c.estimate(n.Expr)
+	return valueCost.Plus(bodyCost).Plus(Fixed(2 * nodeCost)), bodyLength
+}
+
+// estimateLoop bounds any, all and none, which go through the values of one header.
+func (c *costEstimator) estimateLoop(n *ast.BuiltinNode) (cost, length Amount) {
+	const iterationCost = 4 * nodeCost
+	listCost, elementLength := c.estimate(n.Arguments[0])
+	c.elementLength = elementLength
+	bodyCost, _ := c.estimate(n.Arguments[1])
+	loopCost := bodyCost.Plus(Fixed(iterationCost)).times(MaxHeaderValues)
+	return listCost.Plus(c.recordTerm(n, loopCost)), Fixed(numberLength)
+}
+
+func (c *costEstimator) estimateArray(n *ast.ArrayNode) (cost, length Amount) {
+	for _, element := range n.Nodes {
+		elementCost, elementLength := c.estimate(element)
+		cost = cost.Plus(elementCost).Plus(Fixed(nodeCost))
+		length = length.Max(elementLength)
+	}
+	return cost, length
 }
 
-func (m *meter) binary(n *ast.BinaryNode) (cost, size Amount) {
-	a, sa := m.of(n.Left)
-	b, sb := m.of(n.Right)
-	own, size := Fixed(node), Fixed(figureSize)
+func (c *costEstimator) estimateBinary(n *ast.BinaryNode) (cost, length Amount) {
+	leftCost, left := c.estimate(n.Left)
+	rightCost, right := c.estimate(n.Right)
+	own := Fixed(nodeCost)
+	length = Fixed(numberLength)
 	switch n.Operator {
 	case "==", "!=", "<", "<=", ">", ">=":
-		own = own.Plus(shorter(sa, sb, m.sizes.Headers).times(compareCost))
+		own = own.Plus(c.compareCost(left, right))
 	case "startsWith", "endsWith":
-		own = own.Plus(sb.times(compareCost))
+		own = own.Plus(right.times(compareCostPerByte))
 	case "contains":
-		own = own.Plus(sa.times(searchCost))
+		own = own.Plus(left.times(containsCostPerByte))
 	case "in", "not in":
-		own = own.Plus(sa.times(mapCost))
+		own = own.Plus(left.times(lookupCostPerByte))
 		if list, ok := n.Right.(*ast.ArrayNode); ok {
-			each := shorter(sa, sb, m.sizes.Headers).times(compareCost).Plus(Fixed(node))
-			own = own.Plus(each.times(float64(len(list.Nodes))))
+			elementCost := c.compareCost(left, right).Plus(Fixed(nodeCost))
+			own = own.Plus(elementCost.times(float64(len(list.Nodes))))
 		}
 	case "matches":
-		own = own.Plus(sa.Plus(Fixed(8)).times(float64(stepCost * instructions(n.Right))))
+		steps := left.Plus(Fixed(matchOverheadBytes))
+		own = own.Plus(steps.times(float64(matchCostPerStep * patternInstructions(n.Right))))
 	case "+":
 		if t := n.Type(); t != nil && t.Kind() == reflect.String {
-			size = sa.Plus(sb)
-			own = own.Plus(Fixed(2 * node)).Plus(size.times(joinCost))
+			length = left.Plus(right)
+			own = own.Plus(Fixed(2 * nodeCost)).Plus(length.times(joinCostPerByte))
 		}
 	case "..", "|", "??", "**", "^":
-		return m.fail(n, "%s is no part of the language", n.Operator)
+		return c.fail(n, "%s is not part of the language", n.Operator)
 	}
-	return a.Plus(b).Plus(m.own(n, own)), size
+	return leftCost.Plus(rightCost).Plus(c.recordTerm(n, own)), length
 }
 
-// instructions is how long a pattern's program is: a regular expression takes its text's length times that, at worst.
-func instructions(n ast.Node) int {
-	const unknown = 1000
+// compareCost is the cost of comparing two texts, which ends with the shorter one.
+func (c *costEstimator) compareCost(a, b Amount) Amount {
+	return smaller(a, b, c.sizes.Headers).times(compareCostPerByte)
+}
+
+// patternInstructions returns the length of a regular expression's program. At worst, matching takes the length of the
+// text times as many steps.
+func patternInstructions(n ast.Node) int {
 	pattern, ok := n.(*ast.StringNode)
 	if !ok {
-		return unknown
+		return unknownPatternProgram
 	}
 	parsed, err := syntax.Parse(pattern.Value, syntax.Perl)
 	if err != nil {
-		return unknown
+		return unknownPatternProgram
 	}
 	program, err := syntax.Compile(parsed.Simplify())
 	if err != nil {
-		return unknown
+		return unknownPatternProgram
 	}
 	return len(program.Inst)
 }
 
-func (m *meter) call(n *ast.CallNode) (cost, size Amount) {
+func (c *costEstimator) estimateCall(n *ast.CallNode) (cost, length Amount) {
 	callee, ok := n.Callee.(*ast.IdentifierNode)
 	if !ok {
-		return m.fail(n, "%s is no function", n.Callee)
+		return c.fail(n, "%s is not a function", n.Callee)
 	}
-	p, ok := prices[callee.Value]
+	function := callee.Value
+	price, ok := functionCosts[function]
 	if !ok {
-		return m.fail(n, "%s is no function", n.Callee)
+		return c.fail(n, "%s is not a function", n.Callee)
 	}
 	arguments := n.Arguments
-	if metered[callee.Value].call != nil {
-		arguments = arguments[1:]
+	if environmentFunctions[function].call != nil {
+		arguments = arguments[1:] // the first is the environment
 	}
-	sizes := make([]Amount, 4) // as many as a function may have, so that none needs to be looked for
+	lengths := make([]Amount, maxFunctionOperand) // Those that the call does not have are 0.
 	for i, argument := range arguments {
-		var c Amount
-		c, sizes[i] = m.of(argument)
-		cost = cost.Plus(c)
+		var argumentCost Amount
+		argumentCost, lengths[i] = c.estimate(argument)
+		cost = cost.Plus(argumentCost)
 	}
-	own := Fixed(float64(p.base)).Plus(sizes[0].times(p.perByte))
-	size = Fixed(figureSize)
-	switch callee.Value {
+	own := Fixed(float64(price.base)).Plus(lengths[0].times(price.perByte))
+	switch function {
+	case "glob":
+		own = own.Plus(lengths[0].times(globCostPerBytePair * (1 + lengths[1].fixed)))
+	case "hash", "hashOf2", "hashOf3", "hashOf4":
+		for _, more := range lengths[1:] {
+			own = own.Plus(more.times(price.perByte))
+		}
+	}
+	return cost.Plus(c.recordTerm(n, own)), c.resultLength(function, arguments, lengths)
+}
+
+// resultLength returns the length of a function's value.
+func (c *costEstimator) resultLength(function string, arguments []ast.Node, lengths []Amount) Amount {
+	switch function {
 	case "header", "headerOr", "headers":
 		name, _ := arguments[0].(*ast.StringNode)
-		size = ofHeader(name.Value).Max(sizes[1])
+		return lengthOfHeader(name.Value).Max(lengths[1])
 	case "query", "queryOr":
-		size = Fixed(float64(m.sizes.Query)).Max(sizes[1])
+		return Fixed(float64(c.sizes.Query)).Max(lengths[1])
 	case "segment":
-		size = Fixed(float64(m.sizes.Path))
+		return Fixed(float64(c.sizes.Path))
 	case "field", "trim":
-		size = sizes[0]
+		return lengths[0]
 	case "lower", "upper":
-		size = sizes[0].times(2) // some letters grow
+		return lengths[0].times(caseGrowth)
 	case "first":
-		if most, ok := arguments[1].(*ast.IntegerNode); ok {
-			size = shorter(sizes[0], Fixed(float64(max(0, most.Value))), m.sizes.Headers)
+		if limit, ok := arguments[1].(*ast.IntegerNode); ok {
+			return smaller(lengths[0], Fixed(float64(max(0, limit.Value))), c.sizes.Headers)
 		}
-	case "glob":
-		own = own.Plus(sizes[0].times(globCost * (1 + sizes[1].fixed)))
 	case "hash", "hashOf2", "hashOf3", "hashOf4":
-		for _, more := range sizes[1:] {
-			own = own.Plus(more.times(p.perByte))
-		}
-		size = Fixed(16)
+		return Fixed(hashLength)
 	case "letString":
-		for name, i := range m.index {
-			if at, ok := arguments[0].(*ast.IntegerNode); ok && at.Value == i {
-				size = m.lets[name].size
-			}
+		if number, ok := arguments[0].(*ast.IntegerNode); ok {
+			return c.letLength(number.Value)
+		}
+	}
+	return Fixed(numberLength)
+}
+
+// letLength returns the length of a named expression's value.
+func (c *costEstimator) letLength(number int) Amount {
+	for name, i := range c.letIndex {
+		if i == number {
+			return c.lets[name].maxLength
 		}
 	}
-	return cost.Plus(m.own(n, own)), size
+	return Fixed(numberLength)
 }
--- /dev/null
+++ b/internal/rules/expression/evaluator.go
@@ -0,0 +1,85 @@
+package expression
+
+import (
+	"errors"
+
+	"github.com/expr-lang/expr/vm"
+)
+
+// Evaluator runs programs for one request after another. It must not be used by several goroutines at once. Clear drops
+// what belongs to a request.
+type Evaluator struct {
+	env      environment
+	machines []*vm.VM // one for each depth of named expressions
+	depth    int
+}
+
+// NewEvaluator returns an Evaluator for the programs of one file. An evaluation that costs more than costLimit ends
+// with a fault.
+func NewEvaluator(lets []*Program, seed uint64, costLimit int) *Evaluator {
+	e := &Evaluator{}
+	e.env.seed = seed
+	e.env.costLimit = costLimit
+	for _, program := range lets {
+		e.env.lets = append(e.env.lets, namedExpression{program: program})
+	}
+	e.env.run = func(p *Program) any {
+		value, fault := e.Run(p)
+		if fault != nil {
+			panic(fault)
+		}
+		return value
+	}
+	e.env.bind()
+	return e
+}
+
+// Begin takes the facts of a request. A request that exceeds the sizes is a fault for every rule.
+func (e *Evaluator) Begin(f *Facts, sizes Sizes) *Fault {
+	if !sizes.Within(f) || len(f.Host) > MaxNameBytes || len(f.Method) > MaxNameBytes {
+		return errTooLarge
+	}
+	e.env.setFacts(f)
+	return nil
+}
+
+// SetClient sets the name of the client, which is known after the stage normalise.
+func (e *Evaluator) SetClient(name string) { e.env.Who = name }
+
+// SetDecision sets what has been decided before limits are evaluated.
+func (e *Evaluator) SetDecision(class, plan, volume string) {
+	e.env.Class = class
+	e.env.Plan = plan
+	e.env.Volume = volume
+}
+
+// Segments returns the segments of the path.
+func (e *Evaluator) Segments() []string { return e.env.segments[:e.env.segmentCount] }
+
+// Cost returns the cost that was counted since Begin.
+func (e *Evaluator) Cost() int { return e.env.cost }
+
+// Clear drops the request, so that a pooled Evaluator keeps nothing of it alive.
+func (e *Evaluator) Clear() { e.env.clear() }
+
+// Run returns the value of a program for the current request.
+func (e *Evaluator) Run(p *Program) (any, *Fault) {
+	if p.constant != nil {
+		return p.constant, nil
+	}
+	if e.depth == len(e.machines) {
+		e.machines = append(e.machines, &vm.VM{})
+	}
+	machine := e.machines[e.depth]
+	e.depth++
+	defer func() { e.depth-- }()
+	value, err := machine.Run(p.code, &e.env)
+	if err == nil {
+		return value, nil
+	}
+	var fault *Fault
+	if errors.As(err, &fault) {
+		return nil, fault
+	}
+	return nil, &Fault{Cause: CauseFailed, Wants: "a value: " + err.Error()}
+}
--- /dev/null
+++ b/internal/rules/expression/explain.go
@@ -0,0 +1,97 @@
+package expression
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/expr-lang/expr"
+	"github.com/expr-lang/expr/ast"
+)
+
+// Term is a part of an expression with its value for the current request.
+type Term struct {
+	Text      string `json:"text"`
+	Value     string `json:"value"`
+	Cost      int    `json:"cost"`  // counted by this evaluation
+	WorstCase int    `json:"worst"` // estimated at load; only for the whole expression
+}
+
+// maxTermValueBytes is how much of a value is shown.
+const maxTermValueBytes = 80
+
+// Terms evaluates an expression and each of its parts that is more than a name or a constant; the whole comes first. It
+// is meant for explanations, as it compiles every part again.
+func (e *Evaluator) Terms(p *Program, lets []string) []Term {
+	collector := &termCollector{}
+	ast.Walk(&p.tree, collector)
+	terms := []Term{e.term(p, lets)}
+	seen := map[string]bool{terms[0].Text: true}
+	for i := len(collector.nodes) - 2; i >= 0; i-- { // The last node is the whole expression.
+		source := collector.nodes[i].String()
+		code, err := expr.Compile(source, languageOptions()...)
+		if err != nil {
+			continue // a part that makes sense only within the whole
+		}
+		term := e.term(&Program{Source: source, code: code, tree: code.Node()}, lets)
+		term.WorstCase = 0
+		if !seen[term.Text] {
+			seen[term.Text] = true
+			terms = append(terms, term)
+		}
+	}
+	return terms
+}
+
+// term evaluates one program. The cost limit does not count it.
+func (e *Evaluator) term(p *Program, lets []string) Term {
+	before := e.env.cost
+	value, fault := e.Run(p)
+	term := Term{
+		Text:      RestoreNames(p.tree.String(), lets),
+		Cost:      e.env.cost - before,
+		WorstCase: p.Cost.WorstCase(DefaultSizes.Headers),
+	}
+	e.env.cost = before
+	if fault != nil {
+		term.Value = "no value: wants " + fault.Wants
+		return term
+	}
+	term.Value = fmt.Sprintf("%#v", value)
+	if len(term.Value) > maxTermValueBytes {
+		term.Value = term.Value[:maxTermValueBytes] + "…"
+	}
+	return term
+}
+
+// rewrittenNames maps what the rewriter wrote to what the file says.
+var rewrittenNames = strings.NewReplacer(
+	`headerOr(`, `header(`,
+	`queryOr(`, `query(`,
+	`, "")`, `)`,
+	"("+environmentName+", ", "(",
+	"hashOf2(", "hash(",
+	"hashOf3(", "hash(",
+	"hashOf4(", "hash(",
+)
+
+// RestoreNames puts the names that a file uses in the place of those that the rewriter wrote. The named expressions are
+// given in the order of their numbers.
+func RestoreNames(text string, lets []string) string {
+	for i, name := range lets {
+		for _, getter := range [...]string{"letString", "letInt", "letBool"} {
+			text = strings.ReplaceAll(text, fmt.Sprintf("%s(%d)", getter, i), name)
+		}
+	}
+	return rewrittenNames.Replace(text)
+}
+
+// termCollector gathers calls, comparisons and choices, children before their parents.
+type termCollector struct{ nodes []ast.Node }
+
+// Visit implements ast.Visitor.
+func (c *termCollector) Visit(node *ast.Node) {
+	switch (*node).(type) {
+	case *ast.CallNode, *ast.BinaryNode, *ast.ConditionalNode, *ast.UnaryNode:
+		c.nodes = append(c.nodes, *node)
+	}
+}
--- a/internal/rules/expression/expression_test.go
+++ b/internal/rules/expression/expression_test.go
@@ -12,156 +12,214 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func facts() *Facts {
-	return &Facts{Method: "GET", Path: "/api/bridge/7", Query: url.Values{"rows": {"12"}}, Host: "h", Client: "127.0.0.1", Front: "http",
-		Header:  http.Header{"X-A": {"one", "two"}, "X-Spaced": {"  Padded  "}, "X-When": {"2026-03-29 01:30"}, "X-List": {"a,b,c"}},
-		Arrival: time.Date(2026, 3, 29, 0, 30, 0, 0, time.UTC), Length: 5}
+func testFacts() *Facts {
+	return &Facts{
+		Method: "GET",
+		Path:   "/api/bridge/7",
+		Query:  url.Values{"rows": {"12"}},
+		Host:   "h",
+		Client: "127.0.0.1",
+		Front:  "http",
+		Header: http.Header{
+			"X-A":      {"one", "two"},
+			"X-Spaced": {"  Padded  "},
+			"X-When":   {"2026-03-29 01:30"},
+			"X-List":   {"a,b,c"},
+		},
+		Arrival: time.Date(2026, 3, 29, 0, 30, 0, 0, time.UTC),
+		Length:  5,
+	}
 }
 
-// value compiles and evaluates.
-func value(source string, scope Scope, f *Facts) (any, *Fault, error) {
+// evaluate compiles an expression and runs it once.
+func evaluate(source string, scope Scope, f *Facts) (any, *Fault, error) {
 	if scope.Sizes == (Sizes{}) {
 		scope.Sizes = DefaultSizes
 	}
-	p, err := Compile(source, scope, String, Bool, Int, Number, Duration)
+	program, err := Compile(source, scope, String, Bool, Int, Number, Duration)
 	if err != nil {
 		return nil, nil, err
 	}
-	e := NewEvaluator(nil, 0, 1<<30)
-	if fault := e.Begin(f, scope.Sizes); fault != nil {
+	evaluator := NewEvaluator(nil, 0, 1<<30)
+	if fault := evaluator.Begin(f, scope.Sizes); fault != nil {
 		return nil, fault, nil
 	}
-	v, fault := e.Run(p)
-	return v, fault, nil
+	value, fault := evaluator.Run(program)
+	return value, fault, nil
 }
 
-func TestValues(t *testing.T) {
-	scope := Scope{Constants: map[string]any{"crews": []any{"one", "three"}, "n": int64(3), "on": true, "x": 2.5, "word": "w"},
-		Params: map[string]int{"project": 1}}
-	for source, want := range map[string]any{
-		`header("x-a")`:                                 "one", // names of headers have no case
-		`len`:                                           nil,
-		`has("X-A") && !has("X-B")`:                     true,
-		`default(header("X-B"), "none")`:                "none",
-		`default(query("rows"), "0")`:                   "12",
-		`any(headers("X-A"), # == "two")`:               true,
-		`all(headers("X-None"), false)`:                 true,
-		`header("X-A") in crews`:                        true,
-		`header("X-A") not in ["two"]`:                  true,
-		`param("project")`:                              "bridge",
-		`segment(2)`:                                    "7",
-		`first(path, 4)`:                                "/api",
-		`field(header("X-List"), ",", 2)`:               "c",
-		`lower(trim(header("X-Spaced")))`:               "padded",
-		`glob(path, "/api/*/7")`:                        true,
-		`path matches "^/api/[a-z]+/[0-9]$"`:            true,
-		`path startsWith "/api" and path endsWith "/7"`: true,
-		`path contains "bridge"`:                        true,
-		`toInt(query("rows")) + n`:                      15,
-		`n > 2 ? "many" : "few"`:                        "many",
-		`x * 2`:                                         5.0,
-		`word + "!"`:                                    "w!",
-		`toDuration("250ms")`:                           250 * time.Millisecond,
-		`millis(length)`:                                5 * time.Millisecond,
-		`date(arrival, "Europe/Zagreb")`:                "2026-03-29",
-		`hour(arrival, "Europe/Zagreb")`:                1, // the clock is put forward half an hour later
-		`hour(arrival, "America/New_York")`:             20,
-		`date(arrival, "America/New_York")`:             "2026-03-28",
-		`weekday(arrival, "UTC")`:                       0,
-		`date(toTime(header("X-When"), "2006-01-02 15:04"), "UTC")`: "2026-03-29",
-		// Keys are part of a file's contract: XXH64, seed 0, 16 hex digits, and joined parts as if they were one text.
-		`hash("")`:                             "ef46db3751d8e999",
-		`hash("abc")`:                          "44bc2cf5ad770999",
-		`hash("a" + "b" + "c")`:                "44bc2cf5ad770999",
-		`hash("a" + "bc")`:                     "44bc2cf5ad770999",
-		`hash("" + "a" + "b" + "c")`:           "44bc2cf5ad770999",
-		`hash("" + "" + "a" + "b" + "" + "c")`: "44bc2cf5ad770999",
-		`let p = segment(1); p + p`:            "bridgebridge",
-	} {
-		v, fault, err := value(source, scope, facts())
-		if want == nil {
-			if err == nil {
-				t.Errorf("%s is taken", source)
+// wantedValues are the values of expressions for testFacts; nil: the expression does not compile.
+var wantedValues = map[string]any{
+	`header("x-a")`:                                 "one", // the names of headers are case-insensitive
+	`len`:                                           nil,
+	`has("X-A") && !has("X-B")`:                     true,
+	`default(header("X-B"), "none")`:                "none",
+	`default(query("rows"), "0")`:                   "12",
+	`any(headers("X-A"), # == "two")`:               true,
+	`all(headers("X-None"), false)`:                 true,
+	`header("X-A") in crews`:                        true,
+	`header("X-A") not in ["two"]`:                  true,
+	`param("project")`:                              "bridge",
+	`segment(2)`:                                    "7",
+	`first(path, 4)`:                                "/api",
+	`field(header("X-List"), ",", 2)`:               "c",
+	`lower(trim(header("X-Spaced")))`:               "padded",
+	`glob(path, "/api/*/7")`:                        true,
+	`path matches "^/api/[a-z]+/[0-9]$"`:            true,
+	`path startsWith "/api" and path endsWith "/7"`: true,
+	`path contains "bridge"`:                        true,
+	`toInt(query("rows")) + n`:                      15,
+	`n > 2 ? "many" : "few"`:                        "many",
+	`x * 2`:                                         5.0,
+	`word + "!"`:                                    "w!",
+	`toDuration("250ms")`:                           250 * time.Millisecond,
+	`millis(length)`:                                5 * time.Millisecond,
+	`date(arrival, "Europe/Zagreb")`:                "2026-03-29",
+	`hour(arrival, "Europe/Zagreb")`:                1, // daylight saving time begins half an hour later
+	`hour(arrival, "America/New_York")`:             20,
+	`date(arrival, "America/New_York")`:             "2026-03-28",
+	`weekday(arrival, "UTC")`:                       0,
+	`date(toTime(header("X-When"), "2006-01-02 15:04"), "UTC")`: "2026-03-29",
+	// Keys are part of a file's contract: XXH64 with seed 0 in 16 hex digits, over joined parts as over one text.
+	`hash("")`:                             "ef46db3751d8e999",
+	`hash("abc")`:                          "44bc2cf5ad770999",
+	`hash("a" + "b" + "c")`:                "44bc2cf5ad770999",
+	`hash("a" + "bc")`:                     "44bc2cf5ad770999",
+	`hash("" + "a" + "b" + "c")`:           "44bc2cf5ad770999",
+	`hash("" + "" + "a" + "b" + "" + "c")`: "44bc2cf5ad770999",
+	`let p = segment(1); p + p`:            "bridgebridge",
+}
+
+func TestExpressionValues(t *testing.T) {
+	scope := Scope{
+		Constants: map[string]any{
+			"crews": []any{"one", "three"},
+			"n":     int64(3),
+			"on":    true,
+			"x":     2.5,
+			"word":  "w",
+		},
+		Params: map[string]int{"project": 1},
+	}
+	for source, want := range wantedValues {
+		t.Run(source, func(t *testing.T) {
+			value, fault, err := evaluate(source, scope, testFacts())
+			if want == nil {
+				if err == nil {
+					t.Error("the expression compiles")
+				}
+				return
 			}
-			continue
-		}
-		if err != nil || fault != nil {
-			t.Errorf("%s: %v, %v", source, fault, err)
-		} else if diff := cmp.Diff(want, v); diff != "" {
-			t.Errorf("%s: %s", source, diff)
-		}
+			if err != nil || fault != nil {
+				t.Fatalf("%v, %v", fault, err)
+			}
+			if diff := cmp.Diff(want, value); diff != "" {
+				t.Error(diff)
+			}
+		})
 	}
 }
 
-func TestFaultsTellWhatWasWanted(t *testing.T) {
+func TestFaultsNameWhatIsRequired(t *testing.T) {
+	tooLong := fmt.Sprintf("no more than 64 characters in place of %.64q", strings.Repeat("/api/bridge/7", 5))
+	divided := "a value: runtime error: integer divide by zero (1:3)\n | 5 % (length - 5)\n | ..^"
 	for source, want := range map[string]Fault{
-		`header("X-B")`:                           {Missing, "the header X-B"},
-		`query("q")`:                              {Missing, "q in the query"},
-		`segment(9)`:                              {Missing, "segment 9 of the path"},
-		`field(header("X-A"), ",", 3)`:            {Missing, `3 more parts of what is split at ","`},
-		`toInt(header("X-A"))`:                    {Unread, `a whole number in place of "one"`},
-		`toDuration("-1s")`:                       {Unread, `a duration such as 250ms in place of "-1s"`},
-		`seconds(100000 + length)`:                {Unread, "from 0 to a day in place of 100005 × 1s"},
-		`5 % (length - 5)`:                        {Broken, "a value: runtime error: integer divide by zero (1:3)\n | 5 % (length - 5)\n | ..^"},
-		`toInt(path + path + path + path + path)`: {Unread, fmt.Sprintf("no more than 64 characters in place of %.64q", strings.Repeat("/api/bridge/7", 5))},
+		`header("X-B")`:                           {CauseMissing, "the header X-B"},
+		`query("q")`:                              {CauseMissing, "q in the query"},
+		`segment(9)`:                              {CauseMissing, "segment 9 of the path"},
+		`field(header("X-A"), ",", 3)`:            {CauseMissing, `3 more parts of what is split at ","`},
+		`toInt(header("X-A"))`:                    {CauseUnparsable, `a whole number in place of "one"`},
+		`toDuration("-1s")`:                       {CauseUnparsable, `a duration such as 250ms in place of "-1s"`},
+		`seconds(100000 + length)`:                {CauseUnparsable, "from 0 to a day in place of 100005 × 1s"},
+		`5 % (length - 5)`:                        {CauseFailed, divided},
+		`toInt(path + path + path + path + path)`: {CauseUnparsable, tooLong},
 	} {
-		_, fault, err := value(source, Scope{}, facts())
-		if err != nil || fault == nil {
-			t.Errorf("%s: %v, %v", source, fault, err)
-		} else if diff := cmp.Diff(want, *fault); diff != "" {
-			t.Errorf("%s: %s", source, diff)
-		}
-	}
-	p, err := Compile(`header("X-A")`, Scope{Sizes: DefaultSizes}, String)
-	if err != nil {
-		t.Fatal(err)
-	}
-	e := NewEvaluator(nil, 0, 100)
-	e.Begin(facts(), DefaultSizes)
-	if _, fault := e.Run(p); fault == nil || fault.Cause != TooDear {
-		t.Errorf("the fence is not met: %v", fault)
+		t.Run(source, func(t *testing.T) {
+			_, fault, err := evaluate(source, Scope{}, testFacts())
+			if err != nil || fault == nil {
+				t.Fatalf("%v, %v", fault, err)
+			}
+			if diff := cmp.Diff(want, *fault); diff != "" {
+				t.Error(diff)
+			}
+		})
 	}
+	t.Run("cost limit", func(t *testing.T) {
+		program, err := Compile(`header("X-A")`, Scope{Sizes: DefaultSizes}, String)
+		if err != nil {
+			t.Fatal(err)
+		}
+		evaluator := NewEvaluator(nil, 0, 100)
+		evaluator.Begin(testFacts(), DefaultSizes)
+		if _, fault := evaluator.Run(program); fault == nil || fault.Cause != CauseCostLimit {
+			t.Errorf("the cost limit does not end the evaluation: %v", fault)
+		}
+	})
 }
 
-// In a condition, a header that is not there is empty, so that it does not stop the rules after it.
-func TestConditions(t *testing.T) {
-	for source, want := range map[string]bool{`header("X-B") == ""`: true, `header("X-B") == "v"`: false, `query("q") == ""`: true} {
-		if v, fault, err := value(source, Scope{Condition: true}, facts()); err != nil || fault != nil || v != want {
-			t.Errorf("%s: %v, %v, %v", source, v, fault, err)
-		}
+// A missing header does not keep the rules after it from being tried.
+func TestMissingValuesAreEmptyInConditions(t *testing.T) {
+	for source, want := range map[string]bool{
+		`header("X-B") == ""`:  true,
+		`header("X-B") == "v"`: false,
+		`query("q") == ""`:     true,
+	} {
+		t.Run(source, func(t *testing.T) {
+			value, fault, err := evaluate(source, Scope{Condition: true}, testFacts())
+			if err != nil || fault != nil || value != want {
+				t.Errorf("%v, %v, %v", value, fault, err)
+			}
+		})
 	}
 }
 
-// Two headers can't both fill the head: what depends on either costs no more than the dearer one at its longest.
-func TestHeadersShareTheirBound(t *testing.T) {
-	cost := func(source string) int {
-		p, err := Compile(source, Scope{Sizes: DefaultSizes}, String, Bool)
+// Two headers can't both fill the head of a request: what depends on either costs no more than the more expensive one
+// at its longest.
+func TestHeadersShareTheirSizeLimit(t *testing.T) {
+	worstCase := func(source string) int {
+		program, err := Compile(source, Scope{Sizes: DefaultSizes}, String, Bool)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return p.Cost.Worst(DefaultSizes.Headers)
+		return program.Cost.WorstCase(DefaultSizes.Headers)
 	}
-	one, both := cost(`hash(header("A"))`), cost(`hash(header("A") + header("B"))`)
+	one := worstCase(`hash(header("A"))`)
+	both := worstCase(`hash(header("A") + header("B"))`)
 	if both > one+one/4 {
 		t.Errorf("one header: %d, two: %d", one, both)
 	}
-	if twice := cost(`hash(header("A") + header("A"))`); twice < one*7/4 {
+	if twice := worstCase(`hash(header("A") + header("A"))`); twice < one*7/4 {
 		t.Errorf("one header: %d, the same twice: %d", one, twice)
 	}
 }
 
-// Whatever an expression says and whatever a request bears: it is refused at load with a place within its text, or it
-// gives a value or a fault, and costs no more than was reckoned.
+// Whatever an expression says and whatever a request carries: either the expression is rejected at load, with a
+// position within its text, or it has a value or a fault and costs no more than was estimated.
 func FuzzExpression(f *testing.F) {
-	for _, seed := range []string{`header("X-A") == "one"`, `hash(path + "/" + date(arrival, "Europe/Zagreb"))`, `toInt(query("rows")) > 5 ? 1 : 2`,
-		`any(headers("X-A"), # matches "^a+$")`, `let x = lower(path); x + x`, `first(field(header("X-A"), ",", 2), 5) in ["a"]`,
-		"((((", `"\x00" + path`, `1 / 0`, `seconds(-1)`, `param("project")`, `default(header("X"), path)`} {
+	for _, seed := range []string{
+		`header("X-A") == "one"`,
+		`hash(path + "/" + date(arrival, "Europe/Zagreb"))`,
+		`toInt(query("rows")) > 5 ? 1 : 2`,
+		`any(headers("X-A"), # matches "^a+$")`,
+		`let x = lower(path); x + x`,
+		`first(field(header("X-A"), ",", 2), 5) in ["a"]`,
+		"((((",
+		`"\x00" + path`,
+		`1 / 0`,
+		`seconds(-1)`,
+		`param("project")`,
+		`default(header("X"), path)`,
+	} {
 		f.Add(seed, "one", "/api/a/1", 5)
 	}
 	sizes := Sizes{Headers: 4096, Path: 1024, Query: 1024}
-	scope := Scope{Sizes: sizes, Params: map[string]int{"project": 1}, Constants: map[string]any{"c": []any{"a"}}}
+	scope := Scope{
+		Sizes:     sizes,
+		Params:    map[string]int{"project": 1},
+		Constants: map[string]any{"c": []any{"a"}},
+	}
 	f.Fuzz(func(t *testing.T, source, header, path string, length int) {
-		p, err := Compile(source, scope, String, Bool, Int, Number, Duration)
+		program, err := Compile(source, scope, String, Bool, Int, Number, Duration)
 		if err != nil {
 			var at *SourceError
 			if !errors.As(err, &at) || at.Offset < 0 || at.Offset > len(source) || at.Message == "" {
@@ -169,13 +227,14 @@
 			}
 			return
 		}
-		e := NewEvaluator(nil, 1, 1<<40)
-		if e.Begin(&Facts{Method: "GET", Path: path, Header: http.Header{"X-A": {header}}, Length: length}, sizes) != nil {
+		evaluator := NewEvaluator(nil, 1, 1<<40)
+		facts := &Facts{Method: "GET", Path: path, Header: http.Header{"X-A": {header}}, Length: length}
+		if evaluator.Begin(facts, sizes) != nil {
 			return
 		}
-		e.Run(p)
-		if worst := p.Cost.Worst(sizes.Headers); e.Spent() > worst {
-			t.Errorf("%s costs %d, at worst %d", source, e.Spent(), worst)
+		evaluator.Run(program)
+		if worst := program.Cost.WorstCase(sizes.Headers); evaluator.Cost() > worst {
+			t.Errorf("%s costs %d, at worst %d", source, evaluator.Cost(), worst)
 		}
 	})
 }
--- a/internal/rules/load.go
+++ b/internal/rules/load.go
@@ -192,7 +192,7 @@
 // limits compiles the limits. A tier's limit is divided by the number of gateways that the settings name.
 func (c *compiler) limits() {
 	scope := c.scope
-	scope.Client, scope.Decided = true, true
+	scope.ClientKnown, scope.DecisionKnown = true, true
 	for i, e := range c.doc.Limit {
 		key := fmt.Sprintf("limit[%d]", i)
 		l := &limitRule{Rule: Rule{Name: e.Name, Place: c.file.Fault(key, "").Position(), Skip: c.skips(key, e.OnFault)}}
@@ -278,8 +278,8 @@
 
 // near names what a word that is not known may have been meant for.
 func (c *compiler) near(at *expression.SourceError) string {
-	word, ok := strings.CutPrefix(at.Message, "unknown name ")
-	if !ok {
+	word := at.UnknownName()
+	if word == "" {
 		return ""
 	}
 	names := slices.Concat(expression.Names(), slices.Collect(maps.Keys(c.scope.Lets)), slices.Collect(maps.Keys(c.scope.Constants)))
@@ -353,7 +353,7 @@
 		c.fault(key+".path", "%v", err)
 	}
 	scope := c.scope
-	scope.Params, scope.Client = r.template.params, r.Stage > Normalise
+	scope.Params, scope.ClientKnown = r.template.params, r.Stage > Normalise
 	c.condition(key, e.When, scope, r)
 	if len(e.Set) == 0 {
 		c.fault(key, "rule %s sets nothing", e.Name)
@@ -410,8 +410,8 @@
 			continue
 		}
 		for _, one := range r.needs {
-			if one.Attr == "method" && Writes(one.Equals) && !c.set.settings.Classes[c.set.classes[name.(string)]].Writes {
-				c.fault(key+".set.class", "class %q only reads, and the rule takes %s, which writes: repeats would not be harmless", name, one.Equals)
+			if one.Attribute == "method" && Writes(one.Value) && !c.set.settings.Classes[c.set.classes[name.(string)]].Writes {
+				c.fault(key+".set.class", "class %q only reads, and the rule takes %s, which writes: repeats would not be harmless", name, one.Value)
 			}
 		}
 	}
@@ -431,13 +431,13 @@
 	}
 	values := map[string]string{}
 	for _, one := range r.needs {
-		if one.Attr == "" {
+		if one.Attribute == "" {
 			continue
 		}
-		if other, ok := values[one.Attr]; ok && other != one.Equals {
-			return fmt.Sprintf("%s can't be both %q and %q", one.Attr, other, one.Equals)
+		if other, ok := values[one.Attribute]; ok && other != one.Value {
+			return fmt.Sprintf("%s can't be both %q and %q", one.Attribute, other, one.Value)
 		}
-		values[one.Attr] = one.Equals
+		values[one.Attribute] = one.Value
 	}
 	// Skip is no reason to pass over an earlier rule: that one may fault, and then this one is tried.
 	for _, i := range earlier.covering(r) {
@@ -495,7 +495,7 @@
 			worst = worst.Plus(l.when.Cost)
 		}
 	}
-	s.Cost = worst.Worst(s.Sizes.Headers)
+	s.Cost = worst.WorstCase(s.Sizes.Headers)
 	if s.Cost > s.budget {
 		f := c.dearest()
 		f.Message = fmt.Sprintf("the rules cost %d at worst, more than the budget of %d (reckoned nanoseconds a request); %s", s.Cost, s.budget, f.Message)
@@ -520,9 +520,9 @@
 		if p == nil {
 			return
 		}
-		if worst := p.Cost.Worst(c.set.Sizes.Headers); worst > most {
+		if worst := p.Cost.WorstCase(c.set.Sizes.Headers); worst > most {
 			most = worst
-			f = c.file.Fault(key, "most of it, %d, is here: %s", worst, expression.Readable(p.MostExpensive, c.set.letNames))
+			f = c.file.Fault(key, "most of it, %d, is here: %s", worst, expression.RestoreNames(p.CostliestTerm, c.set.letNames))
 		}
 	}
 	for i, p := range c.set.lets {
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -115,15 +115,15 @@
 		cause    expression.Cause
 	}{
 		"a header that a value wants": {"", "", request("GET", "/api/a/1", "X-Crew", "x"),
-			"rule project and date: key: wants the header X-Project", expression.Missing},
+			"rule project and date: key: wants the header X-Project", expression.CauseMissing},
 		"a number that is none": {"", "", request("GET", "/api/a/1", "X-Crew", "x", "X-Project", "p", "X-Shard", "five"),
-			`rule project and date: shard: wants a whole number in place of "five"`, expression.Unread},
+			`rule project and date: shard: wants a whole number in place of "five"`, expression.CauseUnparsable},
 		"a class that is computed and unknown": {`'"entry-write"'`, `'header("X-Class-Of")'`, request("PUT", "/api/a/1", "X-Class-Of", "none"),
-			`rule writes: class: wants a class of the settings in place of "none"`, expression.Unread},
+			`rule writes: class: wants a class of the settings in place of "none"`, expression.CauseUnparsable},
 		"more units than the largest request has": {`length > 100 ? 2 : 1`, `toInt(header("X-Units"))`, request("PUT", "/api/a/1", "X-Units", "9"),
-			"rule writes: units: wants units above 0 and up to 8 in place of 9", expression.Unread},
+			"rule writes: units: wants units above 0 and up to 8 in place of 9", expression.CauseUnparsable},
 		"a head beyond the sizes": {"", "", request("GET", "/api/a/1", "X-Big", strings.Repeat("x", 64<<10)),
-			"rule any: the request: wants headers, path and query within the sizes that the rules declare", expression.TooLong},
+			"rule any: the request: wants headers, path and query within the sizes that the rules declare", expression.CauseTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := parse(t, strings.Replace(sheets, c.old, c.new, 1)).one(c.request)
@@ -160,10 +160,10 @@
 	for name, c := range map[string]struct{ text, want string }{
 		"syntax":               {rule(`when = 'method =='`, class), "r.toml:4:17: rule[0].when: unexpected token EOF"},
 		"types":                {rule(`when = 'method == 5'`, class), "r.toml:4:16: rule[0].when: invalid operation: == (mismatched types string and int)"},
-		"a condition's type":   {rule(`when = 'method'`, class), "r.toml:4:9: rule[0].when: it gives a string, want bool"},
+		"a condition's type":   {rule(`when = 'method'`, class), "r.toml:4:9: rule[0].when: the expression is a string, want bool"},
 		"an unknown name":      {rule(`when = 'methd == "GET"'`, class), `r.toml:4:9: rule[0].when: unknown name methd; did you mean "method"?`},
 		"a hidden name":        {rule(`when = 'headerOr("X", "") == ""'`, class), "rule[0].when: unknown name headerOr"},
-		"a name not yet known": {"[[rule]]\nname = 'a'\nstage = 'normalise'\nset.who = 'who'", "rule[0].set.who: who asks is not known before"},
+		"a name not yet known": {"[[rule]]\nname = 'a'\nstage = 'normalise'\nset.who = 'who'", "rule[0].set.who: who is not known before"},
 		"an unknown class":     {rule(`set.class = '"sheet-red"'`), `r.toml:4:1: rule[0].set.class: wants a class of the settings in place of "sheet-red"; did you mean "sheet-read"?`},
 		"an unknown plan":      {rule(`set.plan = '"tin"'`), `rule[0].set.plan: wants a plan of the settings in place of "tin"`},
 		"a read class for a method that writes": {rule(`when = 'method == "PUT"'`, class),
@@ -173,7 +173,7 @@
 		"what can't be":             {rule(`when = 'method == "GET" && method == "HEAD"'`, class), `rule a can never match: method can't be both "GET" and "HEAD"`},
 		"what is never":             {rule(`when = 'false'`, class), "rule a can never match: its condition is always false"},
 		"an unknown zone":           {"[[rule]]\nname = 'a'\nstage = 'key'\nset.key = 'hash(date(arrival, \"Europe/Zagrb\"))'", `rule[0].set.key: "Europe/Zagrb" is not a time zone`},
-		"a zone that is computed":   {"[[rule]]\nname = 'a'\nstage = 'key'\nset.key = 'hash(date(arrival, path))'", "rule[0].set.key: date wants a constant here"},
+		"a zone that is computed":   {"[[rule]]\nname = 'a'\nstage = 'key'\nset.key = 'hash(date(arrival, path))'", "rule[0].set.key: date requires a constant here"},
 		"a pattern that is broken":  {rule(`when = 'path matches "("'`, class), "rule[0].when: error parsing regexp: missing closing )"},
 		"a pattern over a header":   {rule(`when = 'header("X") matches "^(a+)+$"'`, class), `more than the budget of 20000 (reckoned nanoseconds a request); most of it`},
 		"a parameter of no segment": {"[[rule]]\nname = 'a'\nstage = 'key'\npath = '/x/{y}'\nset.key = 'hash(param(\"z\"))'", "rule[0].set.key: the rule's path has no segment {z}"},
--- a/internal/rules/table.go
+++ b/internal/rules/table.go
@@ -50,21 +50,21 @@
 		return
 	}
 	for _, c := range r.needs {
-		if c.Attr == "path" {
-			t.exact[c.Equals] = append(t.exact[c.Equals], i)
+		if c.Attribute == "path" {
+			t.exact[c.Value] = append(t.exact[c.Value], i)
 			return
 		}
 	}
 	for _, c := range r.needs {
-		if name, ok := strings.CutPrefix(c.Attr, "header "); ok {
+		if name, ok := strings.CutPrefix(c.Attribute, "header "); ok {
 			by := t.header(name)
-			by[c.Equals] = append(by[c.Equals], i)
+			by[c.Value] = append(by[c.Value], i)
 			return
 		}
 	}
 	for _, c := range r.needs {
-		if c.Attr == "method" {
-			t.methods[c.Equals] = append(t.methods[c.Equals], i)
+		if c.Attribute == "method" {
+			t.methods[c.Value] = append(t.methods[c.Value], i)
 			return
 		}
 	}
@@ -194,13 +194,13 @@
 		found = t.paths.find(segments, found)
 	}
 	for _, need := range r.needs {
-		switch name, header := strings.CutPrefix(need.Attr, "header "); {
+		switch name, header := strings.CutPrefix(need.Attribute, "header "); {
 		case header:
-			found = append(found, t.header(name)[need.Equals]...)
-		case need.Attr == "path":
-			found = append(found, t.exact[need.Equals]...)
-		case need.Attr == "method":
-			found = append(found, t.methods[need.Equals]...)
+			found = append(found, t.header(name)[need.Value]...)
+		case need.Attribute == "path":
+			found = append(found, t.exact[need.Value]...)
+		case need.Attribute == "method":
+			found = append(found, t.methods[need.Value]...)
 		}
 	}
 	slices.Sort(found)
