--- a/internal/rules/expression/expression_test.go
+++ b/internal/rules/expression/expression_test.go
@@ -120,6 +120,28 @@
 	}
 }
 
+// Sources that a rule file may hold, and that once ended the program by a panic.
+func TestMalformedNamesAreRejected(t *testing.T) {
+	scope := Scope{
+		Sizes:     DefaultSizes,
+		Condition: true,
+		Constants: map[string]any{"day": time.Date(2020, 1, 1, 0, 0, 0, 0, time.UTC)},
+	}
+	for source, want := range map[string]string{
+		`day == "x"`:                        "the constant day is of a type that no expression can use",
+		`default(headerOr(), "x") == "y"`:   "unknown name headerOr",
+		`default(queryOr("a"), "x") == "y"`: "unknown name queryOr",
+	} {
+		t.Run(source, func(t *testing.T) {
+			_, err := Compile(source, scope, Bool)
+			var at *SourceError
+			if !errors.As(err, &at) || at.Message != want {
+				t.Errorf("%v, want %s", err, want)
+			}
+		})
+	}
+}
+
 func TestFaultsNameWhatIsRequired(t *testing.T) {
 	tooLong := fmt.Sprintf("no more than 64 characters in place of %.64q", strings.Repeat("/api/bridge/7", 5))
 	divided := "a value: runtime error: integer divide by zero (1:3)\n | 5 % (length - 5)\n | ..^"
--- a/internal/rules/expression/rewriter.go
+++ b/internal/rules/expression/rewriter.go
@@ -69,7 +69,12 @@
 		return
 	}
 	if value, ok := r.scope.Constants[n.Value]; ok {
-		replace(node, literalOf(value))
+		literal := literalOf(value)
+		if literal == nil {
+			r.fail(n, "the constant %s is of a type that no expression can use", n.Value)
+			return
+		}
+		replace(node, literal)
 		return
 	}
 	switch {
@@ -82,7 +87,7 @@
 	}
 }
 
-// literalOf returns the syntax tree of a constant of a rule file.
+// literalOf returns the syntax tree of a constant of a rule file; nil if its type is not supported.
 func literalOf(value any) ast.Node {
 	switch v := value.(type) {
 	case string:
@@ -230,12 +235,12 @@
 // rewriteDefault turns default(header(NAME), VALUE) into headerOr(NAME, VALUE), and the same for query.
 func (r *rewriter) rewriteDefault(node *ast.Node, n *ast.CallNode) {
 	inner, function := innerCall(n)
-	switch function {
-	case "header", "query":
+	switch {
+	case function == "header" || function == "query":
 		r.addFallback(inner, function+"Or", n.Arguments[1])
 		*node = inner
-	case "headerOr", "queryOr": // A condition has given it the fallback "" already.
-		inner.Arguments[1] = n.Arguments[1]
+	case (function == "headerOr" || function == "queryOr") && len(inner.Arguments) == 2:
+		inner.Arguments[1] = n.Arguments[1] // A condition has given it the fallback "" already.
 		*node = inner
 	default:
 		r.fail(n, "default requires header(NAME) or query(NAME) and a constant")
--- a/internal/rules/fuzz_test.go
+++ b/internal/rules/fuzz_test.go
@@ -19,6 +19,8 @@
 	f.Add("[[limit]]\nname='l'\nkey='who'\nrate=1e300\nburst=-1\nparent='l'")
 	f.Add("[[rule]]\nname='a'\nstage='key'\npath='/{a}/{b...}'\nset.key='hash(param(\"b\"))'")
 	f.Add("sizes.headers = -5\nconst = {a = [1, {}], b = 2020-01-01}\nlet = [{name='x', is='x'}]")
+	f.Add("const = {b = 2020-01-01}\n[[rule]]\nname='a'\nstage='key'\nwhen='b == 1'\nset.key='b'")
+	f.Add("[[rule]]\nname='a'\nstage='key'\nwhen='default(headerOr(), \"x\") == \"y\"'\nset.hosts='1'")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse("r", []byte(text), settings)
 		if err != nil {
