--- /dev/null
+++ b/internal/backend/httpbackend/attempt.go
@@ -0,0 +1,141 @@
+package httpbackend
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"time"
+
+	"reachpulley/internal/eventloop"
+	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/scheduler"
+)
+
+// attempt sends an attempt's request and reports how it ended. An error comes with a report that says what it means
+// for the attempt.
+func (b *Backend) attempt(ctx context.Context, attempt eventloop.Attempt) (eventloop.Report, error) {
+	payload, ok := attempt.Exchange.Payload.(*httpmsg.Request)
+	if !ok {
+		err := fmt.Errorf("a %T cannot be sent to a node that speaks HTTP", attempt.Exchange.Payload)
+		return failure(scheduler.ConnectFailed), err
+	}
+	c, err := b.connect(ctx, attempt.Node)
+	if err != nil {
+		if errors.Is(err, errSocketBudget) || ctx.Err() != nil { // says nothing about the node
+			return failure(scheduler.NotSent), err
+		}
+		return failure(scheduler.ConnectFailed), err
+	}
+	began := time.Now()
+	if !attempt.MayBegin(began) {
+		b.pool.put(c)
+		return failure(scheduler.NotSent), errAttemptExpired
+	}
+	request := newRequest(payload, c.address, attempt.Deadline.Sub(began))
+	received, written, err := b.roundTrip(ctx, c, request)
+	if err != nil {
+		// Without the request's last byte the node cannot have begun to process it; with it, nobody knows.
+		result := scheduler.ConnectionReset
+		if !written {
+			result = scheduler.ConnectFailed
+		}
+		return failure(eventloop.ResultAfterCancel(ctx, result)), err
+	}
+	report := received.report(payload.Statuses)
+	report.ServiceTime = time.Since(began)
+	if b.observe != nil {
+		b.observe(Observation{
+			Exchange: attempt.Exchange,
+			Request:  payload,
+			Node:     attempt.Node,
+			Number:   attempt.Number,
+			Result:   report.Result,
+			Status:   received.StatusCode,
+			Header:   received.Header,
+			Body:     received.content,
+			Duration: report.ServiceTime,
+		})
+	}
+	return report, nil
+}
+
+// failure is the report on an attempt that got no response.
+func failure(result scheduler.Result) eventloop.Report {
+	return eventloop.Report{Result: result, VolumeUse: -1}
+}
+
+// newRequest returns the request that is sent to a node for a client's request, with the time that is left for it.
+func newRequest(payload *httpmsg.Request, address string, timeLeft time.Duration) *http.Request {
+	header := payload.Header.Clone()
+	header.Set(httpmsg.DeadlineHeader, httpmsg.FormatDeadline(timeLeft))
+	target := *payload.URL
+	target.Scheme = "http"
+	target.Host = address
+	request := &http.Request{
+		Method:     payload.Method,
+		URL:        &target,
+		Host:       payload.Host,
+		Header:     header,
+		Body:       http.NoBody,
+		Proto:      "HTTP/1.1",
+		ProtoMajor: 1,
+		ProtoMinor: 1,
+	}
+	if len(payload.Body) > 0 {
+		request.Body = io.NopCloser(bytes.NewReader(payload.Body))
+		request.ContentLength = int64(len(payload.Body))
+	}
+	return request
+}
+
+// probe requests a node's load report. The load is nil if the node responds without a valid one.
+func (b *Backend) probe(ctx context.Context, node string) (*scheduler.Load, error) {
+	c, err := b.connect(ctx, node)
+	if err != nil {
+		return nil, err
+	}
+	request := &http.Request{
+		Method:     http.MethodGet,
+		URL:        &url.URL{Scheme: "http", Host: c.address, Path: httpmsg.LoadPath},
+		Header:     http.Header{},
+		Body:       http.NoBody,
+		Proto:      "HTTP/1.1",
+		ProtoMajor: 1,
+		ProtoMinor: 1,
+	}
+	received, _, err := b.roundTrip(ctx, c, request)
+	if err != nil {
+		return nil, err
+	}
+	if received.StatusCode != http.StatusOK {
+		return nil, fmt.Errorf("probe of node %s: status %d", node, received.StatusCode)
+	}
+	return parseLoadReport(received.content), nil
+}
+
+// roundTrip sends a request, reads the response in full and returns the connection to the pool. If ctx ends first, the
+// connection is closed, which also tells the node that nobody waits any more. Written reports whether the request's
+// last byte was sent.
+func (b *Backend) roundTrip(ctx context.Context, c *conn, request *http.Request) (
+	received response, written bool, err error) {
+	stopClosing := context.AfterFunc(ctx, func() { c.Close() })
+	var message bytes.Buffer
+	err = request.Write(&message)
+	if err == nil {
+		_, err = c.Write(message.Bytes())
+		written = err == nil
+	}
+	if written {
+		received, err = c.readResponse(ctx, request, b.largeResponses)
+	}
+	if !stopClosing() || err != nil || received.Close {
+		b.pool.discard(c)
+	} else {
+		b.pool.put(c)
+	}
+	return received, written, err
+}
--- a/internal/backend/httpbackend/fuzz_test.go
+++ b/internal/backend/httpbackend/fuzz_test.go
@@ -13,37 +13,37 @@
 	"reachpulley/internal/proto/httpmsg"
 )
 
-// heard is a connection over which a text came.
-type heard struct {
+// receivingConn is a connection on which a text was received.
+type receivingConn struct {
 	net.Conn
 	bytes.Reader
 }
 
-func (h *heard) Read(p []byte) (int, error)      { return h.Reader.Read(p) }
-func (h *heard) SetReadDeadline(time.Time) error { return nil }
+func (c *receivingConn) Read(p []byte) (int, error)      { return c.Reader.Read(p) }
+func (c *receivingConn) SetReadDeadline(time.Time) error { return nil }
 
-// Whatever a node writes, what is taken for an answer is within bounds, and what stands behind it is still there.
-func FuzzReadAnswer(f *testing.F) {
+// Whatever a node sends, a response that is accepted is within bounds, and what follows it was not consumed.
+func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyesHTTP/1.1 200 OK\r\n"))
 	f.Add([]byte("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\ny\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 503 No\nX-Not-Run: 1\n\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		h := &heard{}
-		h.Reset(text)
-		c := &conn{Conn: h, r: bufio.NewReaderSize(h, mostHead)}
-		room := semaphore.NewWeighted(httpmsg.MaxResponseBody)
-		resp, body, err := c.readAnswer(t.Context(), &http.Request{Method: http.MethodGet}, room)
+		network := &receivingConn{}
+		network.Reset(text)
+		c := &conn{Conn: network, reader: bufio.NewReaderSize(network, maxHeadSize)}
+		largeResponses := semaphore.NewWeighted(httpmsg.MaxResponseBody)
+		received, err := c.readResponse(t.Context(), &http.Request{Method: http.MethodGet}, largeResponses)
 		if err != nil {
 			return
 		}
-		if len(body) > httpmsg.MaxResponseBody || resp.StatusCode < 200 {
-			t.Fatalf("status %d, %d bytes", resp.StatusCode, len(body))
+		if len(received.content) > httpmsg.MaxResponseBody || received.StatusCode < 200 {
+			t.Fatalf("status %d, %d bytes", received.StatusCode, len(received.content))
 		}
-		rest := make([]byte, len(text))
-		n := c.r.Buffered()
-		c.r.Read(rest[:n])
-		if left := append(rest[:n:n], text[len(text)-h.Len():]...); !bytes.HasSuffix(text, left) {
+		buffered := make([]byte, c.reader.Buffered(), len(text))
+		c.reader.Read(buffered)
+		unread := text[len(text)-network.Len():]
+		if left := append(buffered, unread...); !bytes.HasSuffix(text, left) {
 			t.Fatalf("%q is left of %q", left, text)
 		}
 	})
--- a/internal/backend/httpbackend/pool.go
+++ b/internal/backend/httpbackend/pool.go
@@ -9,130 +9,141 @@
 	"os"
 	"sync"
 	"time"
-
-	"reachpulley/internal/socketpeek"
 )
 
 const (
-	// settleTime is for how long a connection rests after an answer before the next request goes over it: a second answer, which
-	// a node may write some milliseconds after its first, would be taken for that request's.
-	settleTime = 5 * time.Millisecond
-	// babbleTime is for how long no connection to a node is kept that wrote what it was not asked for: it may take longer next time.
-	babbleTime = time.Minute
+	// reuseDelay is the time after a response until the next request is sent on the same connection. A node may write a
+	// second response some milliseconds after its first, which would be taken for that of the next request.
+	reuseDelay = 5 * time.Millisecond
+	// reuseBanTime is the time for which no connection to a node is reused after the node sent unsolicited data: the
+	// next such data may arrive later than reuseDelay.
+	reuseBanTime = time.Minute
 )
 
-// errBudget tells that the gateway may hold no further connection.
-var errBudget = errors.New("no socket is left in the budget")
+// errSocketBudget means that the gateway holds as many connections to nodes as it may.
+var errSocketBudget = errors.New("no socket left in the budget")
+
+type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// conn is one connection to a node. Whoever got it from the pool owns it until put or discard. All that comes over it
-// goes through its own reader, so that it is known to the byte whether an answer left anything behind.
-type conn struct {
-	net.Conn
-	r         *bufio.Reader
-	within    bool // an answer has begun
-	node      string
-	address   string
-	idleSince time.Time
-	quiet     chan bool // while idle: whether nothing had come when the watch over it ended
+// poolOptions configure a pool.
+type poolOptions struct {
+	dial           dialFunc
+	connectTimeout time.Duration
+	idleTimeout    time.Duration // maximum age of an idle connection
+	maxConnections int           // the socket budget
 }
 
-// pool owns every connection to the nodes and counts them against the budget. A connection is given back to the
-// budget in one place, closeLocked.
+// waiter is notified once when the socket budget may have capacity again. It holds one notification.
+type waiter chan struct{}
+
+// pool owns every connection to the nodes and counts them against the socket budget. closeLocked is the only place that
+// returns a connection to the budget.
 type pool struct {
-	dial    dialFunc
-	within  time.Duration // for a connection to come up
-	idleFor time.Duration // longest time that a connection is kept idle
-	most    int
+	poolOptions
 
-	mu      sync.Mutex
-	count   int
-	ended   bool               // nothing is kept any more
-	idle    map[string][]*conn // by node; the longest idle first
-	babbled map[string]time.Time
-	waiting []chan bool // those for whom the budget had no room, in turn; one hears when there may be some
+	mu            sync.Mutex
+	connections   int                  // all that exist or are being dialed
+	closed        bool                 // nothing is put back any more
+	idle          map[string][]*conn   // by node; the one that was idle for longest comes first
+	unsolicitedAt map[string]time.Time // by node: when it last sent unsolicited data
+	waiters       []waiter             // for capacity in the budget, first come first served
 }
 
-type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
-
-func newPool(dial dialFunc, within, idleFor time.Duration, most int) *pool {
-	return &pool{dial: dial, within: within, idleFor: idleFor, most: most, idle: map[string][]*conn{}, babbled: map[string]time.Time{}}
+func newPool(options poolOptions) *pool {
+	return &pool{
+		poolOptions:   options,
+		idle:          map[string][]*conn{},
+		unsolicitedAt: map[string]time.Time{},
+	}
 }
 
-// get gives an idle connection to the node, the one used last, or a new one. Where the budget has no room for one, it
-// waits for its turn, for as long as a connection may take to come up.
+// get returns the most recently used idle connection to a node, or a new one. If the budget has no capacity for a new
+// one, it waits for capacity for as long as a connect may take.
 func (p *pool) get(ctx context.Context, node, address string) (*conn, error) {
-	patience, cancel := context.WithTimeout(ctx, p.within)
+	c, err := p.reuseOrReserve(ctx, node, address)
+	if c != nil || err != nil {
+		return c, err
+	}
+	return p.dialReserved(ctx, node, address)
+}
+
+// reuseOrReserve returns an idle connection, or nil once it has reserved capacity for a new one.
+func (p *pool) reuseOrReserve(ctx context.Context, node, address string) (*conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
 	for {
-		c, settles := p.takeIdle(node)
-		for ; c != nil; c, settles = p.takeIdle(node) {
-			if c.rested() && c.address == address && time.Since(c.idleSince) < p.idleFor {
+		c, reusableIn := p.takeIdle(node)
+		for ; c != nil; c, reusableIn = p.takeIdle(node) {
+			if c.endIdleWatch() && c.address == address && time.Since(c.idleSince) < p.idleTimeout {
 				return c, nil
 			}
 			p.discard(c)
 		}
-		if settles > 0 { // that is sooner than a new connection
+		if reusableIn > 0 { // sooner than a new connection would be up
 			select {
-			case <-time.After(settles):
+			case <-time.After(reusableIn):
 				continue
-			case <-patience.Done():
-				return nil, errBudget
+			case <-ctx.Done():
+				return nil, errSocketBudget
 			}
 		}
-		turn := p.reserve()
-		if turn == nil {
-			break
+		capacity := p.reserve()
+		if capacity == nil {
+			return nil, nil
 		}
 		select {
-		case <-turn:
-		case <-patience.Done():
-			p.leave(turn)
-			return nil, errBudget
+		case <-capacity:
+		case <-ctx.Done():
+			p.abandon(capacity)
+			return nil, errSocketBudget
 		}
 	}
-	ctx, stop := context.WithTimeout(ctx, p.within) // anew: the wait is not the node's
-	defer stop()
+}
+
+// dialReserved opens a connection for which capacity was reserved. It has the full connect timeout: the wait for
+// capacity was not the node's fault.
+func (p *pool) dialReserved(ctx context.Context, node, address string) (*conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
+	defer cancel()
 	c := &conn{node: node, address: address}
 	var err error
 	if c.Conn, err = p.dial(ctx, "tcp", address); err != nil {
 		p.discard(c)
 		return nil, err
 	}
-	c.r = bufio.NewReaderSize(c, mostHead)
+	c.reader = bufio.NewReaderSize(c, maxHeadSize)
 	return c, nil
 }
 
-// takeIdle gives the connection that was used last of those that have settled, or tells when the next one will have.
-func (p *pool) takeIdle(node string) (c *conn, settles time.Duration) {
+// takeIdle removes and returns the most recently used connection to a node whose reuse delay has passed. If there is
+// none, it returns the time until the next one may be reused, or 0 if nothing is idle.
+func (p *pool) takeIdle(node string) (c *conn, reusableIn time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := p.idle[node]
 	for i := len(idle) - 1; i >= 0; i-- {
-		if settles = settleTime - time.Since(idle[i].idleSince); settles <= 0 {
+		if reusableIn = reuseDelay - time.Since(idle[i].idleSince); reusableIn <= 0 {
 			c = idle[i]
 			p.idle[node] = append(idle[:i:i], idle[i+1:]...)
 			return c, 0
 		}
 	}
-	return nil, settles
+	return nil, reusableIn
 }
 
-// past is a read deadline that ends a read at once.
-var past = time.Unix(1, 0)
-
-// watch waits for what must not come over an idle connection: a second answer, noise, or its end. Then the connection
-// goes at once, unless somebody has just taken it: rested tells that one.
+// watch waits for what must not arrive on an idle connection: a second response, noise, or the connection's end. It
+// then closes the connection at once, unless somebody has just taken it, who learns of it from conn.endIdleWatch.
 func (p *pool) watch(c *conn) {
-	_, err := c.r.Peek(1)
-	quiet := errors.Is(err, os.ErrDeadlineExceeded)
-	c.quiet <- quiet // it has room
-	if quiet {
+	_, err := c.reader.Peek(1)
+	silent := errors.Is(err, os.ErrDeadlineExceeded)
+	c.idleWatch <- silent // never blocks
+	if silent {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err == nil {
-		p.babbled[c.node] = time.Now()
+		p.unsolicitedAt[c.node] = time.Now()
 	}
 	for i, other := range p.idle[c.node] {
 		if other == c {
@@ -143,79 +154,78 @@
 	}
 }
 
-// rested ends the watch over a connection that was idle and tells whether nothing has come over it, to this moment.
-// What came would be taken for the answer to the next request.
-func (c *conn) rested() bool {
-	c.SetReadDeadline(past)
-	quiet := <-c.quiet
-	c.SetReadDeadline(time.Time{})
-	return quiet && c.r.Buffered() == 0 && !socketpeek.Ready(c.Conn)
-}
-
-// reserve counts a new connection. Where the budget is used up, the connection idle for longest makes room; where
-// none is idle, it gives a turn to wait for.
-func (p *pool) reserve() (turn chan bool) {
+// reserve counts a new connection against the budget. If the budget is used up, it closes the connection that was idle
+// for longest; if none is idle, it reserves nothing and returns a waiter for capacity.
+func (p *pool) reserve() waiter {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.count >= p.most {
-		oldest := ""
-		for node, idle := range p.idle {
-			if len(idle) > 0 && (oldest == "" || idle[0].idleSince.Before(p.idle[oldest][0].idleSince)) {
-				oldest = node
-			}
+	if p.connections >= p.maxConnections {
+		node, found := p.longestIdleLocked()
+		if !found {
+			capacity := make(waiter, 1)
+			p.waiters = append(p.waiters, capacity)
+			return capacity
 		}
-		if oldest == "" {
-			turn = make(chan bool, 1)
-			p.waiting = append(p.waiting, turn)
-			return turn
-		}
-		c := p.idle[oldest][0]
-		p.idle[oldest] = p.idle[oldest][1:]
+		c := p.idle[node][0]
+		p.idle[node] = p.idle[node][1:]
 		p.closeLocked(c)
 	}
-	p.count++
+	p.connections++
 	return nil
 }
 
-// next lets the first who waits look again. It is called with mu held.
-func (p *pool) next() {
-	if len(p.waiting) > 0 {
-		p.waiting[0] <- true // it has room
-		p.waiting = p.waiting[1:]
+// longestIdleLocked returns the node with the connection that was idle for longest.
+func (p *pool) longestIdleLocked() (node string, found bool) {
+	for candidate, idle := range p.idle {
+		if len(idle) > 0 && (!found || idle[0].idleSince.Before(p.idle[node][0].idleSince)) {
+			node = candidate
+			found = true
+		}
+	}
+	return node, found
+}
+
+// notifyWaiterLocked has the first waiter look for capacity again.
+func (p *pool) notifyWaiterLocked() {
+	if len(p.waiters) > 0 {
+		p.waiters[0] <- struct{}{} // never blocks
+		p.waiters = p.waiters[1:]
 	}
 }
 
-// leave gives a turn up; one that has come in the same moment goes to the next.
-func (p *pool) leave(turn chan bool) {
+// abandon ends a wait for capacity. A waiter that was notified in the same moment passes the notification on.
+func (p *pool) abandon(capacity waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i, other := range p.waiting {
-		if other == turn {
-			p.waiting = append(p.waiting[:i:i], p.waiting[i+1:]...)
+	for i, other := range p.waiters {
+		if other == capacity {
+			p.waiters = append(p.waiters[:i:i], p.waiters[i+1:]...)
 			return
 		}
 	}
-	p.next()
+	p.notifyWaiterLocked()
 }
 
-// put keeps a connection whose answer was read whole and left nothing behind.
+// put returns a connection to the pool whose last response was read in full, or on which no request was sent. The
+// connection is closed if something follows the response.
 func (p *pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.r.Buffered() > 0 {
-		p.babbled[c.node] = time.Now()
+	if c.reader.Buffered() > 0 {
+		p.unsolicitedAt[c.node] = time.Now()
 	}
-	if _, babbles := p.babbled[c.node]; p.ended || babbles {
+	if _, banned := p.unsolicitedAt[c.node]; p.closed || banned {
 		p.discardLocked(c)
 		return
 	}
-	c.idleSince, c.quiet = time.Now(), make(chan bool, 1)
+	c.idleSince = time.Now()
+	c.idleWatch = make(chan bool, 1)
 	p.idle[c.node] = append(p.idle[c.node], c)
 	go p.watch(c)
-	p.next()
+	p.notifyWaiterLocked()
 }
 
-// discard closes a connection and gives its place in the budget back.
+// discard closes a connection and returns it to the budget.
 func (p *pool) discard(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,38 +234,39 @@
 
 func (p *pool) discardLocked(c *conn) {
 	p.closeLocked(c)
-	p.next()
+	p.notifyWaiterLocked()
 }
 
 func (p *pool) closeLocked(c *conn) {
-	if c.Conn != nil { // else it never came up
+	if c.Conn != nil { // else the dial failed
 		c.Close()
 	}
-	p.count--
+	p.connections--
 }
 
-// sweep closes what has been idle for too long, well before the node would: a request that crosses the node's
-// close would end as a reset.
+// sweep closes connections that were idle for too long, well before the nodes would: a request that crosses the node's
+// close on the network would end as a connection reset. It also ends reuse bans whose time has passed.
 func (p *pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for node, idle := range p.idle {
-		for len(idle) > 0 && time.Since(idle[0].idleSince) >= p.idleFor {
+		for len(idle) > 0 && time.Since(idle[0].idleSince) >= p.idleTimeout {
 			p.discardLocked(idle[0])
 			idle = idle[1:]
 		}
-		if p.idle[node] = idle; len(idle) == 0 {
+		p.idle[node] = idle
+		if len(idle) == 0 {
 			delete(p.idle, node)
 		}
 	}
-	maps.DeleteFunc(p.babbled, func(_ string, at time.Time) bool { return time.Since(at) >= babbleTime })
+	maps.DeleteFunc(p.unsolicitedAt, func(_ string, at time.Time) bool { return time.Since(at) >= reuseBanTime })
 }
 
-// end closes what is idle and keeps nothing from now on.
-func (p *pool) end() {
+// close closes the idle connections, and from now on every connection that is put back.
+func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = true
+	p.closed = true
 	for _, idle := range p.idle {
 		for _, c := range idle {
 			p.discardLocked(c)
--- /dev/null
+++ b/internal/backend/httpbackend/report.go
@@ -0,0 +1,45 @@
+package httpbackend
+
+import (
+	"net/http"
+
+	"reachpulley/internal/eventloop"
+	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/scheduler"
+)
+
+// report interprets a response by its operation's description, and by the platform's rules for a status that the
+// description leaves out. Statuses is nil for an operation without a description.
+func (r response) report(statuses httpmsg.StatusInterpreter) eventloop.Report {
+	report := eventloop.Report{
+		Result:     scheduler.Errored,
+		VolumeUse:  httpmsg.HeaderNumber(r.Header, httpmsg.UsedHeader, -100) / 100,
+		OtherUnits: httpmsg.HeaderNumber(r.Header, httpmsg.OthersHeader, 0),
+		Load:       parseLoadReport([]byte(r.Header.Get(httpmsg.LoadHeader))),
+	}
+	meaning := httpmsg.Undescribed
+	if statuses != nil {
+		meaning = statuses.StatusMeaning(r.StatusCode)
+	}
+	switch meaning {
+	case httpmsg.FinalAnswer:
+		report.Result = scheduler.Served
+		report.Reply = &httpmsg.Reply{Status: r.StatusCode, Header: r.Header, Body: r.content}
+		return report
+	case httpmsg.NeverRan:
+		report.Result = scheduler.Overloaded
+		return report
+	case httpmsg.MayHaveRun:
+		return report
+	}
+	switch r.StatusCode {
+	case http.StatusOK:
+		report.Result = scheduler.Served
+		report.Reply = &httpmsg.Reply{Header: r.Header, Body: r.content}
+	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		if r.Header.Get(httpmsg.NotRunHeader) == "1" { // without it the node may have begun to process the request
+			report.Result = scheduler.Overloaded
+		}
+	}
+	return report
+}
--- /dev/null
+++ b/internal/backend/httpbackend/response.go
@@ -0,0 +1,140 @@
+package httpbackend
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"golang.org/x/sync/semaphore"
+
+	"reachpulley/internal/proto/httpmsg"
+)
+
+const (
+	// maxHeadSize is the maximum size of a response's head, that is its status line and header section, in bytes.
+	maxHeadSize = 8 << 10
+	// maxHeads is the maximum number of heads read for one request: those of interim (1xx) responses and the final one.
+	maxHeads = 8
+	// smallContent is the content, in bytes, that is read without a reservation in the memory for large responses.
+	smallContent = httpmsg.MaxRequestBody
+)
+
+// Errors of a malformed or unacceptable response. Any of them fails the attempt, which the node may have processed, and
+// closes the connection.
+var (
+	errHeadTooLarge    = fmt.Errorf("response head is larger than %d bytes", maxHeadSize)
+	errAmbiguousLength = errors.New("response has both Content-Length and Transfer-Encoding")
+	errTooManyInterim  = fmt.Errorf("no final response within %d responses", maxHeads)
+	errProtocolSwitch  = errors.New("node switches to another protocol")
+	errContentTooLarge = fmt.Errorf("response content is larger than %d bytes", httpmsg.MaxResponseBody)
+)
+
+// headTerminators end a head: an empty line, with or without a carriage return.
+var headTerminators = [...][]byte{[]byte("\n\r\n"), []byte("\n\n")}
+
+// contentLengthField begins the field line of Content-Length in a head in lower case.
+var contentLengthField = []byte("\ncontent-length")
+
+// response is a final response that was read in full.
+type response struct {
+	*http.Response        // its Body is used up
+	content        []byte // of the message
+}
+
+// readResponse reads the final response to a request in full, and not a byte beyond it. However large a response claims
+// to be, at most the reader's buffer and httpmsg.MaxResponseBody bytes of it are held in memory; attempts share the
+// memory for large ones.
+func (c *conn) readResponse(ctx context.Context, request *http.Request, largeResponses *semaphore.Weighted) (
+	response, error) {
+	if _, err := c.reader.Peek(1); err != nil {
+		return response{}, err
+	}
+	c.inResponse = true
+	for range maxHeads {
+		resp, err := c.readHead(request)
+		if err != nil {
+			return response{}, err
+		}
+		if resp.StatusCode < http.StatusOK {
+			continue
+		}
+		content, err := readContent(ctx, resp, largeResponses)
+		if err != nil {
+			return response{}, err
+		}
+		c.inResponse = false
+		return response{resp, content}, c.SetReadDeadline(time.Time{})
+	}
+	return response{}, errTooManyInterim
+}
+
+// readHead reads one response's head, interim or final, and rejects a final one whose content must not be read.
+func (c *conn) readHead(request *http.Request) (*http.Response, error) {
+	head, err := peekHead(c.reader)
+	if err != nil {
+		return nil, err
+	}
+	head = bytes.ToLower(head) // a copy: the next read overwrites the buffer
+	resp, err := http.ReadResponse(c.reader, request)
+	switch {
+	case err != nil:
+		return nil, err
+	case resp.StatusCode == http.StatusSwitchingProtocols:
+		return nil, errProtocolSwitch
+	case resp.StatusCode < http.StatusOK:
+		return resp, nil
+	case resp.TransferEncoding != nil && bytes.Contains(head, contentLengthField):
+		return nil, errAmbiguousLength
+	case resp.ContentLength > httpmsg.MaxResponseBody:
+		return nil, errContentTooLarge
+	}
+	return resp, nil
+}
+
+// peekHead waits until the reader's buffer, which limits its size, holds a complete head, and returns the head without
+// consuming it.
+func peekHead(reader *bufio.Reader) ([]byte, error) {
+	for {
+		buffered, _ := reader.Peek(reader.Buffered())
+		for _, terminator := range headTerminators {
+			if end := bytes.Index(buffered, terminator); end >= 0 {
+				return buffered[:end+len(terminator)], nil
+			}
+		}
+		if len(buffered) == reader.Size() {
+			return nil, errHeadTooLarge
+		}
+		if _, err := reader.Peek(len(buffered) + 1); err != nil {
+			return nil, err
+		}
+	}
+}
+
+// readContent reads a response's content. For a large one it first reserves memory, which it gives back on return: from
+// then on the content is held for as long as the client's connection takes it.
+func readContent(ctx context.Context, resp *http.Response, largeResponses *semaphore.Weighted) ([]byte, error) {
+	limit := resp.ContentLength
+	if limit < 0 { // unknown: chunked, or until the connection ends
+		limit = httpmsg.MaxResponseBody
+	}
+	var content bytes.Buffer
+	content.Grow(int(min(max(resp.ContentLength, 0), smallContent)) + bytes.MinRead)
+	n, err := content.ReadFrom(io.LimitReader(resp.Body, smallContent))
+	if err != nil || n < smallContent {
+		return content.Bytes(), err
+	}
+	if err := largeResponses.Acquire(ctx, limit); err != nil {
+		return nil, err
+	}
+	defer largeResponses.Release(limit)
+	_, err = content.ReadFrom(io.LimitReader(resp.Body, limit-n+1))
+	if err == nil && int64(content.Len()) > limit {
+		err = errContentTooLarge
+	}
+	return content.Bytes(), err
+}
