--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -9,111 +9,125 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-func keys(n int) []string {
-	all := make([]string, n)
-	for i := range all {
-		all[i] = "project-" + strconv.Itoa(i)
+func projectKeys(n int) []string {
+	keys := make([]string, n)
+	for i := range keys {
+		keys[i] = projectKey(i)
 	}
-	return all
+	return keys
 }
 
-// BenchmarkTake compares the table with a plain map that forgets nothing, at many keys.
+func projectKey(i int) string { return "project-" + strconv.Itoa(i) }
+
+// BenchmarkTake compares the table with plain maps that forget nothing, at many keys.
 func BenchmarkTake(b *testing.B) {
 	for _, n := range []int{100, 100_000} {
-		all := keys(n)
+		keys := projectKeys(n)
 		b.Run("keys="+strconv.Itoa(n)+"/table", func(b *testing.B) {
-			l := limiter(b, Definition{Name: "l", Rate: 10, Burst: 10, Keys: 1 << 18})
+			l := newLimiter(b, Definition{Name: "l", Rate: 10, Burst: 10, Keys: 1 << 18})
 			for i := 0; b.Loop(); i++ {
-				if v := l.Take(time.Duration(i)*time.Microsecond, []Claim{{0, all[i%n]}}); v.Admitted {
-					l.Release(v.Grant)
+				now := time.Duration(i) * time.Microsecond
+				if decision := l.Take(now, []Claim{{0, keys[i%n]}}); decision.Admitted {
+					l.Release(decision.Grant)
 				}
 			}
 			b.ReportMetric(float64(l.Bytes())/float64(1<<18), "B/key")
 		})
 		b.Run("keys="+strconv.Itoa(n)+"/map", func(b *testing.B) {
-			p := &plain{Definition{Rate: 10, Burst: 10}, map[string]time.Duration{}, map[string]int{}}
+			reference := newReferenceLimit(Definition{Rate: 10, Burst: 10})
 			for i := 0; b.Loop(); i++ {
-				if key := all[i%n]; p.take(time.Duration(i)*time.Microsecond, key) {
-					p.open[key]--
+				if key := keys[i%n]; reference.take(time.Duration(i)*time.Microsecond, key) {
+					reference.release(key)
 				}
 			}
 		})
 	}
 }
 
-// wheeled is the plain map with a timing wheel that forgets keys at rest.
-type wheeled struct {
-	plain
-	wheel [64][]string
-	at    int
-	tick  time.Duration
+// wheelLimit is the reference limit with a timing wheel that forgets idle keys.
+type wheelLimit struct {
+	*referenceLimit
+	wheel        [64][]string
+	advancedTo   int
+	slotDuration time.Duration
 }
 
-func (w *wheeled) take(now time.Duration, key string) bool {
-	for at := int(now / w.tick); w.at < at; w.at++ {
-		slot := w.at % len(w.wheel)
-		for _, old := range w.wheel[slot] {
-			if due, ok := w.due[old]; ok && due <= now {
-				delete(w.due, old)
-				delete(w.open, old)
-			} else if ok {
-				next := int(due/w.tick) % len(w.wheel)
-				w.wheel[next] = append(w.wheel[next], old)
-			}
-		}
-		w.wheel[slot] = w.wheel[slot][:0]
+func (w *wheelLimit) take(now time.Duration, key string) bool {
+	for target := int(now / w.slotDuration); w.advancedTo < target; w.advancedTo++ {
+		w.expire(w.advancedTo%len(w.wheel), now)
 	}
-	_, known := w.due[key]
-	taken := w.plain.take(now, key)
+	_, known := w.theoreticalArrival[key]
+	admitted := w.referenceLimit.take(now, key)
 	if !known {
-		slot := int(w.due[key]/w.tick) % len(w.wheel)
-		w.wheel[slot] = append(w.wheel[slot], key)
+		w.schedule(key)
 	}
-	return taken
+	return admitted
+}
+
+// expire forgets the idle keys of a slot of the wheel and moves the others on.
+func (w *wheelLimit) expire(slot int, now time.Duration) {
+	for _, key := range w.wheel[slot] {
+		arrival, known := w.theoreticalArrival[key]
+		switch {
+		case !known:
+		case arrival <= now:
+			delete(w.theoreticalArrival, key)
+			delete(w.open, key)
+		default:
+			w.schedule(key)
+		}
+	}
+	w.wheel[slot] = w.wheel[slot][:0]
+}
+
+// schedule puts a key into the slot of the wheel in which it will be idle.
+func (w *wheelLimit) schedule(key string) {
+	slot := int(w.theoreticalArrival[key]/w.slotDuration) % len(w.wheel)
+	w.wheel[slot] = append(w.wheel[slot], key)
 }
 
-// BenchmarkInvented is what one invented key after another costs, a million of them a second.
+// BenchmarkInvented measures one invented key after another, a million of them a second.
 func BenchmarkInvented(b *testing.B) {
-	def := Definition{Name: "l", Rate: 10, Burst: 10, Keys: 1 << 18}
+	definition := Definition{Name: "l", Rate: 10, Burst: 10, Keys: 1 << 18}
 	b.Run("table", func(b *testing.B) {
-		l := limiter(b, def)
+		l := newLimiter(b, definition)
 		for i := 0; b.Loop(); i++ {
 			l.Take(time.Duration(i)*time.Microsecond, []Claim{{0, strconv.Itoa(i)}})
 		}
 	})
 	b.Run("sketch", func(b *testing.B) {
-		t := newTable(def, false)
+		t := newTable(definition, false)
 		for i := 0; b.Loop(); i++ {
-			now, hash := time.Duration(i)*time.Microsecond, xxhash.Sum64String(strconv.Itoa(i))
-			e := t.shared(hash)
+			now := time.Duration(i) * time.Microsecond
+			e := t.estimate(xxhash.Sum64String(strconv.Itoa(i)))
 			if t.wait(e, now) == 0 {
-				e.due = max(e.due, now) + t.each
-				t.spread(e)
+				e.theoreticalArrival = max(e.theoreticalArrival, now) + t.interval
+				t.countInSketch(e)
 			}
 		}
 	})
 	b.Run("map-and-wheel", func(b *testing.B) {
-		w := &wheeled{plain: plain{def, map[string]time.Duration{}, map[string]int{}}, tick: 10 * time.Millisecond}
+		w := &wheelLimit{referenceLimit: newReferenceLimit(definition), slotDuration: 10 * time.Millisecond}
 		for i := 0; b.Loop(); i++ {
 			w.take(time.Duration(i)*time.Microsecond, strconv.Itoa(i))
 		}
 	})
 }
 
-// BenchmarkMapBytes is what a plain map takes for a million keys.
+// BenchmarkMapBytes measures the memory of plain maps for a million keys.
 func BenchmarkMapBytes(b *testing.B) {
 	const n = 1_000_000
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		p := &plain{Definition{Rate: 10, Burst: 10}, map[string]time.Duration{}, map[string]int{}}
+		reference := newReferenceLimit(Definition{Rate: 10, Burst: 10})
 		for i := range n {
-			p.take(0, "project-"+strconv.Itoa(i))
+			reference.take(0, projectKey(i))
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/n, "B/key")
-		runtime.KeepAlive(p)
+		runtime.KeepAlive(reference)
 	}
 }
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -1,157 +1,212 @@
 package ratelimit
 
 import (
+	"math"
 	"math/bits"
 	"time"
 	"unsafe"
 )
 
 const (
-	ways      = 8                // slots in which a key may stand
-	rows      = 4                // of shared cells
-	cellShare = 8                // exact keys for each cell of a row
-	mostGrace = 10 * time.Second // for which a key that came again keeps its slot at rest
-	graceEach = 20               // or for so many of its requests' times
-	tried     = 2                // requests after which a key counts as one that comes again
+	slotsPerBucket     = 8 // slots in which a key may be, by its hash
+	sketchRows         = 4
+	keysPerSketchCell  = 8                // exact keys for each cell of a row of the sketch
+	maxGrace           = 10 * time.Second // for which a returning key keeps its slot while it is idle
+	graceIntervals     = 20               // the grace in emission intervals, up to maxGrace
+	minReturningCounts = 2                // requests from which a key counts as a returning one
 )
 
-// entry is what is counted of one key.
+// entry counts the requests of one key.
 type entry struct {
-	hash  uint64
-	due   time.Duration // theoretical arrival of the next request; now or earlier: the burst is full again
-	share float64       // of the parent's used requests, by the parent's scale
-	epoch uint32        // of the parent, to which share belongs
-	open  int32
-	seen  uint32
+	hash               uint64
+	theoreticalArrival time.Duration // of the next request; now or earlier: the burst is unused
+	parentShare        float64       // of the parent's used requests, in the parent's scale
+	epoch              uint32        // of the parent, to which parentShare belongs
+	open               int32
+	seen               uint32 // requests, up to the greatest number that fits
 }
 
-// drain tells of a parent how what it has used shrinks: one scale for the parts of all its children.
-type drain struct {
-	scale, level float64
-	epoch        uint32
-}
+// idle reports whether a key has its whole burst and no open request, so that nothing is lost if it is forgotten.
+func (e *entry) idle(now time.Duration) bool { return e.theoreticalArrival <= now && e.open == 0 }
 
-// cell is shared by the keys that found no slot. Each key has one in every row and counts by the least of them.
-type cell struct {
-	due  time.Duration
-	open int32
+// sketchCell counts for all keys that share it.
+type sketchCell struct {
+	theoreticalArrival time.Duration
+	open               int32
 }
 
-// table holds the keys of one limit in memory that never grows. A key stands in one of eight slots by its hash. A slot
-// whose key is at rest is as good as empty, so nothing has to be swept and no timer runs. Where all eight are taken,
-// the key counts in shared cells (a count-min sketch with conservative update): never less than it used, maybe more.
+// table counts the keys of one limit in memory that never grows. A key is in one of eight slots by its hash. A slot
+// whose key is idle is as good as empty, so no sweep and no timer is needed. Where all eight slots are taken, the key
+// counts in a sketch (count-min with conservative update): it is never charged less than it used, maybe more.
 type table struct {
-	def     Definition
-	each    time.Duration // a request's time by the rate
-	ahead   time.Duration // what the burst allows
-	grace   time.Duration
-	slots   []entry
-	drains  []drain // of a limit that is a parent, by slot
-	cells   [rows][]cell
-	scratch entry // stands for the key at hand where it has no slot
-}
-
-// place is where a key is counted.
-type place struct {
+	definition     Definition
+	interval       time.Duration // emission interval: the time of one request by the rate
+	burstTolerance time.Duration
+	grace          time.Duration
+	slots          []entry
+	usage          []parentUsage // by slot, of a limit that is a parent
+	sketch         [sketchRows][]sketchCell
+	scratch        entry // of the key that was looked up last, if it has no slot
+}
+
+// lookup is where a key is counted.
+type lookup struct {
 	*entry
-	drain *drain // nil where the limit is no parent, or the key has no slot
-	exact bool
+	usage *parentUsage // nil if the limit is no parent or the key has no slot
+	exact bool         // entry is a slot, not an estimate of the sketch
 }
 
-func newTable(d Definition, parent bool) *table {
-	size := 1 << bits.Len(uint(d.Keys-1))
-	t := &table{def: d, each: span(d.Rate), slots: make([]entry, size)}
-	t.ahead = time.Duration((d.Burst - 1) * float64(t.each))
-	t.grace = min(mostGrace, graceEach*t.each)
-	if parent {
-		t.drains = make([]drain, size)
+func newTable(definition Definition, isParent bool) *table {
+	size := 1 << bits.Len(uint(definition.Keys-1))
+	t := &table{
+		definition: definition,
+		interval:   emissionInterval(definition.Rate),
+		slots:      make([]entry, size),
+	}
+	t.burstTolerance = time.Duration((definition.Burst - 1) * float64(t.interval))
+	t.grace = min(maxGrace, graceIntervals*t.interval)
+	if isParent {
+		t.usage = make([]parentUsage, size)
 	}
-	for i := range t.cells {
-		t.cells[i] = make([]cell, max(MinKeys, size/cellShare))
+	for row := range t.sketch {
+		t.sketch[row] = make([]sketchCell, max(MinKeys, size/keysPerSketchCell))
 	}
 	return t
 }
 
-func (t *table) bytes() int {
-	return len(t.slots)*int(unsafe.Sizeof(entry{})) + len(t.drains)*int(unsafe.Sizeof(drain{})) +
-		rows*len(t.cells[0])*int(unsafe.Sizeof(cell{}))
+// emissionInterval returns the time of one request by a rate, or 0 for a rate that is not limited.
+func emissionInterval(rate float64) time.Duration {
+	if rate == 0 {
+		return 0
+	}
+	return time.Duration(math.Round(float64(time.Second) / rate))
 }
 
-func (e *entry) rests(now time.Duration) bool { return e.due <= now && e.open == 0 }
+func (t *table) bytes() int {
+	return len(t.slots)*int(unsafe.Sizeof(entry{})) +
+		len(t.usage)*int(unsafe.Sizeof(parentUsage{})) +
+		sketchRows*len(t.sketch[0])*int(unsafe.Sizeof(sketchCell{}))
+}
 
-// find gives the place of a key; a slot is taken over for it where one is free. What is found holds until the next call
-// for the same table.
-func (t *table) find(hash uint64, now time.Duration) place {
-	first := int(hash) & (len(t.slots) - 1) &^ (ways - 1)
+// find looks up a key and gives it a slot if one is free. The result is valid until the next find in the same table.
+func (t *table) find(hash uint64, now time.Duration) lookup {
+	first := t.firstSlot(hash)
 	free := -1
-	for i := first; i < first+ways; i++ {
+	for i := first; i < first+slotsPerBucket; i++ {
 		e := &t.slots[i]
-		if e.hash == hash && (e.seen > 0) {
-			return t.at(i)
+		if e.hash == hash && e.seen > 0 {
+			return t.slot(i)
 		}
-		// A key that comes again keeps its slot for a while: whoever invents keys must not push it out.
-		if e.rests(now) && (e.seen < tried || e.due+t.grace <= now) && (free < 0 || e.due < t.slots[free].due) {
+		if t.replaceable(e, now) && (free < 0 || e.theoreticalArrival < t.slots[free].theoreticalArrival) {
 			free = i
 		}
 	}
-	if free >= 0 {
-		t.slots[free] = entry{hash: hash}
-		if t.drains != nil {
-			t.drains[free] = drain{}
-		}
-		return t.at(free)
+	if free < 0 {
+		return lookup{entry: t.estimate(hash)}
 	}
-	return place{entry: t.shared(hash)}
+	t.slots[free] = entry{hash: hash}
+	if t.usage != nil {
+		t.usage[free] = parentUsage{}
+	}
+	return t.slot(free)
+}
+
+// firstSlot returns the first of the slots in which a key may be.
+func (t *table) firstSlot(hash uint64) int {
+	return int(hash) & (len(t.slots) - 1) &^ (slotsPerBucket - 1)
+}
+
+// replaceable reports whether another key may take a slot. A returning key keeps its slot for a while: whoever invents
+// keys must not evict it.
+func (t *table) replaceable(e *entry, now time.Duration) bool {
+	return e.idle(now) && (e.seen < minReturningCounts || e.theoreticalArrival+t.grace <= now)
 }
 
-// shared gives what the cells tell of a key.
-func (t *table) shared(hash uint64) *entry {
-	t.scratch = entry{hash: hash, due: 1<<63 - 1, open: 1<<31 - 1}
-	for row := range t.cells {
-		c := t.cell(row, hash)
-		t.scratch.due, t.scratch.open = min(t.scratch.due, c.due), min(t.scratch.open, c.open)
+func (t *table) slot(i int) lookup {
+	found := lookup{entry: &t.slots[i], exact: true}
+	if t.usage != nil {
+		found.usage = &t.usage[i]
 	}
-	return &t.scratch
+	return found
 }
 
-func (t *table) at(i int) place {
-	p := place{entry: &t.slots[i], exact: true}
-	if t.drains != nil {
-		p.drain = &t.drains[i]
+// estimate returns the sketch's estimate of a key: the lowest count of its cells.
+func (t *table) estimate(hash uint64) *entry {
+	t.scratch = entry{hash: hash, theoreticalArrival: math.MaxInt64, open: math.MaxInt32}
+	for row := range t.sketch {
+		cell := t.cell(row, hash)
+		t.scratch.theoreticalArrival = min(t.scratch.theoreticalArrival, cell.theoreticalArrival)
+		t.scratch.open = min(t.scratch.open, cell.open)
 	}
-	return p
+	return &t.scratch
 }
 
-// cell gives a key's cell of a row. Rows use different bits of a mixed hash, so that two keys rarely share all four.
-func (t *table) cell(row int, hash uint64) *cell {
+// cell returns the cell of a key in a row. Rows use different bits of a mixed hash, so that two keys rarely share all
+// cells.
+func (t *table) cell(row int, hash uint64) *sketchCell {
 	mixed := (hash ^ uint64(row+1)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
-	cells := t.cells[row]
+	cells := t.sketch[row]
 	return &cells[(mixed>>32)%uint64(len(cells))]
 }
 
-// spread counts a request of a key without a slot.
-func (t *table) spread(e *entry) {
-	for row := range t.cells {
-		c := t.cell(row, e.hash)
-		if c.due = max(c.due, e.due); t.def.Open > 0 {
-			c.open++
+// wait returns how long until a key's own limit admits another request. 0 means that it does now.
+func (t *table) wait(e *entry, now time.Duration) time.Duration {
+	if t.definition.Open > 0 && int(e.open) >= t.definition.Open {
+		return OpenRetryAfter
+	}
+	if t.definition.Rate == 0 {
+		return 0
+	}
+	// The generic cell rate algorithm (ITU-T I.371): a request is admitted if its theoretical arrival is at most the
+	// burst tolerance ahead.
+	return max(0, e.theoreticalArrival-now-t.burstTolerance)
+}
+
+// used returns how many requests of a key's burst are used.
+func (t *table) used(e *entry, now time.Duration) float64 {
+	return max(0, float64(e.theoreticalArrival-now)/float64(t.interval))
+}
+
+// count counts an admitted request.
+func (t *table) count(found lookup, now time.Duration) {
+	if t.definition.Rate > 0 {
+		found.theoreticalArrival = max(found.theoreticalArrival, now) + t.interval
+	}
+	if found.seen < math.MaxUint32 {
+		found.seen++
+	}
+	switch {
+	case !found.exact:
+		t.countInSketch(found.entry)
+	case t.definition.Open > 0:
+		found.open++
+	}
+}
+
+// countInSketch counts a request of a key without a slot. It raises each cell to the key's arrival, and no further.
+func (t *table) countInSketch(e *entry) {
+	for row := range t.sketch {
+		cell := t.cell(row, e.hash)
+		cell.theoreticalArrival = max(cell.theoreticalArrival, e.theoreticalArrival)
+		if t.definition.Open > 0 {
+			cell.open++
 		}
 	}
 }
 
 // release ends an open request of a key.
 func (t *table) release(hash uint64, exact bool) {
-	if t.def.Open == 0 { // a slot that counted what is open would not be at rest before its end
+	if t.definition.Open == 0 { // open requests are not counted
 		return
 	}
 	if !exact {
-		for row := range t.cells {
+		for row := range t.sketch {
 			t.cell(row, hash).open--
 		}
 		return
 	}
-	first := int(hash) & (len(t.slots) - 1) &^ (ways - 1)
-	for i := first; i < first+ways; i++ {
+	first := t.firstSlot(hash)
+	for i := first; i < first+slotsPerBucket; i++ {
 		if e := &t.slots[i]; e.hash == hash && e.open > 0 {
 			e.open--
 			return
@@ -159,10 +214,10 @@
 	}
 }
 
-// live counts the slots whose key is not at rest.
-func (t *table) live(now time.Duration) (n int) {
+// activeKeys counts the slots whose key is not idle.
+func (t *table) activeKeys(now time.Duration) (n int) {
 	for i := range t.slots {
-		if !t.slots[i].rests(now) {
+		if !t.slots[i].idle(now) {
 			n++
 		}
 	}
