--- /dev/null
+++ b/internal/trust/evidence.go
@@ -0,0 +1,72 @@
+package trust
+
+// Evidence is what a response shows of a node.
+type Evidence int
+
+// The kinds of Evidence.
+const (
+	Conforms            Evidence = iota // the response is as described
+	UnknownStatus                       // the status is not described
+	UnknownMediaType                    // the media type is not described
+	SchemaViolation                     // the body violates its schema
+	Slow                                // the response took longer than described
+	IgnoredRetryAfter                   // the node rejected a request again after its own Retry-After
+	ResponsesDiffer                     // two responses to the same idempotent call differ where they must not
+	RepeatExecuted                      // a retry with the same key was executed again
+	ExecutedAfterDenial                 // a response shows an effect and says that the call has not run
+	KeyKnownAfterDenial                 // it knew a key whose call it said had not run; another gateway may have sent it
+	EffectOfIdempotent                  // a call that is said to change nothing created something
+	evidenceKinds
+)
+
+// evidenceNames are stored in the trust file and are values of events.
+var evidenceNames = [evidenceKinds]string{
+	Conforms:            "fits",
+	UnknownStatus:       "status-unknown",
+	UnknownMediaType:    "type-unknown",
+	SchemaViolation:     "schema-broken",
+	Slow:                "slow",
+	IgnoredRetryAfter:   "retry-after-hollow",
+	ResponsesDiffer:     "repeat-differs",
+	RepeatExecuted:      "repeat-ran",
+	ExecutedAfterDenial: "not-run-ran",
+	KeyKnownAfterDenial: "not-run-known",
+	EffectOfIdempotent:  "safe-created",
+}
+
+// String returns the name that the trust file and events use.
+func (e Evidence) String() string { return evidenceNames[e] }
+
+// toleratedShare is the share of contradictions that soft evidence may have without gaining weight.
+const toleratedShare = 0.02
+
+// evidenceWeights are negative for evidence in favour of a node.
+var evidenceWeights = [evidenceKinds]float64{
+	Conforms:            -toleratedShare,
+	UnknownStatus:       1,
+	UnknownMediaType:    1,
+	SchemaViolation:     1,
+	Slow:                0.25,
+	IgnoredRetryAfter:   0.25,
+	ResponsesDiffer:     1,
+	RepeatExecuted:      4,
+	ExecutedAfterDenial: 6,
+	KeyKnownAfterDenial: 2,
+	EffectOfIdempotent:  4,
+}
+
+// hardEvidence is what no client can bring about.
+var hardEvidence = [evidenceKinds]bool{
+	RepeatExecuted:      true,
+	ExecutedAfterDenial: true,
+	EffectOfIdempotent:  true,
+}
+
+// Report is the evidence of one response.
+type Report struct {
+	Operation, Node string
+	Version         string // of the node's program; empty: unknown
+	Client          uint64 // hash of the client that sent the request
+	Evidence        Evidence
+	Sample          string // what was observed, for people
+}
--- /dev/null
+++ b/internal/trust/record.go
@@ -0,0 +1,137 @@
+package trust
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"reachpulley/scheduler"
+)
+
+// Errors of Restore.
+var (
+	// ErrInvalidRecord means that a record has a state, a kind of evidence or a figure that does not exist.
+	ErrInvalidRecord = errors.New("invalid record")
+	// ErrTooManyRecords means that a record is left out because too many are tracked.
+	ErrTooManyRecords = errors.New("too many records")
+)
+
+// Record describes an operation at a node that is not trusted, or whose description is wrong. It is shown to people
+// and stored in the trust file for the next incarnation.
+type Record struct {
+	Operation string         `json:"operation"`
+	Node      string         `json:"node"` // empty: all nodes of the version, whose description is wrong
+	Version   string         `json:"version,omitempty"`
+	State     string         `json:"state"`
+	Level     string         `json:"level"`
+	SinceMs   int64          `json:"sinceMs"` // for how long the state has lasted, in milliseconds
+	HoldMs    int64          `json:"holdMs,omitempty"`
+	Weight    float64        `json:"weight"`
+	Worst     string         `json:"worst,omitempty"`
+	Counts    map[string]int `json:"counts,omitempty"` // of contradictions by kind
+	Answers   int            `json:"answers"`
+	Sample    string         `json:"sample,omitempty"`
+}
+
+// stateDescriptionWrong is the state in records of descriptions.
+const stateDescriptionWrong = "description doubted"
+
+// levelNames are stored in the trust file and are values of events.
+var levelNames = [...]string{
+	scheduler.Unrestricted: "as described",
+	scheduler.NoHedging:    "no second copies",
+	scheduler.NoRetries:    "no repeats",
+	scheduler.AvoidNode:    "avoided",
+}
+
+// LevelName returns the name of a level that the trust file and events use.
+func LevelName(level scheduler.RestrictionLevel) string { return levelNames[level] }
+
+// Records returns all that is not trusted, ordered by operation, node and version.
+func (t *Tracker) Records(now time.Duration) (records []Record) {
+	for key, since := range t.wrongSince {
+		records = append(records, Record{
+			Operation: key.operation,
+			Version:   key.version,
+			State:     stateDescriptionWrong,
+			Level:     LevelName(t.levels[entryKey{key.operation, allNodes}]),
+			SinceMs:   (now - since).Milliseconds(),
+		})
+	}
+	for _, e := range t.entries {
+		if e.state != Trusted {
+			records = append(records, t.recordOf(now, e))
+		}
+	}
+	slices.SortFunc(records, func(a, b Record) int {
+		return cmp.Or(
+			cmp.Compare(a.Operation, b.Operation),
+			cmp.Compare(a.Node, b.Node),
+			cmp.Compare(a.Version, b.Version))
+	})
+	return records
+}
+
+func (t *Tracker) recordOf(now time.Duration, e *entry) Record {
+	return Record{
+		Operation: e.key.operation,
+		Node:      e.key.node,
+		Version:   e.version,
+		State:     e.state.String(),
+		Level:     LevelName(t.levels[e.key]),
+		SinceMs:   (now - e.since).Milliseconds(),
+		HoldMs:    e.hold.Milliseconds(),
+		Weight:    e.weight(),
+		Worst:     e.worst.String(),
+		Counts:    e.contradictions(),
+		Answers:   e.answers,
+		Sample:    e.sample,
+	}
+}
+
+// Restore continues from the records of the previous incarnation, which ended age ago. It is called before Observe and
+// Tick. What was distrusted is held for its whole hold again, because nobody has observed it since, and no node gets
+// more trust than it had. The error names the first record that can't be restored. All others are restored.
+func (t *Tracker) Restore(now time.Duration, records []Record, age time.Duration) (changes []Change, err error) {
+	for _, record := range records {
+		if record.Node == allNodes { // it follows from the records of the nodes
+			continue
+		}
+		e, failed := t.restore(now, record, age)
+		if failed != nil {
+			err = cmp.Or(err, fmt.Errorf("operation %q at node %q: %w", record.Operation, record.Node, failed))
+			continue
+		}
+		changes = append(changes, t.changesOf(now, e, Trusted)...)
+	}
+	return changes, err
+}
+
+// restore makes the entry of a record.
+func (t *Tracker) restore(now time.Duration, record Record, age time.Duration) (*entry, error) {
+	state := State(slices.Index(stateNames[:], record.State))
+	worst := Evidence(slices.Index(evidenceNames[:], record.Worst))
+	valid := state > Trusted && worst >= 0 && record.Operation != "" && record.Weight >= 0 && record.HoldMs >= 0
+	if !valid {
+		return nil, ErrInvalidRecord
+	}
+	e := t.track(now, entryKey{record.Operation, record.Node})
+	if e == nil {
+		return nil, ErrTooManyRecords
+	}
+	e.version = record.Version
+	e.worst = worst
+	e.sample = record.Sample
+	e.hold = min(time.Duration(record.HoldMs)*time.Millisecond, maxHold)
+	e.decayedTo = now - age
+	e.hardWeight = min(record.Weight, maxHardWeight)
+	e.decay(now)
+	e.enter(now, state)
+	for evidence := range evidenceKinds {
+		e.counts[evidence] = max(0, record.Counts[evidence.String()])
+	}
+	e.answers = max(0, record.Answers)
+	return e, nil
+}
--- /dev/null
+++ b/internal/trust/tracker_test.go
@@ -0,0 +1,85 @@
+package trust
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"pgregory.net/rapid"
+
+	"reachpulley/scheduler"
+)
+
+// New operations and nodes take bounded memory, and no distrusted node is forgotten for them.
+func TestEntriesAreBounded(t *testing.T) {
+	tracker := New(scheduler.AvoidNode)
+	for range 3 {
+		tracker.Observe(time.Hour, Report{Operation: testOperation, Node: "liar", Evidence: ExecutedAfterDenial})
+	}
+	for i := range 4 * MaxEntries {
+		now := time.Hour + time.Duration(i)
+		tracker.Observe(now, Report{Operation: fmt.Sprint("GET /", i), Node: "n", Evidence: Conforms})
+	}
+	level := tracker.Level(testOperation, "liar")
+	if len(tracker.entries) > MaxEntries || level != scheduler.AvoidNode {
+		t.Errorf("%d entries, the distrusted node is %v", len(tracker.entries), level)
+	}
+	full := New(scheduler.AvoidNode)
+	for i := range MaxEntries + 10 {
+		for range 2 {
+			operation := fmt.Sprint("GET /", i)
+			full.Observe(time.Hour, Report{Operation: operation, Node: "n", Evidence: ExecutedAfterDenial})
+		}
+	}
+	if len(full.entries) != MaxEntries || full.Dropped() == 0 {
+		t.Errorf("%d entries, %d dropped", len(full.entries), full.Dropped())
+	}
+}
+
+// Whatever is reported: the levels of the changes are those that hold, never above the bound of the operator, and the
+// same for the same evidence.
+func TestChangesReportTheLevels(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		maxLevel := scheduler.RestrictionLevel(rapid.IntRange(0, int(scheduler.AvoidNode)).Draw(t, "maxLevel"))
+		tracker := New(maxLevel)
+		twin := New(maxLevel)
+		reported := map[entryKey]scheduler.RestrictionLevel{}
+		now := time.Hour
+		for range rapid.IntRange(1, 200).Draw(t, "steps") {
+			now += time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond
+			report := Report{
+				Operation: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "operation"),
+				Node:      nodeName(rapid.IntRange(0, 4).Draw(t, "node")),
+				Version:   rapid.SampledFrom([]string{"", "v1", "v2"}).Draw(t, "version"),
+				Client:    uint64(rapid.IntRange(1, 9).Draw(t, "client")),
+				Evidence:  Evidence(rapid.IntRange(0, int(evidenceKinds)-1).Draw(t, "evidence")),
+			}
+			changes := append(tracker.Observe(now, report), tracker.Tick(now)...)
+			if diff := cmp.Diff(changes, append(twin.Observe(now, report), twin.Tick(now)...)); diff != "" {
+				t.Fatal(diff)
+			}
+			for _, change := range changes {
+				reported[entryKey{change.Operation, change.Node}] = change.Level
+				if change.Level > maxLevel {
+					t.Fatalf("%+v", change)
+				}
+			}
+			expectLevels(t, tracker, reported)
+		}
+	})
+}
+
+// expectLevels compares the levels that were reported with those that hold.
+func expectLevels(t *rapid.T, tracker *Tracker, reported map[entryKey]scheduler.RestrictionLevel) {
+	t.Helper()
+	for _, operation := range []string{"a", "b"} {
+		for i := range 5 {
+			node := nodeName(i)
+			got := max(reported[entryKey{operation, allNodes}], reported[entryKey{operation, node}])
+			if want := tracker.Level(operation, node); got != want {
+				t.Fatalf("%s at %s: reported %v, holds %v", operation, node, got, want)
+			}
+		}
+	}
+}
