--- a/internal/trust/evidence.go
+++ b/internal/trust/evidence.go
@@ -14,7 +14,7 @@
 	ResponsesDiffer                     // two responses to the same idempotent call differ where they must not
 	RepeatExecuted                      // a retry with the same key was executed again
 	ExecutedAfterDenial                 // a response shows an effect and says that the call has not run
-	KeyKnownAfterDenial                 // it knew a key whose call it said had not run; another gateway may have sent it
+	KeyKnownAfterDenial                 // it knew the key of a call that it said had not run
 	EffectOfIdempotent                  // a call that is said to change nothing created something
 	evidenceKinds
 )
@@ -51,7 +51,7 @@
 	ResponsesDiffer:     1,
 	RepeatExecuted:      4,
 	ExecutedAfterDenial: 6,
-	KeyKnownAfterDenial: 2,
+	KeyKnownAfterDenial: 2, // another gateway may have sent the key meanwhile
 	EffectOfIdempotent:  4,
 }
 
