--- /dev/null
+++ b/internal/admission/churn_test.go
@@ -0,0 +1,202 @@
+package admission
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// Whatever happens: no bound is exceeded, every stream is started or rejected once, and nothing is left after churn.
+func TestChurn(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		p := newChurn(t)
+		for range rapid.IntRange(1, 300).Draw(t, "steps") {
+			p.step()
+			p.expectBounds()
+		}
+		p.disconnectAll()
+		p.expectNothingLeft()
+	})
+}
+
+type streamKey struct {
+	connection ConnectionID
+	stream     StreamID
+}
+
+// churn plays random events on a Controller and tracks the streams by the actions that come back.
+type churn struct {
+	t           *rapid.T
+	config      Config
+	controller  *Controller
+	now         time.Duration
+	lastStream  StreamID
+	inFlight    map[streamKey]bool
+	waiting     map[streamKey]bool
+	connections map[ConnectionID]bool
+}
+
+func newChurn(t *rapid.T) *churn {
+	config := Config{
+		MaxInFlight:      rapid.IntRange(1, 5).Draw(t, "maxInFlight"),
+		PerConnection:    rapid.IntRange(1, 4).Draw(t, "perConnection"),
+		PerClient:        rapid.IntRange(1, 4).Draw(t, "perClient"),
+		Streams:          6,
+		MinStreams:       2,
+		Connections:      4,
+		Memory:           300,
+		ConnectionMemory: 200,
+		Stall:            time.Second,
+		Age:              20 * time.Second,
+		Requests:         30,
+	}
+	controller, err := New(config, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &churn{
+		t:           t,
+		config:      config,
+		controller:  controller,
+		lastStream:  1,
+		inFlight:    map[streamKey]bool{},
+		waiting:     map[streamKey]bool{},
+		connections: map[ConnectionID]bool{},
+	}
+}
+
+// step plays one random event.
+func (p *churn) step() {
+	p.now += time.Duration(rapid.IntRange(0, 500).Draw(p.t, "ms")) * time.Millisecond
+	id := ConnectionID(rapid.IntRange(1, 6).Draw(p.t, "connection"))
+	some := p.someStream()
+	switch rapid.IntRange(0, 7).Draw(p.t, "event") {
+	case 0:
+		if p.controller.Connect(p.now, id, "a") {
+			p.connections[id] = true
+		}
+	case 1, 2, 3:
+		p.arrive(id)
+	case 4:
+		actions := p.controller.End(p.now, some.connection, some.stream, rapid.Bool().Draw(p.t, "reset"))
+		p.ended(some)
+		p.carryOut(actions)
+	case 5:
+		actions := p.controller.Disconnect(p.now, id)
+		p.endedAll(id)
+		delete(p.connections, id)
+		p.carryOut(actions)
+	case 6:
+		p.controller.Progress(p.now, some.connection, some.stream, rapid.Bool().Draw(p.t, "progressing"))
+		bytes := rapid.IntRange(0, 150).Draw(p.t, "bytes")
+		actions, _ := p.controller.Reserve(p.now, some.connection, some.stream, bytes)
+		p.carryOut(actions)
+	case 7:
+		p.carryOut(p.controller.Tick(p.now))
+	}
+}
+
+// someStream returns the stream in flight with the least ID, or perhaps a waiting one with a lesser ID.
+func (p *churn) someStream() (some streamKey) {
+	for key := range p.inFlight {
+		if some == (streamKey{}) || key.stream < some.stream {
+			some = key
+		}
+	}
+	for _, key := range slices.SortedFunc(maps.Keys(p.waiting), compareStreamKeys) { // so that draws have an order
+		if some == (streamKey{}) || key.stream < some.stream && rapid.Bool().Draw(p.t, "of the waiting ones") {
+			some = key
+		}
+	}
+	return some
+}
+
+func compareStreamKeys(a, b streamKey) int { return cmp.Compare(a.stream, b.stream) }
+
+func (p *churn) arrive(id ConnectionID) {
+	if !p.connections[id] {
+		return
+	}
+	p.lastStream += 2
+	p.waiting[streamKey{id, p.lastStream}] = true
+	who := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(p.t, "client")
+	urgency := rapid.IntRange(0, MaxUrgency).Draw(p.t, "urgency")
+	p.carryOut(p.controller.Arrive(p.now, id, p.lastStream, who, urgency))
+}
+
+// carryOut follows the actions of an event.
+func (p *churn) carryOut(actions []Action) {
+	for _, action := range actions {
+		key := streamKey{action.Connection, action.Stream}
+		switch action.Kind {
+		case StartStream:
+			if !p.waiting[key] || p.inFlight[key] {
+				p.t.Fatalf("%v is started, and does not wait", key)
+			}
+			delete(p.waiting, key)
+			p.inFlight[key] = true
+		case AbortStream:
+			p.ended(key)
+		case RejectStream:
+			delete(p.waiting, key)
+		}
+	}
+}
+
+func (p *churn) ended(key streamKey) {
+	delete(p.inFlight, key)
+	delete(p.waiting, key)
+}
+
+// endedAll ends all streams of a connection.
+func (p *churn) endedAll(id ConnectionID) {
+	for _, keys := range []map[streamKey]bool{p.inFlight, p.waiting} {
+		for key := range keys {
+			if key.connection == id {
+				p.ended(key)
+			}
+		}
+	}
+}
+
+func (p *churn) disconnectAll() {
+	for id := range p.connections {
+		p.endedAll(id)
+		p.carryOut(p.controller.Disconnect(p.now, id))
+	}
+}
+
+func (p *churn) expectBounds() {
+	p.t.Helper()
+	c := p.controller
+	if len(p.inFlight) != c.inFlight || len(p.inFlight) > p.config.MaxInFlight || c.memory > p.config.Memory ||
+		c.memory < 0 || len(c.connections) > p.config.Connections {
+		p.t.Fatalf("%d in flight (%d counted), %d bytes, %d connections",
+			len(p.inFlight), c.inFlight, c.memory, len(c.connections))
+	}
+	perConnection := map[ConnectionID]int{}
+	for key := range p.inFlight {
+		perConnection[key.connection]++
+	}
+	for id, streams := range perConnection {
+		if streams > p.config.PerConnection {
+			p.t.Fatalf("connection %d has %d streams in flight", id, streams)
+		}
+	}
+}
+
+func (p *churn) expectNothingLeft() {
+	p.t.Helper()
+	c := p.controller
+	c.Tick(p.now + time.Hour)
+	left := len(c.connections) + len(c.clients) + c.inFlight + c.memory +
+		c.waiting.byArrival.Len() + len(c.waiting.ready) + len(c.abuse)
+	if left != 0 {
+		p.t.Fatalf("left: %d connections, %d clients, %d streams in flight, %d bytes",
+			len(c.connections), len(c.clients), c.inFlight, c.memory)
+	}
+}
--- /dev/null
+++ b/internal/admission/config.go
@@ -0,0 +1,47 @@
+package admission
+
+import (
+	"fmt"
+	"time"
+)
+
+// Config bounds a frontend.
+type Config struct {
+	MaxInFlight      int           // streams in flight, over all connections
+	PerConnection    int           // streams in flight of one connection
+	PerClient        int           // streams in flight of one client, over all its connections
+	Streams          int           // streams of a connection, in flight or waiting: SETTINGS_MAX_CONCURRENT_STREAMS
+	MinStreams       int           // the least that Streams is lowered to under load
+	Connections      int           // connections at a time
+	Memory           int           // bytes of requests and responses in memory, for all connections
+	ConnectionMemory int           // bytes of them for one connection
+	Stall            time.Duration // for which a response may make no progress before its stream is aborted
+	Age              time.Duration // after which a connection is asked to go away, plus or minus a fifth; 0: never
+	Requests         int           // after which a connection is asked to go away, plus or minus a fifth; 0: never
+}
+
+// check returns why a Config can't be used, or nil.
+func (c Config) check() error {
+	for _, bound := range []struct {
+		name     string
+		value    int
+		minValue int
+	}{
+		{"max in flight", c.MaxInFlight, 1},
+		{"per connection", c.PerConnection, 1},
+		{"per client", c.PerClient, 1},
+		{"min streams", c.MinStreams, 1},
+		{"streams", c.Streams, c.MinStreams},
+		{"connections", c.Connections, 1},
+		{"memory per connection", c.ConnectionMemory, 1},
+		{"memory", c.Memory, c.ConnectionMemory},
+		{"stall", int(c.Stall), 1},
+		{"age", int(c.Age), 0},
+		{"requests", c.Requests, 0},
+	} {
+		if bound.value < bound.minValue {
+			return fmt.Errorf("%s: %d is below %d", bound.name, bound.value, bound.minValue)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/admission/helpers_test.go
@@ -0,0 +1,67 @@
+package admission
+
+import (
+	"flag"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// Every run of the property tests draws the same cases.
+func init() { flag.Set("rapid.seed", "1") }
+
+var testConfig = Config{
+	MaxInFlight:      4,
+	PerConnection:    3,
+	PerClient:        3,
+	Streams:          10,
+	MinStreams:       2,
+	Connections:      5,
+	Memory:           1000,
+	ConnectionMemory: 600,
+	Stall:            5 * time.Second,
+	Age:              time.Hour,
+	Requests:         1000,
+}
+
+// newController makes a Controller with the test configuration, changed if change is not nil.
+func newController(t testing.TB, change func(*Config)) *Controller {
+	t.Helper()
+	config := testConfig
+	if change != nil {
+		change(&config)
+	}
+	c, err := New(config, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// describe returns actions as text.
+func describe(actions []Action) string {
+	var all []string
+	for _, action := range actions {
+		text := fmt.Sprintf("%s %d", action.Kind, action.Connection)
+		switch action.Kind {
+		case StartStream, RejectStream, AbortStream:
+			text += fmt.Sprintf("/%d", action.Stream)
+		case LimitStreams:
+			text += fmt.Sprintf(" to %d", action.Count)
+		default:
+			text += " " + action.Reason
+		}
+		all = append(all, text)
+	}
+	return strings.Join(all, ", ")
+}
+
+func expect(t *testing.T, what string, got []Action, want string) {
+	t.Helper()
+	if diff := cmp.Diff(want, describe(got)); diff != "" {
+		t.Errorf("%s: %s", what, diff)
+	}
+}
--- /dev/null
+++ b/internal/admission/memory.go
@@ -0,0 +1,103 @@
+package admission
+
+import (
+	"cmp"
+	"errors"
+	"slices"
+	"time"
+)
+
+// ErrMemory means that there is no memory left for what should be reserved.
+var ErrMemory = errors.New("no memory is left for this stream")
+
+// maxAborts is how many streams of a connection may be aborted in a row before the connection is closed.
+const maxAborts = 8
+
+// Reserve reserves bytes for a stream, or releases them if bytes is negative. If the memory of the frontend is used up,
+// stalled streams are aborted: those of the connection with the most reserved bytes first, of these the one stalled for
+// longest, and of several the oldest. The error is ErrMemory.
+func (c *Controller) Reserve(now time.Duration, id ConnectionID, sid StreamID, bytes int) ([]Action, error) {
+	c.begin(now)
+	conn := c.connections[id]
+	if conn == nil || conn.streams[sid] == nil {
+		return nil, ErrMemory
+	}
+	s := conn.streams[sid]
+	if bytes > 0 && conn.memory+bytes > c.config.ConnectionMemory {
+		return nil, ErrMemory
+	}
+	for bytes > 0 && c.memory+bytes > c.config.Memory {
+		victim := c.stalledVictim(s)
+		if victim == nil {
+			return c.actions, ErrMemory
+		}
+		c.abort(victim)
+	}
+	s.memory += bytes
+	conn.memory += bytes
+	c.memory += bytes
+	return c.actions, nil
+}
+
+// stalledVictim returns the stream to abort first, or nil. It is never the excepted one.
+func (c *Controller) stalledVictim(except *stream) (victim *stream) {
+	for _, conn := range c.connections {
+		for _, s := range conn.streams {
+			if s == except || s.stalledSince == 0 || s.memory == 0 {
+				continue
+			}
+			if victim == nil || compareVictims(s, victim) > 0 {
+				victim = s
+			}
+		}
+	}
+	return victim
+}
+
+// compareVictims returns a positive number if a is to be aborted before b.
+func compareVictims(a, b *stream) int {
+	return cmp.Or(
+		cmp.Compare(a.connection.memory, b.connection.memory),
+		cmp.Compare(b.stalledSince, a.stalledSince),
+		cmp.Compare(b.arrival, a.arrival))
+}
+
+// Progress reports whether a stream's response makes progress or waits for the client's flow-control window.
+func (c *Controller) Progress(now time.Duration, id ConnectionID, sid StreamID, progressing bool) {
+	c.begin(now)
+	conn := c.connections[id]
+	if conn == nil || conn.streams[sid] == nil {
+		return
+	}
+	s := conn.streams[sid]
+	switch {
+	case progressing:
+		s.stalledSince = 0
+	case s.stalledSince == 0:
+		s.stalledSince = max(c.now, 1) // 0 would mean progress
+	}
+}
+
+// abortStalled aborts the streams of a connection that have been stalled for too long, in the order of their arrival.
+func (c *Controller) abortStalled(conn *connection) {
+	var stalled []*stream
+	for _, s := range conn.streams {
+		if s.stalledSince > 0 && c.now-s.stalledSince >= c.config.Stall {
+			stalled = append(stalled, s)
+		}
+	}
+	slices.SortFunc(stalled, func(a, b *stream) int { return cmp.Compare(a.arrival, b.arrival) })
+	for _, s := range stalled {
+		c.abort(s)
+	}
+}
+
+// abort ends a stalled stream, and after too many of them their connection.
+func (c *Controller) abort(s *stream) {
+	conn := s.connection
+	c.emit(Action{Kind: AbortStream, Connection: conn.id, Stream: s.id})
+	c.release(s)
+	if conn.aborts++; conn.aborts >= maxAborts {
+		c.closeConnection(conn, reasonStalled)
+	}
+}
--- /dev/null
+++ b/internal/admission/memory_test.go
@@ -0,0 +1,92 @@
+package admission
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestStalledStreamsGiveWayForMemory(t *testing.T) {
+	c := newController(t, nil)
+	for id := range ConnectionID(3) {
+		c.Connect(0, id+1, "a")
+		c.Arrive(0, id+1, 1, "x", 3)
+	}
+	reserve := func(id ConnectionID, bytes int, wantActions string, wantErr error) {
+		t.Helper()
+		got, err := c.Reserve(0, id, 1, bytes)
+		if !errors.Is(err, wantErr) {
+			t.Errorf("connection %d, %d bytes: %v, want %v", id, bytes, err, wantErr)
+		}
+		expect(t, fmt.Sprint(id), got, wantActions)
+	}
+	reserve(1, 601, "", ErrMemory) // more than one connection may reserve
+	reserve(1, 500, "", nil)
+	reserve(2, 400, "", nil)
+	reserve(3, 200, "", ErrMemory) // no stream is stalled, so none is aborted
+	c.Progress(time.Second, 2, 1, false)
+	reserve(3, 200, "abort 2/1", nil)
+	reserve(1, -500, "", nil)
+	if c.memory != 200 {
+		t.Errorf("%d bytes are reserved", c.memory)
+	}
+}
+
+// Of the stalled streams those of the connection with the most memory are aborted first, of these the one stalled for
+// longest, and of several the oldest.
+func TestOrderOfAbortedStreams(t *testing.T) {
+	c := newController(t, func(config *Config) {
+		config.MaxInFlight = 10
+		config.Memory = 600
+	})
+	reserve := func(id ConnectionID, sid StreamID, bytes int, want string) {
+		t.Helper()
+		got, err := c.Reserve(0, id, sid, bytes)
+		if err != nil {
+			t.Error(err)
+		}
+		expect(t, fmt.Sprintf("%d/%d", id, sid), got, want)
+	}
+	for id := range ConnectionID(3) {
+		c.Connect(0, id+1, "a")
+		for sid := range StreamID(3) {
+			c.Arrive(0, id+1, sid+1, fmt.Sprint("client", id), 3)
+		}
+	}
+	for sid := range StreamID(3) {
+		reserve(1, sid+1, 50, "")
+		reserve(2, sid+1, 100, "")
+	}
+	c.Progress(time.Second, 1, 1, false)
+	c.Progress(2*time.Second, 2, 1, false)
+	c.Progress(time.Second, 2, 3, false) // the time does not go back: as long as 2/1
+	reserve(3, 1, 200, "abort 2/1")
+	reserve(3, 1, 100, "abort 2/3")
+	reserve(3, 1, 100, "abort 1/1")
+}
+
+func TestStalledStreamIsAbortedThenItsConnectionClosed(t *testing.T) {
+	c := newController(t, func(config *Config) {
+		config.MaxInFlight = 100
+		config.PerConnection = 100
+		config.PerClient = 100
+		config.Streams = 100
+	})
+	c.Connect(0, 1, "a")
+	c.Connect(0, 2, "b")
+	for i := range StreamID(maxAborts) {
+		c.Arrive(0, 1, 2*i+1, "x", 3)
+		c.Progress(0, 1, 2*i+1, false)
+	}
+	c.Arrive(0, 2, 1, "y", 3)
+	c.Progress(0, 2, 1, false)
+	c.Progress(time.Second, 2, 1, true)
+	c.Progress(2*time.Second, 2, 1, false)
+	expect(t, "too early", c.Tick(testConfig.Stall-1), "")
+	got := c.Tick(testConfig.Stall + 1)
+	if want := maxAborts + 1; len(got) != want || got[want-1].Kind != CloseConnection || got[want-1].Connection != 1 {
+		t.Errorf("%s", describe(got))
+	}
+	expect(t, "another connection has its own time", c.Tick(testConfig.Stall+2*time.Second), "abort 2/1")
+}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -6,135 +6,174 @@
 	"container/list"
 )
 
-// mostSkipped bounds how far the line of waiting streams is searched for one that may be started out of turn.
-const mostSkipped = 64
-
-// lines are the waiting streams in two orders: all of them by arrival, and those of each connection by client and
-// urgency. A start costs the logarithm of the connections that wait, however many streams there are.
-type lines struct {
-	all   list.List // of *stream
-	ready connHeap  // connections with waiting streams and room for another at the core
+const (
+	// oldestFirstInterval is the number of starts of which one goes to the stream that has waited for longest. Fewest
+	// in flight first alone would let short requests of others starve a connection's second stream, and urgency would
+	// starve what is not urgent.
+	oldestFirstInterval = 8
+	// maxSkippedStreams bounds the search for the oldest stream that may be started.
+	maxSkippedStreams = 64
+)
+
+// waitingStreams holds the waiting streams in two orders: all of them by arrival, and those of each connection by
+// client and urgency. To start a stream costs the logarithm of the number of connections that wait, however many
+// streams there are.
+type waitingStreams struct {
+	byArrival list.List      // of *stream
+	ready     connectionHeap // connections that have a waiting stream and capacity for another one in flight
 }
 
-// queue holds a client's waiting streams of one connection by urgency, each in the order of arrival.
-type queue struct {
-	client *client
-	by     [MaxUrgency + 1]list.List
-	length int
+// clientQueue holds the waiting streams of a client on one connection by urgency, each in the order of arrival.
+type clientQueue struct {
+	client    *client
+	byUrgency [MaxUrgency + 1]list.List
+	length    int
 }
 
-func (q *queue) first() *stream {
-	for i := range q.by {
-		if e := q.by[i].Front(); e != nil {
-			return e.Value.(*stream)
+// first returns the most urgent and then oldest stream. The queue is not empty.
+func (q *clientQueue) first() *stream {
+	for urgency := range q.byUrgency {
+		if element := q.byUrgency[urgency].Front(); element != nil {
+			return element.Value.(*stream)
 		}
 	}
 	return nil
 }
 
-// add puts a stream at the end of its lines.
+// enqueue puts a stream at the end of its queues.
 func (c *Controller) enqueue(s *stream) {
-	n := s.conn
-	q := n.queues[s.client]
-	if q == nil {
-		q = &queue{client: c.clients[s.client]}
-		n.queues[s.client] = q
+	conn := s.connection
+	queue := conn.queues[s.client]
+	if queue == nil {
+		queue = &clientQueue{client: c.clients[s.client]}
+		conn.queues[s.client] = queue
 	}
-	s.inAll, s.inQueue = c.lines.all.PushBack(s), q.by[s.urgency].PushBack(s)
-	q.length++
-	n.waiting++
-	c.place(n)
+	s.byArrival = c.waiting.byArrival.PushBack(s)
+	s.byUrgency = queue.byUrgency[s.urgency].PushBack(s)
+	queue.length++
+	conn.waiting++
+	c.updateReady(conn)
 }
 
-// dequeue takes a stream out of its lines.
+// dequeue removes a stream from its queues.
 func (c *Controller) dequeue(s *stream) {
-	n := s.conn
-	q := n.queues[s.client]
-	c.lines.all.Remove(s.inAll)
-	q.by[s.urgency].Remove(s.inQueue)
-	if q.length--; q.length == 0 {
-		delete(n.queues, s.client)
+	conn := s.connection
+	queue := conn.queues[s.client]
+	c.waiting.byArrival.Remove(s.byArrival)
+	queue.byUrgency[s.urgency].Remove(s.byUrgency)
+	if queue.length--; queue.length == 0 {
+		delete(conn.queues, s.client)
 	}
-	n.waiting--
-	c.place(n)
+	conn.waiting--
+	c.updateReady(conn)
 }
 
-// place puts a connection where it belongs among those that are ready, after anything that it is ordered by has changed.
-func (c *Controller) place(n *conn) {
-	ready := n.waiting > 0 && n.open < c.set.PerConnection
+// updateReady updates the place of a connection among the ready ones, after anything that it depends on has changed.
+func (c *Controller) updateReady(conn *connection) {
+	ready := conn.waiting > 0 && conn.inFlight < c.config.PerConnection
 	switch {
-	case ready && n.index < 0:
-		heap.Push(&c.lines.ready, n)
+	case ready && conn.heapIndex == notReady:
+		heap.Push(&c.waiting.ready, conn)
 	case ready:
-		heap.Fix(&c.lines.ready, n.index)
-	case n.index >= 0:
-		heap.Remove(&c.lines.ready, n.index)
+		heap.Fix(&c.waiting.ready, conn.heapIndex)
+	case conn.heapIndex != notReady:
+		heap.Remove(&c.waiting.ready, conn.heapIndex)
 	}
 }
 
-// next chooses a stream: of the connection that has the fewest open, of that one's client that has the fewest, the most
-// urgent, the oldest. Now and then it is the one that has waited for longest: fewest first would let short requests of
-// others keep a second stream out for good, and urgency what is not urgent.
-func (c *Controller) next() (best *stream) {
-	if (c.started+1)%patience == 0 {
-		skipped := 0
-		for e := c.lines.all.Front(); e != nil && skipped < mostSkipped; e = e.Next() {
-			if s := e.Value.(*stream); s.conn.open < c.set.PerConnection && c.clients[s.client].open < c.set.PerClient {
-				return s
-			}
-			skipped++
+// next returns the stream to start next, or nil. It is of the connection with the fewest streams in flight, of that
+// one's client with the fewest, the most urgent and then the oldest one. At intervals it is the oldest of all.
+func (c *Controller) next() *stream {
+	if (c.started+1)%oldestFirstInterval == 0 {
+		if oldest := c.oldest(); oldest != nil {
+			return oldest
 		}
 	}
-	// Connections all of whose clients have their share go to the end of the search; they are put back.
-	var passed []*conn
-	for len(c.lines.ready) > 0 && best == nil {
-		n := c.lines.ready[0]
-		if best = c.choose(n); best == nil {
-			passed = append(passed, heap.Pop(&c.lines.ready).(*conn))
+	// Connections whose clients all have as many in flight as they may are passed over, and put back after the search.
+	var passed []*connection
+	var chosen *stream
+	for len(c.waiting.ready) > 0 && chosen == nil {
+		conn := c.waiting.ready[0]
+		if chosen = c.choose(conn); chosen == nil {
+			passed = append(passed, heap.Pop(&c.waiting.ready).(*connection))
 		}
 	}
-	for _, n := range passed {
-		heap.Push(&c.lines.ready, n)
+	for _, conn := range passed {
+		heap.Push(&c.waiting.ready, conn)
 	}
-	return best
+	return chosen
+}
+
+// oldest returns the oldest stream that may be started, or nil if it is not among the first of all waiting ones.
+func (c *Controller) oldest() *stream {
+	element := c.waiting.byArrival.Front()
+	for skipped := 0; element != nil && skipped < maxSkippedStreams; skipped++ {
+		s := element.Value.(*stream)
+		if s.connection.inFlight < c.config.PerConnection && c.clients[s.client].inFlight < c.config.PerClient {
+			return s
+		}
+		element = element.Next()
+	}
+	return nil
 }
 
-// choose gives the stream of a connection that is next; nil where its clients have what they may.
-func (c *Controller) choose(n *conn) (best *stream) {
-	for _, q := range n.queues {
-		if q.client.open >= c.set.PerClient {
+// choose returns the next stream of a connection, or nil if all its clients have as many in flight as they may.
+func (c *Controller) choose(conn *connection) (chosen *stream) {
+	for _, queue := range conn.queues {
+		if queue.client.inFlight >= c.config.PerClient {
 			continue
 		}
-		if s := q.first(); best == nil || cmp.Or(cmp.Compare(q.client.open, c.clients[best.client].open),
-			cmp.Compare(s.urgency, best.urgency), cmp.Compare(s.number, best.number)) < 0 {
-			best = s
+		if s := queue.first(); chosen == nil || c.compareStreams(s, chosen) < 0 {
+			chosen = s
 		}
 	}
-	return best
+	return chosen
 }
 
-// connHeap is a container/heap with the connection that is next first.
-type connHeap []*conn
+// compareStreams orders the first streams of the clients of a connection.
+func (c *Controller) compareStreams(a, b *stream) int {
+	return cmp.Or(
+		cmp.Compare(c.clients[a.client].inFlight, c.clients[b.client].inFlight),
+		cmp.Compare(a.urgency, b.urgency),
+		cmp.Compare(a.arrival, b.arrival))
+}
+
+// connectionHeap is a container/heap of connections: fewest streams in flight first, then the one of which a stream was
+// started longest ago.
+type connectionHeap []*connection
+
+// Len implements sort.Interface.
+func (h connectionHeap) Len() int { return len(h) }
 
-func (h connHeap) Len() int { return len(h) }
-func (h connHeap) Less(i, j int) bool {
+// Less implements sort.Interface.
+func (h connectionHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
-	return cmp.Or(cmp.Compare(a.open, b.open), cmp.Compare(a.served, b.served), cmp.Compare(a.id, b.id)) < 0
+	return cmp.Or(
+		cmp.Compare(a.inFlight, b.inFlight),
+		cmp.Compare(a.lastStarted, b.lastStarted),
+		cmp.Compare(a.id, b.id)) < 0
 }
-func (h connHeap) Swap(i, j int) {
+
+// Swap implements sort.Interface.
+func (h connectionHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
-func (h *connHeap) Push(x any) {
-	n := x.(*conn)
-	n.index = len(*h)
-	*h = append(*h, n)
+
+// Push implements heap.Interface.
+func (h *connectionHeap) Push(x any) {
+	conn := x.(*connection)
+	conn.heapIndex = len(*h)
+	*h = append(*h, conn)
 }
-func (h *connHeap) Pop() any {
+
+// Pop implements heap.Interface.
+func (h *connectionHeap) Pop() any {
 	last := len(*h) - 1
-	n := (*h)[last]
+	conn := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	n.index = -1
-	return n
+	conn.heapIndex = notReady
+	return conn
 }
--- /dev/null
+++ b/internal/admission/violations.go
@@ -0,0 +1,138 @@
+package admission
+
+import (
+	"math"
+	"time"
+)
+
+// Violation is something that a client may do now and then, but not all the time.
+type Violation int
+
+// The kinds of Violation.
+const (
+	StreamReset       Violation = iota // reset of a stream that was not answered (rapid reset, CVE-2023-44487)
+	EmptyFrame                         // DATA or HEADERS without a byte that does not end its stream
+	UnsolicitedPing                    // PING
+	SettingsChange                     // SETTINGS after the first
+	SmallWindowUpdate                  // WINDOW_UPDATE by next to nothing
+	PriorityChange                     // change of the priority of a stream
+	OversizedHeader                    // field section beyond what was announced
+	RejectedStream                     // stream that was rejected: a few cross a GOAWAY
+)
+
+// violationPoints are the points of a violation. Honest clients reset some streams and change some settings.
+var violationPoints = [...]float64{
+	StreamReset:       1,
+	EmptyFrame:        0.5,
+	UnsolicitedPing:   0.5,
+	SettingsChange:    1,
+	SmallWindowUpdate: 0.1,
+	PriorityChange:    0.2,
+	OversizedHeader:   10,
+	RejectedStream:    0.25,
+}
+
+// Scores from which a connection is restricted, in points.
+const (
+	minLimitScore = 25.0  // it gets the least limit of streams
+	goAwayScore   = 50.0  // it is asked to go away, and new streams are rejected
+	closeScore    = 100.0 // it is closed
+)
+
+const (
+	// scoreHalfLife is the time in which a score halves.
+	scoreHalfLife = 10 * time.Second
+	// answerCredit is the points that an answered stream takes off. A client that resets one stream in two is honest,
+	// one that resets all is not.
+	answerCredit = 1.0
+)
+
+// Bounds of the ban of addresses.
+const (
+	banThreshold        = 3                // closed connections from which an address is banned
+	banDuration         = 30 * time.Second // from the last one
+	abuseMemory         = 5 * time.Minute  // for which a closed connection counts
+	maxAbusiveAddresses = 4096             // that are remembered
+)
+
+// score is a sum of points that halves with time.
+type score struct {
+	points float64
+	at     time.Duration // time of points
+}
+
+func (s *score) value(now time.Duration) float64 {
+	return s.points * math.Exp2(-float64(now-s.at)/float64(scoreHalfLife))
+}
+
+func (s *score) add(now time.Duration, points float64) {
+	s.points = max(0, s.value(now)+points)
+	s.at = now
+}
+
+// creditAnswer counts an answered stream in favour of the connection.
+func (s *score) creditAnswer(now time.Duration) { s.add(now, -answerCredit) }
+
+// abusiveAddress counts the connections of an address that were closed for abuse.
+type abusiveAddress struct {
+	closed int
+	last   time.Duration
+}
+
+// RecordViolation counts a violation of a connection.
+func (c *Controller) RecordViolation(now time.Duration, id ConnectionID, violation Violation) []Action {
+	c.begin(now)
+	if conn := c.connections[id]; conn != nil {
+		c.recordViolation(conn, violation)
+	}
+	return c.actions
+}
+
+func (c *Controller) recordViolation(conn *connection, violation Violation) {
+	before := conn.score.value(c.now)
+	conn.score.add(c.now, violationPoints[violation])
+	after := conn.score.value(c.now)
+	switch {
+	case before < closeScore && after >= closeScore:
+		c.closeConnection(conn, reasonAbuse)
+		c.recordAbuse(conn.address)
+	case after >= goAwayScore:
+		c.goAway(conn, reasonAbuse)
+		conn.rejecting = true
+	}
+}
+
+// recordAbuse counts a connection closed for abuse. If too many addresses are remembered, the oldest is forgotten.
+func (c *Controller) recordAbuse(address string) {
+	if _, known := c.abuse[address]; !known && len(c.abuse) >= maxAbusiveAddresses {
+		delete(c.abuse, c.oldestAbuse())
+	}
+	c.abuse[address] = abusiveAddress{closed: c.abuse[address].closed + 1, last: c.now}
+}
+
+// oldestAbuse returns the address whose last abuse is longest ago, of several the least.
+func (c *Controller) oldestAbuse() (oldest string) {
+	last := c.now + 1
+	for address, abuse := range c.abuse {
+		if abuse.last < last || abuse.last == last && address < oldest {
+			oldest = address
+			last = abuse.last
+		}
+	}
+	return oldest
+}
+
+// banned reports whether no connections are taken from an address.
+func (c *Controller) banned(address string) bool {
+	abuse := c.abuse[address]
+	return abuse.closed >= banThreshold && c.now-abuse.last < banDuration
+}
+
+// forgetOldAbuse forgets addresses whose last abuse is long ago.
+func (c *Controller) forgetOldAbuse() {
+	for address, abuse := range c.abuse {
+		if c.now-abuse.last >= abuseMemory {
+			delete(c.abuse, address)
+		}
+	}
+}
--- /dev/null
+++ b/internal/admission/violations_test.go
@@ -0,0 +1,52 @@
+package admission
+
+import (
+	"slices"
+	"strings"
+	"testing"
+)
+
+// attackByResets connects and resets each stream at once, also after GOAWAY. It returns the number of streams until the
+// connection is closed, or -1 if it is not taken.
+func attackByResets(c *Controller, id ConnectionID, address string) (streams int) {
+	if !c.Connect(0, id, address) {
+		return -1
+	}
+	for sid := StreamID(1); ; sid += 2 {
+		got := slices.Concat(c.Arrive(0, id, sid, "x", 3), c.End(0, id, sid, true))
+		closed := slices.ContainsFunc(got, func(action Action) bool { return action.Kind == CloseConnection })
+		if streams++; closed || streams > 10_000 {
+			c.Disconnect(0, id)
+			return streams
+		}
+	}
+}
+
+func TestRapidResetIsClosedAndItsAddressBanned(t *testing.T) {
+	c := newController(t, nil)
+	for i := range banThreshold {
+		streams := attackByResets(c, ConnectionID(i+1), "bad")
+		if float64(streams) > goAwayScore+(closeScore-goAwayScore)/violationPoints[RejectedStream]+2 {
+			t.Errorf("%d streams until the connection is closed", streams)
+		}
+	}
+	if c.Connect(banDuration-1, 9, "bad") || !c.Connect(banDuration, 10, "bad") {
+		t.Error("an address is banned for a while, and no longer")
+	}
+}
+
+// A client that resets one stream in two is honest: a person who moves on.
+func TestHonestResetsAreTolerated(t *testing.T) {
+	c := newController(t, nil)
+	c.Connect(0, 20, "good")
+	for sid := StreamID(1); sid < 2000; sid += 4 {
+		got := describe(slices.Concat(
+			c.Arrive(0, 20, sid, "y", 3),
+			c.End(0, 20, sid, true),
+			c.Arrive(0, 20, sid+2, "y", 3),
+			c.End(0, 20, sid+2, false)))
+		if strings.Contains(got, "go away 20 abuse") || strings.Contains(got, "close") {
+			t.Fatal(got)
+		}
+	}
+}
