--- /dev/null
+++ b/internal/filesystem/filesystemtest/filesystemtest.go
@@ -0,0 +1,254 @@
+// Package filesystemtest is a file system in memory for tests, which fails as disks do.
+package filesystemtest
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"io/fs"
+	"maps"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+
+	"reachpulley/internal/filesystem"
+)
+
+// Failures of an FS.
+var (
+	// ErrSync is the error of a sync that FailSync lets fail.
+	ErrSync = errors.New("filesystemtest: sync failed")
+	// ErrPower is the error of all changes after the power is lost.
+	ErrPower = errors.New("filesystemtest: power lost")
+)
+
+// FS is a file system in memory. Unsynced content is lost with the power, and so are names unless their directory was
+// synced.
+type FS struct {
+	mu        sync.Mutex
+	files     map[string]*file
+	durable   map[string]*file // names as of the last SyncDirectory
+	used      int              // bytes
+	powerLost bool
+
+	Capacity int // bytes that fit; 0: any number
+	FailSync int // number of the sync that fails, counted from now; 0: none
+	Kill     int // bytes written from now until the power is lost; -1: it is not
+}
+
+var _ filesystem.FS = (*FS)(nil)
+
+type file struct{ written, synced []byte }
+
+// New makes an empty FS.
+func New() *FS { return &FS{files: map[string]*file{}, durable: map[string]*file{}, Kill: -1} }
+
+// Restart returns the file system as it is after the power was lost. Of each file's unsynced content, so many bytes
+// have survived.
+func (f *FS) Restart(unsyncedBytes int) *FS {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	next := New()
+	for name, old := range f.durable {
+		content := bytes.Clone(old.synced)
+		unsynced := len(old.written) - len(old.synced)
+		if unsynced > 0 && bytes.HasPrefix(old.written, old.synced) {
+			content = append(content, old.written[len(old.synced):][:min(unsyncedBytes, unsynced)]...)
+		}
+		next.files[name] = &file{written: content, synced: bytes.Clone(content)}
+		next.used += len(content)
+	}
+	next.durable = maps.Clone(next.files)
+	return next
+}
+
+// Put makes a durable file.
+func (f *FS) Put(name string, content []byte) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.files[name] = &file{written: bytes.Clone(content), synced: bytes.Clone(content)}
+	f.durable[name] = f.files[name]
+	f.used += len(content)
+}
+
+// Content returns the content of a file, or nil if there is none.
+func (f *FS) Content(name string) []byte {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if found := f.files[name]; found != nil {
+		return bytes.Clone(found.written)
+	}
+	return nil
+}
+
+// Create implements filesystem.FS.
+func (f *FS) Create(name string) (filesystem.File, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.powerLost {
+		return nil, ErrPower
+	}
+	if f.files[name] != nil {
+		return nil, fs.ErrExist
+	}
+	f.files[name] = &file{}
+	return &handle{fs: f, file: f.files[name]}, nil
+}
+
+// Open implements filesystem.FS. The reader has the content at this time.
+func (f *FS) Open(name string) (io.ReadCloser, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.files[name] == nil {
+		return nil, fs.ErrNotExist
+	}
+	return io.NopCloser(bytes.NewReader(bytes.Clone(f.files[name].written))), nil
+}
+
+// existing returns a file that is to be changed. The lock is held.
+func (f *FS) existing(name string) (*file, error) {
+	switch {
+	case f.powerLost:
+		return nil, ErrPower
+	case f.files[name] == nil:
+		return nil, fs.ErrNotExist
+	}
+	return f.files[name], nil
+}
+
+// Truncate implements filesystem.FS.
+func (f *FS) Truncate(name string, size int64) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	found, err := f.existing(name)
+	if err != nil {
+		return err
+	}
+	f.used -= len(found.written) - int(size)
+	found.written = found.written[:size]
+	found.synced = bytes.Clone(found.written)
+	return nil
+}
+
+// Remove implements filesystem.FS.
+func (f *FS) Remove(name string) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	found, err := f.existing(name)
+	if err != nil {
+		return err
+	}
+	f.used -= len(found.written)
+	delete(f.files, name)
+	return nil
+}
+
+// Rename implements filesystem.FS.
+func (f *FS) Rename(from, to string) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	found, err := f.existing(from)
+	if err != nil {
+		return err
+	}
+	if replaced := f.files[to]; replaced != nil {
+		f.used -= len(replaced.written)
+	}
+	f.files[to] = found
+	delete(f.files, from)
+	return nil
+}
+
+// List implements filesystem.FS.
+func (f *FS) List(directory string) (files []filesystem.Info, err error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for name, found := range f.files {
+		if filepath.Dir(name) == filepath.Clean(directory) {
+			files = append(files, filesystem.Info{Name: filepath.Base(name), Size: int64(len(found.written))})
+		}
+	}
+	slices.SortFunc(files, func(a, b filesystem.Info) int { return strings.Compare(a.Name, b.Name) })
+	return files, nil
+}
+
+// SyncDirectory implements filesystem.FS. It makes the names of all directories durable.
+func (f *FS) SyncDirectory(string) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if err := f.countSync(); err != nil {
+		return err
+	}
+	f.durable = maps.Clone(f.files)
+	return nil
+}
+
+// countSync returns the error that a sync has now, or nil. The lock is held.
+func (f *FS) countSync() error {
+	if f.powerLost {
+		return ErrPower
+	}
+	if f.FailSync <= 0 {
+		return nil
+	}
+	f.FailSync--
+	if f.FailSync == 0 {
+		return ErrSync
+	}
+	return nil
+}
+
+// handle is a file open for writing.
+type handle struct {
+	fs   *FS
+	file *file
+}
+
+// Write writes what fits and what is written before the power is lost.
+func (h *handle) Write(p []byte) (int, error) {
+	f := h.fs
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.powerLost {
+		return 0, ErrPower
+	}
+	n, err := f.writable(len(p))
+	h.file.written = append(h.file.written, p[:n]...)
+	f.used += n
+	return n, err
+}
+
+// writable returns how many of n bytes can be written, and why not all of them. The lock is held.
+func (f *FS) writable(n int) (int, error) {
+	var err error
+	if f.Capacity > 0 && f.used+n > f.Capacity {
+		n = max(0, f.Capacity-f.used)
+		err = syscall.ENOSPC
+	}
+	if f.Kill < 0 {
+		return n, err
+	}
+	if n >= f.Kill {
+		n = f.Kill
+		err = ErrPower
+		f.powerLost = true
+	}
+	f.Kill -= n
+	return n, err
+}
+
+// Sync implements filesystem.File.
+func (h *handle) Sync() error {
+	h.fs.mu.Lock()
+	defer h.fs.mu.Unlock()
+	if err := h.fs.countSync(); err != nil {
+		return err
+	}
+	h.file.synced = bytes.Clone(h.file.written)
+	return nil
+}
+
+// Close does nothing: unsynced content can still be lost.
+func (h *handle) Close() error { return nil }
