--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -1,5 +1,5 @@
 // Package ratelimit limits what each key may request: requests a second with a burst, and requests open at a time.
-// Keys are whatever an expression yields. New keys take no more memory than was reserved at the start.
+// Keys are the values of an expression. New keys take no more memory than was reserved at the start.
 //
 // The package has no clock, no lock and does no I/O: its caller passes the time and calls from one goroutine at a time.
 //
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -116,8 +116,8 @@
 	return int(hash) & (len(t.slots) - 1) &^ (slotsPerBucket - 1)
 }
 
-// replaceable reports whether another key may take a slot. A returning key keeps its slot for a while: whoever invents
-// keys must not evict it.
+// replaceable reports whether another key may take a slot. A returning key keeps its slot for a while, so that
+// invented keys do not evict it.
 func (t *table) replaceable(e *entry, now time.Duration) bool {
 	return e.idle(now) && (e.seen < minReturningCounts || e.theoreticalArrival+t.grace <= now)
 }
--- a/internal/trust/tracker.go
+++ b/internal/trust/tracker.go
@@ -16,8 +16,8 @@
 	maxVersionBytes  = 64   // of the name of a version
 )
 
-// evictedShare is the divisor of MaxEntries that gives how many entries are evicted at a time.
-const evictedShare = 16
+// maxEvicted is how many entries are evicted at a time.
+const maxEvicted = MaxEntries / 16
 
 // allNodes is the node of what holds for an operation at all nodes.
 const allNodes = ""
@@ -125,7 +125,7 @@
 	slices.SortFunc(evictable, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(a.observedAt, b.observedAt), compareEntries(a, b))
 	})
-	for _, e := range evictable[:min(len(evictable), MaxEntries/evictedShare)] {
+	for _, e := range evictable[:min(len(evictable), maxEvicted)] {
 		delete(t.entries, e.key)
 	}
 	return len(evictable) > 0
--- a/internal/zonefailover/zone.go
+++ b/internal/zonefailover/zone.go
@@ -89,8 +89,8 @@
 	return silent / contacted
 }
 
-// allSilent reports whether all zones with contacted nodes are silent: then the gateway itself is isolated. With a
-// single zone that can't be told.
+// allSilent reports whether all zones with contacted nodes are silent: then the gateway itself is isolated. A single
+// zone is not enough: whether the zone is unavailable or the gateway is isolated can't be told apart.
 func allSilent(zones []zoneTotals) bool {
 	contacted := 0
 	for i := range zones {
