--- /dev/null
+++ b/internal/gateway/harness_test.go
@@ -0,0 +1,228 @@
+package gateway
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"reachpulley/internal/capture/replaytest"
+	"reachpulley/internal/config"
+	"reachpulley/internal/scenariotest"
+)
+
+func init() { replaytest.WarmUp() }
+
+// testSettings are the platform's settings of the tests.
+const testSettings = `{
+	"siblings": 1, "membershipMode": "ask", "dcs": ["a"], "report": {"via": "off"},
+	"ceilings": {"cancel": true, "maxAttempts": 4, "retryAfter": true, "maxRetryAfterMs": 500,
+		"dialTimeoutMs": 250, "connIdleMs": 15000},
+	"classes": [
+		{"name": "read", "aimMs": 300, "deadlineMs": 1500, "points": 3, "idempotency": "idempotent"},
+		{"name": "write", "aimMs": 400, "deadlineMs": 2500, "points": 2, "idempotency": "deduplicated",
+			"keyScope": "cell", "windowMs": 4000},
+		{"name": "once", "aimMs": 400, "deadlineMs": 2500, "points": 2, "idempotency": "at_most_once"}
+	],
+	"contract": {"drainGraceMs": 250},
+	"familyInfo": {"meanUnits": 2, "mostUnits": 8, "changesData": [false, true, true]},
+	"policies": [{"name": "gold", "baseRate": 99, "guaranteed": 99, "price": 1, "proportion": 1}]
+}`
+
+// hostList words discovery's list of nodes, each given as "name state". It is on one line, as a script's message is.
+func hostList(seq int, whole bool, nodes ...string) string {
+	var hosts []string
+	for shard, node := range nodes {
+		name, state, _ := strings.Cut(node, " ")
+		hosts = append(hosts, fmt.Sprintf(`{"host":"%s","dial":"%s:1","site":"a","block":%d,"health":"%s","born_ms":0}`,
+			name, name, shard, state))
+	}
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(hosts, ","))
+}
+
+// parseConfig reads a configuration with testSettings and the given other keys.
+func parseConfig(t *testing.T, keys string) *config.Config {
+	t.Helper()
+	parsed, err := config.Parse([]byte(`{`+keys+`,"settings":`+testSettings+`}`), func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	return parsed
+}
+
+// replaceSetting replaces a part of settings, which must be there.
+func replaceSetting(t *testing.T, settings, part, by string) string {
+	t.Helper()
+	if !strings.Contains(settings, part) {
+		t.Fatalf("the settings lack %s", part)
+	}
+	return strings.Replace(settings, part, by, 1)
+}
+
+const objectPath = "/api/00000003b4d60021/7f3a9c21e0b4d655"
+
+// What a client sends, up to its own part.
+const (
+	objectRequest = objectPath + " X-Qos-Policy=gold X-Deadline=480m X-Placement=units=2,shard=0,hosts=1"
+	getRequest    = "GET " + objectRequest + " X-Class=read X-Request-Id="
+	putRequest    = "PUT " + objectRequest + " X-Class=write Idempotency-Key=k X-Request-Id="
+	onceRequest   = "PUT " + objectRequest + " X-Class=once X-Request-Id="
+)
+
+// The request of a watch, and the beginning of its response.
+const (
+	watchRequest  = "discovery expect GET /v1/endpoints?stream=1&index=1\n"
+	watchResponse = "discovery send raw HTTP/1.1 200 OK\\nConnection: close\\n\\n"
+)
+
+// httpNode shows the headers of requests that most scenarios look at.
+var httpNode = scenariotest.HTTP{Shows: []string{"X-Request-Id", "Idempotency-Key"}}
+
+// scenario is a script that is played in fake time before a whole gateway with one node, n.
+//
+// Its clients are client and other (HTTP) and initiator, other-initiator, second, third and fourth (iSCSI). Discovery is
+// discovery, and moved is where it moves to. What a reload reads is changed by messages to file, and the gateway itself
+// is controlled by messages to gateway.
+type scenario struct {
+	script    string
+	node      scenariotest.Speech
+	iscsi     *config.ISCSI             // nil: the iSCSI frontend is off
+	contracts bool                      // the descriptions of the tests are in force from the start
+	rules     string                    // the rule file that is in force from the start; empty: none
+	prepare   func(*scenariotest.Stage) // adds actors; nil: none
+}
+
+// play runs the scenario, replays what the gateway recorded, and returns the gateway's log.
+func (s scenario) play(t *testing.T) (log string) {
+	t.Helper()
+	var logged bytes.Buffer
+	captures := t.TempDir()
+	scenariotest.Run(t, s.script, func(stage *scenariotest.Stage) func() {
+		s.addActors(stage)
+		options := s.options(t, stage)
+		options.Log = slog.New(slog.NewJSONHandler(&logged, &slog.HandlerOptions{Level: slog.LevelDebug}))
+		options.Operator.Capture.Directory = captures
+		addReloads(t, stage, &options)
+		if s.rules != "" {
+			options.Operator.Rules.Set = parseRules(t, ruleFiles[s.rules], options.Config.Settings)
+		}
+		stop, cancel := context.WithCancel(context.Background())
+		stage.Control("gateway", "stop", cancel)
+		ended := make(chan error)
+		go func() { ended <- Serve(stop, options) }()
+		return func() {
+			cancel()
+			if err := <-ended; err != nil {
+				t.Error(err)
+			}
+		}
+	})
+	replayRecorded(t, captures)
+	return logged.String()
+}
+
+func (s scenario) addActors(stage *scenariotest.Stage) {
+	client := scenariotest.HTTP{Shows: []string{"X-Request-Id", "Idempotency-Key", "Retry-After", "Connection"}}
+	stage.Client("client", "gate:1", client)
+	stage.Client("other", "gate:1", client)
+	for _, name := range []string{"initiator", "second", "other-initiator", "third", "fourth"} {
+		stage.Client(name, "iscsi:1", scenariotest.ISCSI{})
+	}
+	stage.Server("discovery", "disc:1", scenariotest.HTTP{})
+	stage.Server("moved", "disc:2", scenariotest.HTTP{})
+	stage.Server("node", "n:1", s.node)
+	if s.prepare != nil {
+		s.prepare(stage)
+	}
+}
+
+// options are those of a gateway that records all of the scenario.
+func (s scenario) options(t *testing.T, stage *scenariotest.Stage) Options {
+	configuration := parseConfig(t, `"listen":"gate:1","discovery":"disc:1","seed":"1","known":`+hostList(1, true, "n up"))
+	operator := config.DefaultOperator()
+	operator.ISCSI = s.iscsi
+	operator.H2C.Enabled = true
+	operator.Capture = config.Capture{
+		Memory:       1 << 10,
+		Disk:         8,
+		Segment:      4,
+		SegmentAge:   time.Hour,
+		MaxTriggered: 1,
+	}
+	if s.contracts {
+		operator.Contracts = parseContracts(t, sheetContracts, configuration.Settings, nil)
+	}
+	options := Options{
+		Config:      configuration,
+		Operator:    operator,
+		Listener:    stage.Network.Listen("gate:1"),
+		H2CListener: stage.Network.Listen("h2:1"),
+		Dial:        stage.Network.Dial,
+	}
+	if s.iscsi != nil {
+		options.ISCSIListener = stage.Network.Listen("iscsi:1")
+	}
+	return options
+}
+
+// addReloads lets the script change what a reload reads, and request reloads.
+func addReloads(t *testing.T, stage *scenariotest.Stage, options *Options) {
+	next, operator := *options.Config, *options.Operator
+	settings := next.Settings
+	var fault error
+	options.Reload = func() (*config.Config, *config.Operator, error) { return &next, &operator, fault }
+	stage.Control("file", "moved", func() { next.Discovery, fault = "disc:2", nil })
+	stage.Control("file", "faulty", func() { next.Discovery, fault = "", errors.New("discovery: is missing") })
+	stage.Control("file", "other classes", func() {
+		next.Settings.Classes = slices.Clone(next.Settings.Classes)
+		slices.Reverse(next.Settings.Classes)
+	})
+	stage.Control("file", "strict contracts", func() {
+		strict := func(c *config.Contracts) { c.Undescribed = config.RejectUndescribed }
+		operator.Contracts = parseContracts(t, sheetContracts, settings, strict)
+	})
+	stage.Control("file", "other contracts", func() {
+		other := strings.Replace(sheetContracts, "repeats: safe}", "repeats: safe, aim: 1s, deadline: 2s}", 1)
+		operator.Contracts = parseContracts(t, other, settings, nil)
+	})
+	stage.Control("file", "no contracts", func() { operator.Contracts.Catalog = nil })
+	for name, text := range ruleFiles {
+		stage.Control("file", name+" rules", func() { operator.Rules.Set = parseRules(t, text, settings) })
+	}
+	reloads := make(chan os.Signal, 1)
+	options.Reloads = reloads
+	stage.Control("gateway", "reload", func() {
+		select { // as os/signal does
+		case reloads <- syscall.SIGHUP:
+		default:
+		}
+	})
+}
+
+// replayRecorded replays what a gateway recorded while a script was played: whatever went wrong in it, the decisions can
+// be replayed and break no invariant.
+func replayRecorded(t *testing.T, directory string) {
+	t.Helper()
+	segments, err := filepath.Glob(filepath.Join(directory, "*.segment"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range segments {
+		content, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		replaytest.ReplayTwice(t, content)
+	}
+	if len(segments) == 0 {
+		t.Error("nothing was recorded")
+	}
+}
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"strings"
 	"testing"
 
 	"reachpulley/internal/config"
@@ -9,9 +10,9 @@
 	"reachpulley/scheduler"
 )
 
-// ruleFiles are the rules of the scenarios: "old" is in force from the start, the others after a reload.
+// ruleFiles are the rules of the scenarios. Those of TestRules begin with "initial"; a reload applies another.
 var ruleFiles = map[string]string{
-	"old": `
+	"initial": `
 on_fault = "refuse"
 [[let]]
 name = "project"
@@ -36,7 +37,10 @@
 name = "place"
 stage = "key"
 path = "/sheets/{sheet}"
-set = { volume = '"00000003b4d60021"', key = 'hash(project + "/" + param("sheet"))', shard = '0', idempotency = 'hash(who + param("sheet"))' }
+set.volume = '"00000003b4d60021"'
+set.key = 'hash(project + "/" + param("sheet"))'
+set.shard = '0'
+set.idempotency = 'hash(who + param("sheet"))'
 [[limit]]
 name = "project"
 when = 'who != ""'
@@ -80,7 +84,7 @@
 stage = "key"
 set.idempotency = '"k"'
 `,
-	// A rule for the first front's requests must not stand in the second's way.
+	// A rule for HTTP requests must not reject iSCSI commands.
 	"initiators": `
 [[rule]]
 name = "wants a header"
@@ -95,158 +99,177 @@
 `,
 }
 
-func ruleSet(t *testing.T, text string, settings scheduler.Settings) *rules.Set {
+// parseRules reads the text of a rule file; an empty one holds no rules.
+func parseRules(t *testing.T, text string, settings scheduler.Settings) *rules.Set {
 	if text == "" {
 		return nil
 	}
-	s, err := rules.Parse("rules.toml", []byte(text), settings)
+	set, err := rules.Parse("rules.toml", []byte(text), settings)
 	if err != nil {
 		t.Error(err)
 	}
-	return s
+	return set
 }
 
-// The second front counts by the same limits; its client is the initiator.
-func TestRulesOfTheSecondFront(t *testing.T) {
-	play(t, login+`
-		file send initiators rules
+// A legacy client sends none of the platform's headers.
+const legacyClient = " X-Project=bridge"
+
+// What a node sees of a legacy client's request.
+const (
+	seenRead  = " X-Class=read X-Placement=units=1,shard=0,hosts=1" + legacyClient + " X-Qos-Policy=gold"
+	seenOnce  = " X-Class=once X-Placement=units=2,shard=0,hosts=1" + legacyClient + " X-Qos-Policy=gold"
+	seenWrite = " X-Class=write X-Placement=units=1,shard=0,hosts=1" + legacyClient + " X-Qos-Policy=gold"
+)
+
+// withoutPlan is a request with all headers of the platform but the one of the plan.
+var withoutPlan = strings.Replace(getRequest, " X-Qos-Policy=gold", "", 1) + "r1"
+
+var ruleScenarios = map[string]string{
+	"a legacy client is served, and its node learns what was decided": `
+		client send GET /sheets/7` + legacyClient + `
+		node expect GET /sheets/7` + seenRead + `
+		node send 200 hours
+		client expect 200 hours`,
+	// The write may have run.
+	"a write that a rule classifies as non-idempotent is not retried": `
+		client send PUT /sheets/7` + legacyClient + ` hello
+		node expect PUT /sheets/7` + seenOnce + ` hello
+		node close
+		client expect 502
+		wait 1s
+		node expect nothing`,
+	// The rule matches any method, and the client names a class that only reads.
+	"a client cannot turn a write into a read": `
+		client send PUT /sheets/7` + legacyClient + ` X-Kind=read hello
+		client expect 400 rule writes: class "read" only reads, and PUT writes
+		node expect nothing`,
+	"an unknown class is rejected with the reason": `
+		client send PUT /sheets/7` + legacyClient + ` X-Kind=none hello
+		client expect 400 rule writes: class: wants a class of the settings in place of "none"
+		node expect nothing`,
+	"a missing header that a rule needs is rejected with the reason": `
+		client send GET /sheets/7
+		client expect 400 rule place: key: wants the header X-Project
+		node expect nothing`,
+	"a request that no rule matches is rejected with the reason": `
+		client send GET /other/7` + legacyClient + `
+		client expect 400 nothing tells the class of this request, and X-Class is missing
+		node expect nothing`,
+	// A request with the platform's headers does not get the plan of a rule by leaving out its own.
+	"leaving out a header gives no better plan": `
+		client send ` + withoutPlan + ` X-Project=bridge
+		client expect 400 X-Qos-Policy: unknown plan ""
+		node expect nothing`,
+	"the platform's own requests are unchanged": `
+		client send ` + getRequest + `r1
+		node expect GET ` + objectPath + ` X-Class=read X-Placement=units=2,shard=0,hosts=1 X-Qos-Policy=gold
+		node send 200 one
+		client expect 200 one`,
+	"a client that retries after Retry-After is accepted": `
+		client send GET /sheets/7` + legacyClient + `
+		node expect GET /sheets/7` + seenRead + `
+		node send 200 hours
+		client expect 200 hours
+		client send GET /sheets/8` + legacyClient + `
+		node expect GET /sheets/8` + seenRead + `
+		node send 200 hours
+		client expect 200 hours
+		client send GET /sheets/9` + legacyClient + `
+		# 5 ms have passed: the connection to the node had to settle
+		client expect 429 Retry-After=0.996 limit project is reached
+		node expect nothing
+		other send GET /sheets/9 X-Project=tunnel
+		node expect GET /sheets/9 X-Class=read X-Placement=units=1,shard=0,hosts=1 X-Project=tunnel X-Qos-Policy=gold
+		node send 200 hours
+		other expect 200 hours
+		wait 996ms
+		client send GET /sheets/9` + legacyClient + `
+		node expect GET /sheets/9` + seenRead + `
+		node send 200 hours
+		client expect 200 hours`,
+	// The request in flight keeps its rules. The limit is unchanged, so its token buckets are kept.
+	"a reload under load": `
+		client send PUT /sheets/7` + legacyClient + ` hello
+		node expect PUT /sheets/7` + seenOnce + ` hello
+		file send wider rules
 		gateway send reload
 		wait 1ms
-		initiator send command tag=1 sn=1 read=8+1
-		`+nodeLogin+`
-		node expect command tag=1 lun=0 read=8+1
-		node send data-in tag=1 data=512*r
-		initiator expect data-in tag=1 offset=0 status=good data=512*r
-		initiator send command tag=2 sn=2 read=8+1
-		initiator expect response tag=2 status=busy
-		initiator send command tag=3 sn=3 write=8+2 data=512*w
-		initiator expect response tag=3 status=busy
-		node expect nothing
-		wait 1s
-		initiator send command tag=4 sn=4 read=8+1
-		node expect command tag=2 lun=0 read=8+1
-		node send data-in tag=2 data=512*r
-		initiator expect data-in tag=4 offset=0 status=good data=512*r`,
-		secondFront(config.NodesISCSI), scenariotest.ISCSI{})
+		node close
+		client expect 502
+		other send PUT /sheets/8` + legacyClient + ` again
+		node expect PUT /sheets/8` + seenWrite + ` again
+		node close
+		node expect PUT /sheets/8` + seenWrite + ` again
+		node send 200 stored
+		other expect 200 stored
+		other send PUT /sheets/9` + legacyClient + ` more
+		other expect 429 Retry-After=1.000 limit project is reached`,
+	"a faulty file leaves the rules in force": `
+		file send wider rules
+		file send faulty
+		gateway send reload
+		wait 1ms
+		client send PUT /sheets/7` + legacyClient + ` hello
+		node expect PUT /sheets/7` + seenOnce + ` hello
+		node send 200 stored
+		client expect 200 stored`,
+	// Checked against the new classes, the class "once" would have the index of what the running gateway calls "read",
+	// and a write would be retried freely.
+	"rules by other classes need a restart": `
+		file send other classes
+		file send wider rules
+		gateway send reload
+		wait 1ms
+		client send PUT /sheets/7` + legacyClient + ` hello
+		node expect PUT /sheets/7` + seenOnce + ` hello
+		node close
+		client expect 502
+		node expect nothing`,
+	"rules can be turned off": `
+		file send no rules
+		gateway send reload
+		wait 1ms
+		client send GET /sheets/7` + legacyClient + `
+		client expect 400 X-Request-Id is missing`,
+	"a client that disconnects ends its attempt": `
+		client send GET /sheets/7` + legacyClient + `
+		node expect GET /sheets/7` + seenRead + `
+		client close
+		node expect end`,
 }
 
-// An old client bears none of the platform's headers; each of its requests has one answer.
+// Each request of a legacy client, too, gets one answer.
 func TestRules(t *testing.T) {
-	const old = " X-Project=bridge"
-	for name, script := range map[string]string{
-		"an old client is served, and its node hears what was decided": `
-			client send GET /sheets/7` + old + `
-			node expect GET /sheets/7 X-Class=read X-Placement=units=1,shard=0,hosts=1 X-Project=bridge X-Qos-Policy=gold
-			node send 200 hours
-			client expect 200 hours`,
-		// The write may have run, and a rule's class allows no second time.
-		"a write that a rule calls unsafe is not sent again": `
-			client send PUT /sheets/7` + old + ` hello
-			node expect PUT /sheets/7 X-Class=once X-Placement=units=2,shard=0,hosts=1 X-Project=bridge X-Qos-Policy=gold hello
-			node close
-			client expect 502
-			wait 1s
-			node expect nothing`,
-		// The rule left the method open, and the client names a class that only reads.
-		"a write never becomes a read by what a client says": `
-			client send PUT /sheets/7` + old + ` X-Kind=read hello
-			client expect 400 rule writes: class "read" only reads, and PUT writes
-			node expect nothing`,
-		"a class that is not there is told": `
-			client send PUT /sheets/7` + old + ` X-Kind=none hello
-			client expect 400 rule writes: class: wants a class of the settings in place of "none"
-			node expect nothing`,
-		"a header that a rule wants is told": `
-			client send GET /sheets/7
-			client expect 400 rule place: key: wants the header X-Project
-			node expect nothing`,
-		"what no rule is for is told": `
-			client send GET /other/7` + old + `
-			client expect 400 nothing tells the class of this request, and X-Class is missing
-			node expect nothing`,
-		// Whoever bears the platform's headers does not get the rules' plan by leaving out its own.
-		"a header that is left out raises nobody": `
-			client send GET ` + path + ` X-Request-Id=r1 X-Class=read X-Deadline=480m X-Placement=units=2,shard=0,hosts=1 X-Project=bridge
-			client expect 400 X-Qos-Policy: unknown plan ""
-			node expect nothing`,
-		"the platform's requests go as ever": `
-			client send ` + get + `r1
-			node expect GET ` + path + ` X-Class=read X-Placement=units=2,shard=0,hosts=1 X-Qos-Policy=gold
-			node send 200 one
-			client expect 200 one`,
-		"who comes back when told to is taken": `
-			client send GET /sheets/7` + old + `
-			node expect GET /sheets/7 X-Class=read X-Placement=units=1,shard=0,hosts=1 X-Project=bridge X-Qos-Policy=gold
-			node send 200 hours
-			client expect 200 hours
-			client send GET /sheets/8` + old + `
-			node expect GET /sheets/8 X-Class=read X-Placement=units=1,shard=0,hosts=1 X-Project=bridge X-Qos-Policy=gold
-			node send 200 hours
-			client expect 200 hours
-			client send GET /sheets/9` + old + `
-			# 5 ms have passed: the connection to the node had to settle
-			client expect 429 Retry-After=0.996 limit project is reached
-			node expect nothing
-			other send GET /sheets/9 X-Project=tunnel
-			node expect GET /sheets/9 X-Class=read X-Placement=units=1,shard=0,hosts=1 X-Project=tunnel X-Qos-Policy=gold
-			node send 200 hours
-			other expect 200 hours
-			wait 996ms
-			client send GET /sheets/9` + old + `
-			node expect GET /sheets/9 X-Class=read X-Placement=units=1,shard=0,hosts=1 X-Project=bridge X-Qos-Policy=gold
-			node send 200 hours
-			client expect 200 hours`,
-		// The request under way keeps its rules; the limit is the same, so what it counted is kept.
-		"a reload under load": `
-			client send PUT /sheets/7` + old + ` hello
-			node expect PUT /sheets/7 X-Class=once X-Placement=units=2,shard=0,hosts=1 X-Project=bridge X-Qos-Policy=gold hello
-			file send wider rules
-			gateway send reload
-			wait 1ms
-			node close
-			client expect 502
-			other send PUT /sheets/8` + old + ` again
-			node expect PUT /sheets/8 X-Class=write X-Placement=units=1,shard=0,hosts=1 X-Project=bridge X-Qos-Policy=gold again
-			node close
-			node expect PUT /sheets/8 X-Class=write X-Placement=units=1,shard=0,hosts=1 X-Project=bridge X-Qos-Policy=gold again
-			node send 200 stored
-			other expect 200 stored
-			other send PUT /sheets/9` + old + ` more
-			other expect 429 Retry-After=1.000 limit project is reached`,
-		"a faulty file leaves the rules in force": `
-			file send wider rules
-			file send nonsense
-			gateway send reload
-			wait 1ms
-			client send PUT /sheets/7` + old + ` hello
-			node expect PUT /sheets/7 X-Class=once X-Placement=units=2,shard=0,hosts=1 X-Project=bridge X-Qos-Policy=gold hello
-			node send 200 stored
-			client expect 200 stored`,
-		// Checked against the new classes, the class "once" would be numbered as what the running gateway calls "read", and a write be repeated freely.
-		"rules by other classes wait for the next start": `
-			file send other classes
-			file send wider rules
-			gateway send reload
-			wait 1ms
-			client send PUT /sheets/7` + old + ` hello
-			node expect PUT /sheets/7 X-Class=once X-Placement=units=2,shard=0,hosts=1 X-Project=bridge X-Qos-Policy=gold hello
-			node close
-			client expect 502
-			node expect nothing`,
-		"rules can be turned off": `
-			file send no rules
+	node := scenariotest.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Project", "X-Qos-Policy"}}
+	for name, script := range ruleScenarios {
+		t.Run(name, func(t *testing.T) { scenario{script: script, rules: "initial", node: node}.play(t) })
+	}
+}
+
+// iSCSI commands count towards the same limits; their client is the initiator.
+func TestRulesOfTheISCSIFrontend(t *testing.T) {
+	scenario{
+		script: initiatorLogin + `
+			file send initiators rules
 			gateway send reload
 			wait 1ms
-			client send GET /sheets/7` + old + `
-			client expect 400 X-Request-Id is missing`,
-		"a client that leaves gives back what it held": `
-			client send GET /sheets/7` + old + `
-			node expect GET /sheets/7 X-Class=read X-Placement=units=1,shard=0,hosts=1 X-Project=bridge X-Qos-Policy=gold
-			client close
-			node expect end`,
-	} {
-		t.Run(name, func(t *testing.T) {
-			play(t, script, nil, scenariotest.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Project", "X-Qos-Policy"}})
-		})
-	}
+			initiator send command tag=1 sn=1 read=8+1
+			` + nodeLogin + `
+			node expect command tag=1 lun=0 read=8+1
+			node send data-in tag=1 data=512*r
+			initiator expect data-in tag=1 offset=0 status=good data=512*r
+			initiator send command tag=2 sn=2 read=8+1
+			initiator expect response tag=2 status=busy
+			initiator send command tag=3 sn=3 write=8+2 data=512*w
+			initiator expect response tag=3 status=busy
+			node expect nothing
+			wait 1s
+			initiator send command tag=4 sn=4 read=8+1
+			node expect command tag=2 lun=0 read=8+1
+			node send data-in tag=2 data=512*r
+			initiator expect data-in tag=4 offset=0 status=good data=512*r`,
+		iscsi: iscsiFrontend(config.NodesISCSI),
+		rules: "initial",
+		node:  scenariotest.ISCSI{},
+	}.play(t)
 }
--- a/internal/gateway/stored_test.go
+++ b/internal/gateway/stored_test.go
@@ -23,8 +23,8 @@
 	"reachpulley/scheduler"
 )
 
-// The files under testdata/format5 were written by commit 6bf5e3d, before its names were changed: a real gateway before the
-// demo's nodes, and a random day with every kind of record. Captures are of format 5, states of version 4.
+// The files under storedDirectory were written by commit 6bf5e3d, before names were changed: a real gateway in front of
+// the demo's nodes, and a random day with every kind of record. Captures are of format 5, states of version 4.
 const storedDirectory = "testdata/format5"
 
 func storedFile(t *testing.T, name string) []byte {
@@ -36,14 +36,14 @@
 	return content
 }
 
-// Each stored capture is read and replayed, the model of the rules finds in it what it found before, and written again it has
-// the bytes that the program which recorded it would have written: no key of a stored map was renamed, no field moved.
+// Each stored capture is read and replayed, as many invariants are violated in it as before, and written again it has the
+// bytes that the program which recorded it would have written: no key of a stored map was renamed, no field moved.
 func TestStoredCapturesReplay(t *testing.T) {
 	for _, stored := range []struct {
-		name      string
-		events    int
-		breaches  int
-		rewritten string // SHA-256 of the uncompressed capture with the same records, by the program that recorded it
+		name       string
+		events     int
+		violations int
+		rewritten  string // SHA-256 of the uncompressed capture of the same records, by the program that recorded it
 	}{
 		{"demo.capture", 291, 0, "0aa75fb398d4b8e84ddc45f7c0bde9810398e5cba438118f60d9e1a21adbee53"},
 		{"demo.segment", 338, 0, "0313ee573636169b2f6a55dd9ac43201245bdb3f8b3388049a6d4c50cbc611a9"},
@@ -56,8 +56,8 @@
 			if events, err := replayStored(content); err != nil || events != stored.events {
 				t.Errorf("%d events replayed, want %d: %v", events, stored.events, err)
 			}
-			if breaches := countBreaches(t, content); breaches != stored.breaches {
-				t.Errorf("%d breaches, want %d", breaches, stored.breaches)
+			if violations := countViolations(t, content); violations != stored.violations {
+				t.Errorf("%d violations, want %d", violations, stored.violations)
 			}
 			sum := sha256.Sum256(rewrite(t, content))
 			if got := hex.EncodeToString(sum[:]); got != stored.rewritten {
@@ -67,6 +67,7 @@
 	}
 }
 
+// replayStored replays a capture and returns how many events it holds.
 func replayStored(content []byte) (events int, err error) {
 	reader, err := capture.NewReader(bytes.NewReader(content))
 	if err != nil {
@@ -75,7 +76,8 @@
 	return capture.Replay(reader)
 }
 
-func countBreaches(t *testing.T, content []byte) (breaches int) {
+// countViolations counts the violations of invariants in a capture.
+func countViolations(t *testing.T, content []byte) (violations int) {
 	t.Helper()
 	reader, err := capture.NewReader(bytes.NewReader(content))
 	if err != nil {
@@ -85,12 +87,12 @@
 	for {
 		step, err := player.Next()
 		if errors.Is(err, io.EOF) {
-			return breaches
+			return violations
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		breaches += len(checker.Step(step))
+		violations += len(checker.Step(step))
 	}
 }
 
@@ -119,8 +121,8 @@
 	return out.Bytes()
 }
 
-// A gateway starts from each stored state: it is read by the settings that it was written with, and what is still to be
-// believed of it is what the program that wrote it believed.
+// A gateway restores each stored state: it is read with the settings that it was written with, and as much of it still
+// holds as the program that wrote it found.
 func TestStoredStatesAreRestoredFrom(t *testing.T) {
 	demo, err := capture.NewReader(bytes.NewReader(storedFile(t, "state-demo.capture")))
 	if err != nil {
@@ -129,29 +131,39 @@
 	for _, stored := range []struct {
 		name     string
 		settings scheduler.Settings
-		nodes    int // that are remembered
-		known    int // of them beyond what the guards need
+		nodes    int // whose state is restored
+		known    int // of them, of which more is restored than what tightens guards
 		volumes  int
 	}{
 		{"state-demo.capture", demo.Head.Settings, 2, 2, 1},
 		{"state-random.capture", capturetest.Settings, 4, 4, 5},
 	} {
 		t.Run(stored.name, func(t *testing.T) {
-			store := &warmrestart.Store{FS: filesystem.OS{}, Path: filepath.Join(storedDirectory, stored.name), Log: slog.New(slog.DiscardHandler)}
+			store := &warmrestart.Store{
+				FS:   filesystem.OS{},
+				Path: filepath.Join(storedDirectory, stored.name),
+				Log:  slog.New(slog.DiscardHandler),
+			}
 			state, _ := store.Load(stored.settings)
 			if state == nil {
 				t.Fatal("it could not be read")
 			}
 			const now, age = time.Hour, 3 * time.Second
-			belief := warmrestart.Assess(state, stored.settings, now, age, now-age-state.Now)
-			if nodes, volumes := len(belief.Learned.Nodes), len(belief.Learned.Volumes); nodes != stored.nodes || belief.KnownNodes != stored.known || volumes != stored.volumes {
-				t.Errorf("%d nodes, %d of them known, %d volumes", nodes, belief.KnownNodes, volumes)
+			assessment := warmrestart.Assess(state, stored.settings, now, age, now-age-state.Now)
+			if nodes := len(assessment.Learned.Nodes); nodes != stored.nodes {
+				t.Errorf("%d nodes, want %d", nodes, stored.nodes)
+			}
+			if assessment.KnownNodes != stored.known {
+				t.Errorf("%d known nodes, want %d", assessment.KnownNodes, stored.known)
+			}
+			if volumes := len(assessment.Learned.Volumes); volumes != stored.volumes {
+				t.Errorf("%d volumes, want %d", volumes, stored.volumes)
 			}
 		})
 	}
 }
 
-// The stored trust file is read and taken over whole, and written again it has the same JSON.
+// The stored trust file is read and restored as a whole, and written again it has the same JSON.
 func TestStoredTrustFileIsRestoredFrom(t *testing.T) {
 	content := storedFile(t, "distrust.json")
 	file, err := conformance.ReadDistrustFile(filesystem.OS{}, filepath.Join(storedDirectory, "distrust.json"))
--- /dev/null
+++ b/internal/gateway/zone_sockets_test.go
@@ -0,0 +1,155 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"reachpulley/internal/config"
+	"reachpulley/internal/zonefailover"
+)
+
+// socketZones is a gateway on real sockets before two zones of one node each. The node of zone a can be silenced: its
+// connections stay open, new ones come up, as the kernel accepts them, and nothing is answered.
+type socketZones struct {
+	t       *testing.T
+	address string
+	silent  atomic.Bool
+	asked   [2]atomic.Int64 // requests by node
+	sent    int
+	stop    context.CancelFunc
+	ended   chan error
+}
+
+func startSocketZones(t *testing.T) *socketZones {
+	z := &socketZones{t: t, ended: make(chan error)}
+	var listed []string
+	for shard, zone := range []string{"a", "b"} {
+		listener := listenLoopback(t)
+		server := &http.Server{Handler: z.node(shard, zone)}
+		var serving sync.WaitGroup
+		serving.Go(func() { server.Serve(listener) })
+		t.Cleanup(func() {
+			server.Close()
+			serving.Wait()
+		})
+		listed = append(listed, listedNode(zone, listener.Addr().String(), zone, shard))
+	}
+	listener := listenLoopback(t)
+	z.address = listener.Addr().String()
+	settings := replaceSetting(t, zoneSettings, `"probes": true`, `"probes": false`)
+	operator := config.DefaultOperator()
+	operator.ZoneFailover.Settings = zonefailover.Settings{
+		Tiers:     []int{0, 1},
+		Spillover: 1000,
+		Burst:     100,
+		Siblings:  1,
+	}
+	options := Options{
+		Config:   parseZoneConfig(t, z.address, "127.0.0.1:1", 1, settings, listed),
+		Operator: operator,
+		Listener: listener,
+		Log:      slog.New(slog.DiscardHandler),
+	}
+	var stop context.Context
+	stop, z.stop = context.WithCancel(context.Background())
+	go func() { z.ended <- Serve(stop, options) }()
+	return z
+}
+
+// listenLoopback listens on a free port of loopback.
+func listenLoopback(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return listener
+}
+
+// node answers with the name of its zone, unless it is the one of zone a and silent.
+func (z *socketZones) node(shard int, zone string) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		z.asked[shard].Add(1)
+		if shard == 0 && z.silent.Load() {
+			<-r.Context().Done() // until the gateway cancels the attempt
+			panic(http.ErrAbortHandler)
+		}
+		io.WriteString(w, zone)
+	})
+}
+
+// send sends a read of what is on a shard, or, for shard -1, a new object. It returns the status, the zone that served
+// it and Retry-After.
+func (z *socketZones) send(shard int) (status int, zone, retryAfter string) {
+	z.sent++
+	class := "read"
+	if shard < 0 {
+		class = "write"
+	}
+	request, err := objectRequestTo(z.address, fmt.Sprint(z.sent), class, 1, z.sent, 1, shard)
+	if err != nil {
+		z.t.Fatal(err)
+	}
+	request.Header.Set("X-Deadline", "1000m")
+	response, err := http.DefaultTransport.RoundTrip(request)
+	if err != nil {
+		z.t.Fatal(err)
+	}
+	defer response.Body.Close()
+	body, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(body), response.Header.Get("Retry-After")
+}
+
+// servedBy reports whether a request is served by a zone.
+func (z *socketZones) servedBy(zone string, shard int) bool {
+	status, served, _ := z.send(shard)
+	return status == http.StatusOK && served == zone
+}
+
+// rejectedUnsent reports whether a request for the silent node is rejected without being sent there.
+func (z *socketZones) rejectedUnsent() bool {
+	before := z.asked[0].Load()
+	status, _, retryAfter := z.send(0)
+	return status == http.StatusServiceUnavailable && retryAfter != "" && z.asked[0].Load() == before
+}
+
+// until retries until a condition holds, for so long that a slow machine does not matter.
+func (z *socketZones) until(what string, condition func() bool) {
+	z.t.Helper()
+	const limit = 30 * time.Second
+	for end := time.Now().Add(limit); !condition(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(end) {
+			z.t.Fatalf("%s: not within %v", what, limit)
+		}
+	}
+}
+
+func (z *socketZones) close() {
+	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
+	z.stop()
+	if err := <-z.ended; err != nil {
+		z.t.Error(err)
+	}
+}
+
+// A zone that falls silent on real sockets. Nothing here is timed but by a bound on the whole.
+func TestZoneFallsSilentOnSockets(t *testing.T) {
+	const newObject = -1
+	z := startSocketZones(t)
+	z.until("new objects stay in the first zone", func() bool { return z.servedBy("a", newObject) })
+	z.silent.Store(true)
+	z.until("what is bound to the silent node is rejected without being sent", z.rejectedUnsent)
+	z.until("new objects spill over", func() bool { return z.servedBy("b", newObject) })
+	z.silent.Store(false)
+	z.until("the zone serves again", func() bool { return z.servedBy("a", 0) })
+	z.until("new objects return to the first zone", func() bool { return z.servedBy("a", newObject) })
+	z.close()
+}
--- /dev/null
+++ b/internal/gateway/zones_test.go
@@ -0,0 +1,256 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"reachpulley/internal/config"
+	"reachpulley/internal/scenariotest"
+	"reachpulley/internal/zonefailover"
+)
+
+// zoneSettings are those of a platform with two zones.
+const zoneSettings = `{
+	"siblings": 3, "zone": 0, "tickMs": 1, "membershipMode": "push", "dcs": ["a", "b"], "report": {"via": "off"},
+	"ceilings": {"cancel": true, "maxAttempts": 4, "retryAfter": true, "probes": true, "maxRetryAfterMs": 500,
+		"dialTimeoutMs": 250, "connIdleMs": 15000},
+	"classes": [
+		{"name": "read", "aimMs": 300, "deadlineMs": 1500, "points": 3, "idempotency": "idempotent"},
+		{"name": "write", "aimMs": 400, "deadlineMs": 2500, "points": 2, "idempotency": "deduplicated",
+			"keyScope": "cell", "windowMs": 4000}
+	],
+	"contract": {"drainGraceMs": 250, "coldFrom": 0.18, "warmWithinMs": 17000, "overloadForMs": 3000,
+		"fallMultiple": 4},
+	"familyInfo": {"meanUnits": 2, "mostUnits": 8, "changesData": [false, true], "youngLimit": 170},
+	"policies": [{"name": "gold", "baseRate": 99, "guaranteed": 99, "price": 1, "proportion": 1}]
+}`
+
+// parseZoneConfig reads the configuration of a gateway that knows the given nodes, each worded by listedNode.
+func parseZoneConfig(t *testing.T, listen, discovery string, seed int, settings string, nodes []string) *config.Config {
+	t.Helper()
+	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%x",
+		"known":{"seq":1,"whole":true,"hosts":[%s]},"settings":%s}`,
+		listen, listen, discovery, seed, strings.Join(nodes, ","), settings)
+	parsed, err := config.Parse([]byte(text), func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	return parsed
+}
+
+// listedNode words a node of discovery's list.
+func listedNode(name, address, zone string, shard int) string {
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":%q,"block":%d,"health":"up","share":1,"born_ms":0}`,
+		name, address, zone, shard)
+}
+
+// objectRequestTo makes a request of a platform's client; shard -1 is a new object's.
+func objectRequestTo(address, id, class string, volume, object, units, shard int) (*http.Request, error) {
+	method := http.MethodGet
+	if class == "write" {
+		method = http.MethodPut
+	}
+	url := fmt.Sprintf("http://%s/api/%016x/%016x", address, volume, object)
+	request, err := http.NewRequest(method, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	request.Header.Set("X-Request-Id", id)
+	request.Header.Set("X-Class", class)
+	request.Header.Set("X-Qos-Policy", "gold")
+	request.Header.Set("Idempotency-Key", id)
+	request.Header.Set("X-Placement", fmt.Sprintf("units=%d,shard=%d,hosts=1", units, shard))
+	return request, nil
+}
+
+// Two zones of three nodes each, and three gateways, on the whole program.
+const (
+	zoneGateways     = 3
+	zoneClients      = 36
+	spilloverRate    = 30.0 // units a second, of all gateways together
+	spilloverBurst   = 24.0
+	zoneDay          = 40 * time.Second
+	firstZoneLost    = 5 * time.Second
+	firstZoneBack    = 11 * time.Second
+	countServedFrom  = 35 * time.Second
+	zoneLoadInterval = 10 * time.Millisecond
+)
+
+// startZoneNodes starts three nodes in each zone and returns how discovery lists them.
+func startZoneNodes(network *scenariotest.Network) (nodes []*zoneNode, listed []string) {
+	for shard, zone := range []string{"a", "a", "a", "b", "b", "b"} {
+		node := &zoneNode{name: fmt.Sprint(zone, shard), network: network}
+		node.start()
+		nodes = append(nodes, node)
+		listed = append(listed, listedNode(node.name, node.name+":1", zone, shard))
+	}
+	return nodes, listed
+}
+
+// startZoneGateways runs the gateways until stop ends.
+func startZoneGateways(
+	t *testing.T, stop context.Context, network *scenariotest.Network, listed []string,
+) (running *sync.WaitGroup) {
+	running = &sync.WaitGroup{}
+	for i := range zoneGateways {
+		address := fmt.Sprintf("gate%d:1", i)
+		operator := config.DefaultOperator()
+		operator.ZoneFailover.Settings = zonefailover.Settings{
+			Tiers:     []int{0, 1},
+			Spillover: spilloverRate,
+			Burst:     spilloverBurst,
+			Siblings:  zoneGateways,
+		}
+		options := Options{
+			Config:   parseZoneConfig(t, address, "disc:1", i+1, zoneSettings, listed),
+			Operator: operator,
+			Listener: network.Listen(address),
+			Dial:     network.Dial,
+			Log:      slog.New(slog.DiscardHandler),
+		}
+		running.Go(func() {
+			if err := Serve(stop, options); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	return running
+}
+
+// zoneTally counts what the clients see.
+type zoneTally struct {
+	mu             sync.Mutex
+	sent           int
+	answered       map[int]int // by status
+	newObjectsLost int
+}
+
+// runClient sends requests until the day is over, a third of them new objects, and checks that each is answered in time.
+func (y *zoneTally) runClient(t *testing.T, network *scenariotest.Network, client int, began time.Time) {
+	random := rand.New(rand.NewPCG(uint64(client), 3))
+	transport := &http.Transport{DialContext: network.Dial, MaxConnsPerHost: 1}
+	defer transport.CloseIdleConnections()
+	address := fmt.Sprintf("gate%d:1", client%zoneGateways)
+	for n := 0; time.Since(began) < zoneDay; n++ {
+		class, shard := "read", random.IntN(6)
+		if random.IntN(3) == 0 {
+			class, shard = "write", -1
+		}
+		request, err := objectRequestTo(address, fmt.Sprint(client, "-", n), class, client, n, 2, shard)
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		request.Header.Set("X-Deadline", "1400m")
+		sent := time.Now()
+		response, err := transport.RoundTrip(request)
+		y.count(t, class, response, err, time.Since(sent))
+		time.Sleep(time.Duration(random.ExpFloat64() * float64(250*time.Millisecond)))
+	}
+}
+
+func (y *zoneTally) count(t *testing.T, class string, response *http.Response, err error, took time.Duration) {
+	y.mu.Lock()
+	defer y.mu.Unlock()
+	y.sent++
+	if err != nil {
+		t.Errorf("no answer: %v", err)
+	} else {
+		y.answered[response.StatusCode]++
+		if class == "write" && response.StatusCode == http.StatusBadGateway {
+			y.newObjectsLost++
+		}
+		response.Body.Close()
+	}
+	if took > 1450*time.Millisecond {
+		t.Errorf("an answer after %v", took)
+	}
+}
+
+// spilledOver is the units of new objects that the nodes of the second zone got.
+func spilledOver(secondZone []*zoneNode) (units float64) {
+	for _, node := range secondZone {
+		units += node.newObjects()
+	}
+	return units
+}
+
+// playZoneDay loses the first zone and brings it back, and samples the load of the nodes meanwhile. It returns what had
+// spilled over before anything was wrong.
+func playZoneDay(t *testing.T, firstZone, secondZone []*zoneNode) (spilledBefore float64) {
+	for at := time.Duration(0); at < zoneDay; at += zoneLoadInterval {
+		switch at {
+		case firstZoneLost:
+			for _, node := range firstZone {
+				node.fallSilent()
+			}
+			spilledBefore = spilledOver(secondZone)
+		case firstZoneBack:
+			units := spilledOver(secondZone) - spilledBefore
+			if units < 40 || units > spilloverRate*6+spilloverBurst {
+				t.Errorf("%v units spilled over in 6 s", units)
+			}
+			for _, node := range firstZone {
+				node.restart()
+			}
+		case countServedFrom:
+			for _, node := range firstZone {
+				node.countFromNow()
+			}
+			for _, node := range secondZone {
+				node.countFromNow()
+			}
+		}
+		time.Sleep(zoneLoadInterval)
+		for _, node := range firstZone {
+			node.sampleLoad()
+		}
+		for _, node := range secondZone {
+			node.sampleLoad()
+		}
+	}
+	return spilledBefore
+}
+
+// The first zone says nothing for 6 s and comes back with cold nodes. While it recovers, the load of its nodes by all
+// gateways together never exceeds what they bear, sampled every 10 ms; spillover keeps to the bound of all gateways; each
+// request has one answer in time; and in the end all nodes serve again.
+func TestZoneIsLostAndRegained(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var network scenariotest.Network
+		nodes, listed := startZoneNodes(&network)
+		stop, cancel := context.WithCancel(context.Background())
+		gateways := startZoneGateways(t, stop, &network, listed)
+		began := time.Now()
+		tally := &zoneTally{answered: map[int]int{}}
+		var clients sync.WaitGroup
+		for client := range zoneClients {
+			clients.Go(func() { tally.runClient(t, &network, client, began) })
+		}
+		spilledBefore := playZoneDay(t, nodes[:3], nodes[3:])
+		clients.Wait()
+		for _, node := range nodes {
+			node.check(t)
+		}
+		if spilledBefore > spilloverBurst {
+			t.Errorf("%.0f units spilled over while nothing was wrong", spilledBefore)
+		}
+		if tally.answered[http.StatusOK] < tally.sent/2 || tally.newObjectsLost > 30 {
+			t.Errorf("%d sent, answered %v, %d new objects lost", tally.sent, tally.answered, tally.newObjectsLost)
+		}
+		cancel()
+		gateways.Wait()
+		for _, node := range nodes {
+			node.server.Close()
+		}
+		time.Sleep(time.Minute)
+	})
+}
