--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,9 +14,9 @@
 	"reachpulley/scheduler"
 )
 
-// A change of the list counts as announced 6 s after a watch fell silent, and 6 s after discovery became reachable: from
-// then on the gateway is held to it. Within this time the broken watch has to be noticed, the scheduler's backoff has to
-// pass, and the next call has to be answered.
+// A change of the list counts as announced 6 s after a watch fell silent, and 6 s after discovery became reachable:
+// from then on the gateway is held to it. Within this time the broken watch has to be noticed, the scheduler's
+// backoff has to pass, and the next call has to be answered.
 const (
 	watchIdleTimeout = 2500 * time.Millisecond // discovery writes a line at least every 2 s
 	// Discovery works through its calls one by one.
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -31,7 +31,8 @@
 	return d.nodes[node]
 }
 
-// update applies a list. Nodes that were removed are deleted: node IDs are never reused, so the map would grow for ever.
+// update applies a list. Nodes that were removed are deleted: node IDs are never reused, so the map would grow for
+// ever.
 func (d *Directory) update(list *List) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/eventloop/backend.go
+++ b/internal/eventloop/backend.go
@@ -51,8 +51,8 @@
 	ServiceTime time.Duration   // from the first byte of the request to the last of the reply; 0: unknown
 }
 
-// latency returns the time that the scheduler attributes to the node. Where the backend knows the service time, the wait
-// for a socket or a slow connect is left out; otherwise it is the whole time since the attempt was sent.
+// latency returns the time that the scheduler attributes to the node. Where the backend knows the service time, the
+// wait for a socket or a slow connect is left out; otherwise it is the whole time since the attempt was sent.
 func (r Report) latency(sinceSent time.Duration) time.Duration {
 	return cmp.Or(r.ServiceTime, sinceSent)
 }
--- a/internal/eventloop/load_test.go
+++ b/internal/eventloop/load_test.go
@@ -40,8 +40,8 @@
 	answered int
 }
 
-// answerAllBut answers all attempts but the latest few. The list is copied first: as soon as an attempt is answered, the
-// loop may start another.
+// answerAllBut answers all attempts but the latest few. The list is copied first: as soon as an attempt is
+// answered, the loop may start another.
 func (a *answerer) answerAllBut(latest int) {
 	a.backend.mu.Lock()
 	until := max(a.answered, len(a.backend.reports)-latest)
@@ -53,8 +53,8 @@
 	a.answered = until
 }
 
-// surge submits 400 requests within 0.8 s to a node that serves three at a time. One of eight is of the surging plan, and
-// in the second half seven of eight are.
+// surge submits 400 requests within 0.8 s to a node that serves three at a time. One of eight is of the surging
+// plan, and in the second half seven of eight are.
 func surge(t *testing.T, l *Loop, b *fakeBackend) {
 	node := answerer{backend: b}
 	for i := range 400 {
@@ -85,8 +85,8 @@
 	}
 }
 
-// Failures of the past, each recorded and replayed by withLoop: a surge of one plan beside another, and a node that warms
-// up under load.
+// Failures of the past, each recorded and replayed by withLoop: a surge of one plan beside another, and a node that
+// warms up under load.
 func TestPastFailures(t *testing.T) {
 	t.Run("surge", func(t *testing.T) {
 		withLoop(t, loadSettings(), func(l *Loop, b *fakeBackend) { surge(t, l, b) })
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -120,8 +120,8 @@
 // State returns the state after Run has ended.
 func (l *Loop) State() *scheduler.Snapshot { return l.scheduler.Snapshot() }
 
-// Capture calls done with what was recorded so far, within the loop: done must not block. It is not called where nothing
-// is recorded.
+// Capture calls done with what was recorded so far, within the loop: done must not block. It is not called where
+// nothing is recorded.
 func (l *Loop) Capture(done func(capture.Recording)) {
 	if l.recorder != nil {
 		l.mailbox.post(func() { done(l.recorder.Recording()) })
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -129,57 +129,60 @@
 	}
 }
 
+// answerTests state the answer to a request whose attempts end with the given results.
+var answerTests = []struct {
+	name     string
+	class    int
+	reports  []scheduler.Result
+	want     string
+	attempts int
+}{
+	{
+		name:     "served",
+		class:    idempotentClass,
+		reports:  []scheduler.Result{scheduler.Served},
+		want:     "served yes",
+		attempts: 1,
+	},
+	{
+		name:     "never ran, then served",
+		class:    nonIdempotentClass,
+		reports:  []scheduler.Result{scheduler.Overloaded, scheduler.Served},
+		want:     "served yes",
+		attempts: 2,
+	},
+	{
+		name:     "may have run",
+		class:    nonIdempotentClass,
+		reports:  []scheduler.Result{scheduler.ConnectionReset},
+		want:     "failed <nil>",
+		attempts: 1,
+	},
+	{
+		name:     "may have run, idempotent",
+		class:    idempotentClass,
+		reports:  []scheduler.Result{scheduler.ConnectionReset, scheduler.Served},
+		want:     "served yes",
+		attempts: 2,
+	},
+	{
+		name:     "no attempt is left",
+		class:    idempotentClass,
+		reports:  []scheduler.Result{scheduler.ConnectionReset, scheduler.ConnectionReset},
+		want:     "refused <nil>",
+		attempts: 2,
+	},
+	{
+		name:     "the node cannot be reached at all",
+		class:    nonIdempotentClass,
+		reports:  []scheduler.Result{scheduler.ConnectFailed, scheduler.ConnectFailed},
+		want:     "refused <nil>",
+		attempts: 2,
+	},
+}
+
 func TestOneAnswerForEachRequest(t *testing.T) {
-	for _, test := range []struct {
-		name     string
-		class    int
-		reports  []scheduler.Result
-		want     string
-		attempts int
-	}{
-		{
-			name:     "served",
-			class:    idempotentClass,
-			reports:  []scheduler.Result{scheduler.Served},
-			want:     "served yes",
-			attempts: 1,
-		},
-		{
-			name:     "never ran, then served",
-			class:    nonIdempotentClass,
-			reports:  []scheduler.Result{scheduler.Overloaded, scheduler.Served},
-			want:     "served yes",
-			attempts: 2,
-		},
-		{
-			name:     "may have run",
-			class:    nonIdempotentClass,
-			reports:  []scheduler.Result{scheduler.ConnectionReset},
-			want:     "failed <nil>",
-			attempts: 1,
-		},
-		{
-			name:     "may have run, idempotent",
-			class:    idempotentClass,
-			reports:  []scheduler.Result{scheduler.ConnectionReset, scheduler.Served},
-			want:     "served yes",
-			attempts: 2,
-		},
-		{
-			name:     "no attempt is left",
-			class:    idempotentClass,
-			reports:  []scheduler.Result{scheduler.ConnectionReset, scheduler.ConnectionReset},
-			want:     "refused <nil>",
-			attempts: 2,
-		},
-		{
-			name:     "the node cannot be reached at all",
-			class:    nonIdempotentClass,
-			reports:  []scheduler.Result{scheduler.ConnectFailed, scheduler.ConnectFailed},
-			want:     "refused <nil>",
-			attempts: 2,
-		},
-	} {
+	for _, test := range answerTests {
 		t.Run(test.name, func(t *testing.T) {
 			withLoop(t, testSettings, func(l *Loop, b *fakeBackend) {
 				x := submit(l, "r", test.class)
--- a/internal/eventloop/mailbox.go
+++ b/internal/eventloop/mailbox.go
@@ -5,8 +5,8 @@
 // mailbox carries events into the loop. Posting never blocks. The number of events is bounded all the same: frontends
 // hold a bounded number of exchanges, each with a bounded number of attempts.
 //
-// An event is a function that the loop calls. It carries its own arguments, so that each kind of event is handled in one
-// place, beside the method that posts it.
+// An event is a function that the loop calls. It carries its own arguments, so that each kind of event is handled
+// in one place, beside the method that posts it.
 type mailbox struct {
 	mu     sync.Mutex
 	events []func()
--- a/internal/eventloop/pending.go
+++ b/internal/eventloop/pending.go
@@ -24,8 +24,8 @@
 	node   string
 }
 
-// requestArrived begins an exchange. Request IDs are unique; a second request with the ID of a pending one fails, as the
-// scheduler could not tell the two apart.
+// requestArrived begins an exchange. Request IDs are unique; a second request with the ID of a pending one fails,
+// as the scheduler could not tell the two apart.
 func (l *Loop) requestArrived(x *exchange.Exchange) {
 	if l.pending[x.Request.ID] != nil {
 		x.Finish(exchange.Answer{Verdict: exchange.Failed})
@@ -44,8 +44,8 @@
 	}
 	l.finish(p, exchange.Answer{Verdict: exchange.Failed})
 	l.scheduler.ClientDisconnected(l.clock.Now(), x.Request.ID)
-	// Nobody waits for these attempts any more, whether or not the scheduler has canceled them. It is harmless to cancel
-	// them twice.
+	// Nobody waits for these attempts any more, whether or not the scheduler has canceled them. It is harmless to
+	// cancel them twice.
 	for _, attempt := range p.inFlight {
 		attempt.cancel()
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,7 +1,8 @@
 // Package exchange holds the object through which the client side and the server side of a gateway handle one request.
 //
-// A frontend opens an [Exchange] for each request that it accepts, the event loop schedules it, and a backend sends its
-// payload and delivers the reply. The Exchange knows no protocol: only frontend and backend interpret payload and reply.
+// A frontend opens an [Exchange] for each request that it accepts, the event loop schedules it, and a backend sends
+// its payload and delivers the reply. The Exchange knows no protocol: only frontend and backend interpret payload
+// and reply.
 package exchange
 
 import (
--- a/internal/gateway/captures.go
+++ b/internal/gateway/captures.go
@@ -27,7 +27,8 @@
 // maxQueuedCaptures bounds the triggered captures that wait for the disk: each holds on to the recorder's memory.
 const maxQueuedCaptures = 4
 
-// captureFiles writes captures into files of their own: those that are requested, those of triggers, and that of a crash.
+// captureFiles writes captures into files of their own: those that are requested, those of triggers, and that of a
+// crash.
 type captureFiles struct {
 	enabled      bool // something is recorded
 	directory    string
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -32,8 +32,8 @@
 	store *conformance.Store // nil: distrust records are not stored
 }
 
-// newConformanceMonitor makes the monitor, with the distrust records of the previous incarnation where they were stored.
-// The loop is notified of those by NotifyRestored.
+// newConformanceMonitor makes the monitor, with the distrust records of the previous incarnation where they were
+// stored. The loop is notified of those by NotifyRestored.
 func (g *gateway) newConformanceMonitor() conformanceMonitor {
 	settings := &g.options.Operator.Contracts
 	options := conformance.Options{
--- a/internal/gateway/contracts_fleet_test.go
+++ b/internal/gateway/contracts_fleet_test.go
@@ -257,8 +257,8 @@
 }
 
 // One node among ten honest ones that lies is detected by what it does, and is not used any more; no other node is
-// distrusted. A client that sends odd requests discredits no node. Whatever a node does, it receives no write again once
-// it was seen to run a retry.
+// distrusted. A client that sends odd requests discredits no node. Whatever a node does, it receives no write again
+// once it was seen to run a retry.
 func TestLyingNodesAreDistrusted(t *testing.T) {
 	const (
 		read  = "GET /sheets/{project}/{sheet}"
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -41,8 +41,8 @@
 // On a planned stop:
 //
 //  1. Every HTTP response is the last of its connection, and HTTP/2 clients receive the first GOAWAY.
-//  2. The listeners stay open for the notice period. Clients learn of a planned stop a moment later, and until then they
-//     are served as before, over new connections too.
+//  2. The listeners stay open for the notice period. Clients learn of a planned stop a moment later, and until
+//     then they are served as before, over new connections too.
 //  3. The listeners of iSCSI and HTTP/2 are closed, and these frontends shut down beside the HTTP server. All of them
 //     answer what they have accepted, within one common drain timeout.
 //  4. The serving context is canceled: nothing can be pending any more for a client that is still connected.
--- a/internal/gateway/failure_test.go
+++ b/internal/gateway/failure_test.go
@@ -17,8 +17,8 @@
 
 func (brokenListener) Accept() (net.Conn, error) { return nil, errors.New("the listener is broken") }
 
-// A gateway whose HTTP server fails ends with the reason, whatever other frontends it has: they once kept it running for
-// ever.
+// A gateway whose HTTP server fails ends with the reason, whatever other frontends it has: they once kept it
+// running for ever.
 func TestABrokenListenerEndsTheGateway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var network scenariotest.Network
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -88,9 +88,9 @@
 
 // scenario is a script that is played in fake time before a whole gateway with one node, n.
 //
-// Its clients are client and other (HTTP) and initiator, other-initiator, second, third and fourth (iSCSI). Discovery is
-// discovery, and moved is where it moves to. What a reload reads is changed by messages to file, and the gateway itself
-// is controlled by messages to gateway.
+// Its clients are client and other (HTTP) and initiator, other-initiator, second, third and fourth (iSCSI).
+// Discovery is discovery, and moved is where it moves to. What a reload reads is changed by messages to file, and
+// the gateway itself is controlled by messages to gateway.
 type scenario struct {
 	script    string
 	node      scenariotest.Speech
@@ -146,7 +146,8 @@
 
 // options are those of a gateway that records all of the scenario.
 func (s scenario) options(t *testing.T, stage *scenariotest.Stage) Options {
-	configuration := parseConfig(t, `"listen":"gate:1","discovery":"disc:1","seed":"1","known":`+hostList(1, true, "n up"))
+	configuration := parseConfig(t,
+		`"listen":"gate:1","discovery":"disc:1","seed":"1","known":`+hostList(1, true, "n up"))
 	operator := config.DefaultOperator()
 	operator.ISCSI = s.iscsi
 	operator.H2C.Enabled = true
@@ -207,8 +208,8 @@
 	})
 }
 
-// replayRecorded replays what a gateway recorded while a script was played: whatever went wrong in it, the decisions can
-// be replayed and break no invariant.
+// replayRecorded replays what a gateway recorded while a script was played: whatever went wrong in it, the
+// decisions can be replayed and break no invariant.
 func replayRecorded(t *testing.T, directory string) {
 	t.Helper()
 	segments, err := filepath.Glob(filepath.Join(directory, "*.segment"))
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -3,9 +3,6 @@
 import (
 	"strings"
 	"testing"
-
-	"reachpulley/internal/config"
-	"reachpulley/internal/scenariotest"
 )
 
 var httpScenarios = map[string]string{
@@ -154,43 +151,55 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			script := "client send " + test.request + "\nwait 1ms\nclient expect 400 " + test.fault + "\nnode expect nothing"
-			scenario{script: script, node: httpNode}.play(t)
+			scenario{
+				script: `
+					client send ` + test.request + `
+					wait 1ms
+					client expect 400 ` + test.fault + `
+					node expect nothing`,
+				node: httpNode,
+			}.play(t)
 		})
 	}
-	scenario{script: `
-		client send ` + putRequest + `r1 ` + strings.Repeat("x", 64<<10+1) + `
-		client expect 413 Connection=close the body is longer than 65536 bytes
-		node expect nothing
-		other send GET /ready
-		other expect 200`, node: httpNode}.play(t)
+	scenario{
+		script: `
+			client send ` + putRequest + `r1 ` + strings.Repeat("x", 64<<10+1) + `
+			client expect 413 Connection=close the body is longer than 65536 bytes
+			node expect nothing
+			other send GET /ready
+			other expect 200`,
+		node: httpNode,
+	}.play(t)
 }
 
 // change replaces a part of a request and completes it.
 func change(request, part, by string) string { return strings.Replace(request, part, by, 1) + "r1" }
 
 func TestPlannedStop(t *testing.T) {
-	scenario{script: `
-		client send ` + getRequest + `r1
-		node expect GET ` + objectPath + ` X-Request-Id=r1
-		gateway send stop
-		wait 300ms
-		node send 200 one
-		client expect 200 Connection=close one
-		client expect end
-		# for a while clients do not know: what comes is served, over new connections too
-		other send ` + onceRequest + `r2 late
-		node expect PUT ` + objectPath + ` X-Request-Id=r2 late
-		wait 400ms
-		node send 200 two
-		other expect 200 Connection=close two
-		other expect end`, node: httpNode}.play(t)
+	scenario{
+		script: `
+			client send ` + getRequest + `r1
+			node expect GET ` + objectPath + ` X-Request-Id=r1
+			gateway send stop
+			wait 300ms
+			node send 200 one
+			client expect 200 Connection=close one
+			client expect end
+			# for a while clients do not know: what comes is served, over new connections too
+			other send ` + onceRequest + `r2 late
+			node expect PUT ` + objectPath + ` X-Request-Id=r2 late
+			wait 400ms
+			node send 200 two
+			other expect 200 Connection=close two
+			other expect end`,
+		node: httpNode,
+	}.play(t)
 }
 
 func TestHTTPFrontendBeforeISCSINodes(t *testing.T) {
-	scenario{script: `
-		client send ` + onceRequest + `r1 hello
+	playISCSI(t, `
+		client send `+onceRequest+`r1 hello
 		wait 479ms
 		node expect nothing
-		client expect 503 Retry-After=0.101`, iscsi: iscsiFrontend(config.NodesISCSI), node: scenariotest.ISCSI{}}.play(t)
+		client expect 503 Retry-After=0.101`)
 }
--- a/internal/gateway/races_harness_test.go
+++ b/internal/gateway/races_harness_test.go
@@ -23,7 +23,8 @@
 // waitLimit bounds how long a test that fails may take. No test waits for it otherwise.
 const waitLimit = 20 * time.Second
 
-// testGateway is a whole gateway on loopback, with stand-ins for discovery and one node that the test plays line by line.
+// testGateway is a whole gateway on loopback, with stand-ins for discovery and one node that the test plays line by
+// line.
 type testGateway struct {
 	t         *testing.T
 	address   string
--- a/internal/gateway/races_test.go
+++ b/internal/gateway/races_test.go
@@ -121,8 +121,8 @@
 	g.accept(g.node).wantEnd()
 }
 
-// The deadline of a request that waits behind another one runs from its arrival, and its node is given no more than what
-// is left.
+// The deadline of a request that waits behind another one runs from its arrival, and its node is given no more than
+// what is left.
 func TestTimeOfAPipelinedRequestRunsFromItsArrival(t *testing.T) {
 	g := startGateway(t, gatewaySetup{})
 	client := g.client()
@@ -218,7 +218,8 @@
 	// No line follows, and yet the drain counts: requests are rejected once it was received.
 	node.write(responseText("one"))
 	client.wantResponse(200, "one")
-	g.until("the drain is followed", func(id string) bool { return g.served(node, id) == http.StatusServiceUnavailable })
+	g.until("the drain is followed",
+		func(id string) bool { return g.served(node, id) == http.StatusServiceUnavailable })
 }
 
 // A reload moves discovery while the last line of the old watch is being sent. The rest of it arrives when the new
@@ -247,8 +248,8 @@
 		func(id string) bool { return g.served(node, id) == http.StatusServiceUnavailable })
 }
 
-// Idle clients take all descriptors that there are for clients while discovery is down. New clients are accepted all the
-// same, discovery is followed as soon as it is back, and nodes are reached.
+// Idle clients take all descriptors that there are for clients while discovery is down. New clients are accepted
+// all the same, discovery is followed as soon as it is back, and nodes are reached.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	g := startGateway(t, gatewaySetup{gateway: func(g *testGateway, c *config.Config) {
 		c.Limits.Sockets = 80
@@ -318,9 +319,9 @@
 	client.wantResponse(200, "two")
 }
 
-// An agent that pushes lists is silent while discovery is down: a call to it gets no response, and the next one brings a
-// drain, which is followed from then on.
-func TestSilentAgentIsPolledAgain(t *testing.T) {
+// An agent that pushes lists is silent while discovery is down: a call to it gets no response, and the next one
+// brings a drain, which is followed from then on.
+func TestSilentAgentIsCalledAnew(t *testing.T) {
 	g := startGateway(t, gatewaySetup{settings: func(settings string) string {
 		return replaceSetting(t, settings, `"membershipMode": "ask"`, `"membershipMode": "push"`)
 	}})
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -22,8 +22,8 @@
 	errCatalogChanged = errors.New("the descriptions generate other classes than at the start: a restart is needed")
 )
 
-// reloader applies a new configuration whenever one is requested, during a drain too. A faulty one changes nothing. What
-// a running gateway cannot change takes effect at its next start.
+// reloader applies a new configuration whenever one is requested, during a drain too. A faulty one changes nothing.
+// What a running gateway cannot change takes effect at its next start.
 type reloader struct {
 	requests <-chan os.Signal
 	load     func() (*config.Config, *config.Operator, error)
@@ -94,15 +94,16 @@
 	return nil
 }
 
-// sameClassesAndPlans reports whether rules that were checked against other settings hold for those in force: rules refer
-// to classes and plans by their index.
+// sameClassesAndPlans reports whether rules that were checked against other settings hold for those in force: rules
+// refer to classes and plans by their index.
 func (r *reloader) sameClassesAndPlans(settings scheduler.Settings) bool {
 	return reflect.DeepEqual(settings.Classes, r.platformSettings.Classes) &&
 		reflect.DeepEqual(settings.Plans, r.platformSettings.Plans)
 }
 
-// rebuildCatalog checks new descriptions against the settings that the gateway runs with, whatever the new ones are. The
-// classes that descriptions generate are a part of those, so they cannot change. Without descriptions it returns nil.
+// rebuildCatalog checks new descriptions against the settings that the gateway runs with, whatever the new ones
+// are. The classes that descriptions generate are a part of those, so they cannot change. Without descriptions it
+// returns nil.
 func (r *reloader) rebuildCatalog(operator *config.Operator) (*catalog.Catalog, error) {
 	if operator.Contracts.Catalog == nil {
 		return nil, nil
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -11,8 +11,8 @@
 	// within 0.4 s; until then they are served as before.
 	noticePeriod = 500 * time.Millisecond
 
-	// drainTimeout bounds the rest of the shutdown. What was accepted is answered by its own deadline, which may be this
-	// long.
+	// drainTimeout bounds the rest of the shutdown. What was accepted is answered by its own deadline, which may be
+	// this long.
 	drainTimeout = 10 * time.Second
 )
 
--- a/internal/gateway/stored_test.go
+++ b/internal/gateway/stored_test.go
@@ -36,8 +36,9 @@
 	return content
 }
 
-// Each stored capture is read and replayed, as many invariants are violated in it as before, and written again it has the
-// bytes that the program which recorded it would have written: no key of a stored map was renamed, no field moved.
+// Each stored capture is read and replayed, as many invariants are violated in it as before, and written again it
+// has the bytes that the program which recorded it would have written: no key of a stored map was renamed, no field
+// moved.
 func TestStoredCapturesReplay(t *testing.T) {
 	for _, stored := range []struct {
 		name       string
--- a/internal/gateway/zone_node_test.go
+++ b/internal/gateway/zone_node_test.go
@@ -23,8 +23,8 @@
 	slowStartMultiple = 4 // of what it can serve, that a node bears within a window
 )
 
-// zoneNode is a stand-in for a node: two workers, a slow start, and silence. Once silent it listens again only when it is
-// restarted, so that connections hang meanwhile.
+// zoneNode is a stand-in for a node: two workers, a slow start, and silence. Once silent it listens again only when
+// it is restarted, so that connections hang meanwhile.
 type zoneNode struct {
 	name    string
 	network *scenariotest.Network
--- a/internal/gateway/zone_sockets_test.go
+++ b/internal/gateway/zone_sockets_test.go
@@ -19,13 +19,13 @@
 // socketZones is a gateway on real sockets before two zones of one node each. The node of zone a can be silenced: its
 // connections stay open, new ones come up, as the kernel accepts them, and nothing is answered.
 type socketZones struct {
-	t       *testing.T
-	address string
-	silent  atomic.Bool
-	asked   [2]atomic.Int64 // requests by node
-	sent    int
-	stop    context.CancelFunc
-	ended   chan error
+	t        *testing.T
+	address  string
+	silent   atomic.Bool
+	received [2]atomic.Int64 // requests, by node
+	sent     int
+	stop     context.CancelFunc
+	ended    chan error
 }
 
 func startSocketZones(t *testing.T) *socketZones {
@@ -77,7 +77,7 @@
 // node answers with the name of its zone, unless it is the one of zone a and silent.
 func (z *socketZones) node(shard int, zone string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		z.asked[shard].Add(1)
+		z.received[shard].Add(1)
 		if shard == 0 && z.silent.Load() {
 			<-r.Context().Done() // until the gateway cancels the attempt
 			panic(http.ErrAbortHandler)
@@ -116,9 +116,9 @@
 
 // rejectedUnsent reports whether a request for the silent node is rejected without being sent there.
 func (z *socketZones) rejectedUnsent() bool {
-	before := z.asked[0].Load()
+	before := z.received[0].Load()
 	status, _, retryAfter := z.send(0)
-	return status == http.StatusServiceUnavailable && retryAfter != "" && z.asked[0].Load() == before
+	return status == http.StatusServiceUnavailable && retryAfter != "" && z.received[0].Load() == before
 }
 
 // until retries until a condition holds, for so long that a slow machine does not matter.
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -133,7 +133,8 @@
 	newObjectsLost int
 }
 
-// runClient sends requests until the day is over, a third of them new objects, and checks that each is answered in time.
+// runClient sends requests until the day is over, a third of them new objects, and checks that each is answered in
+// time.
 func (y *zoneTally) runClient(t *testing.T, network *scenariotest.Network, client int, began time.Time) {
 	random := rand.New(rand.NewPCG(uint64(client), 3))
 	transport := &http.Transport{DialContext: network.Dial, MaxConnsPerHost: 1}
@@ -220,9 +221,9 @@
 	return spilledBefore
 }
 
-// The first zone says nothing for 6 s and comes back with cold nodes. While it recovers, the load of its nodes by all
-// gateways together never exceeds what they bear, sampled every 10 ms; spillover keeps to the bound of all gateways; each
-// request has one answer in time; and in the end all nodes serve again.
+// The first zone says nothing for 6 s and comes back with cold nodes. While it recovers, the load of its nodes by
+// all gateways together never exceeds what they bear, sampled every 10 ms; spillover keeps to the bound of all
+// gateways; each request has one answer in time; and in the end all nodes serve again.
 func TestZoneIsLostAndRegained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var network scenariotest.Network
