--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -78,7 +78,7 @@
 	}
 	transport := &http.Transport{
 		DialContext: dial,
-		// Every call has its own connection: http.Transport would silently repeat a call on a kept one that breaks.
+		// Every call has its own connection: http.Transport would silently retry a call on a reused one that breaks.
 		DisableKeepAlives:     true,
 		DisableCompression:    true,
 		ResponseHeaderTimeout: cmp.Or(options.ResponseTimeout, defaultResponseTimeout),
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -185,16 +185,16 @@
 	return reported
 }
 
-// describe words a report as its kind and each node with its phase.
+// describe formats a report as its kind and each node with its phase.
 func describe(m scheduler.Membership) string {
-	words := fmt.Sprint(int(m.Kind))
+	text := fmt.Sprint(int(m.Kind))
 	for _, node := range m.Nodes {
-		words += fmt.Sprintf(" %s:%d", node.ID, node.Phase)
+		text += fmt.Sprintf(" %s:%d", node.ID, node.Phase)
 	}
-	return words
+	return text
 }
 
-// A list that cannot be read comes again with every call: it is a warning once, until a list was read.
+// A list that cannot be read recurs with every call: it is a warning once, until a list has been read.
 func TestFaultIsLoggedOnce(t *testing.T) {
 	malformed := request + "0\n" + response + "{]\\n\nd expect end\nclient send watch\n"
 	script := "client send watch\n" + malformed + malformed + malformed +
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// clockStart is what a Clock reads when it is made. It leaves room for nodes that started before the gateway: their
-// start must stay above 0, which means long ago.
+// clockStart is what a Clock reads when it is made. Nodes that started up to this long before the gateway have a start
+// above 0; 0 means long ago.
 const clockStart = time.Hour
 
 // Clock is the monotonic clock of the scheduler.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -5,7 +5,7 @@
 // posts an event to the loop's mailbox and returns. One goroutine, [Loop.Run], takes the events in order, fires timers
 // and carries out actions, so that nothing of the scheduler needs a lock. The package knows no protocol.
 //
-// Files: loop.go holds the Loop and its events, pending.go the exchanges that are under way, actions.go what the
+// Files: loop.go holds the Loop and its events, pending.go the exchanges in flight, actions.go what the
 // scheduler calls for, timers.go its timers, backend.go what a backend implements and reports.
 package eventloop
 
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -118,7 +118,7 @@
 	return x
 }
 
-// answerOf words the answer to an exchange, or that there is none yet.
+// answerOf returns the answer to an exchange as text, or "open" where there is none yet.
 func answerOf(x *exchange.Exchange) string {
 	synctest.Wait()
 	select {
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -2,8 +2,14 @@
 // Programs, tests and tools start as many as they want within one process.
 //
 // [Serve] does three things, each in a file of its own: assemble (assembly.go) builds the parts, start (run.go) runs
-// them, and drain or abort (shutdown.go) ends them. A change of the configuration while the gateway runs is the
-// reloader's (reload.go).
+// them, and drain or abort (shutdown.go) ends them. The constructors that assemble calls stand with what they make:
+//
+//   - options.go, limits.go: what a gateway is made from; how memory and sockets are divided
+//   - backends.go, frontends.go: the sides to nodes and to clients
+//   - recording.go, captures.go: what is recorded of the decisions, and the files of captures
+//   - checkpoint.go: the state that survives a restart
+//   - contracts.go: descriptions of operations, and the nodes that are checked against them
+//   - reload.go: changes of the configuration while the gateway runs
 //
 // # Order of construction
 //
@@ -21,7 +27,7 @@
 //
 // # Contexts
 //
-// The context that is passed to [Serve] only asks for a graceful shutdown. It is the parent of none of the others, as
+// The context that is passed to [Serve] only requests a graceful shutdown. It is the parent of none of the others, as
 // requests are served for some time after it has ended.
 //
 // The serving context is canceled once the frontends have ended. It ends the loop, which fails what is still pending;
@@ -45,9 +51,9 @@
 //     then they are served as before, over new connections too.
 //  3. The listeners of iSCSI and HTTP/2 are closed, and these frontends shut down beside the HTTP server. All of them
 //     answer what they have accepted, within one common drain timeout.
-//  4. The serving context is canceled: nothing can be pending any more for a client that is still connected.
+//  4. The serving context is canceled. The loop fails what is still pending after the drain timeout, if anything is.
 //  5. When the loop has returned, the last records and the last checkpoint are written, and all goroutines are joined.
 //
 // Where the HTTP server fails, steps 1 to 3 are replaced: the other frontends are ended at once. A gateway that cannot
-// serve HTTP must exit, so that whoever supervises the process starts it anew.
+// serve HTTP must exit, so that its supervisor restarts it.
 package gateway
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -37,7 +37,7 @@
 	"policies": [{"name": "gold", "baseRate": 99, "guaranteed": 99, "price": 1, "proportion": 1}]
 }`
 
-// hostList words discovery's list of nodes, each given as "name state". It is on one line, as a script's message is.
+// hostList formats discovery's list of nodes, each given as "name state". It is on one line, as a script's message is.
 func hostList(seq int, whole bool, nodes ...string) string {
 	var hosts []string
 	for shard, node := range nodes {
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -21,8 +21,8 @@
 
 	Dial func(ctx context.Context, network, address string) (net.Conn, error) // nil: the network
 
-	Reloads  <-chan os.Signal // each asks for a reload
-	Captures <-chan os.Signal // each asks for a capture of what was recorded
+	Reloads  <-chan os.Signal // each requests a reload
+	Captures <-chan os.Signal // each requests a capture of what was recorded
 
 	// Reload reads and checks the whole configuration.
 	Reload func() (*config.Config, *config.Operator, error)
--- a/internal/gateway/races_harness_test.go
+++ b/internal/gateway/races_harness_test.go
@@ -126,7 +126,7 @@
 	return w.log.Write(p)
 }
 
-// list words discovery's list of the one node.
+// list formats discovery's list of the one node.
 func (g *testGateway) list(seq int, whole bool, state string) string {
 	return fmt.Sprintf(
 		`{"seq":%d,"whole":%v,"hosts":[{"host":"n","dial":"%s","site":"a","block":0,"health":"%s","born_ms":0}]}`,
@@ -251,12 +251,12 @@
 	}
 }
 
-// responseText words a node's response.
+// responseText formats a node's response.
 func responseText(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// requestText words a client's request; headers are added to its head.
+// requestText formats a client's request; headers are added to its head.
 func requestText(id, class, headers string) string {
 	method, body := "GET", ""
 	if class != "read" {
@@ -281,5 +281,5 @@
 	watchPath       = "/v1/endpoints?stream=1&index="
 )
 
-// chunk words a chunk of a chunkedResponse.
+// chunk formats a chunk of a chunkedResponse.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
--- a/internal/gateway/stored_test.go
+++ b/internal/gateway/stored_test.go
@@ -175,8 +175,8 @@
 	if err != nil || len(file.Records) != 2 || len(changes) != 2 {
 		t.Errorf("%d records, %d changes, %v", len(file.Records), len(changes), err)
 	}
-	again, err := json.MarshalIndent(file, "", "  ")
-	if err != nil || !bytes.Equal(append(again, '\n'), content) {
-		t.Errorf("%v: written again:\n%s", err, again)
+	rewritten, err := json.MarshalIndent(file, "", "  ")
+	if err != nil || !bytes.Equal(append(rewritten, '\n'), content) {
+		t.Errorf("%v: written again:\n%s", err, rewritten)
 	}
 }
--- a/internal/gateway/zone_node_test.go
+++ b/internal/gateway/zone_node_test.go
@@ -75,7 +75,7 @@
 	n.network.Listen(n.name + ":1") // in place of the listener that accepts: nobody accepts from this one
 }
 
-// restart resets the connections of before and starts the node cold.
+// restart resets the connections of before and starts the node with a slow start.
 func (n *zoneNode) restart() {
 	n.mu.Lock()
 	n.startedAt = time.Now()
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -33,7 +33,7 @@
 	"policies": [{"name": "gold", "baseRate": 99, "guaranteed": 99, "price": 1, "proportion": 1}]
 }`
 
-// parseZoneConfig reads the configuration of a gateway that knows the given nodes, each worded by listedNode.
+// parseZoneConfig reads the configuration of a gateway that knows the given nodes, each formatted by listedNode.
 func parseZoneConfig(t *testing.T, listen, discovery string, seed int, settings string, nodes []string) *config.Config {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%x",
@@ -46,7 +46,7 @@
 	return parsed
 }
 
-// listedNode words a node of discovery's list.
+// listedNode formats a node of discovery's list.
 func listedNode(name, address, zone string, shard int) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":%q,"block":%d,"health":"up","share":1,"born_ms":0}`,
 		name, address, zone, shard)
@@ -77,7 +77,7 @@
 	zoneClients      = 36
 	spilloverRate    = 30.0 // units a second, of all gateways together
 	spilloverBurst   = 24.0
-	zoneDay          = 40 * time.Second
+	zoneTestTime     = 40 * time.Second
 	firstZoneLost    = 5 * time.Second
 	firstZoneBack    = 11 * time.Second
 	countServedFrom  = 35 * time.Second
@@ -125,22 +125,22 @@
 	return running
 }
 
-// zoneTally counts what the clients see.
-type zoneTally struct {
+// zoneResults counts what the clients see.
+type zoneResults struct {
 	mu             sync.Mutex
 	sent           int
 	answered       map[int]int // by status
 	newObjectsLost int
 }
 
-// runClient sends requests until the day is over, a third of them new objects, and checks that each is answered in
-// time.
-func (y *zoneTally) runClient(t *testing.T, network *scenariotest.Network, client int, began time.Time) {
+// runClient sends requests until the test time is over, a third of them new objects, and checks that each is
+// answered in time.
+func (r *zoneResults) runClient(t *testing.T, network *scenariotest.Network, client int, began time.Time) {
 	random := rand.New(rand.NewPCG(uint64(client), 3))
 	transport := &http.Transport{DialContext: network.Dial, MaxConnsPerHost: 1}
 	defer transport.CloseIdleConnections()
 	address := fmt.Sprintf("gate%d:1", client%zoneGateways)
-	for n := 0; time.Since(began) < zoneDay; n++ {
+	for n := 0; time.Since(began) < zoneTestTime; n++ {
 		class, shard := "read", random.IntN(6)
 		if random.IntN(3) == 0 {
 			class, shard = "write", -1
@@ -153,21 +153,21 @@
 		request.Header.Set("X-Deadline", "1400m")
 		sent := time.Now()
 		response, err := transport.RoundTrip(request)
-		y.count(t, class, response, err, time.Since(sent))
+		r.count(t, class, response, err, time.Since(sent))
 		time.Sleep(time.Duration(random.ExpFloat64() * float64(250*time.Millisecond)))
 	}
 }
 
-func (y *zoneTally) count(t *testing.T, class string, response *http.Response, err error, took time.Duration) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.sent++
+func (r *zoneResults) count(t *testing.T, class string, response *http.Response, err error, took time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.sent++
 	if err != nil {
 		t.Errorf("no answer: %v", err)
 	} else {
-		y.answered[response.StatusCode]++
+		r.answered[response.StatusCode]++
 		if class == "write" && response.StatusCode == http.StatusBadGateway {
-			y.newObjectsLost++
+			r.newObjectsLost++
 		}
 		response.Body.Close()
 	}
@@ -184,10 +184,11 @@
 	return units
 }
 
-// playZoneDay loses the first zone and brings it back, and samples the load of the nodes meanwhile. It returns what had
-// spilled over before anything was wrong.
-func playZoneDay(t *testing.T, firstZone, secondZone []*zoneNode) (spilledBefore float64) {
-	for at := time.Duration(0); at < zoneDay; at += zoneLoadInterval {
+// playZoneOutage loses the first zone and brings it back, and samples the load of the nodes meanwhile. It returns
+// what had spilled over before anything was wrong.
+func playZoneOutage(t *testing.T, nodes []*zoneNode) (spilledBefore float64) {
+	firstZone, secondZone := nodes[:3], nodes[3:]
+	for at := time.Duration(0); at < zoneTestTime; at += zoneLoadInterval {
 		switch at {
 		case firstZoneLost:
 			for _, node := range firstZone {
@@ -203,27 +204,21 @@
 				node.restart()
 			}
 		case countServedFrom:
-			for _, node := range firstZone {
-				node.countFromNow()
-			}
-			for _, node := range secondZone {
+			for _, node := range nodes {
 				node.countFromNow()
 			}
 		}
 		time.Sleep(zoneLoadInterval)
-		for _, node := range firstZone {
-			node.sampleLoad()
-		}
-		for _, node := range secondZone {
+		for _, node := range nodes {
 			node.sampleLoad()
 		}
 	}
 	return spilledBefore
 }
 
-// The first zone says nothing for 6 s and comes back with cold nodes. While it recovers, the load of its nodes by
-// all gateways together never exceeds what they bear, sampled every 10 ms; spillover keeps to the bound of all
-// gateways; each request has one answer in time; and in the end all nodes serve again.
+// The first zone says nothing for 6 s and comes back with nodes that have just started. While it recovers, the load
+// of its nodes by all gateways together never exceeds what they bear, sampled every 10 ms; spillover keeps to the
+// bound of all gateways; each request has one answer in time; and in the end all nodes serve again.
 func TestZoneIsLostAndRegained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var network scenariotest.Network
@@ -231,12 +226,12 @@
 		stop, cancel := context.WithCancel(context.Background())
 		gateways := startZoneGateways(t, stop, &network, listed)
 		began := time.Now()
-		tally := &zoneTally{answered: map[int]int{}}
+		results := &zoneResults{answered: map[int]int{}}
 		var clients sync.WaitGroup
 		for client := range zoneClients {
-			clients.Go(func() { tally.runClient(t, &network, client, began) })
+			clients.Go(func() { results.runClient(t, &network, client, began) })
 		}
-		spilledBefore := playZoneDay(t, nodes[:3], nodes[3:])
+		spilledBefore := playZoneOutage(t, nodes)
 		clients.Wait()
 		for _, node := range nodes {
 			node.check(t)
@@ -244,8 +239,8 @@
 		if spilledBefore > spilloverBurst {
 			t.Errorf("%.0f units spilled over while nothing was wrong", spilledBefore)
 		}
-		if tally.answered[http.StatusOK] < tally.sent/2 || tally.newObjectsLost > 30 {
-			t.Errorf("%d sent, answered %v, %d new objects lost", tally.sent, tally.answered, tally.newObjectsLost)
+		if results.answered[http.StatusOK] < results.sent/2 || results.newObjectsLost > 30 {
+			t.Errorf("%d sent, answered %v, %d new objects lost", results.sent, results.answered, results.newObjectsLost)
 		}
 		cancel()
 		gateways.Wait()
