--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,9 +14,9 @@
 	"reachpulley/scheduler"
 )
 
-// A change of the list counts as announced 6 s after a watch fell silent, and 6 s after discovery became reachable: from
-// then on the gateway is held to it. Within this time the broken watch has to be noticed, the scheduler's backoff has to
-// pass, and the next call has to be answered.
+// A change of the list counts as announced 6 s after a watch fell silent, and 6 s after discovery became reachable:
+// from then on the gateway is held to it. Within this time the broken watch has to be noticed, the scheduler's
+// backoff has to pass, and the next call has to be answered.
 const (
 	watchIdleTimeout = 2500 * time.Millisecond // discovery writes a line at least every 2 s
 	// Discovery works through its calls one by one.
@@ -78,7 +78,7 @@
 	}
 	transport := &http.Transport{
 		DialContext: dial,
-		// Every call has its own connection: http.Transport would silently repeat a call on a kept one that breaks.
+		// Every call has its own connection: http.Transport would silently retry a call on a reused one that breaks.
 		DisableKeepAlives:     true,
 		DisableCompression:    true,
 		ResponseHeaderTimeout: cmp.Or(options.ResponseTimeout, defaultResponseTimeout),
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -5,7 +5,7 @@
 // posts an event to the loop's mailbox and returns. One goroutine, [Loop.Run], takes the events in order, fires timers
 // and carries out actions, so that nothing of the scheduler needs a lock. The package knows no protocol.
 //
-// Files: loop.go holds the Loop and its events, pending.go the exchanges that are under way, actions.go what the
+// Files: loop.go holds the Loop and its events, pending.go the exchanges in flight, actions.go what the
 // scheduler calls for, timers.go its timers, backend.go what a backend implements and reports.
 package eventloop
 
@@ -120,8 +120,8 @@
 // State returns the state after Run has ended.
 func (l *Loop) State() *scheduler.Snapshot { return l.scheduler.Snapshot() }
 
-// Capture calls done with what was recorded so far, within the loop: done must not block. It is not called where nothing
-// is recorded.
+// Capture calls done with what was recorded so far, within the loop: done must not block. It is not called where
+// nothing is recorded.
 func (l *Loop) Capture(done func(capture.Recording)) {
 	if l.recorder != nil {
 		l.mailbox.post(func() { done(l.recorder.Recording()) })
