--- a/internal/capture/summary/plot.go
+++ b/internal/capture/summary/plot.go
@@ -7,7 +7,7 @@
 	"github.com/guptarohit/asciigraph"
 )
 
-// Series is a tally with a name.
+// Series is a Summary with a name.
 type Series struct {
 	Name    string
 	Summary *Summary
@@ -18,41 +18,72 @@
 	plotWidth  = 100
 )
 
-// Plot draws, by second and with a line for each series, what was answered in time, refused, failed or left, and the mean latency.
+// panels are the plots, each of one value by second.
+var panels = []struct {
+	title string
+	value func(*Second) float64
+}{
+	{"answered within the objective per second", func(s *Second) float64 {
+		return float64(s.Ended[InObjective])
+	}},
+	{"rejected per second", func(s *Second) float64 {
+		return float64(s.Ended[Rejected])
+	}},
+	{"failed or disconnected per second", func(s *Second) float64 {
+		return float64(s.Ended[Failed] + s.Ended[Disconnected])
+	}},
+	{"mean latency, ms", func(s *Second) float64 {
+		return float64(s.LatencySum.Milliseconds()) / float64(max(1, s.Ended[InObjective]+s.Ended[Late]))
+	}},
+}
+
+// Plot draws the outcomes of requests and their mean latency by second, with a line for each series.
 func Plot(w io.Writer, series []Series) {
-	first, last := int64(1<<62), int64(-1)
-	var names []string
-	for _, one := range series {
-		names = append(names, one.Name)
-		for at := range one.Summary.Seconds {
-			first, last = min(first, at), max(last, at)
-		}
-	}
+	first, last := spanOf(series)
 	if last < first {
 		return
 	}
-	for _, panel := range []struct {
-		title string
-		value func(*Second) float64
-	}{
-		{"answered within the aim, a second", func(s *Second) float64 { return float64(s.Ended[InObjective]) }},
-		{"refused, a second", func(s *Second) float64 { return float64(s.Ended[Rejected]) }},
-		{"failed or left, a second", func(s *Second) float64 { return float64(s.Ended[Failed] + s.Ended[Disconnected]) }},
-		{"mean latency, ms", func(s *Second) float64 {
-			return float64(s.Sum.Milliseconds()) / float64(max(1, s.Ended[InObjective]+s.Ended[Late]))
-		}},
-	} {
+	names := make([]string, len(series))
+	for i := range series {
+		names[i] = series[i].Name
+	}
+	for _, panel := range panels {
 		lines := make([][]float64, len(series))
-		for i, one := range series {
-			for at := first; at <= last; at++ {
-				value := 0.0
-				if s := one.Summary.Seconds[at]; s != nil {
-					value = panel.value(s)
-				}
-				lines[i] = append(lines[i], value)
-			}
+		for i := range series {
+			lines[i] = valuesOf(series[i].Summary, first, last, panel.value)
+		}
+		plot := asciigraph.PlotMany(lines,
+			asciigraph.Height(plotHeight),
+			asciigraph.Width(plotWidth),
+			asciigraph.LowerBound(0),
+			asciigraph.Caption(panel.title),
+			asciigraph.SeriesLegends(names...),
+			asciigraph.SeriesColors(asciigraph.Gray, asciigraph.Blue, asciigraph.Red))
+		fmt.Fprintf(w, "\n%s\n", plot)
+	}
+}
+
+// spanOf returns the first and the last second of all series. The last is before the first if there are none.
+func spanOf(series []Series) (first, last int64) {
+	first, last = 1<<62, -1
+	for _, s := range series {
+		for second := range s.Summary.Seconds {
+			first = min(first, second)
+			last = max(last, second)
+		}
+	}
+	return first, last
+}
+
+// valuesOf returns a value for each second, 0 where nothing ended.
+func valuesOf(s *Summary, first, last int64, value func(*Second) float64) []float64 {
+	values := make([]float64, 0, last-first+1)
+	for at := first; at <= last; at++ {
+		if second := s.Seconds[at]; second != nil {
+			values = append(values, value(second))
+		} else {
+			values = append(values, 0)
 		}
-		fmt.Fprintf(w, "\n%s\n", asciigraph.PlotMany(lines, asciigraph.Height(plotHeight), asciigraph.Width(plotWidth), asciigraph.LowerBound(0),
-			asciigraph.Caption(panel.title), asciigraph.SeriesLegends(names...), asciigraph.SeriesColors(asciigraph.Gray, asciigraph.Blue, asciigraph.Red)))
 	}
+	return values
 }
