--- /dev/null
+++ b/internal/capture/timeline/request_test.go
@@ -0,0 +1,126 @@
+package timeline
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"reachpulley/internal/capture"
+	"reachpulley/internal/capture/capturetest"
+	"reachpulley/scheduler"
+)
+
+func TestRequestTimeline(t *testing.T) {
+	file := recordOneNode(t)
+	for id, lines := range map[string][]string{
+		"first": {
+			"2026-12-01 07:00:00.010 (+0s)  Arrived: class read, plan gold, volume v, 2 units, any shard, client timeout 1s.",
+			"it drains or is gone",
+			"(+0s)  Attempt 1 sent to n.",
+			"(+5ms)  Attempt 1 at n could not connect, and never ran, after 5ms.",
+			"Attempt 2 sent to n at the event \"timer\".",
+			"before: position 1 of 1 in the queue of n",
+			"Attempt 2 at n was served, after 35ms; this concludes the request.",
+		},
+		"last": {
+			"Arrived",
+			"Rejected, with Retry-After ",
+			"the volume's limit is used up",
+		},
+		"many-0": {
+			"Client disconnected.",
+		},
+	} {
+		t.Run(id, func(t *testing.T) {
+			var out strings.Builder
+			if err := WriteRequest(bytes.NewReader(file), id, &out); err != nil {
+				t.Fatal(err)
+			}
+			remaining := out.String()
+			for _, line := range lines { // in this order
+				_, after, found := strings.Cut(remaining, line)
+				if !found {
+					t.Fatalf("%q is missing or out of order in\n%s", line, out.String())
+				}
+				remaining = after
+			}
+		})
+	}
+	if err := WriteRequest(bytes.NewReader(file), "nobody", &strings.Builder{}); !errors.Is(err, ErrUnknown) {
+		t.Error(err)
+	}
+}
+
+// The table of candidates leaves out the nodes that do not hold the request's data.
+func TestCandidatesHoldTheData(t *testing.T) {
+	discard := capture.RecordActions(func(capture.Record) {})
+	r, err := capture.NewRecorder(capturetest.Settings, 1, capture.Options{MaxBytes: 1 << 20}, discard)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.MembershipChanged(afterHour(0), scheduler.Membership{
+		Kind:  scheduler.FullList,
+		Nodes: []scheduler.Node{{ID: "shard-0"}, {ID: "shard-1", Shard: 1}},
+	})
+	anyShard := request("any", 1)
+	oneShard := request("one", 1)
+	oneShard.Shard = 1
+	r.RequestArrived(afterHour(10), anyShard)
+	r.RequestArrived(afterHour(10), oneShard)
+	file := fileOf(t, r)
+	for id, nodes := range map[string][]string{
+		"any": {"shard-0", "shard-1"},
+		"one": {"shard-1"},
+	} {
+		t.Run(id, func(t *testing.T) {
+			var out strings.Builder
+			if err := WriteRequest(bytes.NewReader(file), id, &out); err != nil {
+				t.Fatal(err)
+			}
+			_, table, found := strings.Cut(out.String(), "blocked by\n")
+			if !found {
+				t.Fatal(out.String())
+			}
+			var got []string
+			for line := range strings.Lines(table) {
+				if node, ok := strings.CutPrefix(line, "    shard-"); ok {
+					got = append(got, "shard-"+node[:1])
+				}
+			}
+			slices.Sort(got)
+			if !slices.Equal(got, nodes) {
+				t.Errorf("%v, want %v in\n%s", got, nodes, out.String())
+			}
+		})
+	}
+}
+
+// Writing a timeline does not change what it is about: every request of a random workload has a timeline, and the
+// workload still replays.
+func TestEveryRequestHasATimeline(t *testing.T) {
+	workload := capturetest.NewWorkload(3)
+	r, err := capture.NewRecorder(capturetest.Settings, 3, capture.Options{MaxBytes: 400_000}, workload)
+	if err != nil {
+		t.Fatal(err)
+	}
+	workload.Play(r, 1500)
+	file := fileOf(t, r)
+	written := 0
+	for id := 0; id < 1500; id += 13 {
+		var out strings.Builder
+		err := WriteRequest(bytes.NewReader(file), fmt.Sprint(id), &out)
+		if errors.Is(err, ErrUnknown) {
+			continue
+		}
+		if err != nil || !strings.Contains(out.String(), "Arrived") {
+			t.Fatalf("%d: %v\n%s", id, err, out.String())
+		}
+		written++
+	}
+	if written < 20 {
+		t.Errorf("%d timelines", written)
+	}
+}
