--- /dev/null
+++ b/internal/capture/invariants/slow_start.go
@@ -0,0 +1,26 @@
+package invariants
+
+import "slices"
+
+// checkSlowStart checks that a node that has just started gets no more than it can take. It counts what this host alone
+// sent within the window. The bound is the allowance of all hosts, times the multiple that a node can take at once: no
+// share of it is larger.
+func (c *Checker) checkSlowStart(r *request, n *node) {
+	rules := &c.settings.Rules
+	outside := func(s sentUnits) bool { return s.at <= c.now-rules.SlowStartWindow }
+	n.recentSends = slices.DeleteFunc(n.recentSends, outside)
+	n.recentSends = append(n.recentSends, sentUnits{c.now, r.Units})
+	sinceStart := c.now - n.warmingSince
+	if n.warmingSince <= 0 || sinceStart >= rules.SlowStartDuration || rules.SlowStartShare <= 0 {
+		return
+	}
+	units := 0.0
+	for _, s := range n.recentSends {
+		units += s.units
+	}
+	warmed := max(0, sinceStart).Seconds() / rules.SlowStartDuration.Seconds()
+	growth := (rules.SlowStartShare + (1-rules.SlowStartShare)*warmed) / rules.SlowStartShare
+	allowed := max(1, rules.SlowStartMultiple) * rules.SlowStartAllowance * growth
+	c.check(RuleSlowStart, units <= allowed, r.ID, n.ID,
+		"%.1f units within %v, %v after its start", units, rules.SlowStartWindow, sinceStart)
+}
--- /dev/null
+++ b/internal/capture/invariants/volume_limit.go
@@ -0,0 +1,75 @@
+package invariants
+
+import (
+	"time"
+
+	"reachpulley/scheduler"
+)
+
+// volume is the token bucket of a volume's limit. It holds the whole even share of burst and slack that this host has;
+// the scheduler keeps to less.
+type volume struct {
+	tokens     float64
+	rate       float64
+	burst      float64
+	refilledAt time.Duration
+}
+
+func (v *volume) tokensAt(now time.Duration) float64 {
+	return v.tokens + v.rate*(now-v.refilledAt).Seconds()
+}
+
+// limitTolerance allows for the error of floating-point sums, in units.
+const limitTolerance = 1e-6
+
+// checkVolumeLimit checks that a request is within the limit of its volume. Retries are not charged again.
+func (c *Checker) checkVolumeLimit(r *request) {
+	if r.charged || r.Plan < 0 || r.Plan >= len(c.settings.Plans) || c.settings.Plans[r.Plan].Limit <= 0 {
+		return
+	}
+	v := c.volumes[r.Volume]
+	if v == nil {
+		v = newVolume(&c.settings.Plans[r.Plan], float64(max(r.Hosts, 1)), c.now)
+		c.volumes[r.Volume] = v
+	}
+	v.tokens = min(v.burst, v.tokensAt(c.now))
+	v.refilledAt = c.now
+	c.check(RuleVolumeLimit, v.tokens >= min(r.Units, v.burst)-limitTolerance, r.ID, "",
+		"%.2f units of volume %q with %.2f tokens left", r.Units, r.Volume, v.tokens)
+	v.tokens -= r.Units
+}
+
+// newVolume returns a full token bucket.
+func newVolume(plan *scheduler.Plan, hosts float64, now time.Duration) *volume {
+	burst := (plan.Burst + plan.Slack) / hosts
+	return &volume{
+		tokens:     burst,
+		rate:       plan.Limit / hosts,
+		burst:      burst,
+		refilledAt: now,
+	}
+}
+
+// restoreVolume takes a volume over from a snapshot. The scheduler keeps half of burst and slack back, so the model has
+// that much more.
+func (c *Checker) restoreVolume(from *scheduler.SnapshotVolume) {
+	if !from.Indexed || from.Plan < 0 || c.settings.Plans[from.Plan].Limit <= 0 {
+		return
+	}
+	plan := &c.settings.Plans[from.Plan]
+	c.volumes[from.Name] = &volume{
+		tokens:     from.Limit.Tokens + (plan.Burst+plan.Slack)/from.Hosts/2,
+		rate:       from.Limit.Rate,
+		burst:      (plan.Burst + plan.Slack) / from.Hosts,
+		refilledAt: from.Limit.RefilledAt,
+	}
+}
+
+// forgetFullVolumes forgets the volumes whose token buckets are full again: they are as new.
+func (c *Checker) forgetFullVolumes() {
+	for name, v := range c.volumes {
+		if v.tokensAt(c.now) >= v.burst {
+			delete(c.volumes, name)
+		}
+	}
+}
--- a/internal/capture/timeline/request.go
+++ b/internal/capture/timeline/request.go
@@ -155,7 +155,8 @@
 		w.request = &open.Request
 		w.arrivedAt = open.ArrivedAt
 		w.sends = open.Attempts
-		w.writeLine(open.ArrivedAt, "Arrived before the capture begins: %s.", describeRequest(&open.Request, w.settings))
+		w.writeLine(open.ArrivedAt, "Arrived before the capture begins: %s.",
+			describeRequest(&open.Request, w.settings))
 	}
 }
 
--- a/internal/capture/timeline/request_test.go
+++ b/internal/capture/timeline/request_test.go
@@ -17,7 +17,8 @@
 	file := recordOneNode(t)
 	for id, lines := range map[string][]string{
 		"first": {
-			"2026-12-01 07:00:00.010 (+0s)  Arrived: class read, plan gold, volume v, 2 units, any shard, client timeout 1s.",
+			"2026-12-01 07:00:00.010 (+0s)  " +
+				"Arrived: class read, plan gold, volume v, 2 units, any shard, client timeout 1s.",
 			"it drains or is gone",
 			"(+0s)  Attempt 1 sent to n.",
 			"(+5ms)  Attempt 1 at n could not connect, and never ran, after 5ms.",
--- a/internal/capture/timeline/state.go
+++ b/internal/capture/timeline/state.go
@@ -30,8 +30,8 @@
 			writeNode(table, state, node, settings)
 		}
 	}
-	fmt.Fprintln(table, "\nvolume\tplan\tserved\treserve tokens\treserve rate\tlimit tokens\tlimit rate\topen requests\t"+
-		"\t\t\t\t\t")
+	fmt.Fprintln(table, "\nvolume\tplan\tserved\treserve tokens\treserve rate\tlimit tokens\tlimit rate\t"+
+		"open requests\t\t\t\t\t\t")
 	openRequests := map[int]int{} // by index of the volume
 	for _, r := range state.Requests {
 		openRequests[r.Volume]++
