--- /dev/null
+++ b/internal/capture/trigger/second_test.go
@@ -0,0 +1,54 @@
+package trigger
+
+import (
+	"errors"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"reachpulley/internal/rules/expression"
+)
+
+func TestConditions(t *testing.T) {
+	for condition, want := range map[string]string{
+		"refusd > 1":               "refusd",
+		"refused +":                "",
+		"refused":                  "bool",
+		"":                         "empty",
+		`arrived > "x"`:            "",
+		"len([1]) > 0":             "len",
+		"any([1], # > 0)":          "made of",
+		"any(1..1000000, # > 0)":   "made of",
+		"Rejected > 1":             "Rejected",
+		"refused > 1 and again < ": "",
+	} {
+		t.Run(condition, func(t *testing.T) {
+			_, err := expression.CompileOver[Second](condition)
+			var sourceError *expression.SourceError
+			if !errors.As(err, &sourceError) || !strings.Contains(err.Error(), want) {
+				t.Error(err)
+			}
+		})
+	}
+	condition, err := expression.CompileOver[Second]("refused / arrived > 0.5 and left_out == 0")
+	if err != nil || !condition.Holds(Second{Arrived: 2, Rejected: 2}) || condition.Holds(Second{}) {
+		t.Error(err)
+	}
+}
+
+// The names in conditions are a part of the operators' configuration, so they do not change.
+func TestNamesInConditions(t *testing.T) {
+	want := []string{
+		"again", "arrived", "errors", "failed", "full", "late", "left", "left_out",
+		"nodes", "open", "refused", "sent", "served", "tightest", "unreachable",
+	}
+	var got []string
+	for _, field := range reflect.VisibleFields(reflect.TypeFor[Second]()) {
+		got = append(got, field.Tag.Get("expr"))
+	}
+	slices.Sort(got)
+	if !slices.Equal(got, want) {
+		t.Errorf("%q, want %q", got, want)
+	}
+}
--- /dev/null
+++ b/internal/capture/trigger/watcher.go
@@ -0,0 +1,219 @@
+// Package trigger decides when a recording is kept automatically: by conditions over what happened within a second,
+// in the expression language of the rules.
+package trigger
+
+import (
+	"time"
+
+	"reachpulley/internal/capture"
+	"reachpulley/internal/rules/expression"
+	"reachpulley/scheduler"
+)
+
+// Rule is a trigger: a condition, and which time around it is kept.
+type Rule struct {
+	Name      string
+	Condition *expression.Over[Second]
+	Before    time.Duration // kept of what came before, as far as the recorder's memory reaches
+	After     time.Duration // kept of what comes after
+	Quiet     time.Duration // minimum time between two recordings of this trigger
+}
+
+// ruleState says whether a rule is armed, waits for the end of its recording, or is quiet.
+type ruleState struct {
+	firedAt    time.Duration // 0: it has not fired, or its recording was taken
+	quietUntil time.Duration
+}
+
+// Watcher is a capture.Watcher that checks the conditions of rules every second. Its state is the open requests and the
+// listed nodes.
+type Watcher struct {
+	rules   []Rule
+	states  []ruleState // by rule
+	classes []scheduler.Class
+
+	second    Second        // the current second
+	startedAt time.Duration // of the current second; 0: there was no event yet
+	requests  map[string]openRequest
+	nodes     map[string]*node
+}
+
+type openRequest struct {
+	class         int
+	arrivedAt     time.Duration
+	clientTimeout time.Duration
+	sent          bool
+}
+
+type node struct {
+	phase scheduler.Phase
+	sent  bool // it got an attempt within the current second
+}
+
+// New returns a Watcher.
+func New(rules []Rule, settings scheduler.Settings) *Watcher {
+	return &Watcher{
+		rules:    rules,
+		states:   make([]ruleState, len(rules)),
+		classes:  settings.Classes,
+		second:   Second{MinTimeLeft: noAnswer},
+		requests: map[string]openRequest{},
+		nodes:    map[string]*node{},
+	}
+}
+
+// Add counts a record; now is the time of the event that it belongs to.
+func (w *Watcher) Add(r *capture.Record, now time.Duration) {
+	switch r.Kind {
+	case capture.KindRequestArrived:
+		w.requestArrived(r.Request, now)
+	case capture.KindClientDisconnected:
+		if _, open := w.requests[r.ID]; open {
+			delete(w.requests, r.ID)
+			w.second.Disconnected++
+		}
+	case capture.KindAttemptEnded:
+		w.attemptEnded(r.Outcome, now)
+	case capture.KindReject:
+		if _, open := w.answered(r.ID, now); open {
+			w.second.Rejected++
+		}
+	case capture.KindFail:
+		if _, open := w.answered(r.ID, now); open {
+			w.second.Failed++
+		}
+	case capture.KindSend:
+		w.sent(r.ID, r.Node)
+	case capture.KindMembershipChanged:
+		w.membershipChanged(r.Membership)
+	}
+}
+
+func (w *Watcher) requestArrived(request *scheduler.Request, now time.Duration) {
+	_, duplicate := w.requests[request.ID]
+	if duplicate || request.Class < 0 || request.Class >= len(w.classes) {
+		return
+	}
+	w.requests[request.ID] = openRequest{
+		class:         request.Class,
+		arrivedAt:     now,
+		clientTimeout: request.ClientTimeout,
+	}
+	w.second.Arrived++
+}
+
+func (w *Watcher) sent(id, nodeID string) {
+	w.second.Sent++
+	if request, open := w.requests[id]; open {
+		if request.sent {
+			w.second.Retries++
+		}
+		request.sent = true
+		w.requests[id] = request
+	}
+	if n := w.nodes[nodeID]; n != nil {
+		n.sent = true
+	}
+}
+
+func (w *Watcher) attemptEnded(outcome *scheduler.Outcome, now time.Duration) {
+	switch outcome.Result {
+	case scheduler.Errored, scheduler.ConnectionReset:
+		w.second.Errors++
+	case scheduler.ConnectFailed:
+		w.second.Unreachable++
+	case scheduler.Overloaded:
+		w.second.Overloaded++
+	case scheduler.Served:
+		if outcome.Concluded {
+			w.served(outcome.ID, now)
+		}
+	}
+}
+
+func (w *Watcher) served(id string, now time.Duration) {
+	request, open := w.answered(id, now)
+	if !open {
+		return
+	}
+	if now-request.arrivedAt <= w.classes[request.class].LatencyObjective {
+		w.second.Served++
+	} else {
+		w.second.Late++
+	}
+}
+
+// answered takes the final answer of a request. It returns false if the request is not open.
+func (w *Watcher) answered(id string, now time.Duration) (request openRequest, open bool) {
+	request, open = w.requests[id]
+	if !open {
+		return request, false
+	}
+	delete(w.requests, id)
+	left := request.arrivedAt + request.clientTimeout - now
+	w.second.MinTimeLeft = min(w.second.MinTimeLeft, float64(left)/float64(time.Millisecond))
+	return request, true
+}
+
+func (w *Watcher) membershipChanged(membership *scheduler.Membership) {
+	if membership.Kind == scheduler.WatchFailed {
+		return
+	}
+	if membership.Kind != scheduler.DeltaList {
+		clear(w.nodes)
+	}
+	for _, listed := range membership.Nodes {
+		if listed.Phase == scheduler.Removed {
+			delete(w.nodes, listed.ID)
+			continue
+		}
+		// A node counts as unused from the next second on.
+		w.nodes[listed.ID] = &node{phase: listed.Phase, sent: true}
+	}
+}
+
+// Due returns the triggers whose recordings are complete now. It is called between two events.
+func (w *Watcher) Due(now time.Duration) (due []capture.TriggerMatch) {
+	if w.startedAt == 0 {
+		w.startedAt = now
+	}
+	if now-w.startedAt >= time.Second {
+		w.endSecond(now)
+	}
+	for i := range w.rules {
+		rule, state := &w.rules[i], &w.states[i]
+		if state.firedAt == 0 || now < state.firedAt+rule.After {
+			continue
+		}
+		due = append(due, capture.TriggerMatch{Name: rule.Name, From: max(0, state.firedAt-rule.Before)})
+		state.quietUntil = state.firedAt + rule.After + rule.Quiet
+		state.firedAt = 0
+	}
+	return due
+}
+
+// endSecond checks the conditions over the current second and begins the next one.
+func (w *Watcher) endSecond(now time.Duration) {
+	w.second.Open = len(w.requests)
+	w.countNodes()
+	for i := range w.rules {
+		state := &w.states[i]
+		if state.firedAt == 0 && now >= state.quietUntil && w.rules[i].Condition.Holds(w.second) {
+			state.firedAt = now
+		}
+	}
+	w.startedAt = now
+	w.second = Second{MinTimeLeft: noAnswer}
+}
+
+func (w *Watcher) countNodes() {
+	for _, n := range w.nodes {
+		if n.phase == scheduler.Up {
+			w.second.Nodes++
+			if !n.sent && w.second.Sent > 0 {
+				w.second.UnusedNodes++
+			}
+		}
+		n.sent = false
+	}
+}
--- /dev/null
+++ b/internal/capture/trigger/watcher_test.go
@@ -0,0 +1,170 @@
+package trigger
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"testing"
+	"time"
+
+	"reachpulley/internal/capture"
+	"reachpulley/internal/capture/capturetest"
+	"reachpulley/internal/rules/expression"
+	"reachpulley/scheduler"
+)
+
+const ms = time.Millisecond
+
+func newRule(t *testing.T, name, condition string) Rule {
+	t.Helper()
+	compiled, err := expression.CompileOver[Second](condition)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return Rule{
+		Name:      name,
+		Condition: compiled,
+		Before:    2 * time.Second,
+		After:     time.Second,
+		Quiet:     5 * time.Second,
+	}
+}
+
+// workload gives a Watcher events and notes when its rules are due.
+type workload struct {
+	t       *testing.T
+	watcher *Watcher
+	due     map[string][]time.Duration // by name of the rule
+}
+
+func (w *workload) add(now time.Duration, records ...capture.Record) {
+	for i := range records {
+		w.watcher.Add(&records[i], now)
+	}
+	for _, match := range w.watcher.Due(now) {
+		w.due[match.Name] = append(w.due[match.Name], now)
+		if before := now - match.From; before < 3*time.Second || before > 4*time.Second {
+			w.t.Errorf("%v: from %v", now, match.From)
+		}
+	}
+}
+
+func (w *workload) arrive(now time.Duration, id string) {
+	request := &scheduler.Request{ID: id, ClientTimeout: time.Second}
+	w.add(now, capture.Record{Kind: capture.KindRequestArrived, Request: request})
+}
+
+func (w *workload) reject(now time.Duration, id string) {
+	w.add(now, capture.Record{Kind: capture.KindReject, ID: id})
+}
+
+// serve sends a request to node a, then to another node, and has it served.
+func (w *workload) serve(now time.Duration, id, node string) {
+	w.add(now,
+		capture.Record{Kind: capture.KindSend, ID: id, Node: "a"},
+		capture.Record{Kind: capture.KindSend, ID: id, Node: node},
+		capture.Record{
+			Kind:    capture.KindAttemptEnded,
+			Outcome: &scheduler.Outcome{ID: id, Result: scheduler.Served, Concluded: true},
+		})
+}
+
+// A rule is due once its time after the event has passed, and not again while it is quiet. For twenty seconds, twenty
+// requests a second arrive. From second 5 to 13 they are rejected, and from second 17 on node b gets nothing.
+func TestRulesFireAndStayQuiet(t *testing.T) {
+	rules := []Rule{
+		newRule(t, "rejections", "refused * 5 > arrived and arrived >= 10"),
+		newRule(t, "unused", "left_out > 0"),
+		newRule(t, "near", "tightest < 20"),
+	}
+	w := &workload{t: t, watcher: New(rules, capturetest.Settings), due: map[string][]time.Duration{}}
+	w.add(time.Hour, capture.Record{
+		Kind: capture.KindMembershipChanged,
+		Membership: &scheduler.Membership{
+			Kind:  scheduler.FullList,
+			Nodes: []scheduler.Node{{ID: "a"}, {ID: "b"}},
+		},
+	})
+	for step := range 200 {
+		now := time.Hour + time.Duration(step)*100*ms
+		second := step / 10
+		for i := range 2 {
+			id := fmt.Sprint(step, "-", i)
+			w.arrive(now, id)
+			switch {
+			case second >= 5 && second < 14:
+				w.reject(now, id)
+			case i == 1 && second < 17:
+				w.serve(now, id, "b")
+			default:
+				w.serve(now, id, "a")
+			}
+		}
+	}
+	rejections := w.due["rejections"]
+	if len(rejections) != 2 || rejections[0] < time.Hour+6*time.Second || rejections[0] > time.Hour+8*time.Second ||
+		rejections[1]-rejections[0] < 5*time.Second {
+		t.Error(rejections)
+	}
+	if unused := w.due["unused"]; len(unused) != 1 || unused[0] < time.Hour+18*time.Second {
+		t.Error(unused)
+	}
+	if near := w.due["near"]; len(near) != 0 {
+		t.Error(near)
+	}
+	if len(w.watcher.requests) > 0 || len(w.watcher.nodes) != 2 {
+		t.Errorf("%d open requests, %d nodes", len(w.watcher.requests), len(w.watcher.nodes))
+	}
+}
+
+// The recording of a trigger reaches back to its time before the event, begins with a snapshot, and can be replayed.
+func TestRecordingOfATrigger(t *testing.T) {
+	recordings := 0
+	workload := capturetest.NewWorkload(3)
+	options := capture.Options{
+		MaxBytes: 600_000,
+		Triggers: New([]Rule{newRule(t, "late", "late + failed + refused > 5")}, capturetest.Settings),
+		OnTrigger: func(match capture.TriggerMatch, recording capture.Recording) {
+			recordings++
+			file, err := recording.File()
+			if err != nil {
+				t.Error(err)
+			}
+			first, last, err := replaySpan(file)
+			if err != nil || first > match.From || last < match.From+2*time.Second {
+				t.Errorf("from %v to %v, want from %v: %v", first, last, match.From, err)
+			}
+		},
+	}
+	r, err := capture.NewRecorder(capturetest.Settings, 3, options, workload)
+	if err != nil {
+		t.Fatal(err)
+	}
+	workload.Play(r, 6000)
+	if recordings == 0 {
+		t.Error("the trigger did not fire")
+	}
+}
+
+// replaySpan replays a capture and returns the times of its last snapshot to begin from and of its last event.
+func replaySpan(file []byte) (first, last time.Duration, err error) {
+	reader, err := capture.NewReader(bytes.NewReader(file))
+	if err != nil {
+		return 0, 0, err
+	}
+	player := capture.NewPlayer(reader)
+	for {
+		step, err := player.Next()
+		if errors.Is(err, io.EOF) {
+			return first, last, nil
+		}
+		if err != nil {
+			return 0, 0, err
+		}
+		if step.From != nil {
+			first = step.From.Now
+		}
+		last = step.Event.At
+	}
+}
