--- /dev/null
+++ b/internal/capture/shrink/gotest.go
@@ -0,0 +1,45 @@
+package shrink
+
+import (
+	"fmt"
+	"time"
+)
+
+// Test returns the source of a Go test that reads a case from a file beside it and checks that the property does
+// not hold any more.
+func Test(name, file string, p Property) string {
+	return fmt.Sprintf(`package scheduler_test
+
+import (
+	"bytes"
+	"os"
+	"testing"
+
+	"reachpulley/internal/capture"
+	"reachpulley/internal/capture/shrink"
+)
+
+// The capture was shrunk %s, when %q held on it.
+func Test%s(t *testing.T) {
+	file, err := os.ReadFile(%q)
+	if err != nil {
+		t.Fatal(err)
+	}
+	reader, err := capture.NewReader(bytes.NewReader(file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	shrunk, err := shrink.Read(reader)
+	if err != nil {
+		t.Fatal(err)
+	}
+	property, err := shrink.Parse(%q)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if held, err := shrunk.Holds(property); err != nil || held {
+		t.Errorf("%%v, %%s: %%v", err, property, held)
+	}
+}
+`, time.Now().UTC().Format(time.DateOnly), p, name, file, p.text)
+}
--- a/internal/capture/shrink/shrink_test.go
+++ b/internal/capture/shrink/shrink_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"go/parser"
 	"go/token"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -14,31 +15,36 @@
 	"reachpulley/scheduler"
 )
 
-// day is a random day as a case.
-func day(t *testing.T, seed uint64) *Case {
+// recordCase records a random workload as a case.
+func recordCase(t *testing.T, seed uint64) *Case {
 	t.Helper()
-	w := capturetest.NewWorkload(seed)
-	r, err := capture.NewRecorder(capturetest.Settings, seed, capture.Options{MaxBytes: 8 << 20}, w)
+	workload := capturetest.NewWorkload(seed)
+	recorder, err := capture.NewRecorder(capturetest.Settings, seed, capture.Options{MaxBytes: 8 << 20}, workload)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Play(r, 400)
-	file, err := r.Recording().File()
+	workload.Play(recorder, 400)
+	file, err := recorder.Recording().File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := capture.NewReader(bytes.NewReader(file))
+	c, err := Read(openFile(t, file))
 	if err != nil {
 		t.Fatal(err)
 	}
-	one, err := Read(c)
+	return c
+}
+
+func openFile(t *testing.T, file []byte) *capture.Reader {
+	t.Helper()
+	reader, err := capture.NewReader(bytes.NewReader(file))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return one
+	return reader
 }
 
-func property(t *testing.T, text string) Property {
+func parse(t *testing.T, text string) Property {
 	t.Helper()
 	p, err := Parse(text)
 	if err != nil {
@@ -47,73 +53,95 @@
 	return p
 }
 
-// What is left still has the property, replays, and can lose no event.
-func TestShrink(t *testing.T) {
-	one := day(t, 1)
-	found := 0
-	for i := range 400 {
-		for _, kind := range []string{"refused", "failed", "sent"} {
-			p := property(t, fmt.Sprint(kind, "=", i))
-			if held, err := one.Holds(p); err != nil || !held || found >= 12 {
-				continue
+// findProperties returns some properties that hold on a case.
+func findProperties(t *testing.T, c *Case, maxCount int) (found []Property) {
+	t.Helper()
+	for id := range 400 {
+		for _, kind := range []string{kindRejected, kindFailed, kindSent} {
+			p := parse(t, fmt.Sprint(kind, "=", id))
+			if held, err := c.Holds(p); err == nil && held && len(found) < maxCount {
+				found = append(found, p)
 			}
-			found++
-			small, err := one.Shrink(p, 5000, nil)
+		}
+	}
+	return found
+}
+
+// A shrunk case still has the property, can be replayed, and no event of it can be left out.
+func TestShrunkCaseIsMinimal(t *testing.T) {
+	whole := recordCase(t, 1)
+	properties := findProperties(t, whole, 12)
+	if len(properties) < 5 {
+		t.Errorf("%d properties", len(properties))
+	}
+	for _, p := range properties {
+		t.Run(p.String(), func(t *testing.T) {
+			shrunk, err := whole.Shrink(p, 5000, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if held, err := small.Holds(p); err != nil || !held || len(small.Events) > 16 {
-				t.Errorf("%s: %v, %v, %d events", p, held, err, len(small.Events))
-			}
-			for leave := range small.Events {
-				less := *small
-				less.Events = append(append([]capture.Record{}, small.Events[:leave]...), small.Events[leave+1:]...)
-				if held, _ := less.Holds(p); held && len(less.Events) > 0 {
-					t.Errorf("%s: event %d of %d can be left out", p, leave, len(small.Events))
-				}
-			}
-			file, err := small.Capture()
-			if err != nil {
-				t.Fatal(err)
+			if held, err := shrunk.Holds(p); err != nil || !held || len(shrunk.Events) > 16 {
+				t.Errorf("%v, %v, %d events", held, err, len(shrunk.Events))
 			}
-			c, err := capture.NewReader(bytes.NewReader(file))
+			checkMinimal(t, shrunk, p)
+			file, err := shrunk.Capture()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if n, err := capture.Replay(c); err != nil || n != len(small.Events) {
-				t.Errorf("%s: %d of %d events, %v", p, n, len(small.Events), err)
+			if events, err := capture.Replay(openFile(t, file)); err != nil || events != len(shrunk.Events) {
+				t.Errorf("%d of %d events, %v", events, len(shrunk.Events), err)
 			}
-		}
-	}
-	if found < 5 {
-		t.Errorf("%d properties", found)
+		})
 	}
-	if _, err := one.Shrink(property(t, "breach"), 100, nil); err == nil || !strings.Contains(err.Error(), "does not hold") {
+	_, err := whole.Shrink(parse(t, "breach"), 100, nil)
+	if err == nil || !strings.Contains(err.Error(), "does not hold") {
 		t.Error(err)
 	}
 }
 
-// A crash can be kept: here by an event that tells nothing.
-func TestCrash(t *testing.T) {
-	one := day(t, 2)
-	broken := capture.Record{Kind: capture.KindRequestArrived, At: one.Events[50].At, Request: &scheduler.Request{ID: "x", Volume: "v0", ClientTimeout: time.Second, Plan: 0, Hosts: 1}}
-	one.Events = append(one.Events[:50:50], append([]capture.Record{broken}, one.Events[50:]...)...)
-	if held, err := one.Holds(property(t, "crash")); held || err != nil {
+// checkMinimal checks that no event can be left out.
+func checkMinimal(t *testing.T, c *Case, p Property) {
+	t.Helper()
+	for i := range c.Events {
+		smaller := *c
+		smaller.Events = slices.Delete(slices.Clone(c.Events), i, i+1)
+		if held, _ := smaller.Holds(p); held && len(smaller.Events) > 0 {
+			t.Errorf("event %d of %d can be left out", i, len(c.Events))
+		}
+	}
+}
+
+// A request with class 0 and plan 0, inserted among the events, crashes nothing: a crash is no property of the case.
+func TestNoCrash(t *testing.T) {
+	c := recordCase(t, 2)
+	unexpected := capture.Record{
+		Kind:    capture.KindRequestArrived,
+		At:      c.Events[50].At,
+		Request: &scheduler.Request{ID: "x", Volume: "v0", ClientTimeout: time.Second, Hosts: 1},
+	}
+	c.Events = slices.Insert(c.Events, 50, unexpected)
+	if held, err := c.Holds(parse(t, "crash")); held || err != nil {
 		t.Error(held, err)
 	}
 }
 
-func TestParse(t *testing.T) {
-	for _, bad := range []string{"", "sent", "sent=", "refused=a@b", "breach=nothing", "late=5"} {
-		if _, err := Parse(bad); err == nil {
-			t.Errorf("%q was taken", bad)
-		}
+func TestParseRejectsUnknownProperties(t *testing.T) {
+	for _, text := range []string{"", "sent", "sent=", "refused=a@b", "breach=nothing", "late=5"} {
+		t.Run(text, func(t *testing.T) {
+			if _, err := Parse(text); err == nil {
+				t.Error("it was accepted")
+			}
+		})
 	}
 	if _, err := Parse("breach=drain"); err != nil {
 		t.Error(err)
 	}
-	text := Test("NobodyIsSentTwice", "testdata/a.capture", property(t, "sent=7@n1"))
-	if _, err := parser.ParseFile(token.NewFileSet(), "x_test.go", text, 0); err != nil || !strings.Contains(text, "func TestNobodyIsSentTwice(") {
-		t.Errorf("%v\n%s", err, text)
+}
+
+func TestGeneratedTestIsValidGo(t *testing.T) {
+	source := Test("NobodyIsSentTwice", "testdata/a.capture", parse(t, "sent=7@n1"))
+	_, err := parser.ParseFile(token.NewFileSet(), "x_test.go", source, 0)
+	if err != nil || !strings.Contains(source, "func TestNobodyIsSentTwice(") {
+		t.Errorf("%v\n%s", err, source)
 	}
 }
