--- /dev/null
+++ b/internal/capture/whatif/workload.go
@@ -0,0 +1,161 @@
+// Package whatif replays the arrivals of a capture with other settings: what would have been decided and, as far as a
+// capture can tell, how the requests would have ended.
+//
+// The loop is open. Clients arrive when they arrived, although other answers would have led to other retries, and a
+// node's response to an attempt is taken from its responses near that time, although another load would have
+// changed them. So the result tells how decisions differ, not what the day would have been.
+package whatif
+
+import (
+	"cmp"
+	"errors"
+	"io"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"reachpulley/internal/capture"
+	"reachpulley/internal/capture/summary"
+	"reachpulley/scheduler"
+)
+
+// Workload is what a capture tells about the surroundings of the Scheduler: the events from outside, and how nodes
+// responded.
+type Workload struct {
+	Head     capture.Head
+	Recorded *summary.Summary // the outcomes of the requests as recorded
+
+	events    []capture.Record      // from outside: clients, membership, restored state, restrictions
+	responses map[string][]response // by node, in the order of sending
+	all       []response            // of all nodes, in the order of sending
+	last      time.Duration         // time of the last event
+}
+
+// response is how an attempt ended.
+type response struct {
+	sentAt  time.Duration
+	units   float64
+	outcome scheduler.Outcome
+}
+
+// Read reads a whole capture. What was open at its beginning is left out.
+func Read(reader *capture.Reader) (*Workload, error) {
+	w := &Workload{
+		Head:      reader.Head,
+		Recorded:  summary.New(reader.Head.Settings),
+		responses: map[string][]response{},
+	}
+	attempts := newAttempts()
+	for {
+		record, err := reader.Next()
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			return nil, err
+		}
+		w.add(record, attempts)
+	}
+	w.sortResponses()
+	if len(w.all) == 0 {
+		return nil, errors.New("the capture holds no response of a node, so there is nothing to go by")
+	}
+	return w, nil
+}
+
+func (w *Workload) add(record *capture.Record, attempts *attempts) {
+	if record.Kind.IsEvent() {
+		w.last = max(w.last, record.At)
+	}
+	w.Recorded.Add(record, w.last)
+	switch record.Kind {
+	case capture.KindRequestArrived:
+		attempts.units[record.Request.ID] = record.Request.Units
+		w.events = append(w.events, *record)
+	case capture.KindClientDisconnected, capture.KindMembershipChanged, capture.KindRestored, capture.KindRestricted:
+		w.events = append(w.events, *record)
+	case capture.KindSend:
+		attempts.sent(record.ID, w.last)
+	case capture.KindAttemptEnded:
+		if response, ok := attempts.ended(record.Outcome); ok {
+			node := record.Outcome.Node
+			w.responses[node] = append(w.responses[node], response)
+		}
+	}
+}
+
+func (w *Workload) sortResponses() {
+	for _, ofNode := range w.responses {
+		slices.SortStableFunc(ofNode, func(a, b response) int { return cmp.Compare(a.sentAt, b.sentAt) })
+		w.all = append(w.all, ofNode...)
+	}
+	slices.SortStableFunc(w.all, func(a, b response) int {
+		return cmp.Or(
+			cmp.Compare(a.sentAt, b.sentAt),
+			cmp.Compare(a.outcome.ID, b.outcome.ID),
+			a.outcome.Attempt-b.outcome.Attempt)
+	})
+}
+
+// attempts matches the ends of attempts with their sends.
+type attempts struct {
+	sentAt map[attemptKey]time.Duration
+	units  map[string]float64 // by request
+	counts map[string]int     // by request
+}
+
+type attemptKey struct {
+	id     string
+	number int
+}
+
+func newAttempts() *attempts {
+	return &attempts{
+		sentAt: map[attemptKey]time.Duration{},
+		units:  map[string]float64{},
+		counts: map[string]int{},
+	}
+}
+
+func (a *attempts) sent(id string, at time.Duration) {
+	a.sentAt[attemptKey{id, a.counts[id]}] = at
+	a.counts[id]++
+}
+
+// ended returns the response to an attempt. It returns false for an attempt of before the capture, and for outcomes
+// that follow from decisions of the scheduler and not from the node.
+func (a *attempts) ended(outcome *scheduler.Outcome) (response, bool) {
+	key := attemptKey{outcome.ID, outcome.Attempt}
+	sentAt, ok := a.sentAt[key]
+	if !ok || outcome.Result == scheduler.Canceled || outcome.Result == scheduler.NotSent {
+		return response{}, false
+	}
+	delete(a.sentAt, key)
+	return response{
+		sentAt:  sentAt,
+		units:   a.units[outcome.ID],
+		outcome: *outcome,
+	}, true
+}
+
+// nearbyResponses is from how many of a node's responses near a time one is drawn.
+const nearbyResponses = 9
+
+// drawResponse draws one of a node's responses near a time and scales its latency to the units of a request. If
+// nothing was ever sent to the node, it draws from the responses of all nodes.
+func (w *Workload) drawResponse(random *rand.Rand, node string, at time.Duration, units float64) response {
+	responses := w.responses[node]
+	if len(responses) == 0 {
+		responses = w.all
+	}
+	middle, _ := slices.BinarySearchFunc(responses, at, func(r response, at time.Duration) int {
+		return cmp.Compare(r.sentAt, at)
+	})
+	lastStart := max(0, len(responses)-nearbyResponses)
+	start := min(max(0, middle-nearbyResponses/2), lastStart)
+	drawn := responses[start+random.IntN(min(nearbyResponses, len(responses)-start))]
+	if drawn.outcome.Result == scheduler.Served && drawn.units > 0 && units > 0 {
+		drawn.outcome.Latency = time.Duration(float64(drawn.outcome.Latency) * units / drawn.units)
+	}
+	return drawn
+}
