--- a/internal/capture/invariants/slow_start.go
+++ b/internal/capture/invariants/slow_start.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// checkSlowStart checks that a node that has just started gets no more than it can take. It counts what this host alone
-// sent within the window. The bound is the allowance of all hosts, times the multiple that a node can take at once: no
-// share of it is larger.
+// checkSlowStart checks that a node that has just started gets no more than it can take. It counts what this host
+// alone sent within the window, against what all hosts together may send. The scheduler keeps to this host's share
+// of that, which the checker does not know, so a violation is one for any division among the hosts.
 func (c *Checker) checkSlowStart(r *request, n *node) {
 	rules := &c.settings.Rules
 	outside := func(s sentUnits) bool { return s.at <= c.now-rules.SlowStartWindow }
--- a/internal/capture/player.go
+++ b/internal/capture/player.go
@@ -95,10 +95,10 @@
 			p.pending = record
 			return record, nil
 		case record.Kind == KindGap:
-			p.gap(record.Lost)
+			p.handleGap(record.Lost)
 		case record.Kind == KindNote:
 		case record.Kind == KindSnapshot && record.State != nil:
-			if err := p.snapshot(record); err != nil {
+			if err := p.handleSnapshot(record); err != nil {
 				return nil, err
 			}
 		default:
@@ -135,17 +135,17 @@
 	}
 }
 
-// gap notes that records are missing. The replay goes on at the next snapshot.
-func (p *Player) gap(lost int) {
+// handleGap notes that records are missing. The replay goes on at the next snapshot.
+func (p *Player) handleGap(lost int) {
 	p.Gaps++
 	p.Lost += lost
 	p.scheduler = nil
 }
 
-// snapshot takes a recorded snapshot: the replay either resumes from it or must have reached the same state.
-func (p *Player) snapshot(recorded *Record) error {
+// handleSnapshot takes a recorded snapshot: the replay either resumes from it or must have reached the same state.
+func (p *Player) handleSnapshot(recorded *Record) error {
 	if p.scheduler != nil && recorded.Key > p.number { // a segment in between is missing
-		p.gap(int(recorded.Key - p.number))
+		p.handleGap(int(recorded.Key - p.number))
 	}
 	if p.scheduler == nil {
 		return p.resume(recorded)
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -43,7 +43,7 @@
 	offeredBytes    int // bytes of the current part that were offered
 	offeredAt       time.Duration
 	newRecords      int  // records since the last chunk
-	sinkSkipsPart   bool // the sink refused a chunk of this part, so the rest of the part can't be replayed there
+	sinkSkipsPart   bool // a chunk of this part was not taken, so the rest of the part can't be replayed there
 	sinkLostRecords int  // records that the sink did not take since the last chunk that it took
 
 	// The record that is being added and its data. They are fields so that recording allocates nothing for them.
