--- /dev/null
+++ b/internal/backend/iscsiinitiator/initiator.go
@@ -0,0 +1,208 @@
+// Package iscsiinitiator sends attempts to storage nodes that speak iSCSI. It is an initiator as of RFC 7143 with one
+// session per node and one connection per session, on which many commands are outstanding at a time.
+//
+// An Initiator owns the sessions, and each session's run goroutine owns its connection. A command that was sent is a
+// task in its session's table; whoever removes it from the table reports how it ended, so that each attempt is reported
+// exactly once.
+package iscsiinitiator
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"time"
+
+	"reachpulley/internal/discovery"
+	"reachpulley/internal/eventloop"
+	"reachpulley/internal/proto/iscsi"
+	"reachpulley/scheduler"
+)
+
+// sweepInterval is the time between two searches for sessions that were idle for too long.
+const sweepInterval = time.Second
+
+// Reasons why a command is not sent.
+var (
+	errNodeUnavailable = errors.New("node accepts no new work")
+	errSocketBudget    = errors.New("no socket left in the budget")
+	errSessionEnding   = errors.New("session is ending")
+	errWindowFull      = errors.New("node's command window is full")
+)
+
+// Initiator is an eventloop.Backend. It owns the sessions; each closes its connection at the end of its run.
+type Initiator struct {
+	directory      discovery.EndpointLookup
+	dial           dialFunc
+	connectTimeout time.Duration
+	idleTimeout    time.Duration // of a session without outstanding commands
+	name           string
+	targetName     string
+	isid           uint32 // qualifier of the initiator session id
+	maxSessions    int
+	log            *slog.Logger
+
+	mu       sync.Mutex
+	sessions map[string]*session // by node; those on which commands may start
+}
+
+type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
+
+// Options configure an Initiator.
+type Options struct {
+	Directory discovery.EndpointLookup
+	Allowed   scheduler.Allowed // for its timeouts
+	Initiator string            // the initiator's name
+	Target    string            // the name of the nodes' target
+	Sockets   int               // maximum number of sessions
+	Dial      dialFunc          // nil: the network
+	Log       *slog.Logger
+}
+
+// New returns an Initiator. Its idle sessions are closed only while Run is running.
+func New(options Options) *Initiator {
+	dial := options.Dial
+	if dial == nil {
+		dial = (&net.Dialer{}).DialContext
+	}
+	return &Initiator{
+		directory:      options.Directory,
+		dial:           dial,
+		connectTimeout: options.Allowed.ConnectTimeout,
+		idleTimeout:    options.Allowed.IdleTimeout / 2,
+		name:           options.Initiator,
+		targetName:     options.Target,
+		isid:           rand.Uint32(),
+		maxSessions:    options.Sockets,
+		log:            options.Log,
+		sessions:       map[string]*session{},
+	}
+}
+
+// Run closes sessions that were idle for too long until ctx ends, and then closes all idle sessions.
+func (i *Initiator) Run(ctx context.Context) {
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			i.sweep(0)
+			return
+		case <-ticker.C:
+			i.sweep(i.idleTimeout)
+		}
+	}
+}
+
+// Start starts an attempt and returns at once. It calls report exactly once, from another goroutine.
+func (i *Initiator) Start(ctx context.Context, attempt eventloop.Attempt, report func(eventloop.Report)) {
+	go func() { report(i.attempt(ctx, attempt)) }()
+}
+
+// Probe reports that the node did not respond: the protocol subset in use has no load reports.
+func (i *Initiator) Probe(node string, report func(scheduler.ProbeResult)) {
+	report(scheduler.ProbeResult{Node: node})
+}
+
+// attempt sends an attempt's command and reports how it ended.
+func (i *Initiator) attempt(ctx context.Context, attempt eventloop.Attempt) eventloop.Report {
+	command, ok := attempt.Exchange.Payload.(*iscsi.Command)
+	if !ok {
+		err := fmt.Errorf("a %T cannot be sent to a node that speaks iSCSI", attempt.Exchange.Payload)
+		return i.reportUnsent(ctx, attempt, err)
+	}
+	s, err := i.session(ctx, attempt.Node)
+	if err != nil {
+		return i.reportUnsent(ctx, attempt, err)
+	}
+	if !attempt.MayBegin(time.Now()) {
+		return failure(scheduler.NotSent)
+	}
+	t := &task{command: command, done: make(chan eventloop.Report, 1)}
+	tag, err := s.start(ctx, t)
+	if err != nil {
+		return i.reportUnsent(ctx, attempt, err)
+	}
+	select {
+	case report := <-t.done:
+		return report
+	case <-ctx.Done():
+	}
+	if !s.abort(tag) { // it ended in the same moment
+		return <-t.done
+	}
+	return failure(eventloop.ResultAfterCancel(ctx, scheduler.Canceled))
+}
+
+// reportUnsent logs why nothing of an attempt was sent and returns the report on it.
+func (i *Initiator) reportUnsent(ctx context.Context, attempt eventloop.Attempt, err error) eventloop.Report {
+	i.log.Debug("attempt failed", "id", attempt.Exchange.Request.ID, "attempt", attempt.Number,
+		"node", attempt.Node, "err", err)
+	result := scheduler.ConnectFailed
+	if errors.Is(err, errWindowFull) || errors.Is(err, errSocketBudget) { // the node works
+		result = scheduler.Overloaded
+	}
+	return failure(eventloop.ResultAfterCancel(ctx, result))
+}
+
+// failure is the report on an attempt that was not served.
+func failure(result scheduler.Result) eventloop.Report {
+	return eventloop.Report{Result: result, VolumeUse: -1}
+}
+
+// session returns the session with a node once its login has succeeded; the first caller opens it.
+func (i *Initiator) session(ctx context.Context, node string) (*session, error) {
+	endpoint := i.directory.Lookup(node)
+	if !endpoint.Up {
+		return nil, errNodeUnavailable
+	}
+	i.mu.Lock()
+	s := i.sessions[node]
+	if s == nil || s.address != endpoint.Address {
+		if len(i.sessions) >= i.maxSessions {
+			i.mu.Unlock()
+			return nil, errSocketBudget
+		}
+		s = newSession(i, node, endpoint.Address)
+		i.sessions[node] = s
+		go s.run()
+	}
+	i.mu.Unlock()
+	select {
+	case <-s.opened:
+		return s, s.openErr
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+// sweep closes the sessions that have had no outstanding command for idleTimeout.
+func (i *Initiator) sweep(idleTimeout time.Duration) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	for node, s := range i.sessions {
+		select {
+		case <-s.opened:
+		default:
+			continue // its login has a timeout of its own
+		}
+		if s.endIfIdle(idleTimeout) {
+			delete(i.sessions, node)
+			if s.openErr == nil {
+				s.closeConn()
+			}
+		}
+	}
+}
+
+// forget removes a session on which no command may start any more.
+func (i *Initiator) forget(s *session) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.sessions[s.node] == s {
+		delete(i.sessions, s.node)
+	}
+}
--- /dev/null
+++ b/internal/backend/iscsiinitiator/login.go
@@ -0,0 +1,76 @@
+package iscsiinitiator
+
+import (
+	"encoding/binary"
+	"fmt"
+	"strconv"
+	"time"
+
+	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/internal/proto/iscsi"
+)
+
+// Places in the header of login PDUs (RFC 7143, sections 11.12 and 11.13).
+const (
+	isidTypeByte    = 8
+	isidTypeRandom  = 0x80
+	isidQualifier   = 9
+	loginStatusWord = 36
+)
+
+// maxDataSegment is the length, in bytes, of the largest data segment that is sent or accepted.
+const maxDataSegment = httpmsg.MaxRequestBody
+
+// login requests the full feature phase in one step and takes over the parameters and numbers of the response.
+func (s *session) login() error {
+	s.conn.SetDeadline(time.Now().Add(loginTimeout))
+	defer s.conn.SetDeadline(time.Time{})
+	if _, err := s.conn.Write(s.loginRequest().Bytes()); err != nil {
+		return err
+	}
+	response, err := iscsi.ReadPDU(s.reader, maxDataSegment)
+	if err != nil {
+		return err
+	}
+	const fullFeature = iscsi.Transit | iscsi.FullFeature
+	status := binary.BigEndian.Uint16(response.Header[loginStatusWord:])
+	if response.Op() != iscsi.LoginResponse || status != 0 || response.Flags()&fullFeature != fullFeature {
+		return fmt.Errorf("login at node %s: %v with status %#04x", s.node, response.Op(), status)
+	}
+	pairs, err := iscsi.ParseText(response.Data)
+	if err != nil {
+		return err
+	}
+	if _, err := s.params.Negotiate(pairs); err != nil {
+		return err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.cmdSN = response.Get(iscsi.ExpCmdSN)
+	s.maxCmdSN = response.Get(iscsi.MaxCmdSN)
+	s.statSN = response.Get(iscsi.StatSN) + 1
+	s.lastReceived = time.Now()
+	s.idleSince = time.Now()
+	return nil
+}
+
+func (s *session) loginRequest() *iscsi.PDU {
+	request := iscsi.New(iscsi.LoginRequest, iscsi.Transit|iscsi.OperationalStage<<2|iscsi.FullFeature)
+	request.SetImmediate()
+	request.Header[isidTypeByte] = isidTypeRandom
+	binary.BigEndian.PutUint32(request.Header[isidQualifier:], s.initiator.isid)
+	request.Set(iscsi.CmdSN, 1)
+	request.Data = iscsi.FormatText([]iscsi.Pair{
+		{Key: "InitiatorName", Value: s.initiator.name},
+		{Key: "TargetName", Value: s.initiator.targetName},
+		{Key: "SessionType", Value: "Normal"},
+		{Key: "HeaderDigest", Value: "None"},
+		{Key: "DataDigest", Value: "None"},
+		{Key: "InitialR2T", Value: "Yes"},
+		{Key: "ImmediateData", Value: "Yes"},
+		{Key: "MaxRecvDataSegmentLength", Value: strconv.Itoa(maxDataSegment)},
+		{Key: "FirstBurstLength", Value: strconv.Itoa(maxDataSegment)},
+		{Key: "ErrorRecoveryLevel", Value: "0"},
+	})
+	return request
+}
--- /dev/null
+++ b/internal/backend/iscsiinitiator/send.go
@@ -0,0 +1,147 @@
+package iscsiinitiator
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"reachpulley/internal/proto/iscsi"
+)
+
+// start sends a task's command and returns the task's tag. Whether the node accepts new work is looked up last, when
+// nothing is left to wait for but the write itself: what counts is when the first byte is sent.
+func (s *session) start(ctx context.Context, t *task) (uint32, error) {
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	s.mu.Lock()
+	if err := s.mayStartLocked(ctx); err != nil {
+		s.mu.Unlock()
+		return 0, err
+	}
+	s.lastTag++
+	if s.lastTag == iscsi.NoTag {
+		s.lastTag = 0
+	}
+	tag := s.lastTag
+	request := s.commandLocked(t.command, tag)
+	s.cmdSN++
+	t.sentAt = time.Now()
+	s.tasks[tag] = t
+	// The node may have the whole command, and the session may end, before the write returns.
+	t.written = true
+	s.mu.Unlock()
+	if err := s.write(request); err != nil { // run reports on the task
+		s.mu.Lock()
+		t.written = false
+		s.mu.Unlock()
+		s.closeConn()
+	}
+	return tag, nil
+}
+
+// mayStartLocked returns why no command may start now, if so.
+func (s *session) mayStartLocked(ctx context.Context) error {
+	switch {
+	case ctx.Err() != nil:
+		return ctx.Err()
+	case !s.initiator.directory.Lookup(s.node).Up:
+		return errNodeUnavailable
+	case s.ending:
+		return errSessionEnding
+	case iscsi.After(s.cmdSN, s.maxCmdSN):
+		return errWindowFull
+	}
+	return nil
+}
+
+// commandLocked returns the PDU of a command with the session's next number, and with the immediate data of a write.
+func (s *session) commandLocked(command *iscsi.Command, tag uint32) *iscsi.PDU {
+	request := iscsi.New(iscsi.SCSICommand, iscsi.Final|iscsi.Read).SetLUN(command.LUN)
+	if command.Write {
+		request.Header[1] = iscsi.Final | iscsi.Write
+		if s.params.ImmediateData {
+			request.Data = command.Data[:min(len(command.Data), s.params.MostSegment, s.params.FirstBurst)]
+		}
+	}
+	request.Set(iscsi.TaskTag, tag).Set(iscsi.ExpectedLength, uint32(command.Length()))
+	request.Set(iscsi.CmdSN, s.cmdSN).Set(iscsi.ExpStatSN, s.statSN)
+	*request.CDB() = command.CDB()
+	return request
+}
+
+// abort gives a task up and requests the node to abort it; whatever the node still sends for it is ignored. It reports
+// whether the task was still outstanding.
+func (s *session) abort(tag uint32) bool {
+	t := s.remove(tag)
+	if t == nil {
+		return false
+	}
+	s.mu.Lock()
+	lost := !s.lastReceived.After(t.sentAt) && time.Since(t.sentAt) >= responseTimeout
+	s.lastTag++
+	abortTag := s.lastTag
+	s.mu.Unlock()
+	if lost { // the node may be gone without closing the connection: the next command gets a new one
+		s.beginEnd()
+		s.closeConn()
+		return true
+	}
+	request := iscsi.New(iscsi.TaskRequest, iscsi.Final|iscsi.AbortTask).SetImmediate().SetLUN(t.command.LUN)
+	request.Set(iscsi.TaskTag, abortTag).Set(iscsi.RefTag, tag)
+	go s.sendImmediate(request)
+	return true
+}
+
+// sendImmediate sends a PDU for immediate delivery, which takes no command number. An error ends the session.
+func (s *session) sendImmediate(p *iscsi.PDU) error {
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	s.mu.Lock()
+	p.Set(iscsi.CmdSN, s.cmdSN).Set(iscsi.ExpStatSN, s.statSN)
+	s.mu.Unlock()
+	err := s.write(p)
+	if err != nil {
+		s.closeConn()
+	}
+	return err
+}
+
+// sendData sends the data of a write that the node's R2T requests.
+func (s *session) sendData(t *task, r2t *iscsi.PDU) error {
+	if t == nil {
+		return nil // aborted
+	}
+	offset, length := int(r2t.Get(iscsi.BufferOffset)), int(r2t.Get(iscsi.DesiredLength))
+	if offset+length > len(t.command.Data) || length == 0 {
+		return fmt.Errorf("node %s: %w", s.node, errDataRequest)
+	}
+	end := offset + length
+	for dataSN := uint32(0); offset < end; dataSN++ {
+		next := min(end, offset+s.params.MostSegment)
+		p := iscsi.New(iscsi.DataOut, 0).SetLUN(t.command.LUN).Set(iscsi.TaskTag, r2t.Get(iscsi.TaskTag))
+		p.Set(iscsi.TransferTag, r2t.Get(iscsi.TransferTag)).Set(iscsi.BufferOffset, uint32(offset))
+		if next == end {
+			p.Header[1] = iscsi.Final
+		}
+		p.Data = t.command.Data[offset:next]
+		s.mu.Lock()
+		p.Set(iscsi.ExpStatSN, s.statSN).Set(iscsi.DataSN, dataSN)
+		s.mu.Unlock()
+		s.writeMu.Lock()
+		err := s.write(p)
+		s.writeMu.Unlock()
+		if err != nil {
+			return err
+		}
+		offset = next
+	}
+	return nil
+}
+
+// write writes a PDU. The caller holds writeMu and must end the session on an error, after which part of the PDU may
+// have been sent.
+func (s *session) write(p *iscsi.PDU) error {
+	s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := s.conn.Write(p.Bytes())
+	return err
+}
