--- /dev/null
+++ b/internal/scsihttp/scsihttp.go
@@ -0,0 +1,175 @@
+// Package scsihttp translates SCSI commands to HTTP requests, so that storage nodes that speak HTTP can serve iSCSI
+// clients. Which operation stands for a command, and which parameters it takes, is read from an OpenAPI description of
+// the storage nodes.
+package scsihttp
+
+import (
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+
+	"github.com/getkin/kin-openapi/openapi3"
+
+	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/internal/proto/iscsi"
+	"reachpulley/scheduler"
+)
+
+// commandExtension is the extension of an OpenAPI operation that names the SCSI command for which the operation stands.
+const commandExtension = "x-scsi"
+
+// Values of commandExtension.
+const (
+	readCommand  = "read"
+	writeCommand = "write"
+)
+
+// nodeHost is the Host of requests to nodes.
+const nodeHost = "origin.svc"
+
+// Translator translates commands for nodes with a certain OpenAPI description.
+type Translator struct {
+	settings scheduler.Settings
+	read     *operation
+	write    *operation
+}
+
+// operation is the HTTP operation that stands for a command.
+type operation struct {
+	method     string
+	path       string // with {name} in place of a parameter
+	parameters []*openapi3.Parameter
+}
+
+// Load reads a description and returns its translator. It returns an error for a description without an operation for
+// each command, or with an operation that requires a parameter for which commands have no value.
+func Load(path string, settings scheduler.Settings) (*Translator, error) {
+	description, err := openapi3.NewLoader().LoadFromFile(path)
+	if err != nil {
+		return nil, err
+	}
+	t := &Translator{settings: settings}
+	for path, item := range description.Paths.Map() {
+		for method, described := range item.Operations() {
+			if err := t.add(method, path, item, described); err != nil {
+				return nil, err
+			}
+		}
+	}
+	if t.read == nil || t.write == nil {
+		return nil, fmt.Errorf("%s: no operation for %s or none for %s", commandExtension, readCommand, writeCommand)
+	}
+	return t, nil
+}
+
+// add takes over an operation if it stands for a command.
+func (t *Translator) add(method, path string, item *openapi3.PathItem, described *openapi3.Operation) error {
+	command, _ := described.Extensions[commandExtension].(string)
+	o := &operation{method: method, path: path}
+	switch {
+	case command == "":
+		return nil
+	case command == readCommand && t.read == nil:
+		t.read = o
+	case command == writeCommand && t.write == nil:
+		t.write = o
+	default:
+		return fmt.Errorf("%s %s: %s: %q is unknown or used twice", method, path, commandExtension, command)
+	}
+	if err := o.addParameters(item.Parameters); err != nil {
+		return err
+	}
+	return o.addParameters(described.Parameters)
+}
+
+// addParameters takes over the parameters for which commands have a value. A required parameter must be one of them, or
+// be set when the request is sent.
+func (o *operation) addParameters(parameters openapi3.Parameters) error {
+	known := parameterValues(scheduler.Settings{}, scheduler.Request{}, &iscsi.Command{})
+	for _, reference := range parameters {
+		parameter := reference.Value
+		if _, ok := known[parameter.Name]; ok {
+			o.parameters = append(o.parameters, parameter)
+			continue
+		}
+		if parameter.Required && parameter.Name != httpmsg.DeadlineHeader {
+			return fmt.Errorf("%s %s: no command has the parameter %s", o.method, o.path, parameter.Name)
+		}
+	}
+	return nil
+}
+
+// parameterValues returns the values of all parameters that a command can have, by name.
+func parameterValues(settings scheduler.Settings, request scheduler.Request, command *iscsi.Command) map[string]string {
+	values := map[string]string{
+		"volume":            request.Volume,
+		"key":               request.Key,
+		"lba":               strconv.FormatUint(command.LBA, 10),
+		"blocks":            strconv.Itoa(int(command.Blocks)),
+		"length":            strconv.Itoa(command.Length()),
+		httpmsg.IDHeader:    request.ID,
+		httpmsg.KeyHeader:   "",
+		httpmsg.ClassHeader: "",
+		httpmsg.PlanHeader:  "",
+		httpmsg.PlacementHeader: fmt.Sprintf("units=%v,shard=%d,hosts=%d",
+			request.Units, request.Shard, request.Hosts),
+	}
+	if request.Class < len(settings.Classes) {
+		class := settings.Classes[request.Class]
+		values[httpmsg.ClassHeader] = class.Name
+		if class.Idempotency == scheduler.IdempotentWithKey {
+			values[httpmsg.KeyHeader] = request.ID
+		}
+	}
+	if request.Plan < len(settings.Plans) {
+		values[httpmsg.PlanHeader] = settings.Plans[request.Plan].Name
+	}
+	return values
+}
+
+// Request returns the HTTP request, an *httpmsg.Request, that stands for a command.
+func (t *Translator) Request(request scheduler.Request, command *iscsi.Command) (any, error) {
+	o := t.read
+	if command.Write {
+		o = t.write
+	}
+	path := o.path
+	query := url.Values{}
+	header := http.Header{}
+	values := parameterValues(t.settings, request, command)
+	for _, parameter := range o.parameters {
+		value := values[parameter.Name]
+		switch {
+		case value == "" && !parameter.Required:
+		case parameter.In == openapi3.ParameterInPath:
+			path = strings.ReplaceAll(path, "{"+parameter.Name+"}", url.PathEscape(value))
+		case parameter.In == openapi3.ParameterInQuery:
+			query.Set(parameter.Name, value)
+		case parameter.In == openapi3.ParameterInHeader:
+			header.Set(parameter.Name, value)
+		}
+	}
+	target, err := url.ParseRequestURI(path)
+	if err != nil {
+		return nil, err
+	}
+	target.RawQuery = query.Encode()
+	return &httpmsg.Request{
+		Method: o.method,
+		URL:    target,
+		Host:   nodeHost,
+		Header: header,
+		Body:   command.Data,
+	}, nil
+}
+
+// Data returns the data that a node has sent in a reply, which must be an *httpmsg.Reply.
+func (t *Translator) Data(reply any) ([]byte, error) {
+	r, ok := reply.(*httpmsg.Reply)
+	if !ok {
+		return nil, fmt.Errorf("a %T is not a reply of a node that speaks HTTP", reply)
+	}
+	return r.Body, nil
+}
--- /dev/null
+++ b/internal/scsihttp/scsihttp_test.go
@@ -0,0 +1,129 @@
+package scsihttp
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/internal/proto/iscsi"
+	"reachpulley/scheduler"
+)
+
+const descriptionPath = "../../api/openapi.yaml"
+
+var testSettings = scheduler.Settings{
+	Plans: []scheduler.Plan{{Name: "gold"}},
+	Classes: []scheduler.Class{
+		{Name: "read"},
+		{Name: "write", Idempotency: scheduler.IdempotentWithKey},
+	},
+}
+
+func TestCommandsBecomeRequests(t *testing.T) {
+	translator, err := Load(descriptionPath, testSettings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, test := range []struct {
+		name    string
+		class   int
+		command iscsi.Command
+		want    string // method, target, plan, class, idempotency key and body
+	}{
+		{
+			name:    "read",
+			class:   0,
+			command: iscsi.Command{LBA: 8, Blocks: 1, BlockSize: 512},
+			want:    "GET /api/00000003b4d60021/0000000000000008 gold read",
+		},
+		{
+			name:    "write",
+			class:   1,
+			command: iscsi.Command{LBA: 8, Blocks: 1, BlockSize: 512, Write: true, Data: []byte("w")},
+			want:    "PUT /api/00000003b4d60021/0000000000000008 gold write id w",
+		},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			payload, err := translator.Request(scheduler.Request{
+				ID:     "id",
+				Class:  test.class,
+				Volume: "00000003b4d60021",
+				Key:    "0000000000000008",
+				Units:  1,
+				Shard:  3,
+				Hosts:  1,
+			}, &test.command)
+			if err != nil {
+				t.Fatal(err)
+			}
+			request := payload.(*httpmsg.Request)
+			got := strings.Join([]string{
+				request.Method,
+				request.URL.RequestURI(),
+				request.Header.Get(httpmsg.PlanHeader),
+				request.Header.Get(httpmsg.ClassHeader),
+				request.Header.Get(httpmsg.KeyHeader),
+				string(request.Body),
+			}, " ")
+			if diff := cmp.Diff(test.want, strings.TrimSpace(got)); diff != "" {
+				t.Error(diff)
+			}
+			if request.Header.Get(httpmsg.PlacementHeader) != "units=1,shard=3,hosts=1" {
+				t.Error(request.Header)
+			}
+		})
+	}
+}
+
+func TestUnusableDescriptions(t *testing.T) {
+	text, err := os.ReadFile(descriptionPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, test := range []struct {
+		name      string
+		old       string // part of the description
+		new       string // what it is replaced by
+		wantError string
+	}{
+		{
+			name:      "no write",
+			old:       "x-scsi: write",
+			new:       "x-other: write",
+			wantError: "x-scsi: no operation",
+		},
+		{
+			name:      "unknown command",
+			old:       "x-scsi: write",
+			new:       "x-scsi: erase",
+			wantError: "PUT /api/{volume}/{key}: x-scsi: \"erase\"",
+		},
+		{
+			name:      "unknown parameter",
+			old:       "name: X-Class, in: header",
+			new:       "name: X-Tenant, in: header",
+			wantError: "/api/{volume}/{key}: no command has the parameter X-Tenant",
+		},
+		{
+			name: "no description",
+			old:  "openapi: 3.0.3",
+			new:  "openapi: [",
+		},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "api.yaml")
+			changed := strings.Replace(string(text), test.old, test.new, 1)
+			if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			_, err := Load(path, testSettings)
+			if err == nil || !strings.Contains(err.Error(), test.wantError) {
+				t.Error(err)
+			}
+		})
+	}
+}
