--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -7,126 +7,147 @@
 	"reachpulley/scheduler"
 )
 
-// Gateway carries out what decisions call for, in simulated time.
+const (
+	// roundTripTime is the time to a node and back.
+	roundTripTime = 2 * time.Millisecond
+	// connectTimeout is the time after which a connect to an unreachable node fails.
+	connectTimeout = 250 * time.Millisecond
+	// establishedShare is the share of attempts at an unreachable node that are sent on an established connection, and
+	// so get no answer instead of a failed connect.
+	establishedShare = 0.7
+)
+
+// Scheduler is what decides for a gateway; *scheduler.Scheduler is one.
+type Scheduler interface {
+	RequestArrived(now time.Duration, request scheduler.Request)
+	MembershipChanged(now time.Duration, membership scheduler.Membership)
+	ClientDisconnected(now time.Duration, id string)
+	ProbeEnded(now time.Duration, result scheduler.ProbeResult)
+	AttemptEnded(now time.Duration, outcome scheduler.Outcome)
+	TimerFired(now time.Duration, key uint64)
+}
+
+// Verdict is how a request ended for its client.
+type Verdict int
+
+// The values of Verdict.
+const (
+	Served   Verdict = iota
+	Rejected         // a retry is harmless
+	Failed           // whether the request ran is unknown
+)
+
+// Answer is what a client gets for a request.
+type Answer struct {
+	Verdict    Verdict
+	RetryAfter time.Duration
+}
+
+// Gateway carries out a scheduler's actions in simulated time. It implements scheduler.Actions.
 type Gateway struct {
 	Simulation  *Simulation
 	Nodes       map[string]*Node
-	RoundTrip   time.Duration // to a node and back
 	Scheduler   Scheduler
-	open        map[string]*exchange
-	number      int
-	Partitioned map[int]bool                       // rooms that it does not reach, and that don't reach it
-	OnAttempt   func(q scheduler.Request, n *Node) // is told of each attempt; nil: nobody is
-	Sent        int                                // attempts
-}
+	Partitioned map[int]bool                                // zones that the gateway does not reach
+	OnAttempt   func(request scheduler.Request, node *Node) // called with each attempt; nil: no calls
+	Sent        int                                         // attempts
 
-// Scheduler is what decides; *scheduler.Scheduler is one.
-type Scheduler interface {
-	RequestArrived(now time.Duration, q scheduler.Request)
-	MembershipChanged(now time.Duration, m scheduler.Membership)
-	ClientDisconnected(now time.Duration, id string)
-	ProbeEnded(now time.Duration, p scheduler.ProbeResult)
-	AttemptEnded(now time.Duration, o scheduler.Outcome)
-	TimerFired(now time.Duration, key uint64)
+	requests int                  // submitted
+	open     map[string]*exchange // by request id; not answered yet, or with an outstanding attempt
 }
 
+// exchange is a request at a gateway.
 type exchange struct {
-	request  scheduler.Request
-	until    time.Duration
-	attempts []*job
-	nodes    []*Node
-	ended    []bool
-	answer   func(Answer)
-	over     bool
-	out      int
-	units    float64
+	request     scheduler.Request
+	deadline    time.Duration
+	answer      func(Answer)
+	answered    bool
+	attempts    []*attempt
+	outstanding int // attempts
 }
 
-// Answer is what a client hears.
-type Answer struct {
-	Verdict    string // served, refused or failed
-	RetryAfter time.Duration
+type attempt struct {
+	node  *Node
+	job   *job // nil until the attempt has arrived at the node
+	ended bool
 }
 
-// NewGateway makes a gateway that decides by settings and knows all nodes.
-func NewGateway(w *Simulation, settings scheduler.Settings, nodes []*Node) (*Gateway, error) {
-	g := &Gateway{Simulation: w, Nodes: map[string]*Node{}, RoundTrip: 2 * time.Millisecond, open: map[string]*exchange{}}
-	s, err := scheduler.New(settings, w.Random.Uint64(), g)
+// NewGateway returns a gateway that knows all nodes and decides by a scheduler with the settings.
+func NewGateway(s *Simulation, settings scheduler.Settings, nodes []*Node) (*Gateway, error) {
+	g := &Gateway{
+		Simulation: s,
+		Nodes:      map[string]*Node{},
+		open:       map[string]*exchange{},
+	}
+	decisions, err := scheduler.New(settings, s.Random.Uint64(), g)
 	if err != nil {
 		return nil, err
 	}
-	list := scheduler.Membership{Kind: scheduler.FullList}
+	membership := scheduler.Membership{Kind: scheduler.FullList}
 	for _, n := range nodes {
 		g.Nodes[n.ID] = n
-		list.Nodes = append(list.Nodes, n.Node)
+		membership.Nodes = append(membership.Nodes, n.Node)
 	}
-	g.Scheduler = s
-	s.MembershipChanged(w.Now, list)
+	g.Scheduler = decisions
+	decisions.MembershipChanged(s.Now, membership)
 	return g, nil
 }
 
-// Submit has the gateway take a request; answer is called once.
-func (g *Gateway) Submit(q scheduler.Request, answer func(Answer)) (id string) {
-	g.number++
-	q.ID = fmt.Sprintf("%p-%d", g, g.number)
-	g.open[q.ID] = &exchange{request: q, until: g.Simulation.Now + q.ClientTimeout, answer: answer, units: q.Units}
-	g.Scheduler.RequestArrived(g.Simulation.Now, q)
-	return q.ID
+// Submit submits a client's request and returns the id that the gateway gives it. Answer is called once.
+func (g *Gateway) Submit(request scheduler.Request, answer func(Answer)) (id string) {
+	g.requests++
+	request.ID = fmt.Sprintf("%p-%d", g, g.requests)
+	g.open[request.ID] = &exchange{
+		request:  request,
+		deadline: g.Simulation.Now + request.ClientTimeout,
+		answer:   answer,
+	}
+	g.Scheduler.RequestArrived(g.Simulation.Now, request)
+	return request.ID
 }
 
-func (g *Gateway) end(id string, a Answer) {
-	if x := g.open[id]; x != nil && !x.over {
-		x.over = true
-		g.Simulation.After(0, func() { x.answer(a) })
-		g.drop(id, x)
+// answer answers a request, once.
+func (g *Gateway) answer(id string, answer Answer) {
+	x := g.open[id]
+	if x == nil || x.answered {
+		return
 	}
+	x.answered = true
+	g.Simulation.After(0, func() { x.answer(answer) })
+	g.forgetIfDone(x)
 }
 
-func (g *Gateway) drop(id string, x *exchange) {
-	if x.over && x.out == 0 {
-		delete(g.open, id)
+func (g *Gateway) forgetIfDone(x *exchange) {
+	if x.answered && x.outstanding == 0 {
+		delete(g.open, x.request.ID)
 	}
 }
 
-// connectWithin is after what time a connection that does not come up has failed; warmShare of the attempts find one that is up.
-const (
-	connectWithin = 250 * time.Millisecond
-	warmShare     = 0.7
-)
-
 // Send starts an attempt.
 func (g *Gateway) Send(id, node string, _ time.Duration) {
-	x, n := g.open[id], g.Nodes[node]
-	number, began := len(x.attempts), g.Simulation.Now
-	x.out++
+	x := g.open[id]
+	n := g.Nodes[node]
+	a := &attempt{node: n}
+	number := len(x.attempts)
+	x.attempts = append(x.attempts, a)
+	x.outstanding++
 	g.Sent++
-	x.attempts, x.nodes, x.ended = append(x.attempts, nil), append(x.nodes, n), append(x.ended, false)
 	if g.OnAttempt != nil {
 		g.OnAttempt(x.request, n)
 	}
-	end := func(result scheduler.Result) {
-		if x.ended[number] {
-			return
-		}
-		x.ended[number] = true
-		x.out--
-		if result == scheduler.Served {
-			g.end(id, Answer{Verdict: "served"})
-		}
-		g.Scheduler.AttemptEnded(g.Simulation.Now, scheduler.Outcome{ID: id, Attempt: number, Node: node, Result: result, Latency: g.Simulation.Now - began, Concluded: x.over, VolumeUse: -1})
-		g.drop(id, x)
-	}
-	g.Simulation.After(x.until-g.Simulation.Now, func() { end(scheduler.TimedOut) })
-	if (n.Silent || g.Partitioned[n.Zone]) && g.Simulation.Random.Float64() > warmShare {
-		g.Simulation.After(connectWithin, func() { end(scheduler.ConnectFailed) })
+	began := g.Simulation.Now
+	end := func(result scheduler.Result) { g.endAttempt(x, number, result, g.Simulation.Now-began) }
+	g.Simulation.After(x.deadline-g.Simulation.Now, func() { end(scheduler.TimedOut) })
+	if g.unreachable(n) && g.Simulation.Random.Float64() > establishedShare {
+		g.Simulation.After(connectTimeout, func() { end(scheduler.ConnectFailed) })
 		return
 	}
 	if g.Partitioned[n.Zone] {
 		return
 	}
-	g.Simulation.After(g.RoundTrip/2, func() {
-		x.attempts[number] = n.Take(id, x.units, func(result scheduler.Result) {
-			g.Simulation.After(g.RoundTrip/2, func() {
+	g.Simulation.After(roundTripTime/2, func() {
+		a.job = n.Accept(id, x.request.Units, func(result scheduler.Result) {
+			g.Simulation.After(roundTripTime/2, func() {
 				if !g.Partitioned[n.Zone] {
 					end(result)
 				}
@@ -135,48 +156,77 @@
 	})
 }
 
-// Cancel withdraws an attempt.
-func (g *Gateway) Cancel(id string, attempt int) {
+// unreachable reports whether the gateway and a node get nothing from each other.
+func (g *Gateway) unreachable(n *Node) bool { return n.Unresponsive || g.Partitioned[n.Zone] }
+
+// endAttempt reports the end of an attempt to the scheduler, once, and answers the request if it was served.
+func (g *Gateway) endAttempt(x *exchange, number int, result scheduler.Result, latency time.Duration) {
+	a := x.attempts[number]
+	if a.ended {
+		return
+	}
+	a.ended = true
+	x.outstanding--
+	if result == scheduler.Served {
+		g.answer(x.request.ID, Answer{Verdict: Served})
+	}
+	g.Scheduler.AttemptEnded(g.Simulation.Now, scheduler.Outcome{
+		ID:        x.request.ID,
+		Attempt:   number,
+		Node:      a.node.ID,
+		Result:    result,
+		Latency:   latency,
+		Concluded: x.answered,
+		VolumeUse: -1,
+	})
+	g.forgetIfDone(x)
+}
+
+// Cancel cancels an attempt.
+func (g *Gateway) Cancel(id string, number int) {
 	x := g.open[id]
-	if x == nil || attempt >= len(x.attempts) {
+	if x == nil || number >= len(x.attempts) {
 		return
 	}
-	n := x.nodes[attempt]
-	g.Simulation.After(g.RoundTrip/2, func() {
-		if j := x.attempts[attempt]; j != nil && !n.Silent && !g.Partitioned[n.Zone] {
-			n.Drop(j)
+	a := x.attempts[number]
+	g.Simulation.After(roundTripTime/2, func() {
+		if a.job != nil && !g.unreachable(a.node) {
+			a.node.Cancel(a.job)
 			return
 		}
-		if !x.ended[attempt] { // whoever hears it or not, the gateway is done with it
-			x.ended[attempt] = true
-			x.out--
-			g.Scheduler.AttemptEnded(g.Simulation.Now, scheduler.Outcome{ID: id, Attempt: attempt, Node: n.ID, Result: scheduler.Canceled, Concluded: x.over, VolumeUse: -1})
-			g.drop(id, x)
-		}
+		g.endAttempt(x, number, scheduler.Canceled, 0) // whether the node gets to know of it or not
 	})
 }
 
-// Reject ends a request.
-func (g *Gateway) Reject(id string, after time.Duration) { g.end(id, Answer{"refused", after}) }
+// Reject answers a request that may be retried after a delay.
+func (g *Gateway) Reject(id string, retryAfter time.Duration) {
+	g.answer(id, Answer{Verdict: Rejected, RetryAfter: retryAfter})
+}
 
-// Fail ends a request.
-func (g *Gateway) Fail(id string) { g.end(id, Answer{Verdict: "failed"}) }
+// Fail answers a request of which it is unknown whether it ran.
+func (g *Gateway) Fail(id string) { g.answer(id, Answer{Verdict: Failed}) }
 
-// Probe asks a node whether it is there.
+// Probe probes a node. An unreachable node does not respond.
 func (g *Gateway) Probe(node string) {
 	n := g.Nodes[node]
-	g.Simulation.After(g.RoundTrip, func() {
-		if !n.Silent && !g.Partitioned[n.Zone] {
-			g.Scheduler.ProbeEnded(g.Simulation.Now, scheduler.ProbeResult{Node: node, Served: true, Latency: g.RoundTrip})
+	g.Simulation.After(roundTripTime, func() {
+		if !g.unreachable(n) {
+			g.Scheduler.ProbeEnded(g.Simulation.Now, scheduler.ProbeResult{
+				Node:    node,
+				Served:  true,
+				Latency: roundTripTime,
+			})
 		}
 	})
 }
 
-// Watch brings nothing here: the list is whole from the begin.
-func (g *Gateway) Watch()     {}
-func (g *Gateway) Log(string) {}
-
-// SetTimer has the decisions told of a time.
+// SetTimer notifies the scheduler after a delay.
 func (g *Gateway) SetTimer(after time.Duration, key uint64) {
 	g.Simulation.After(after, func() { g.Scheduler.TimerFired(g.Simulation.Now, key) })
 }
+
+// Watch does nothing: the gateway has the complete membership from the beginning, and scenarios report changes of it.
+func (g *Gateway) Watch() {}
+
+// Log does nothing.
+func (g *Gateway) Log(string) {}
--- /dev/null
+++ b/internal/simulation/retry_storm.go
@@ -0,0 +1,227 @@
+package simulation
+
+import (
+	"time"
+
+	"reachpulley/internal/retrybudget"
+	"reachpulley/scheduler"
+)
+
+// Storm is a retry storm, a metastable failure (N. Bronson et al., "Metastable failures in distributed systems", HotOS
+// 2021): the nodes slow down for a short time, and then the retries of what failed meanwhile, by gateways and by
+// clients, are load enough to keep requests failing.
+type Storm struct {
+	Seed        uint64
+	Gateways    int
+	Nodes       int
+	Clients     int           // each waits for an answer before its next request
+	Think       time.Duration // mean time between an answer and the client's next request
+	Tries       int           // of a client for one request
+	Begin       time.Duration // when the slowdown begins
+	Slow        time.Duration // duration of the slowdown
+	Speed       float64       // share of the full speed during the slowdown
+	Length      time.Duration
+	Retry       retrybudget.Settings
+	SharedRate  float64 // calls per second of a resource that all nodes share; 0: they share none
+	Passthrough bool    // gateways retry at once, up to the settings' limit, without package scheduler
+}
+
+// NodeStorm is a storm of nodes that slow down themselves, under two thirds of the load that they can take.
+func NodeStorm(seed uint64) Storm {
+	return Storm{
+		Seed:     seed,
+		Gateways: 3,
+		Nodes:    8,
+		Clients:  300,
+		Think:    time.Second,
+		Tries:    3,
+		Begin:    20 * time.Second,
+		Slow:     4 * time.Second,
+		Speed:    0.15,
+		Length:   120 * time.Second,
+	}
+}
+
+// SharedStorm is a storm of a slow resource that all nodes share, under less than half of the load that it can take. It
+// fails as fast as it responds, so that no latency shows the failure.
+func SharedStorm(seed uint64) Storm {
+	s := NodeStorm(seed)
+	s.SharedRate = 500
+	s.Clients = 220
+	s.Tries = 2
+	return s
+}
+
+// StormSecond is the outcome of one second of a storm.
+type StormSecond struct {
+	Submitted, Served, Rejected, Failed int // by clients' tries
+	Sent, Wasted                        int // attempts; those that nodes processed and ended as errors
+}
+
+// StormResult is the outcome of a storm.
+type StormResult struct {
+	Seconds   []StormSecond
+	Before    float64       // served per second before the slowdown
+	Recovered time.Duration // from the slowdown's end until about as many were served as before; -1: never
+}
+
+// A storm has recovered when recoveredShare of what was served before the slowdown is served in each of
+// recoveredSeconds in a row.
+const (
+	recoveredShare   = 0.9
+	recoveredSeconds = 5
+)
+
+// stormSettings are the settings of gateways in a storm.
+var stormSettings = scheduler.Settings{
+	Siblings: 3,
+	Tick:     time.Millisecond,
+	Classes: []scheduler.Class{{
+		Name:             "read",
+		LatencyObjective: 300 * time.Millisecond,
+		Deadline:         1500 * time.Millisecond,
+		PriorityWeight:   1,
+	}},
+	Plans: []scheduler.Plan{{Name: "plain", Rate: 1000, Weight: 1, Price: 1}},
+	Allowed: scheduler.Allowed{
+		Cancel:        true,
+		RetryAfter:    true,
+		MaxRetryAfter: time.Second,
+		MaxAttempts:   4,
+	},
+	Sizes: scheduler.Sizes{MeanUnits: 1, MaxUnits: 1},
+}
+
+// stormRun is a storm that is being simulated.
+type stormRun struct {
+	storm      Storm
+	simulation *Simulation
+	began      time.Duration
+	shared     *SharedResource // nil: none
+	nodes      []*Node
+	gateways   []*Gateway
+	result     StormResult
+}
+
+// Run simulates the storm.
+func (s Storm) Run() (StormResult, error) {
+	run := &stormRun{storm: s, simulation: New(s.Seed)}
+	run.began = run.simulation.Now
+	seconds := int(s.Length / time.Second)
+	run.result.Seconds = make([]StormSecond, seconds+1) // one more for what happens at the very end
+	run.addNodes()
+	if err := run.addGateways(); err != nil {
+		return StormResult{}, err
+	}
+	for i := range s.Clients {
+		c := &stormClient{run: run, gateway: run.gateways[i%len(run.gateways)]}
+		run.simulation.After(time.Duration(run.simulation.Random.Float64()*float64(s.Think)), c.try)
+	}
+	run.simulation.After(s.Begin, func() { run.setSpeed(s.Speed) })
+	run.simulation.After(s.Begin+s.Slow, func() { run.setSpeed(1) })
+	run.play(seconds)
+	run.result.Seconds = run.result.Seconds[:seconds]
+	run.result.Before = run.servedBefore()
+	run.result.Recovered = run.recovered()
+	return run.result, nil
+}
+
+func (r *stormRun) addNodes() {
+	if r.storm.SharedRate > 0 {
+		r.shared = &SharedResource{
+			Rate:       r.storm.SharedRate,
+			Speed:      1,
+			Timeout:    16 * time.Millisecond,
+			MaxBacklog: 500 * time.Millisecond,
+		}
+	}
+	for i := range r.storm.Nodes {
+		n := &Node{
+			Node:        scheduler.Node{ID: string(rune('a' + i)), Shard: i, Size: 1},
+			Simulation:  r.simulation,
+			Workers:     2,
+			MaxQueue:    200,
+			ServiceTime: 40 * time.Millisecond,
+			MaxWait:     300 * time.Millisecond,
+			Speed:       1,
+		}
+		if r.shared != nil {
+			n.Workers = 8
+			n.ServiceTime = 20 * time.Millisecond
+			n.Shared = r.shared
+		}
+		r.nodes = append(r.nodes, n)
+	}
+}
+
+func (r *stormRun) addGateways() error {
+	settings := stormSettings
+	settings.Siblings = r.storm.Gateways
+	settings.RetryBudget = r.storm.Retry
+	for range r.storm.Gateways {
+		g, err := NewGateway(r.simulation, settings, r.nodes)
+		if err != nil {
+			return err
+		}
+		if r.storm.Passthrough {
+			g.Scheduler = newPassthrough(r.simulation, g, r.nodes, settings.Allowed.MaxAttempts)
+		}
+		r.gateways = append(r.gateways, g)
+	}
+	return nil
+}
+
+// setSpeed sets the speed of the shared resource or, if there is none, of all nodes.
+func (r *stormRun) setSpeed(share float64) {
+	if r.shared != nil {
+		r.shared.Speed = share
+		return
+	}
+	for _, n := range r.nodes {
+		n.Speed = share
+	}
+}
+
+// play lets the time of the storm pass and counts the attempts of each second.
+func (r *stormRun) play(seconds int) {
+	sentBefore, wastedBefore := 0, 0
+	for i := range seconds {
+		r.simulation.Run(time.Second)
+		sent, wasted := 0, 0
+		for _, g := range r.gateways {
+			sent += g.Sent
+		}
+		for _, n := range r.nodes {
+			wasted += n.Wasted
+		}
+		r.result.Seconds[i].Sent = sent - sentBefore
+		r.result.Seconds[i].Wasted = wasted - wastedBefore
+		sentBefore, wastedBefore = sent, wasted
+	}
+}
+
+// servedBefore returns how many tries were served per second in the second half of the time before the slowdown.
+func (r *stormRun) servedBefore() float64 {
+	begin := int(r.storm.Begin / time.Second)
+	mean := 0.0
+	for _, second := range r.result.Seconds[begin/2 : begin] {
+		mean += float64(second.Served) / float64(begin-begin/2)
+	}
+	return mean
+}
+
+// recovered returns the time from the end of the slowdown until the storm has recovered, or -1.
+func (r *stormRun) recovered() time.Duration {
+	end := int((r.storm.Begin + r.storm.Slow) / time.Second)
+	inRow := 0
+	for i := end; i < len(r.result.Seconds); i++ {
+		inRow++
+		if float64(r.result.Seconds[i].Served) < recoveredShare*r.result.Before {
+			inRow = 0
+		}
+		if inRow == recoveredSeconds {
+			return time.Duration(i-recoveredSeconds+1-end) * time.Second
+		}
+	}
+	return -1
+}
--- /dev/null
+++ b/internal/simulation/storm_client.go
@@ -0,0 +1,75 @@
+package simulation
+
+import (
+	"time"
+
+	"reachpulley/scheduler"
+)
+
+// stormClient submits a request, waits for the answer, retries at once or when it is told to if the request was not
+// served, and thinks before its next request.
+type stormClient struct {
+	run     *stormRun
+	gateway *Gateway
+	tries   int // of the current request
+	shard   int // of the current request
+}
+
+// second returns the current second of the result.
+func (c *stormClient) second() *StormSecond {
+	return secondAt(c.run.result.Seconds, c.run.simulation.Now-c.run.began)
+}
+
+// try submits the current request, or a new one after the last has ended.
+func (c *stormClient) try() {
+	s := c.run.simulation
+	if c.tries == 0 {
+		c.shard = s.Random.IntN(c.run.storm.Nodes)
+	}
+	c.tries++
+	c.second().Submitted++
+	timeout := stormSettings.Classes[0].Deadline
+	answered := false
+	id := c.gateway.Submit(scheduler.Request{
+		Volume:        "v",
+		Key:           c.newKey(),
+		Units:         1,
+		Shard:         c.shard,
+		Hosts:         c.run.storm.Gateways,
+		ClientTimeout: timeout,
+	}, func(answer Answer) {
+		if !answered {
+			answered = true
+			c.end(answer)
+		}
+	})
+	s.After(timeout, func() {
+		if !answered {
+			answered = true
+			c.gateway.Scheduler.ClientDisconnected(s.Now, id)
+			c.end(Answer{Verdict: Failed})
+		}
+	})
+}
+
+// newKey returns a key for each try, so that the scheduler does not take two requests for retries of one.
+func (c *stormClient) newKey() string { return string(rune(c.run.simulation.Random.IntN(1 << 20))) }
+
+// end counts how a try ended and schedules the next.
+func (c *stormClient) end(answer Answer) {
+	switch answer.Verdict {
+	case Served:
+		c.second().Served++
+	case Rejected:
+		c.second().Rejected++
+	case Failed:
+		c.second().Failed++
+	}
+	s := c.run.simulation
+	if answer.Verdict != Served && c.tries < c.run.storm.Tries {
+		s.After(answer.RetryAfter, c.try)
+		return
+	}
+	c.tries = 0
+	s.After(time.Duration(s.Random.ExpFloat64()*float64(c.run.storm.Think)), c.try)
+}
--- /dev/null
+++ b/internal/simulation/zone_run.go
@@ -0,0 +1,331 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"reachpulley/scheduler"
+)
+
+// Classes of requests, by their place in zoneSettings.
+const (
+	readClass  = 0 // reads of objects, which only the nodes of their shard can serve
+	writeClass = 1 // writes of new objects, which any node can take
+)
+
+const (
+	volumes   = 40
+	maxUnits  = 3 // of a request, drawn evenly from 1
+	meanUnits = 2
+
+	// lastSpan is the span at the end of a scenario for which attempts are counted by node.
+	lastSpan = 10 * time.Second
+	// answerTolerance is how much later than the client timeout an answer may come.
+	answerTolerance = 20 * time.Millisecond
+	// missingAfter is how long after the client timeout an answer counts as missing.
+	missingAfter = 30 * time.Millisecond
+	// maxViolations limits the violations that are reported.
+	maxViolations = 20
+)
+
+// zoneRun is a scenario that is being simulated.
+type zoneRun struct {
+	scenario   ZoneScenario
+	simulation *Simulation
+	began      time.Duration
+	nodes      []*Node // zone by zone
+	gateways   []*Gateway
+	rate       float64 // units per second that all clients request
+	result     *ZoneResult
+	spillover  map[int][]arrival // by zone of the gateway
+	detection  detection
+}
+
+// detection follows how long attempts are sent to lost nodes.
+type detection struct {
+	lostAt      time.Duration // of the first loss; 0: none
+	lastBurst   time.Duration // the last time that more attempts were sent to lost nodes than probing explains
+	windowBegan time.Duration
+	attempts    int // in the current window
+}
+
+func newZoneRun(scenario ZoneScenario) *zoneRun {
+	s := New(scenario.Seed)
+	return &zoneRun{
+		scenario:   scenario,
+		simulation: s,
+		began:      s.Now,
+		result: &ZoneResult{
+			// One second more for what happens at the very end.
+			Seconds:       make([]ZoneSecond, int(scenario.Length/time.Second)+1),
+			ToNode:        map[string]int{},
+			DetectedAfter: -1,
+		},
+		spillover: map[int][]arrival{},
+	}
+}
+
+func (r *zoneRun) addNodes() {
+	for zone := range r.scenario.Zones {
+		for i := range r.scenario.Nodes {
+			r.nodes = append(r.nodes, &Node{
+				Node: scheduler.Node{
+					ID:    nodeID(zone, i),
+					Zone:  zone,
+					Shard: zone*r.scenario.Nodes + i,
+					Size:  1,
+				},
+				Simulation:  r.simulation,
+				Workers:     2,
+				MaxQueue:    40,
+				ServiceTime: 20 * time.Millisecond,
+				Speed:       1,
+				SlowStart: SlowStart{
+					StartShare: slowStartShare,
+					Duration:   slowStartDuration,
+					Multiple:   slowStartMultiple,
+					Window:     slowStartWindow,
+				},
+				Executions: map[string]int{},
+			})
+		}
+	}
+	r.rate = r.scenario.Load * float64(len(r.nodes)) * r.nodes[0].Rate()
+}
+
+func (r *zoneRun) addGateway(number int) error {
+	zone := number % r.scenario.Zones
+	settings := r.scenario.settings(zone, r.nodes[0].Rate())
+	g, err := NewGateway(r.simulation, settings, r.nodes)
+	if err != nil {
+		return err
+	}
+	if r.scenario.Passthrough {
+		g.Scheduler = newPassthrough(r.simulation, g, r.nodes, settings.Allowed.MaxAttempts)
+	}
+	g.Partitioned = map[int]bool{}
+	g.OnAttempt = func(request scheduler.Request, node *Node) { r.recordAttempt(zone, request, node) }
+	r.gateways = append(r.gateways, g)
+	r.simulation.After(0, func() { r.scheduleRequest(g) })
+	return nil
+}
+
+// second returns the current second of the result.
+func (r *zoneRun) second() *ZoneSecond {
+	return secondAt(r.result.Seconds, r.simulation.Now-r.began)
+}
+
+// scheduleRequest has clients submit requests to a gateway at random times until the scenario's end.
+func (r *zoneRun) scheduleRequest(g *Gateway) {
+	perGateway := r.rate / float64(len(r.gateways)) / meanUnits
+	delay := time.Duration(r.simulation.Random.ExpFloat64() / perGateway * float64(time.Second))
+	r.simulation.After(delay, func() {
+		if r.simulation.Now < r.began+r.scenario.Length {
+			r.submit(g, 1)
+			r.scheduleRequest(g)
+		}
+	})
+}
+
+// newRequest draws a request.
+func (r *zoneRun) newRequest() scheduler.Request {
+	random := r.simulation.Random
+	request := scheduler.Request{
+		Volume: fmt.Sprint("v", random.IntN(volumes)),
+		Key:    fmt.Sprint(random.IntN(1 << 30)),
+		Units:  float64(1 + random.IntN(maxUnits)),
+		Shard:  random.IntN(len(r.nodes)),
+		Class:  readClass,
+		Hosts:  len(r.gateways),
+	}
+	if random.Float64() < r.scenario.NewObjectShare {
+		request.Class = writeClass
+		request.Shard = scheduler.AnyShard
+	}
+	request.ClientTimeout = zoneSettings.Classes[request.Class].Deadline
+	return request
+}
+
+// submit submits a request. Its client submits another one instead of a retry for up to the given number of times.
+func (r *zoneRun) submit(g *Gateway, retries int) {
+	s := r.simulation
+	request := r.newRequest()
+	submitted := s.Now
+	answers := 0
+	id := ""
+	id = g.Submit(request, func(answer Answer) {
+		answers++
+		if answers > 1 {
+			r.violation("%s has %d answers", id, answers)
+		}
+		latency := s.Now - submitted
+		if late := latency - request.ClientTimeout; late > answerTolerance {
+			r.violation("%s is answered %v late", id, late)
+		}
+		r.countAnswer(request, answer, latency)
+		if answer.Verdict != Served && retries > 0 && latency < request.ClientTimeout {
+			s.After(answer.RetryAfter, func() { r.submit(g, retries-1) })
+		}
+	})
+	s.After(request.ClientTimeout+missingAfter, func() {
+		if answers == 0 {
+			r.violation("%s has no answer", id)
+		}
+	})
+}
+
+func (r *zoneRun) countAnswer(request scheduler.Request, answer Answer, latency time.Duration) {
+	second := r.second()
+	switch answer.Verdict {
+	case Served:
+		second.Served++
+		if latency > zoneSettings.Classes[request.Class].LatencyObjective {
+			second.Late++
+		}
+	case Rejected:
+		second.Rejected++
+	case Failed:
+		second.Failed++
+		if request.Shard == scheduler.AnyShard {
+			second.NewObjectsLost++
+		}
+	}
+}
+
+// recordAttempt follows each attempt of a gateway in a zone.
+func (r *zoneRun) recordAttempt(gatewayZone int, request scheduler.Request, node *Node) {
+	now := r.simulation.Now
+	if now > r.began+r.scenario.Length-lastSpan {
+		r.result.ToNode[node.ID]++
+	}
+	if request.Shard == scheduler.AnyShard && node.Zone != gatewayZone {
+		r.spillover[gatewayZone] = append(r.spillover[gatewayZone], arrival{at: now, units: request.Units})
+		r.second().SpilledUnits += request.Units
+	}
+	if node.Unresponsive && r.detection.lostAt > 0 {
+		r.detection.recordAttempt(now, 3*len(r.nodes))
+	}
+}
+
+// recordAttempt counts an attempt at a lost node. More than maxProbing attempts in a second are more than probing.
+func (d *detection) recordAttempt(now time.Duration, maxProbing int) {
+	if now-d.windowBegan > time.Second {
+		d.windowBegan = now
+		d.attempts = 0
+	}
+	d.attempts++
+	if d.attempts > maxProbing {
+		d.lastBurst = now
+	}
+}
+
+// apply lets an event happen.
+func (r *zoneRun) apply(event ZoneEvent) {
+	if event.Gateway >= 0 {
+		r.gateways[event.Gateway%len(r.gateways)].Partitioned[event.Zone] = event.Unavailable
+		return
+	}
+	count := r.scenario.Nodes
+	if event.NodeShare > 0 {
+		count = int(event.NodeShare * float64(r.scenario.Nodes))
+	}
+	first := event.Zone * r.scenario.Nodes
+	for _, n := range r.nodes[first : first+count] {
+		if n.Crashed || n.Unresponsive == event.Unavailable { // only what was lost can return
+			continue
+		}
+		n.Unresponsive = event.Unavailable
+		switch {
+		case event.Unavailable:
+			if r.detection.lostAt == 0 {
+				r.detection.lostAt = r.simulation.Now
+			}
+		case event.Restarted:
+			n.Restart()
+			n.StartedAt = n.Started
+			r.announceRestart(n)
+		default:
+			n.Reset()
+		}
+	}
+}
+
+// announceRestart notifies each gateway of a node's restart after a delay of its own.
+func (r *zoneRun) announceRestart(n *Node) {
+	for _, g := range r.gateways {
+		delay := time.Duration(r.simulation.Random.Float64() * float64(r.scenario.MembershipDelay))
+		r.simulation.After(delay, func() {
+			g.Scheduler.MembershipChanged(r.simulation.Now, scheduler.Membership{
+				Kind:  scheduler.DeltaList,
+				Nodes: []scheduler.Node{n.Node},
+			})
+		})
+	}
+}
+
+// sampleSlowStart records the load of nodes in slow start.
+func (r *zoneRun) sampleSlowStart() {
+	for _, n := range r.nodes {
+		if capacity := n.SlowStartCapacity(); capacity > 0 && !n.Unresponsive {
+			second := r.second()
+			second.SlowStartLoad = max(second.SlowStartLoad, n.WindowUnits()/capacity)
+		}
+	}
+}
+
+func (r *zoneRun) violation(format string, args ...any) {
+	if len(r.result.Violations) < maxViolations {
+		r.result.Violations = append(r.result.Violations, fmt.Sprintf(format, args...))
+	}
+}
+
+// conclude completes the result after the scenario has ended.
+func (r *zoneRun) conclude() *ZoneResult {
+	r.result.Seconds = r.result.Seconds[:len(r.result.Seconds)-1]
+	for _, n := range r.nodes {
+		if n.Crashed {
+			r.result.Crashed = append(r.result.Crashed, n.ID)
+		}
+	}
+	r.checkExecutions()
+	if r.detection.lostAt > 0 {
+		r.result.DetectedAfter = max(0, r.detection.lastBurst-r.detection.lostAt)
+	}
+	if !r.scenario.FailoverDisabled {
+		for _, spilled := range r.spillover {
+			r.result.WorstSpillover = max(r.result.WorstSpillover, r.excessSpillover(spilled))
+		}
+	}
+	return r.result
+}
+
+// checkExecutions checks that no request ran at two nodes: only the nodes of the first node's shard recognize the retry
+// of a write by its key.
+func (r *zoneRun) checkExecutions() {
+	ranAt := map[string]string{}
+	for _, n := range r.nodes {
+		for id := range n.Executions {
+			if other := ranAt[id]; other != "" {
+				r.violation("%s ran at %s and %s", id, other, n.ID)
+			}
+			ranAt[id] = n.ID
+		}
+	}
+}
+
+// excessSpillover returns by how much the spilled units exceeded their limit, a token bucket, in the worst of all time
+// spans; 0 if they never did. Let the balance be the units spilled so far minus the tokens gained so far. A span
+// exceeds the limit by the rise of the balance minus the burst, so one pass that remembers the lowest balance finds the
+// worst span.
+func (r *zoneRun) excessSpillover(spilled []arrival) float64 {
+	worst, lowest, sum := 0.0, 0.0, 0.0
+	for i, a := range spilled {
+		gained := r.scenario.Settings.Spillover * (a.at - r.began).Seconds()
+		if balance := sum - gained; i == 0 || balance < lowest {
+			lowest = balance
+		}
+		sum += a.units
+		worst = max(worst, sum-gained-lowest-r.scenario.Settings.Burst)
+	}
+	return worst
+}
