--- a/internal/scenariotest/h2.go
+++ b/internal/scenariotest/h2.go
@@ -5,7 +5,6 @@
 	"bytes"
 	"fmt"
 	"io"
-	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -14,147 +13,158 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// H2 is the Speech of HTTP/2, frame by frame, so that what is rude can be said, too:
+// H2 is the Speech of HTTP/2. A message is a frame, so that a script can violate the protocol, too:
 //
 //	preface                            the client's, with its SETTINGS
-//	headers 1 end GET /path name=value a field section; without end, more is to come
-//	data 1 end text                    a part of a body
+//	headers 1 end GET /path name=value HEADERS; without end, more frames follow on the stream
+//	data 1 end text                    DATA
 //	rst 1 CANCEL                       RST_STREAM
 //	window 1 100                       WINDOW_UPDATE; stream 0 is the connection
 //	settings window=0 frame=16384      SETTINGS
-//	ping, goaway 0 NO_ERROR, raw HEX   other frames
+//	ping                               PING
+//	goaway 0 NO_ERROR                  GOAWAY
 //
-// What is heard is told in the same words; SETTINGS, WINDOW_UPDATE and acknowledgements of the server are passed over. Of an
-// answer's fields the status and those in Shows are told. It is used by pointer, as it keeps what HPACK needs for each connection.
+// A frame that is received has the same words. SETTINGS, WINDOW_UPDATE and acknowledgements are skipped. Of a
+// response's fields, it has the status and those in Shows. H2 is used by pointer, as it keeps the HPACK state of each
+// connection.
 type H2 struct {
 	Shows []string // names of fields, in lower case
 
 	mu      sync.Mutex
-	readers map[*bufio.Reader]*http2.Framer
+	framers map[*bufio.Reader]*http2.Framer
 }
 
-var settingNames = map[string]http2.SettingID{"window": http2.SettingInitialWindowSize, "frame": http2.SettingMaxFrameSize,
-	"table": http2.SettingHeaderTableSize, "streams": http2.SettingMaxConcurrentStreams}
+var settingIDs = map[string]http2.SettingID{
+	"window":  http2.SettingInitialWindowSize,
+	"frame":   http2.SettingMaxFrameSize,
+	"table":   http2.SettingHeaderTableSize,
+	"streams": http2.SettingMaxConcurrentStreams,
+}
 
-var codeNames = func() map[string]http2.ErrCode {
-	names := map[string]http2.ErrCode{}
+// errorCodes are the error codes of HTTP/2 by name.
+var errorCodes = func() map[string]http2.ErrCode {
+	codes := map[string]http2.ErrCode{}
 	for code := http2.ErrCodeNo; code <= http2.ErrCodeHTTP11Required; code++ {
-		names[code.String()] = code
+		codes[code.String()] = code
 	}
-	return names
+	return codes
 }()
 
-// Write sends a frame.
-func (h *H2) Write(w io.Writer, words string) error {
+// frame is a frame in words.
+type frame struct {
+	name      string
+	stream    uint32
+	end       bool // END_STREAM
+	arguments []string
+}
+
+func parseFrame(words string) frame {
 	parts := strings.Fields(words)
-	if parts[0] == "preface" {
-		if _, err := io.WriteString(w, http2.ClientPreface); err != nil {
-			return err
+	f := frame{name: parts[0], arguments: parts[1:]}
+	if len(f.arguments) > 0 {
+		if stream, err := strconv.ParseUint(f.arguments[0], 10, 32); err == nil {
+			f.stream = uint32(stream)
+			f.arguments = f.arguments[1:]
 		}
-		return http2.NewFramer(w, nil).WriteSettings()
 	}
+	if len(f.arguments) > 0 && f.arguments[0] == end {
+		f.end = true
+		f.arguments = f.arguments[1:]
+	}
+	return f
+}
+
+// Write sends a frame.
+func (h *H2) Write(w io.Writer, words string) error {
+	f := parseFrame(words)
 	framer := http2.NewFramer(w, nil)
 	framer.AllowIllegalWrites = true
-	stream := uint32(0)
-	if len(parts) > 1 {
-		if n, err := strconv.ParseUint(parts[1], 10, 32); err == nil {
-			stream, parts = uint32(n), slices.Delete(parts, 1, 2)
+	switch f.name {
+	case "preface":
+		if _, err := io.WriteString(w, http2.ClientPreface); err != nil {
+			return err
 		}
-	}
-	end := len(parts) > 1 && parts[1] == "end"
-	if end {
-		parts = slices.Delete(parts, 1, 2)
-	}
-	rest := parts[1:]
-	switch parts[0] {
+		return framer.WriteSettings()
 	case "headers":
-		return framer.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: fieldSection(rest), EndStream: end, EndHeaders: true})
+		return framer.WriteHeaders(http2.HeadersFrameParam{
+			StreamID:      f.stream,
+			BlockFragment: fieldBlock(f.arguments),
+			EndStream:     f.end,
+			EndHeaders:    true,
+		})
 	case "data":
-		return framer.WriteData(stream, end, []byte(strings.Join(rest, " ")))
+		return framer.WriteData(f.stream, f.end, []byte(strings.Join(f.arguments, " ")))
 	case "rst":
-		return framer.WriteRSTStream(stream, codeNames[rest[0]])
+		return framer.WriteRSTStream(f.stream, errorCodes[f.arguments[0]])
 	case "window":
-		n, err := strconv.ParseUint(rest[0], 10, 31)
+		increment, err := strconv.ParseUint(f.arguments[0], 10, 31)
 		if err != nil {
 			return err
 		}
-		return framer.WriteWindowUpdate(stream, uint32(n))
+		return framer.WriteWindowUpdate(f.stream, uint32(increment))
 	case "settings":
-		var all []http2.Setting
-		for _, part := range rest {
-			name, value, _ := strings.Cut(part, "=")
-			n, err := strconv.ParseUint(value, 10, 32)
-			if err != nil {
-				return err
-			}
-			all = append(all, http2.Setting{ID: settingNames[name], Val: uint32(n)})
+		settings, err := parseSettings(f.arguments)
+		if err != nil {
+			return err
 		}
-		return framer.WriteSettings(all...)
+		return framer.WriteSettings(settings...)
 	case "ping":
 		return framer.WritePing(false, [8]byte{})
 	case "goaway":
-		return framer.WriteGoAway(stream, codeNames[rest[0]], nil)
+		return framer.WriteGoAway(f.stream, errorCodes[f.arguments[0]], nil)
+	}
+	return fmt.Errorf("unknown frame %q", f.name)
+}
+
+func parseSettings(words []string) ([]http2.Setting, error) {
+	var settings []http2.Setting
+	for _, word := range words {
+		name, value, _ := strings.Cut(word, "=")
+		number, err := strconv.ParseUint(value, 10, 32)
+		if err != nil {
+			return nil, err
+		}
+		settings = append(settings, http2.Setting{ID: settingIDs[name], Val: uint32(number)})
 	}
-	return fmt.Errorf("no frame %q", parts[0])
+	return settings, nil
 }
 
-// fieldSection encodes METHOD PATH name=value … without a dynamic table, so that no state is kept.
-func fieldSection(words []string) []byte {
+// fieldBlock encodes METHOD PATH name=value ... without a dynamic table, so that no block depends on those before it.
+func fieldBlock(words []string) []byte {
 	var block bytes.Buffer
-	e := hpack.NewEncoder(&block)
-	e.SetMaxDynamicTableSize(0)
+	encoder := hpack.NewEncoder(&block)
+	encoder.SetMaxDynamicTableSize(0)
 	if len(words) > 1 && !strings.Contains(words[0], "=") {
-		for _, f := range [][2]string{{":method", words[0]}, {":scheme", "http"}, {":path", words[1]}, {":authority", "origin.svc"}} {
-			e.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
-		}
+		encoder.WriteField(hpack.HeaderField{Name: ":method", Value: words[0]})
+		encoder.WriteField(hpack.HeaderField{Name: ":scheme", Value: "http"})
+		encoder.WriteField(hpack.HeaderField{Name: ":path", Value: words[1]})
+		encoder.WriteField(hpack.HeaderField{Name: ":authority", Value: testHost})
 		words = words[2:]
 	}
 	for _, word := range words {
 		name, value, _ := strings.Cut(word, "=")
-		e.WriteField(hpack.HeaderField{Name: strings.ToLower(name), Value: value})
+		encoder.WriteField(hpack.HeaderField{Name: strings.ToLower(name), Value: value})
 	}
 	return block.Bytes()
 }
 
-// Read takes a frame.
+// Read receives a frame.
 func (h *H2) Read(r *bufio.Reader) (string, error) {
-	h.mu.Lock()
-	framer := h.readers[r]
-	if framer == nil {
-		if h.readers == nil {
-			h.readers = map[*bufio.Reader]*http2.Framer{}
-		}
-		framer = http2.NewFramer(io.Discard, r)
-		framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-		h.readers[r] = framer
-	}
-	h.mu.Unlock()
+	framer := h.framer(r)
 	for {
-		f, err := framer.ReadFrame()
+		received, err := framer.ReadFrame()
 		if err != nil {
 			return "", err
 		}
-		switch f := f.(type) {
+		switch f := received.(type) {
 		case *http2.MetaHeadersFrame:
-			words := []string{"headers", fmt.Sprint(f.StreamID)}
-			if f.StreamEnded() {
-				words = append(words, "end")
-			}
-			words = append(words, f.PseudoValue("status"))
-			for _, name := range h.Shows {
-				for _, field := range f.RegularFields() {
-					if field.Name == name {
-						words = append(words, name+"="+field.Value)
-					}
-				}
-			}
-			return strings.Join(words, " "), nil
+			return h.headerWords(f), nil
 		case *http2.DataFrame:
-			end := ""
+			words := []string{"data", fmt.Sprint(f.StreamID)}
 			if f.StreamEnded() {
-				end = "end "
+				words = append(words, end)
 			}
-			return fmt.Sprintf("data %d %s%s", f.StreamID, end, strings.TrimSpace(string(f.Data()))), nil
+			return strings.Join(append(words, strings.TrimSpace(string(f.Data()))), " "), nil
 		case *http2.RSTStreamFrame:
 			return fmt.Sprintf("rst %d %s", f.StreamID, f.ErrCode), nil
 		case *http2.GoAwayFrame:
@@ -164,3 +174,35 @@
 		}
 	}
 }
+
+// framer returns the framer of a connection, which has its HPACK state.
+func (h *H2) framer(r *bufio.Reader) *http2.Framer {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if framer := h.framers[r]; framer != nil {
+		return framer
+	}
+	if h.framers == nil {
+		h.framers = map[*bufio.Reader]*http2.Framer{}
+	}
+	framer := http2.NewFramer(io.Discard, r)
+	framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	h.framers[r] = framer
+	return framer
+}
+
+func (h *H2) headerWords(f *http2.MetaHeadersFrame) string {
+	words := []string{"headers", fmt.Sprint(f.StreamID)}
+	if f.StreamEnded() {
+		words = append(words, end)
+	}
+	words = append(words, f.PseudoValue("status"))
+	for _, name := range h.Shows {
+		for _, field := range f.RegularFields() {
+			if field.Name == name {
+				words = append(words, name+"="+field.Value)
+			}
+		}
+	}
+	return strings.Join(words, " ")
+}
--- a/internal/scenariotest/http.go
+++ b/internal/scenariotest/http.go
@@ -10,34 +10,37 @@
 	"strings"
 )
 
-// HTTP is the Speech of HTTP/1.1. A request is "GET /path Header=value ... body", an answer "200 Header=value
-// ... body": names of headers start with a capital, and a word without a name is the body. Of what is heard only
-// the headers named in Shows are told. "raw ..." writes text as it stands, with \n for a line's end; "nothing" only
-// connects.
+// testHost is the Host of requests.
+const testHost = "origin.svc"
+
+// HTTP is the Speech of HTTP/1.1. A request is "GET /path Header=value ... body", a response "200 Header=value ...
+// body". Names of headers begin with a capital; a word that is not a header is the body. "raw ..." sends text as it is,
+// with \n for the end of a line. "nothing" connects and sends nothing.
+//
+// A message that is received has the headers in Shows and no others.
 type HTTP struct {
-	Shows  []string
-	DeafTo string // a request that is not heard; for one of two that come in no certain order
+	Shows []string
 }
 
-// Write sends a request or an answer.
+// Write sends a request or a response.
 func (h HTTP) Write(w io.Writer, words string) error {
 	if raw, ok := strings.CutPrefix(words, "raw "); ok {
 		_, err := io.WriteString(w, strings.ReplaceAll(raw, `\n`, "\r\n"))
-		if errors.Is(err, io.ErrClosedPipe) { // who is rude may be cut off: the next line tells
+		if errors.Is(err, io.ErrClosedPipe) { // a malformed message may be cut off; the script's next line will show it
 			return nil
 		}
 		return err
 	}
-	if words == "nothing" {
+	if words == nothing {
 		return nil
 	}
 	parts := strings.Fields(words)
 	var b bytes.Buffer
-	if status := parts[0]; status[0] >= '1' && status[0] <= '9' {
-		fmt.Fprintf(&b, "HTTP/1.1 %s stand-in\r\n", status)
+	if isStatus(parts[0]) {
+		fmt.Fprintf(&b, "HTTP/1.1 %s stand-in\r\n", parts[0])
 		parts = parts[1:]
 	} else {
-		fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: origin.svc\r\n", status, parts[1])
+		fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", parts[0], parts[1], testHost)
 		parts = parts[2:]
 	}
 	body := ""
@@ -53,44 +56,48 @@
 	return err
 }
 
-// Read takes a request or an answer.
+func isStatus(word string) bool { return word[0] >= '1' && word[0] <= '9' }
+
+// Read receives a request or a response.
 func (h HTTP) Read(r *bufio.Reader) (string, error) {
-	words, err := h.read(r)
-	if err == nil && h.DeafTo != "" && strings.TrimSpace(words) == h.DeafTo {
-		return h.Read(r)
+	start, err := r.Peek(5)
+	if err != nil {
+		return "", err
 	}
-	return words, err
+	if string(start) == "HTTP/" {
+		return h.readResponse(r)
+	}
+	return h.readRequest(r)
 }
 
-func (h HTTP) read(r *bufio.Reader) (string, error) {
-	start, err := r.Peek(5)
+func (h HTTP) readResponse(r *bufio.Reader) (string, error) {
+	response, err := http.ReadResponse(r, nil)
 	if err != nil {
 		return "", err
 	}
-	var words []string
-	var header http.Header
-	var body io.ReadCloser
-	if string(start) == "HTTP/" {
-		resp, err := http.ReadResponse(r, nil)
-		if err != nil {
-			return "", err
-		}
-		words, header, body = append(words, fmt.Sprint(resp.StatusCode)), resp.Header, resp.Body
-		if resp.Close { // net/http takes the header away
-			header.Set("Connection", "close")
-		}
-	} else {
-		req, err := http.ReadRequest(r)
-		if err != nil {
-			return "", err
-		}
-		words, header, body = append(words, req.Method, req.RequestURI), req.Header, req.Body
+	if response.Close { // net/http removes the header
+		response.Header.Set("Connection", "close")
+	}
+	words := []string{fmt.Sprint(response.StatusCode)}
+	return h.words(words, response.Header, response.Body)
+}
+
+func (h HTTP) readRequest(r *bufio.Reader) (string, error) {
+	request, err := http.ReadRequest(r)
+	if err != nil {
+		return "", err
 	}
+	return h.words([]string{request.Method, request.RequestURI}, request.Header, request.Body)
+}
+
+// words adds the headers that are shown and the body to a message's words.
+func (h HTTP) words(words []string, header http.Header, body io.Reader) (string, error) {
 	for _, name := range h.Shows {
 		if value := header.Get(name); value != "" {
 			words = append(words, name+"="+value)
 		}
 	}
 	text, err := io.ReadAll(body)
-	return strings.Join(append(words, strings.TrimSpace(string(text))), " "), err
+	words = append(words, strings.TrimSpace(string(text)))
+	return strings.Join(words, " "), err
 }
--- a/internal/scenariotest/iscsi.go
+++ b/internal/scenariotest/iscsi.go
@@ -12,11 +12,21 @@
 	"reachpulley/internal/proto/iscsi"
 )
 
-// ISCSI is the Speech of iSCSI. A PDU is the name of its opcode and name=value words: the fields of its header,
-// cdb=HEX, read=LBA+BLOCKS, write=LBA+BLOCKS, text=KEY=VALUE;KEY=VALUE and data=TEXT or data=COUNT*LETTER. imm
-// sets it outside the order of commands; cut=N writes its first N bytes alone. What is heard is told by the fields that its opcode is about.
+// ISCSI is the Speech of iSCSI. A message is a PDU: the name of its opcode and name=value words for the fields of its
+// header. Further words are
+//
+//	cdb=HEX                            the command descriptor block
+//	read=LBA+BLOCKS, write=LBA+BLOCKS  a command of blocks of 512 bytes
+//	lun=N                              the logical unit
+//	text=KEY=VALUE;KEY=VALUE           the data of a login
+//	data=TEXT, data=COUNT*LETTER       other data
+//	imm                                the immediate delivery flag
+//	cut=N                              only the first N bytes are sent
+//
+// A PDU that is received has the words that matter for its opcode.
 type ISCSI struct{}
 
+// opcodes are the opcodes by name.
 var opcodes = func() map[string]iscsi.Opcode {
 	names := map[string]iscsi.Opcode{}
 	for op := iscsi.Opcode(0); op <= iscsi.Reject; op++ {
@@ -25,27 +35,59 @@
 	return names
 }()
 
-var wordFields = map[string]iscsi.Field{"tag": iscsi.TaskTag, "expects": iscsi.ExpectedLength, "ttt": iscsi.TransferTag,
-	"ref": iscsi.RefTag, "sn": iscsi.CmdSN, "exp": iscsi.ExpCmdSN, "max": iscsi.MaxCmdSN, "datasn": iscsi.DataSN,
-	"offset": iscsi.BufferOffset, "length": iscsi.DesiredLength}
+// headerFields are the fields of four bytes.
+var headerFields = map[string]iscsi.Field{
+	"tag":     iscsi.TaskTag,
+	"expects": iscsi.ExpectedLength,
+	"ttt":     iscsi.TransferTag,
+	"ref":     iscsi.RefTag,
+	"sn":      iscsi.CmdSN,
+	"exp":     iscsi.ExpCmdSN,
+	"max":     iscsi.MaxCmdSN,
+	"datasn":  iscsi.DataSN,
+	"offset":  iscsi.BufferOffset,
+	"length":  iscsi.DesiredLength,
+}
+
+// headerBytes are the offsets of the fields of one byte.
+var headerBytes = map[string]int{
+	"flags":   1,
+	"status":  3,
+	"result":  2,
+	"version": 3,
+	"ahs":     4,
+}
 
-// wordBytes are the places of one byte.
-var wordBytes = map[string]int{"flags": 1, "status": 3, "result": 2, "version": 3, "ahs": 4}
+// shownFields are the fields of four bytes that a received PDU has in words, by opcode.
+var shownFields = map[iscsi.Opcode][]string{
+	iscsi.R2T:            {"tag", "ttt", "offset", "length"},
+	iscsi.NopIn:          {"tag", "ttt"},
+	iscsi.DataIn:         {"tag", "offset"},
+	iscsi.DataOut:        {"tag", "ttt", "offset"},
+	iscsi.SCSICommand:    {"tag"},
+	iscsi.SCSIResponse:   {"tag"},
+	iscsi.TaskRequest:    {"ref"},
+	iscsi.TaskResponse:   {"tag"},
+	iscsi.LogoutResponse: {"tag"},
+}
 
-const blockSize = 512
+const (
+	blockSize      = 512
+	maxDataSegment = 1 << 20
+)
 
 // Write sends a PDU.
 func (ISCSI) Write(w io.Writer, words string) error {
 	parts := strings.Fields(words)
-	op, ok := opcodes[parts[0]]
+	opcode, ok := opcodes[parts[0]]
 	if !ok {
-		return fmt.Errorf("no opcode %q", parts[0])
+		return fmt.Errorf("unknown opcode %q", parts[0])
 	}
-	p := iscsi.New(op, iscsi.Final)
-	if op == iscsi.LoginRequest || op == iscsi.LoginResponse {
+	p := iscsi.New(opcode, iscsi.Final)
+	switch opcode {
+	case iscsi.LoginRequest, iscsi.LoginResponse:
 		p.Header[1] = iscsi.Transit | iscsi.OperationalStage<<2 | iscsi.FullFeature
-	}
-	if op == iscsi.DataIn {
+	case iscsi.DataIn:
 		p.Header[1] |= iscsi.HasStatus
 	}
 	cut := 0
@@ -53,7 +95,7 @@
 		name, value, _ := strings.Cut(part, "=")
 		if name == "cut" {
 			cut, _ = strconv.Atoi(value)
-		} else if err := set(p, name, value); err != nil {
+		} else if err := setWord(p, name, value); err != nil {
 			return fmt.Errorf("%s: %w", part, err)
 		}
 	}
@@ -65,93 +107,139 @@
 	return err
 }
 
-func set(p *iscsi.PDU, name, value string) error {
+// setWord sets what the word name=value stands for.
+func setWord(p *iscsi.PDU, name, value string) error {
 	switch name {
 	case "imm":
 		p.SetImmediate()
 		return nil
 	case "cdb":
-		b, err := hex.DecodeString(value)
-		copy(p.CDB()[:], b)
+		block, err := hex.DecodeString(value)
+		copy(p.CDB()[:], block)
 		return err
 	case "read", "write":
-		c := iscsi.Command{Write: name == "write", BlockSize: blockSize}
-		if _, err := fmt.Sscanf(value, "%d+%d", &c.LBA, &c.Blocks); err != nil {
-			return err
-		}
-		*p.CDB() = c.CDB()
-		p.Header[1] |= iscsi.Read
-		if c.Write {
-			p.Header[1] ^= iscsi.Read | iscsi.Write
-		}
-		p.Set(iscsi.ExpectedLength, uint32(c.Length()))
-		return nil
+		return setCommand(p, name == "write", value)
 	case "text":
 		p.Data = []byte(strings.ReplaceAll(value, ";", "\x00") + "\x00")
 		return nil
 	case "data":
-		p.Data = []byte(value)
-		if count, letter, ok := strings.Cut(value, "*"); ok {
-			n, _ := strconv.Atoi(count)
-			p.Data = bytes.Repeat([]byte(letter), n)
-		}
+		p.Data = parseData(value)
 		return nil
 	}
-	n, err := strconv.ParseUint(value, 0, 32)
-	if at, ok := wordBytes[name]; ok {
-		p.Header[at] = byte(n)
-	} else if name == "lun" {
-		p.SetLUN(uint16(n))
-	} else if f, ok := wordFields[name]; ok {
-		p.Set(f, uint32(n))
-	} else {
-		return fmt.Errorf("no field %q", name)
+	return setField(p, name, value)
+}
+
+// setCommand makes a PDU that of a transfer of LBA+BLOCKS.
+func setCommand(p *iscsi.PDU, write bool, transfer string) error {
+	command := iscsi.Command{Write: write, BlockSize: blockSize}
+	if _, err := fmt.Sscanf(transfer, "%d+%d", &command.LBA, &command.Blocks); err != nil {
+		return err
 	}
-	return err
+	*p.CDB() = command.CDB()
+	p.Header[1] |= iscsi.Read
+	if write {
+		p.Header[1] ^= iscsi.Read | iscsi.Write
+	}
+	p.Set(iscsi.ExpectedLength, uint32(command.Length()))
+	return nil
+}
+
+// setField sets a field of the header to a number.
+func setField(p *iscsi.PDU, name, value string) error {
+	number, err := strconv.ParseUint(value, 0, 32)
+	if offset, ok := headerBytes[name]; ok {
+		p.Header[offset] = byte(number)
+		return err
+	}
+	if field, ok := headerFields[name]; ok {
+		p.Set(field, uint32(number))
+		return err
+	}
+	if name == "lun" {
+		p.SetLUN(uint16(number))
+		return err
+	}
+	return fmt.Errorf("unknown field %q", name)
 }
 
-// Read takes a PDU.
+// parseData parses TEXT or COUNT*LETTER.
+func parseData(value string) []byte {
+	count, letter, ok := strings.Cut(value, "*")
+	if !ok {
+		return []byte(value)
+	}
+	n, _ := strconv.Atoi(count)
+	return bytes.Repeat([]byte(letter), n)
+}
+
+// formatData is the inverse of parseData.
+func formatData(data []byte) string {
+	if n := len(data); bytes.Count(data, data[:1]) == n {
+		return fmt.Sprintf("%d*%s", n, data[:1])
+	}
+	return string(data)
+}
+
+// Read receives a PDU.
 func (ISCSI) Read(r *bufio.Reader) (string, error) {
-	p, err := iscsi.ReadPDU(r, 1<<20)
+	p, err := iscsi.ReadPDU(r, maxDataSegment)
 	if err != nil {
 		return "", err
 	}
-	told := map[iscsi.Opcode][]string{iscsi.R2T: {"tag", "ttt", "offset", "length"}, iscsi.NopIn: {"tag", "ttt"},
-		iscsi.DataIn: {"tag", "offset"}, iscsi.DataOut: {"tag", "ttt", "offset"}, iscsi.SCSICommand: {"tag"},
-		iscsi.SCSIResponse: {"tag"}, iscsi.TaskRequest: {"ref"}, iscsi.TaskResponse: {"tag"}, iscsi.LogoutResponse: {"tag"}}
 	words := []string{p.Op().String()}
-	for _, name := range told[p.Op()] {
-		words = append(words, fmt.Sprintf("%s=%d", name, p.Get(wordFields[name])))
+	for _, name := range shownFields[p.Op()] {
+		words = append(words, fmt.Sprintf("%s=%d", name, p.Get(headerFields[name])))
+	}
+	words = append(words, opcodeWords(p)...)
+	if showsData(p) {
+		words = append(words, "data="+formatData(p.Data))
 	}
+	return strings.Join(words, " "), nil
+}
+
+// opcodeWords returns the words that only PDUs of one opcode have.
+func opcodeWords(p *iscsi.PDU) []string {
 	switch p.Op() {
 	case iscsi.LoginResponse:
-		return fmt.Sprintf("%s status=%x", words[0], p.Header[36:38]), nil
-	case iscsi.LoginRequest:
-		return words[0], nil
+		return []string{fmt.Sprintf("status=%x", p.Header[36:38])}
 	case iscsi.AsyncMessage:
-		return fmt.Sprintf("%s event=%d", words[0], p.Header[36]), nil
+		return []string{fmt.Sprintf("event=%d", p.Header[36])}
 	case iscsi.Reject:
-		return fmt.Sprintf("%s reason=%d", words[0], p.Header[2]), nil
+		return []string{fmt.Sprintf("reason=%d", p.Header[2])}
 	case iscsi.TaskResponse:
-		words = append(words, fmt.Sprintf("result=%d", p.Header[2]))
+		return []string{fmt.Sprintf("result=%d", p.Header[2])}
 	case iscsi.SCSICommand:
 		lba, blocks, write, _ := p.CDB().Transfer()
-		kind := map[bool]string{false: "read", true: "write"}[write]
-		words = append(words, fmt.Sprintf("lun=%d %s=%d+%d", p.LUN(), kind, lba, blocks))
+		name := "read"
+		if write {
+			name = "write"
+		}
+		return []string{fmt.Sprintf("lun=%d %s=%d+%d", p.LUN(), name, lba, blocks)}
 	case iscsi.SCSIResponse:
-		words = append(words, "status="+iscsi.Status(p.Header[3]).String())
+		words := []string{"status=" + iscsi.Status(p.Header[3]).String()}
 		if sense, ok := iscsi.ParseSense(p.Data); ok {
-			return strings.Join(append(words, "sense="+sense.String()), " "), nil
+			words = append(words, "sense="+sense.String())
 		}
+		return words
 	case iscsi.DataIn:
 		if p.Has(iscsi.HasStatus) {
-			words = append(words, "status="+iscsi.Status(p.Header[3]).String())
+			return []string{"status=" + iscsi.Status(p.Header[3]).String()}
 		}
 	}
-	if n := len(p.Data); n > 0 && bytes.Count(p.Data, p.Data[:1]) == n {
-		words = append(words, fmt.Sprintf("data=%d*%s", n, p.Data[:1]))
-	} else if n > 0 {
-		words = append(words, "data="+string(p.Data))
+	return nil
+}
+
+// showsData reports whether a received PDU's data is shown as such.
+func showsData(p *iscsi.PDU) bool {
+	if len(p.Data) == 0 {
+		return false
+	}
+	switch p.Op() {
+	case iscsi.LoginRequest, iscsi.LoginResponse, iscsi.AsyncMessage, iscsi.Reject:
+		return false
+	case iscsi.SCSIResponse:
+		_, isSense := iscsi.ParseSense(p.Data)
+		return !isSense
 	}
-	return strings.Join(words, " "), nil
+	return true
 }
--- /dev/null
+++ b/internal/scenariotest/network.go
@@ -0,0 +1,97 @@
+package scenariotest
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"time"
+)
+
+// errConnectionRefused is the error of a dial to an address at which nothing listens.
+var errConnectionRefused = errors.New("connection refused")
+
+// Network connects the parts of a test within the process. Its zero value is ready to use. Dial takes the place of that
+// of a net.Dialer in the parts under test.
+type Network struct {
+	mu        sync.Mutex
+	listeners map[string]*listener
+	Delay     time.Duration // time until a connection is up
+}
+
+// Dial connects to the listener at an address. It fails if there is none.
+func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
+	if n.Delay > 0 {
+		select {
+		case <-time.After(n.Delay):
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+	}
+	n.mu.Lock()
+	l := n.listeners[address]
+	n.mu.Unlock()
+	if l == nil {
+		return nil, errConnectionRefused
+	}
+	near, far := net.Pipe()
+	select {
+	case l.conns <- far:
+		return near, nil
+	case <-l.closed:
+		return nil, errConnectionRefused
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+// Listen returns a new listener at an address.
+func (n *Network) Listen(address string) net.Listener {
+	l := &listener{
+		network: n,
+		address: address,
+		conns:   make(chan net.Conn),
+		closed:  make(chan struct{}),
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.listeners == nil {
+		n.listeners = map[string]*listener{}
+	}
+	n.listeners[address] = l
+	return l
+}
+
+type listener struct {
+	network   *Network
+	address   string
+	conns     chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
+}
+
+func (l *listener) Accept() (net.Conn, error) {
+	select {
+	case c := <-l.conns:
+		return c, nil
+	case <-l.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+func (l *listener) Close() error {
+	l.closeOnce.Do(func() {
+		l.network.mu.Lock()
+		delete(l.network.listeners, l.address)
+		l.network.mu.Unlock()
+		close(l.closed)
+	})
+	return nil
+}
+
+func (l *listener) Addr() net.Addr { return address(l.address) }
+
+type address string
+
+func (a address) Network() string { return "tcp" }
+func (a address) String() string  { return string(a) }
