--- a/internal/apitest/api_test.go
+++ b/internal/apitest/api_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/getkin/kin-openapi/openapi3"
 	"github.com/getkin/kin-openapi/openapi3filter"
+	"github.com/getkin/kin-openapi/routers"
 	"github.com/getkin/kin-openapi/routers/legacy"
 	"github.com/google/go-cmp/cmp"
 	"github.com/santhosh-tekuri/jsonschema/v6"
@@ -23,156 +24,225 @@
 	"reachpulley/scheduler"
 )
 
-// answering is a core that gives every request the same answer.
-type answering exchange.Answer
+const (
+	openAPIPath  = "../../api/openapi.yaml"
+	asyncAPIPath = "../../api/asyncapi.yaml"
+)
+
+const objectPath = "/api/00000003b4d60021/7f3a9c21e0b4d655"
 
-func (a answering) Open(x *exchange.Exchange) { x.Finish(exchange.Answer(a)) }
+var testSettings = scheduler.Settings{
+	Classes: []scheduler.Class{{Name: "read"}},
+	Plans:   []scheduler.Plan{{Name: "gold"}},
+}
 
-const piece = "/api/00000003b4d60021/7f3a9c21e0b4d655"
+// fixedAnswer is an event loop that gives every request the same answer.
+type fixedAnswer exchange.Answer
 
-func request(method, target string, header ...string) *http.Request {
+func (a fixedAnswer) Open(x *exchange.Exchange) { x.Finish(exchange.Answer(a)) }
+
+// newRequest returns a valid request, changed by pairs of a header's name and value. An empty value removes the header.
+func newRequest(method, target string, headers ...string) *http.Request {
 	r := httptest.NewRequest(method, target, nil)
 	if method == http.MethodPut {
 		r = httptest.NewRequest(method, target, strings.NewReader("hello"))
 		r.Header.Set("Content-Type", "application/octet-stream")
 	}
-	for name, value := range map[string]string{httpmsg.IDHeader: "r1", httpmsg.ClassHeader: "read", httpmsg.PlanHeader: "gold",
-		httpmsg.DeadlineHeader: "480m", httpmsg.PlacementHeader: "units=2,shard=0,hosts=1"} {
-		r.Header.Set(name, value)
-	}
-	for i := 0; i < len(header); i += 2 {
-		if r.Header.Set(header[i], header[i+1]); header[i+1] == "" {
-			r.Header.Del(header[i])
+	r.Header.Set(httpmsg.IDHeader, "r1")
+	r.Header.Set(httpmsg.ClassHeader, "read")
+	r.Header.Set(httpmsg.PlanHeader, "gold")
+	r.Header.Set(httpmsg.DeadlineHeader, "480m")
+	r.Header.Set(httpmsg.PlacementHeader, "units=2,shard=0,hosts=1")
+	for i := 0; i < len(headers); i += 2 {
+		name, value := headers[i], headers[i+1]
+		if value == "" {
+			r.Header.Del(name)
+		} else {
+			r.Header.Set(name, value)
 		}
 	}
 	return r
 }
 
-var longBody = with(httptest.NewRequest("PUT", piece, strings.NewReader(strings.Repeat("x", 64<<10+1))),
-	func(r *http.Request) { r.Header = request("PUT", piece).Header })
+func chunkedWrite() *http.Request {
+	r := newRequest("PUT", objectPath)
+	r.TransferEncoding = []string{"chunked"}
+	return r
+}
 
-func with(r *http.Request, change func(*http.Request)) *http.Request {
-	change(r)
+func writeOfLongBody() *http.Request {
+	r := httptest.NewRequest("PUT", objectPath, strings.NewReader(strings.Repeat("x", 64<<10+1)))
+	r.Header = newRequest("PUT", objectPath).Header
 	return r
 }
 
-// A limit that is reached answers 429, as described, and with a time to come back.
-func TestLimitsKeepToTheDescription(t *testing.T) {
-	settings := scheduler.Settings{Classes: []scheduler.Class{{Name: "read"}}, Plans: []scheduler.Plan{{Name: "gold"}}}
-	set, err := rules.Parse("rules", []byte("[[limit]]\nname = 'all'\nkey = '\"\"'\nrate = 1\nburst = 1\n"), settings)
+func http10Read() *http.Request {
+	r := newRequest("GET", objectPath)
+	r.ProtoMinor = 0
+	return r
+}
+
+// newRouter returns a router that finds the description of a request's operation.
+func newRouter(t *testing.T) routers.Router {
+	t.Helper()
+	description, err := openapi3.NewLoader().LoadFromFile(openAPIPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := slog.New(slog.DiscardHandler)
-	ruled := engine.New(log)
-	if err := ruled.Swap(set, nil); err != nil {
+	router, err := legacy.NewRouter(description)
+	if err != nil {
 		t.Fatal(err)
 	}
-	doc, err := openapi3.NewLoader().LoadFromFile("../../api/openapi.yaml")
+	return router
+}
+
+// describe returns what the validation of a request by its description needs.
+func describe(t *testing.T, router routers.Router, r *http.Request) *openapi3filter.RequestValidationInput {
+	t.Helper()
+	route, params, err := router.FindRoute(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	router, err := legacy.NewRouter(doc)
+	return &openapi3filter.RequestValidationInput{Request: r, Route: route, PathParams: params}
+}
+
+// validateResponse validates a response to a described request.
+func validateResponse(
+	t *testing.T, request *openapi3filter.RequestValidationInput, w *httptest.ResponseRecorder) error {
+	t.Helper()
+	response := &openapi3filter.ResponseValidationInput{
+		RequestValidationInput: request,
+		Status:                 w.Code,
+		Header:                 w.Header(),
+	}
+	return openapi3filter.ValidateResponse(t.Context(), response.SetBodyBytes(w.Body.Bytes()))
+}
+
+// A request over a rate limit gets status 429 as described, with a Retry-After.
+func TestRateLimitConformsToDescription(t *testing.T) {
+	const text = "[[limit]]\nname = 'all'\nkey = '\"\"'\nrate = 1\nburst = 1\n"
+	ruleSet, err := rules.Parse("rules", []byte(text), testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	front := httpfrontend.New(httpfrontend.Options{Settings: settings, Loop: answering{Reply: &httpmsg.Reply{}}, Rules: ruled, Log: log})
-	for _, want := range []int{200, 429} {
-		r, w := request("GET", piece), httptest.NewRecorder()
-		route, params, err := router.FindRoute(r)
-		if err != nil {
-			t.Fatal(err)
-		}
-		front.ServeHTTP(w, r)
-		if w.Code != want || want == 429 && w.Header().Get("Retry-After") == "" {
+	log := slog.New(slog.DiscardHandler)
+	ruleEngine := engine.New(log)
+	if err := ruleEngine.Swap(ruleSet, nil); err != nil {
+		t.Fatal(err)
+	}
+	router := newRouter(t)
+	frontend := httpfrontend.New(httpfrontend.Options{
+		Settings: testSettings,
+		Loop:     fixedAnswer{Reply: &httpmsg.Reply{}},
+		Rules:    ruleEngine,
+		Log:      log,
+	})
+	for _, want := range []int{http.StatusOK, http.StatusTooManyRequests} {
+		r := newRequest("GET", objectPath)
+		request := describe(t, router, r)
+		w := httptest.NewRecorder()
+		frontend.ServeHTTP(w, r)
+		if w.Code != want {
 			t.Errorf("status %d, want %d: %v", w.Code, want, w.Header())
 		}
-		in := &openapi3filter.RequestValidationInput{Request: r, Route: route, PathParams: params}
-		out := &openapi3filter.ResponseValidationInput{RequestValidationInput: in, Status: w.Code, Header: w.Header()}
-		if err := openapi3filter.ValidateResponse(t.Context(), out.SetBodyBytes(w.Body.Bytes())); err != nil && want != 200 {
+		if want == http.StatusOK {
+			continue // the reply is not what a node would send
+		}
+		if w.Header().Get("Retry-After") == "" {
+			t.Errorf("no Retry-After: %v", w.Header())
+		}
+		if err := validateResponse(t, request, w); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-func TestHTTPFrontKeepsToItsDescription(t *testing.T) {
-	doc, err := openapi3.NewLoader().LoadFromFile("../../api/openapi.yaml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	router, err := legacy.NewRouter(doc)
-	if err != nil {
-		t.Fatal(err)
-	}
+func TestHTTPFrontendConformsToDescription(t *testing.T) {
+	router := newRouter(t)
 	openapi3filter.RegisterBodyDecoder("application/octet-stream", openapi3filter.FileBodyDecoder)
-	served := answering{Reply: &httpmsg.Reply{Header: http.Header{"Content-Type": {"application/octet-stream"}}, Body: []byte("data")}}
-	for name, c := range map[string]struct {
-		core    answering
+	served := fixedAnswer{Reply: &httpmsg.Reply{
+		Header: http.Header{"Content-Type": {"application/octet-stream"}},
+		Body:   []byte("data"),
+	}}
+	rejected := fixedAnswer{Verdict: exchange.Rejected}
+	rejectedForNow := fixedAnswer{Verdict: exchange.Rejected, RetryAfter: 250 * time.Millisecond}
+	failed := fixedAnswer{Verdict: exchange.Failed}
+	read := func(headers ...string) *http.Request { return newRequest("GET", objectPath, headers...) }
+	write := func(headers ...string) *http.Request { return newRequest("PUT", objectPath, headers...) }
+	for _, test := range []struct {
+		name    string
+		answer  fixedAnswer
 		request *http.Request
 		status  int
-		faulty  bool // by the description, too
+		invalid bool // by the description, too
 	}{
-		"ready":             {served, request("GET", "/ready"), 200, false},
-		"a read":            {served, request("GET", piece), 200, false},
-		"a write":           {served, request("PUT", piece, httpmsg.KeyHeader, "k"), 200, false},
-		"a retry":           {served, request("GET", piece, httpmsg.RetryHeader, "1"), 200, false},
-		"microseconds":      {served, request("GET", piece, httpmsg.DeadlineHeader, "1500u"), 200, false},
-		"refused":           {answering{Verdict: exchange.Rejected, RetryAfter: 250 * time.Millisecond}, request("GET", piece), 503, false},
-		"refused, no hint":  {answering{Verdict: exchange.Rejected}, request("GET", piece), 503, false},
-		"failed":            {answering{Verdict: exchange.Failed}, request("GET", piece), 502, false},
-		"chunks":            {served, with(request("PUT", piece), func(r *http.Request) { r.TransferEncoding = []string{"chunked"} }), 411, false},
-		"a body too long":   {served, longBody, 413, true},
-		"HTTP/1.0":          {served, with(request("GET", piece), func(r *http.Request) { r.ProtoMinor = 0 }), 505, false},
-		"no id":             {served, request("GET", piece, httpmsg.IDHeader, ""), 400, true},
-		"no class":          {served, request("GET", piece, httpmsg.ClassHeader, ""), 400, true},
-		"no plan":           {served, request("GET", piece, httpmsg.PlanHeader, ""), 400, true},
-		"no placement":      {served, request("GET", piece, httpmsg.PlacementHeader, ""), 400, true},
-		"a deadline of 4h":  {served, request("GET", piece, httpmsg.DeadlineHeader, "4h"), 400, true},
-		"a volume by name":  {served, request("GET", "/api/mine/7f3a9c21e0b4d655"), 400, true},
-		"an unknown class":  {served, request("GET", piece, httpmsg.ClassHeader, "other"), 400, false},
-		"units of nonsense": {served, request("GET", piece, httpmsg.PlacementHeader, "units=x,shard=0,hosts=1"), 400, false},
+		{"ready", served, newRequest("GET", "/ready"), 200, false},
+		{"read", served, read(), 200, false},
+		{"write", served, write(httpmsg.KeyHeader, "k"), 200, false},
+		{"retry", served, read(httpmsg.RetryHeader, "1"), 200, false},
+		{"deadline in microseconds", served, read(httpmsg.DeadlineHeader, "1500u"), 200, false},
+		{"rejected with Retry-After", rejectedForNow, read(), 503, false},
+		{"rejected without Retry-After", rejected, read(), 503, false},
+		{"failed", failed, read(), 502, false},
+		{"chunked body", served, chunkedWrite(), 411, false},
+		{"body too long", served, writeOfLongBody(), 413, true},
+		{"HTTP/1.0", served, http10Read(), 505, false},
+		{"no id", served, read(httpmsg.IDHeader, ""), 400, true},
+		{"no class", served, read(httpmsg.ClassHeader, ""), 400, true},
+		{"no plan", served, read(httpmsg.PlanHeader, ""), 400, true},
+		{"no placement", served, read(httpmsg.PlacementHeader, ""), 400, true},
+		{"deadline in hours", served, read(httpmsg.DeadlineHeader, "4h"), 400, true},
+		{"volume not in hex", served, newRequest("GET", "/api/mine/7f3a9c21e0b4d655"), 400, true},
+		{"unknown class", served, read(httpmsg.ClassHeader, "other"), 400, false},
+		{"units not a number", served, read(httpmsg.PlacementHeader, "units=x,shard=0,hosts=1"), 400, false},
 	} {
-		t.Run(name, func(t *testing.T) {
-			route, params, err := router.FindRoute(c.request)
-			if err != nil {
-				t.Fatal(err)
-			}
-			in := &openapi3filter.RequestValidationInput{Request: c.request, Route: route, PathParams: params}
-			if err := openapi3filter.ValidateRequest(t.Context(), in); (err != nil) != c.faulty {
+		t.Run(test.name, func(t *testing.T) {
+			request := describe(t, router, test.request)
+			if err := openapi3filter.ValidateRequest(t.Context(), request); (err != nil) != test.invalid {
 				t.Errorf("by the description: %v", err)
 			}
-			settings := scheduler.Settings{Classes: []scheduler.Class{{Name: "read"}}, Plans: []scheduler.Plan{{Name: "gold"}}}
+			frontend := httpfrontend.New(httpfrontend.Options{
+				Settings: testSettings,
+				Loop:     test.answer,
+				Log:      slog.New(slog.DiscardHandler),
+			})
 			w := httptest.NewRecorder()
-			httpfrontend.New(httpfrontend.Options{Settings: settings, Loop: c.core, Log: slog.New(slog.DiscardHandler)}).ServeHTTP(w, c.request)
-			if w.Code != c.status {
-				t.Errorf("status %d, want %d", w.Code, c.status)
+			frontend.ServeHTTP(w, test.request)
+			if w.Code != test.status {
+				t.Errorf("status %d, want %d", w.Code, test.status)
 			}
-			out := &openapi3filter.ResponseValidationInput{RequestValidationInput: in, Status: w.Code, Header: w.Header()}
-			if err := openapi3filter.ValidateResponse(t.Context(), out.SetBodyBytes(w.Body.Bytes())); err != nil {
+			if err := validateResponse(t, request, w); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-func TestListsAreReadAsDescribed(t *testing.T) {
-	for _, path := range []string{"../../api/openapi.yaml", "../../api/asyncapi.yaml"} {
-		list := Schemas(t, path)("List")
-		for line, good := range map[string]bool{
-			`{"seq":1,"whole":true,"hosts":[]}`: true,
-			`{"seq":1,"whole":true,"hosts":[{"host":"n","dial":"n:1","site":"a","class":"m","block":3,"health":"up","share":1.5,"born_ms":7}]}`: true,
-			`{"seq":1,"whole":false,"hosts":[{"host":"n","health":"removed"}]}`:                                                                 true,
-			`{"seq":1,"whole":true,"hosts":[{"host":"","dial":"n:1","health":"up"}]}`:                                                           false,
-			`{"seq":1,"whole":true,"hosts":[{"host":"n","dial":"n:1","health":"well"}]}`:                                                        false,
-			`{"seq":"1","whole":true,"hosts":[]}`:                                                                                               false,
+// The parser of endpoint lists accepts what the descriptions allow, and nothing else.
+func TestListsAreParsedAsDescribed(t *testing.T) {
+	for _, path := range []string{openAPIPath, asyncAPIPath} {
+		schema := Schemas(t, path)("List")
+		for _, test := range []struct {
+			line  string
+			valid bool
+		}{
+			{`{"seq":1,"whole":true,"hosts":[]}`, true},
+			{`{"seq":1,"whole":true,"hosts":[{"host":"n","dial":"n:1","site":"a","class":"m","block":3,` +
+				`"health":"up","share":1.5,"born_ms":7}]}`, true},
+			{`{"seq":1,"whole":false,"hosts":[{"host":"n","health":"removed"}]}`, true},
+			{`{"seq":1,"whole":true,"hosts":[{"host":"","dial":"n:1","health":"up"}]}`, false},
+			{`{"seq":1,"whole":true,"hosts":[{"host":"n","dial":"n:1","health":"well"}]}`, false},
+			{`{"seq":"1","whole":true,"hosts":[]}`, false},
 		} {
-			value, err := jsonschema.UnmarshalJSON(strings.NewReader(line))
+			value, err := jsonschema.UnmarshalJSON(strings.NewReader(test.line))
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, read := discovery.ParseList([]byte(line))
-			if diff := cmp.Diff([]bool{good, good}, []bool{list.Validate(value) == nil, read == nil}); diff != "" {
-				t.Errorf("%s: %s: %s", path, line, diff)
+			_, parseErr := discovery.ParseList([]byte(test.line))
+			want := []bool{test.valid, test.valid}
+			got := []bool{schema.Validate(value) == nil, parseErr == nil}
+			if diff := cmp.Diff(want, got); diff != "" {
+				t.Errorf("%s: %s: %s", path, test.line, diff)
 			}
 		}
 	}
--- a/internal/apitest/apitest.go
+++ b/internal/apitest/apitest.go
@@ -1,4 +1,4 @@
-// Package apitest holds the handlers to the descriptions under api/.
+// Package apitest checks that the gateway's handlers and parsers conform to the API descriptions under api/.
 package apitest
 
 import (
@@ -11,33 +11,38 @@
 	"go.yaml.in/yaml/v4"
 )
 
-// Schemas gives the schemas of a description by name.
+// resourceName is the name under which the compiler of schemas knows the description.
+const resourceName = "api.json"
+
+// Schemas returns a function that returns a schema of the description at a path by the schema's name.
 func Schemas(t *testing.T, path string) func(name string) *jsonschema.Schema {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var doc any
-	if err := yaml.Unmarshal(text, &doc); err != nil {
+	var description any
+	if err := yaml.Unmarshal(text, &description); err != nil {
 		t.Fatal(err)
 	}
-	asJSON, err := json.Marshal(doc)
+	asJSON, err := json.Marshal(description)
 	if err != nil {
 		t.Fatal(err)
 	}
-	compiler := jsonschema.NewCompiler()
-	if doc, err = jsonschema.UnmarshalJSON(bytes.NewReader(asJSON)); err == nil {
-		err = compiler.AddResource("api.json", doc)
-	}
+	resource, err := jsonschema.UnmarshalJSON(bytes.NewReader(asJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource(resourceName, resource); err != nil {
+		t.Fatal(err)
+	}
 	return func(name string) *jsonschema.Schema {
-		s, err := compiler.Compile("api.json#/components/schemas/" + name)
+		t.Helper()
+		schema, err := compiler.Compile(resourceName + "#/components/schemas/" + name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s
+		return schema
 	}
 }
