--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -94,7 +94,7 @@
 	if err := serve(strings.NewReader("round\ttsMs=1\ninit\twho=1\tinitSeed=1\tconf="+bad+"\nflush\n"), &out); err != nil {
 		t.Fatal(err)
 	}
-	if !strings.HasPrefix(out.String(), "fatal\twho=1\tmsg=decide: ") {
+	if !strings.HasPrefix(out.String(), "fatal\twho=1\tmsg=scheduler: ") {
 		t.Errorf("settings: %q", out.String())
 	}
 	out.Reset()
--- a/internal/capture/timeline/story_test.go
+++ b/internal/capture/timeline/story_test.go
@@ -54,7 +54,7 @@
 	file := recorded(t)
 	for id, want := range map[string][]string{
 		"first": {"2026-12-01 07:00:00.010 (+0s)  It came: class read, plan gold, volume v, 2 units, any shard, its client waits 1s.",
-			"it drains or is gone", "(+0s)  Attempt 1 left for n, when it came.", "(+5ms)  Attempt 1 at n found no connection; it never ran, after 5ms.",
+			"the node is draining or removed", "(+0s)  Attempt 1 left for n, when it came.", "(+5ms)  Attempt 1 at n found no connection; it never ran, after 5ms.",
 			"Attempt 2 left for n, at the event \"timer\".", "before: place 1 of 1 waiting for n",
 			"Attempt 2 at n was served, after 35ms; that concludes the request."},
 		"last":   {"It came", "It was refused; its client may come again after", "the volume's limit is used up"},
--- /dev/null
+++ b/scheduler/membership.go
@@ -0,0 +1,97 @@
+package scheduler
+
+import "time"
+
+// Tuned values of the membership; ours.
+const (
+	initialWatchBackoff = 250 * time.Millisecond  // after a failed watch
+	maxWatchBackoff     = 6 * initialWatchBackoff // events count as known after 6 s
+)
+
+// MembershipChanged takes a watch event of the endpoint list.
+func (s *Scheduler) MembershipChanged(now time.Duration, m Membership) {
+	s.tick(now)
+	if m.Kind == WatchFailed {
+		s.scheduleWatch()
+		return
+	}
+	if m.Kind != CachedList {
+		s.watchBackoff = 0
+	}
+	present := map[string]bool{}
+	for _, entry := range m.Nodes {
+		present[entry.ID] = true
+		s.listNode(entry)
+	}
+	s.indexNodes()
+	for _, n := range s.listed {
+		if m.Kind != DeltaList && !present[n.ID] {
+			n.Phase = Removed
+		}
+		if n.Phase != Up {
+			s.unassignWaiting(n)
+		}
+	}
+	s.reassign()
+	s.dispatch()
+}
+
+// scheduleWatch schedules the next watch after one failed. All hosts lose their watches at once and discovery can
+// serve few of them, so each waits for a random time. A local agent serves this host alone, and what it has counts
+// as known, so it is watched without a pause.
+func (s *Scheduler) scheduleWatch() {
+	if s.watchAgainAt == 0 {
+		s.watchBackoff = min(max(2*s.watchBackoff, initialWatchBackoff), maxWatchBackoff)
+		s.watchAgainAt = s.now + time.Duration((1+s.random.Float64())/2*float64(s.watchBackoff))
+	}
+	if s.settings.LocalAgent {
+		s.watchAgainAt = s.now
+	}
+}
+
+// watchAgain watches the endpoint list if a watch is due.
+func (s *Scheduler) watchAgain() {
+	if s.watchAgainAt > 0 && s.now >= s.watchAgainAt {
+		s.watchAgainAt = 0
+		s.actions.Watch()
+	}
+}
+
+// listNode takes an entry of the endpoint list.
+func (s *Scheduler) listNode(entry Node) {
+	n := s.nodes[entry.ID]
+	if n == nil {
+		n = s.newNode(entry)
+	}
+	if entry.StartedAt > n.StartedAt {
+		n.warmingSince = max(n.warmingSince, entry.StartedAt)
+	}
+	n.Node = entry
+}
+
+// newNode enters a node that is listed for the first time. Its demand is that of the nodes that held its data
+// before, whose place it takes.
+func (s *Scheduler) newNode(entry Node) *node {
+	n := &node{
+		concurrencyLimit: InitialRequests * s.settings.Sizes.MeanUnits,
+		window:           latencyWindow{openedAt: s.now},
+		finishTags:       [queueTiers]map[*volume]float64{{}, {}},
+		retestAt:         s.now + time.Duration((0.5+s.random.Float64())*float64(retestInterval)),
+	}
+	for _, previous := range s.nodesByShard[entry.Shard] {
+		n.demand = previous.demand
+	}
+	s.nodes[entry.ID] = n
+	s.listed = append(s.listed, n)
+	s.restoreNode(n, entry)
+	return n
+}
+
+// indexNodes finds the nodes of each shard after a change of the listed nodes, so that a request for data considers
+// only those that may hold it.
+func (s *Scheduler) indexNodes() {
+	s.nodesByShard = make(map[int][]*node, len(s.listed))
+	for _, n := range s.listed {
+		s.nodesByShard[n.Shard] = append(s.nodesByShard[n.Shard], n)
+	}
+}
--- /dev/null
+++ b/scheduler/restore.go
@@ -0,0 +1,168 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+const (
+	// startTimeTolerance is the difference up to which two readings of a node's start are the same. They come from
+	// two clocks.
+	startTimeTolerance = time.Second
+	// restoreRetention is the time that restored nodes and volumes wait to be listed or used. After it, the token
+	// buckets of a volume would be full again, or nearly so.
+	restoreRetention = time.Minute
+)
+
+// LearnedState is what a Scheduler may restore from the previous incarnation of its host: what that one knew of
+// nodes and volumes, but no requests. Its times are on the new clock. Whoever makes a LearnedState assesses what of
+// it still holds; the Scheduler takes nothing from it that would loosen a guard. It is stored as an array, so the
+// order of its fields is fixed, and so it is for the types within it.
+type LearnedState struct {
+	_                   struct{} `cbor:",toarray"`
+	Nodes               []LearnedNode
+	Volumes             []LearnedVolume
+	Keys                []LearnedKey
+	ClassWork           []float64 `json:"Work"` // empty: unknown
+	ServiceTimePerUnit  float64   `json:"UnitTime"`
+	QueueTimePerRequest float64   `json:"PerQueued"`
+	MinLatencyMedian    float64   `json:"Least"`
+	// RetriedAt are the retries that the requests of the previous incarnation did not cover.
+	RetriedAt []time.Duration `json:"ExtraAt"`
+}
+
+// LearnedNode is what was known of a node.
+type LearnedNode struct {
+	_  struct{} `cbor:",toarray"`
+	ID string
+	// StartedAt is the start of the node as it was listed. For a node that started later, only what the guards need
+	// still holds.
+	StartedAt time.Duration
+
+	// The estimates; a Cap of 0 says that they are unknown.
+	Cap             float64
+	MaxRate         float64
+	Latency         float64
+	MinLatency      float64
+	Queue           float64
+	QueueConfidence float64       `json:"Known"`
+	LastServedAt    time.Duration `json:"HeardAt"`
+
+	// What the guards need.
+	WarmingSince time.Duration `json:"ColdSince"` // 0: warm
+	Down         bool
+	RecentSends  []SnapshotSend `json:"Sent"`
+}
+
+// LearnedVolume is what was left in a volume's token buckets at a time.
+type LearnedVolume struct {
+	_             struct{} `cbor:",toarray"`
+	Name          string
+	At            time.Duration
+	LimitTokens   float64 `json:"Limit"`
+	ReserveTokens float64 `json:"Reserve"`
+	ReserveRate   float64 // this host's part of the reserve, in units a second; 0: unknown
+}
+
+// LearnedKey is an ordered key of which an attempt may still run.
+type LearnedKey struct {
+	_          struct{} `cbor:",toarray"`
+	Key        string
+	QuietUntil time.Duration `json:"RestUntil"`
+}
+
+// Restore takes over what the previous incarnation learned. It has to be called before the first event.
+func (s *Scheduler) Restore(now time.Duration, learned LearnedState) {
+	s.tick(now)
+	if len(learned.ClassWork) == len(s.classWork) {
+		copy(s.classWork, learned.ClassWork)
+		s.serviceTimePerUnit = learned.ServiceTimePerUnit
+		s.queueTimePerRequest = learned.QueueTimePerRequest
+		s.minLatencyMedian = learned.MinLatencyMedian
+	}
+	s.retriedAt = append(slices.Clone(learned.RetriedAt), s.retriedAt...)
+	for _, key := range learned.Keys {
+		s.orderedKeys[key.Key] = &orderedKeyQueue{quietUntil: key.QuietUntil}
+	}
+	s.indexRestored(learned)
+	s.restoredUntil = s.now + restoreRetention
+}
+
+// indexRestored makes learned nodes and volumes available until they are listed or used.
+func (s *Scheduler) indexRestored(learned LearnedState) {
+	s.restoredNodes = map[string]*LearnedNode{}
+	for _, n := range learned.Nodes {
+		s.restoredNodes[n.ID] = &n
+	}
+	s.restoredVolumes = map[string]*LearnedVolume{}
+	for _, v := range learned.Volumes {
+		s.restoredVolumes[v.Name] = &v
+	}
+}
+
+// restoreNode gives a node that is listed for the first time what was learned of it.
+func (s *Scheduler) restoreNode(n *node, entry Node) {
+	learned := s.restoredNodes[entry.ID]
+	if learned == nil {
+		return
+	}
+	delete(s.restoredNodes, entry.ID)
+	n.warmingSince = learned.WarmingSince
+	n.down = learned.Down
+	for _, send := range learned.RecentSends {
+		n.recentSends = append(n.recentSends, recentSend{at: send.At, units: send.Units})
+		n.sentAt = max(n.sentAt, send.At)
+	}
+	if entry.StartedAt > learned.StartedAt+startTimeTolerance || learned.Cap <= 0 {
+		return
+	}
+	n.concurrencyLimit = learned.Cap
+	n.maxRate = learned.MaxRate
+	n.latency = learned.Latency
+	n.minLatency = learned.MinLatency
+	n.queueTime = learned.Queue
+	n.queueWeight = learned.QueueConfidence
+	n.lastServedAt = learned.LastServedAt
+	n.learnedAt = learned.LastServedAt
+}
+
+// restoreVolume lowers the token buckets of a volume that is used for the first time to what was left in them.
+func (s *Scheduler) restoreVolume(name string, v *volume) {
+	learned := s.restoredVolumes[name]
+	if learned == nil {
+		return
+	}
+	delete(s.restoredVolumes, name)
+	if learned.ReserveRate > 0 {
+		v.reserve.rate = min(max(learned.ReserveRate, v.reserve.rate), v.plan.Reserve)
+		v.reserve.burst = v.reserve.rate + s.settings.Sizes.MaxUnits
+	}
+	at := min(learned.At, s.now)
+	v.limit.lowerTo(learned.LimitTokens, at, s.now)
+	v.reserve.lowerTo(learned.ReserveTokens, at, s.now)
+}
+
+// lowerTo lowers the tokens to what so many tokens at an earlier time have become by now, if that is less.
+func (b *tokenBucket) lowerTo(tokens float64, at, now time.Duration) {
+	earlier := tokenBucket{tokens: tokens, rate: b.rate, burst: b.burst, refilledAt: at}
+	b.tokens = min(b.tokens, earlier.refill(now))
+}
+
+// dropRestored drops what has been neither listed nor used for long enough.
+func (s *Scheduler) dropRestored() {
+	if s.restoredUntil > 0 && s.now >= s.restoredUntil {
+		s.restoredNodes = nil
+		s.restoredVolumes = nil
+		s.restoredUntil = 0
+	}
+}
+
+// sortedValues returns the values of a map in the order of its keys.
+func sortedValues[T any](values map[string]*T) []T {
+	var sorted []T
+	for _, key := range slices.Sorted(maps.Keys(values)) {
+		sorted = append(sorted, *values[key])
+	}
+	return sorted
+}
--- /dev/null
+++ b/scheduler/retry.go
@@ -0,0 +1,184 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"reachpulley/internal/retrybudget"
+)
+
+// Tuned values of lost attempts; ours.
+const (
+	lostFactor        = 6 // expected times after which an attempt that was overtaken is lost
+	discountFactor    = 3 // expected times after which one that was overtaken often holds no capacity
+	discountOvertaken = 2 // how often
+)
+
+// RetryPolicy says how far a request may be retried. The policy of a Request narrows that of its class and
+// never widens it; the zero value narrows nothing. It is stored as an array, so the order of its fields is
+// fixed.
+type RetryPolicy struct {
+	_           struct{}    `cbor:",toarray"`
+	Idempotency Idempotency `json:"Repeats"`
+	// Scope and Window say, for IdempotentWithKey, which nodes discard a repeated request, and for how long.
+	Scope  DedupScope    `json:"Group"`
+	Window time.Duration `json:"For"`
+}
+
+// RetryPolicy is the policy that the class allows.
+func (c *Class) RetryPolicy() RetryPolicy {
+	return RetryPolicy{Idempotency: c.Idempotency, Scope: c.DedupScope, Window: c.DedupWindow}
+}
+
+// NarrowedBy is the policy that allows what both allow. Two different scopes have no nodes in common for
+// which both policies vouch.
+func (p RetryPolicy) NarrowedBy(other RetryPolicy) RetryPolicy {
+	switch {
+	case p.Idempotency < other.Idempotency:
+		return other
+	case p.Idempotency > other.Idempotency || p.Idempotency != IdempotentWithKey:
+		return p
+	case p.Scope != other.Scope && p.Scope != ScopeAll && other.Scope != ScopeAll:
+		return RetryPolicy{Idempotency: NonIdempotent}
+	}
+	return RetryPolicy{
+		Idempotency: IdempotentWithKey,
+		Scope:       max(p.Scope, other.Scope),
+		Window:      min(p.Window, other.Window),
+	}
+}
+
+// retryOrReject decides what follows an attempt at the node that did not conclude the request.
+func (s *Scheduler) retryOrReject(r *request, n *node, result Result) {
+	if s.mayRetry(r, n, result) {
+		s.enqueue(r)
+	} else {
+		s.rejectOrFail(r, s.retryAfter(nil))
+	}
+}
+
+// mayRetry says whether a request may wait for another attempt. What was not sent needs no token for that.
+func (s *Scheduler) mayRetry(r *request, n *node, result Result) bool {
+	if result == TimedOut || s.exhausted(r) || s.now >= r.answerBy {
+		return false
+	}
+	return result == NotSent || s.takeRetryToken(r, n)
+}
+
+// exhausted says whether a request can never be sent again, so that it waits in vain.
+func (s *Scheduler) exhausted(r *request) bool {
+	return s.attemptsUsedUp(r) || r.firstNode != nil && !s.safeToRetry(r, r.firstNode)
+}
+
+// attemptsUsedUp says whether a request has had all attempts that it may have.
+func (s *Scheduler) attemptsUsedUp(r *request) bool {
+	return s.settings.Allowed.MaxAttempts > 0 && r.attempts >= s.settings.Allowed.MaxAttempts
+}
+
+// safeToRetry says whether the request may be sent to the node after the attempt that may have run: whether a
+// second run has no effect there.
+func (s *Scheduler) safeToRetry(r *request, n *node) bool {
+	if r.firstNode == nil {
+		return true
+	}
+	if s.distrusted(r, r.firstNode) || s.distrusted(r, n) {
+		return false
+	}
+	policy := &r.effectivePolicy
+	if policy.Idempotency == Idempotent {
+		return true
+	}
+	if policy.Idempotency == NonIdempotent || s.now >= r.firstSentAt+policy.Window {
+		return false
+	}
+	switch policy.Scope {
+	case ScopeAll:
+		return true
+	case ScopeZone:
+		return n.Zone == r.firstNode.Zone
+	}
+	return n.Shard == r.firstNode.Shard
+}
+
+// safeToReject says whether the client may safely send the request again, as a rejection promises.
+func (s *Scheduler) safeToReject(r *request) bool {
+	if r.firstNode == nil {
+		return true
+	}
+	policy := &r.effectivePolicy
+	return !s.distrusted(r, r.firstNode) && (policy.Idempotency == Idempotent ||
+		policy.Idempotency == IdempotentWithKey && policy.Scope == ScopeAll)
+}
+
+// recordExecution records whether an attempt that ended may have run, or may still run.
+func (s *Scheduler) recordExecution(r *request, a *attempt, result Result) {
+	switch result {
+	case Overloaded, ConnectFailed, NotSent:
+		if result == Overloaded && s.restrictionLevel(r, a.node) >= NoRetries {
+			return // the node was seen to run what it claimed not to have run
+		}
+		if r.firstAttempt == a.number { // later attempts may have been sent at the same instant
+			r.firstNode = nil
+		}
+	case TimedOut, ConnectionReset, Canceled:
+		r.mayStillRun = true
+		s.startQuietPeriod(r)
+	}
+}
+
+// RetryWindowLeft returns the time within which the latest attempt of a request has to reach its node, if it
+// is a retry that nodes discard for a limited time only: the way to the node may take longer than that. It
+// may be called while the attempt is being sent.
+func (s *Scheduler) RetryWindowLeft(id string) (left time.Duration, limited bool) {
+	r := s.requests[id]
+	if r == nil || r.firstNode == nil || r.firstAttempt == r.attempts-1 {
+		return 0, false
+	}
+	if r.effectivePolicy.Idempotency != IdempotentWithKey {
+		return 0, false
+	}
+	return r.firstSentAt + r.effectivePolicy.Window - s.now, true
+}
+
+// cancelLost cancels attempts that will hardly be answered: that take far longer than expected, while others
+// that were sent later have been served. They would hold capacity until their clients give up; somewhat
+// earlier, they stop to hold any. This covers all losses on the way and stuck workers. Its price is that an
+// attempt with far more work than its size says runs twice.
+func (s *Scheduler) cancelLost(n *node) {
+	for _, a := range slices.Clone(n.pending) {
+		age := (s.now - a.sentAt).Seconds()
+		expected := max(s.estimatedQueueTime(n)+s.serviceTime(n, a.request), n.latency)
+		if a.overtaken >= discountOvertaken && age > discountFactor*expected {
+			a.discount()
+		}
+		lost := a.overtaken > 0 && age > lostFactor*expected
+		if lost && s.settings.Allowed.Cancel && !a.canceled && !a.request.streamStarted {
+			a.canceled = true
+			s.logf("node %s: no answer for %.0f ms, %d later ones served: withdrawn",
+				n.ID, age*1000, a.overtaken)
+			s.actions.Cancel(a.request.ID, a.number)
+		}
+	}
+}
+
+// takeRetryToken takes a token for a retry from the budget of the operation at the node, if there are
+// budgets.
+func (s *Scheduler) takeRetryToken(r *request, n *node) bool {
+	if s.retryBudget == nil || s.retryBudget.Take(s.now, retryBudgetKey(r, n)) {
+		return true
+	}
+	s.logf("further attempts of class %s at node %s are not earned", r.class.Name, n.ID)
+	return false
+}
+
+// reportToRetryBudget reports the end of an attempt to the budget of its operation, if there are budgets.
+func (s *Scheduler) reportToRetryBudget(a *attempt, result Result) {
+	if s.retryBudget != nil {
+		key := retryBudgetKey(a.request, a.node)
+		s.retryBudget.AttemptEnded(s.now, key, a.number > 0, result == Served)
+	}
+}
+
+func retryBudgetKey(r *request, n *node) retrybudget.Key {
+	return retrybudget.Key{Operation: r.Operation, Class: r.Class, Shard: n.Shard, Zone: n.Zone}
+}
--- /dev/null
+++ b/scheduler/snapshot_decode.go
@@ -0,0 +1,400 @@
+package scheduler
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+)
+
+// ErrSnapshot is the error of [Resume] for a snapshot that cannot be resumed from.
+var ErrSnapshot = errors.New("scheduler: inconsistent snapshot")
+
+// Resume makes a Scheduler that goes on from a snapshot and calls actions. It fails with [ErrSnapshot] on a snapshot
+// that is of another version, is of other settings, or refers to parts that it lacks.
+func Resume(settings Settings, snapshot *Snapshot, actions Actions) (*Scheduler, error) {
+	s, err := New(settings, 0, actions)
+	if err != nil {
+		return nil, err
+	}
+	d := snapshotDecoder{scheduler: s, snapshot: snapshot}
+	for _, decode := range []func() error{
+		d.checkHeader,
+		d.random,
+		d.scalars,
+		d.restrictions,
+		d.trackers,
+		d.allNodes,
+		d.allVolumes,
+		d.allRequests,
+		d.allNodeQueues,
+		d.unassigned,
+		d.orderedKeys,
+	} {
+		if err := decode(); err != nil {
+			return nil, err
+		}
+	}
+	d.rejected()
+	d.restored()
+	return s, nil
+}
+
+// snapshotDecoder makes the parts of a Scheduler from a snapshot.
+type snapshotDecoder struct {
+	scheduler *Scheduler
+	snapshot  *Snapshot
+	nodes     []*node
+	volumes   []*volume
+	requests  []*request
+}
+
+// validIndex says whether i is an index of a list of so many.
+func validIndex(i, length int) bool { return i >= 0 && i < length }
+
+// validIndexOrNone says whether i is an index of a list of so many, or -1.
+func validIndexOrNone(i, length int) bool { return i == -1 || validIndex(i, length) }
+
+// invalid makes an ErrSnapshot that says what is wrong.
+func invalid(format string, args ...any) error {
+	return fmt.Errorf("%w: "+format, append([]any{ErrSnapshot}, args...)...)
+}
+
+func (d *snapshotDecoder) checkHeader() error {
+	if d.snapshot.Version != SnapshotVersion {
+		return invalid("its version is %d, this program resumes from %d", d.snapshot.Version, SnapshotVersion)
+	}
+	return nil
+}
+
+func (d *snapshotDecoder) random() error {
+	source := rand.NewPCG(0, 0)
+	if err := source.UnmarshalBinary(d.snapshot.Random); err != nil {
+		return invalid("random numbers: %w", err)
+	}
+	d.scheduler.randomSource = source
+	d.scheduler.random = rand.New(source)
+	return nil
+}
+
+func (d *snapshotDecoder) scalars() error {
+	s, from := d.scheduler, d.snapshot
+	classes := len(s.settings.Classes)
+	if len(from.ClassWork) != classes || len(from.DisconnectShare) != classes || len(from.DisconnectAfter) != classes {
+		return invalid("it is of %d classes, the settings name %d", len(from.ClassWork), classes)
+	}
+	s.now = from.Now
+	s.started = from.Started
+	s.sequence = from.Sequence
+	copy(s.classWork, from.ClassWork)
+	copy(s.disconnectShare, from.DisconnectShare)
+	copy(s.disconnectAfter, from.DisconnectAfter)
+	s.serviceTimePerUnit = from.ServiceTimePerUnit
+	s.queueTimePerRequest = from.QueueTimePerRequest
+	s.fleetQueue = from.FleetQueue
+	s.minLatencyMedian = from.MinLatencyMedian
+	s.arrivedAt = slices.Clone(from.ArrivedAt)
+	s.retriedAt = slices.Clone(from.RetriedAt)
+	s.watchAgainAt = from.WatchAgainAt
+	s.watchBackoff = from.WatchBackoff
+	s.loggedAt = from.LoggedAt
+	s.sweepAt = from.SweepAt
+	return nil
+}
+
+func (d *snapshotDecoder) restrictions() error {
+	s, from := d.scheduler, d.snapshot
+	if len(from.Restrictions) > MaxRestrictions {
+		return invalid("%d restrictions", len(from.Restrictions))
+	}
+	s.overflowRestriction = from.OverflowRestriction
+	for _, restriction := range from.Restrictions {
+		key := restrictionKey{operation: restriction.Operation, node: restriction.Node}
+		s.restrictions[key] = restriction.Level
+	}
+	return nil
+}
+
+// trackers resumes the state that other packages keep: the retry budgets and the health of zones.
+func (d *snapshotDecoder) trackers() error {
+	s, from := d.scheduler, d.snapshot
+	if err := s.retryBudget.Resume(from.RetryBudget); err != nil {
+		return invalid("%w", err)
+	}
+	if s.zoneTracker == nil {
+		return nil
+	}
+	if !s.zoneTracker.Resume(from.ZoneHealth) || !s.spillover.Resume(from.Spillover) {
+		return invalid("its zones are not those of the settings")
+	}
+	return nil
+}
+
+// allNodes makes the nodes without what refers to volumes and requests; see allNodeQueues.
+func (d *snapshotDecoder) allNodes() error {
+	s, from := d.scheduler, d.snapshot
+	if from.Listed < 0 || from.Listed > len(from.Nodes) {
+		return invalid("%d of %d nodes are listed", from.Listed, len(from.Nodes))
+	}
+	for i := range from.Nodes {
+		n := newSnapshotNode(&from.Nodes[i])
+		d.nodes = append(d.nodes, n)
+		if i < from.Listed {
+			s.nodes[n.ID] = n
+			s.listed = append(s.listed, n)
+		}
+	}
+	s.indexNodes()
+	return nil
+}
+
+func newSnapshotNode(from *SnapshotNode) *node {
+	n := &node{
+		Node:             from.Node,
+		unitsInFlight:    from.UnitsInFlight,
+		attemptsInFlight: from.AttemptsInFlight,
+		sentAt:           from.SentAt,
+
+		concurrencyLimit: from.Cap,
+		window: latencyWindow{
+			openedAt:  from.WindowOpenedAt,
+			units:     from.WindowUnits,
+			responses: from.WindowResponses,
+			latency:   from.WindowLatency,
+			work:      from.WindowWork,
+		},
+		maxRate:      from.MaxRate,
+		latency:      from.Latency,
+		minLatency:   from.MinLatency,
+		learnedAt:    from.LearnedAt,
+		retestAt:     from.RetestAt,
+		cutDrainedAt: from.CutDrainedAt,
+		cutLimit:     from.CutCap,
+		queueTime:    from.Queue,
+		queueWeight:  from.QueueConfidence,
+		lastServedAt: from.LastServedAt,
+
+		virtualTime: from.VirtualTime,
+		finishTags:  [queueTiers]map[*volume]float64{{}, {}},
+
+		failures:        from.Failures,
+		backoffUntil:    from.BackoffUntil,
+		down:            from.Down,
+		unansweredSince: from.UnansweredSince,
+		lastResponseAt:  from.LastResponseAt,
+		resetAt:         from.ResetAt,
+		recoveredAt:     from.RecoveredAt,
+
+		warmingSince:       from.WarmingSince,
+		demand:             decayingSum{value: from.Demand, updatedAt: from.DemandAt},
+		slowStartDraw:      from.SlowStartDraw,
+		slowStartDrawUntil: from.SlowStartDrawUntil,
+	}
+	for _, send := range from.RecentSends {
+		n.recentSends = append(n.recentSends, recentSend{at: send.At, units: send.Units})
+	}
+	return n
+}
+
+func (d *snapshotDecoder) allVolumes() error {
+	s := d.scheduler
+	for i := range d.snapshot.Volumes {
+		from := &d.snapshot.Volumes[i]
+		if !validIndexOrNone(from.Plan, len(s.settings.Plans)) {
+			return invalid("volume %q has plan %d of %d", from.Name, from.Plan, len(s.settings.Plans))
+		}
+		v := &volume{
+			plan:     &Plan{Weight: 1, Price: 1},
+			idleAt:   from.IdleAt,
+			weight:   from.Weight,
+			hosts:    from.Hosts,
+			reserve:  from.Reserve.bucket(),
+			limit:    from.Limit.bucket(),
+			ownUnits: decayingSum{value: from.OwnUnits, updatedAt: from.OwnUnitsAt},
+		}
+		if from.Plan >= 0 {
+			v.plan = &s.settings.Plans[from.Plan]
+		}
+		d.volumes = append(d.volumes, v)
+		if from.Indexed {
+			s.volumes[from.Name] = v
+		}
+	}
+	return nil
+}
+
+func (b *SnapshotTokenBucket) bucket() tokenBucket {
+	return tokenBucket{tokens: b.Tokens, rate: b.Rate, burst: b.Burst, refilledAt: b.RefilledAt}
+}
+
+func (d *snapshotDecoder) allRequests() error {
+	s := d.scheduler
+	for i := range d.snapshot.Requests {
+		from := &d.snapshot.Requests[i]
+		if !d.validRequest(from) {
+			return invalid("request %q", from.Request.ID)
+		}
+		r := d.newRequest(from)
+		for _, a := range from.InFlight {
+			if a.Request != i || !validIndex(a.Node, len(d.nodes)) {
+				return invalid("an attempt of request %q", from.Request.ID)
+			}
+			r.inFlight = append(r.inFlight, &attempt{
+				request:    r,
+				number:     a.Number,
+				node:       d.nodes[a.Node],
+				sentAt:     a.SentAt,
+				overtaken:  a.Overtaken,
+				canceled:   a.Canceled,
+				discounted: a.Discounted,
+			})
+		}
+		d.requests = append(d.requests, r)
+		s.requests[r.ID] = r
+		if from.TimerSet {
+			s.requestTimers[r.sequence] = r
+		}
+	}
+	return nil
+}
+
+func (d *snapshotDecoder) validRequest(from *SnapshotRequest) bool {
+	return validIndex(from.Request.Class, len(d.scheduler.settings.Classes)) &&
+		validIndex(from.Volume, len(d.volumes)) &&
+		validIndexOrNone(from.Node, len(d.nodes)) &&
+		validIndexOrNone(from.FirstNode, len(d.nodes)) &&
+		validIndex(from.Tier, queueTiers)
+}
+
+// newRequest makes a request without its attempts.
+func (d *snapshotDecoder) newRequest(from *SnapshotRequest) *request {
+	r := &request{
+		Request:         from.Request,
+		class:           &d.scheduler.settings.Classes[from.Request.Class],
+		volume:          d.volumes[from.Volume],
+		sequence:        from.Sequence,
+		randomDraw:      from.RandomDraw,
+		arrivedAt:       from.ArrivedAt,
+		objectiveAt:     from.ObjectiveAt,
+		answerBy:        from.AnswerBy,
+		clientTimeoutAt: from.ClientTimeoutAt,
+		tier:            from.Tier,
+		tag:             from.Tag,
+		spilledOver:     from.SpilledOver,
+		attempts:        from.Attempts,
+		charged:         from.Charged,
+		firstSentAt:     from.FirstSentAt,
+		firstAttempt:    from.FirstAttempt,
+		mayStillRun:     from.MayStillRun,
+		streamStarted:   from.StreamStarted,
+		ended:           from.Ended,
+	}
+	r.effectivePolicy = r.class.RetryPolicy().NarrowedBy(r.RetryPolicy)
+	if from.Node >= 0 {
+		r.node = d.nodes[from.Node]
+	}
+	if from.FirstNode >= 0 {
+		r.firstNode = d.nodes[from.FirstNode]
+	}
+	return r
+}
+
+// allNodeQueues gives the nodes what refers to volumes and requests.
+func (d *snapshotDecoder) allNodeQueues() error {
+	for i := range d.snapshot.Nodes {
+		if err := d.nodeQueues(d.nodes[i], &d.snapshot.Nodes[i]); err != nil {
+			return fmt.Errorf("node %q: %w", d.nodes[i].ID, err)
+		}
+	}
+	return nil
+}
+
+func (d *snapshotDecoder) nodeQueues(n *node, from *SnapshotNode) error {
+	if from.Failures < 0 {
+		return invalid("%d failures", from.Failures)
+	}
+	var err error
+	if n.waiting, err = d.requestsAt(from.Waiting); err != nil {
+		return err
+	}
+	for tier := range from.FinishTags {
+		for _, tag := range from.FinishTags[tier] {
+			if !validIndex(tag.Volume, len(d.volumes)) {
+				return invalid("volume %d of %d", tag.Volume, len(d.volumes))
+			}
+			n.finishTags[tier][d.volumes[tag.Volume]] = tag.Tag
+		}
+	}
+	for _, pending := range from.Pending {
+		a, err := d.attemptAt(n, pending)
+		if err != nil {
+			return err
+		}
+		n.pending = append(n.pending, a)
+	}
+	return nil
+}
+
+// attemptAt finds an attempt at a node among those of its request.
+func (d *snapshotDecoder) attemptAt(n *node, from SnapshotAttempt) (*attempt, error) {
+	if !validIndex(from.Request, len(d.requests)) {
+		return nil, invalid("an attempt of request %d of %d", from.Request, len(d.requests))
+	}
+	inFlight := d.requests[from.Request].inFlight
+	i := slices.IndexFunc(inFlight, func(a *attempt) bool { return a.number == from.Number && a.node == n })
+	if i < 0 {
+		return nil, invalid("an attempt that its request lacks")
+	}
+	return inFlight[i], nil
+}
+
+func (d *snapshotDecoder) requestsAt(indexes []int) ([]*request, error) {
+	var requests []*request
+	for _, i := range indexes {
+		if !validIndex(i, len(d.requests)) {
+			return nil, invalid("request %d of %d", i, len(d.requests))
+		}
+		requests = append(requests, d.requests[i])
+	}
+	return requests, nil
+}
+
+func (d *snapshotDecoder) unassigned() error {
+	var err error
+	d.scheduler.unassigned, err = d.requestsAt(d.snapshot.Unassigned)
+	return err
+}
+
+func (d *snapshotDecoder) orderedKeys() error {
+	for _, from := range d.snapshot.OrderedKeys {
+		waiters, err := d.requestsAt(from.Waiters)
+		if err != nil {
+			return fmt.Errorf("ordered key %q: %w", from.Key, err)
+		}
+		if !validIndexOrNone(from.QuietExempt, len(d.requests)) {
+			return invalid("ordered key %q: request %d of %d", from.Key, from.QuietExempt, len(d.requests))
+		}
+		queue := &orderedKeyQueue{waiters: waiters, quietUntil: from.QuietUntil}
+		if from.QuietExempt >= 0 {
+			queue.quietExempt = d.requests[from.QuietExempt]
+		}
+		d.scheduler.orderedKeys[from.Key] = queue
+	}
+	return nil
+}
+
+// rejected restores of the recently rejected requests what their next tries need.
+func (d *snapshotDecoder) rejected() {
+	for _, from := range d.snapshot.Rejected {
+		r := &request{objectiveAt: from.ObjectiveAt, clientTimeoutAt: from.ClientTimeoutAt}
+		r.Volume, r.Key, r.Class, r.Units = from.Volume, from.Key, from.Class, from.Units
+		d.scheduler.rejected[r.fingerprint()] = r
+	}
+}
+
+func (d *snapshotDecoder) restored() {
+	d.scheduler.restoredUntil = d.snapshot.RestoredUntil
+	if d.scheduler.restoredUntil > 0 {
+		d.scheduler.indexRestored(d.snapshot.Restored)
+	}
+}
