--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Simadapter hosts instances of the scheduler for the simulator: it routes the events read from
-// standard input and writes the actions to standard output. It decides nothing.
+// Simadapter connects the scheduler to the simulator. It reads batches of events from standard input, passes each
+// event to the instance of the scheduler that it is for, and answers each batch on standard output with the actions
+// of the instances. It decides nothing.
 package main
 
 import (
@@ -18,61 +19,82 @@
 	}
 }
 
-// serve answers every batch of r on w until r ends between batches.
-func serve(r io.Reader, w io.Writer) error {
-	in, out := simprotocol.NewDecoder(r), simprotocol.NewEncoder(w)
-	hosted := map[int]*scheduler.Scheduler{}
+// serve answers every batch of the input on the output until the input ends between batches.
+func serve(input io.Reader, output io.Writer) error {
+	decoder := simprotocol.NewDecoder(input)
+	a := adapter{
+		encoder:   simprotocol.NewEncoder(output),
+		instances: map[int]*scheduler.Scheduler{},
+	}
 	for {
-		batch, err := in.Next()
+		batch, err := decoder.Next()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		for i := range batch.Events {
-			if err := route(hosted, batch, &batch.Events[i], out); err != nil {
-				return err
-			}
-		}
-		if err := out.Flush(); err != nil {
+		if err := a.answer(batch); err != nil {
 			return err
 		}
 	}
 }
 
-// route hands one event to its instance.
-func route(hosted map[int]*scheduler.Scheduler, batch simprotocol.Batch, e *simprotocol.Event, out *simprotocol.Encoder) error {
-	if e.Kind == simprotocol.Start {
-		s, err := scheduler.New(e.Settings, e.Seed, simprotocol.Instance{E: out, Number: e.Instance})
-		if err != nil {
-			out.Fault(e.Instance, err.Error())
-			return nil
+// adapter hosts the instances of the scheduler, by their numbers.
+type adapter struct {
+	encoder   *simprotocol.Encoder
+	instances map[int]*scheduler.Scheduler
+}
+
+// answer passes the events of a batch to their instances and writes the reply.
+func (a *adapter) answer(batch simprotocol.Batch) error {
+	for i := range batch.Events {
+		if err := a.handle(batch, &batch.Events[i]); err != nil {
+			return err
 		}
-		hosted[e.Instance] = s
+	}
+	return a.encoder.Flush()
+}
+
+// handle starts or stops the instance of an event, or passes the event to it.
+func (a *adapter) handle(batch simprotocol.Batch, event *simprotocol.Event) error {
+	if event.Kind == simprotocol.InstanceStarted {
+		a.start(event)
 		return nil
 	}
-	s := hosted[e.Instance]
-	if s == nil {
-		return fmt.Errorf("at clock %v: event for instance %d before its init", batch.Now, e.Instance)
+	instance := a.instances[event.Instance]
+	if instance == nil {
+		return fmt.Errorf("at clock %v: event for instance %d before its init", batch.Now, event.Instance)
 	}
-	switch e.Kind {
-	case simprotocol.Stop:
-		delete(hosted, e.Instance)
-	case simprotocol.Members:
-		s.MembershipChanged(batch.Now, e.Membership)
-	case simprotocol.Arrival:
-		s.RequestArrived(batch.Now, e.Request)
-	case simprotocol.Probed:
-		s.ProbeEnded(batch.Now, e.Probe)
-	case simprotocol.Began:
-		s.StreamStarted(batch.Now, e.Outcome.ID, e.Outcome.Attempt)
-	case simprotocol.Left:
-		s.ClientDisconnected(batch.Now, e.ID)
-	case simprotocol.Ended:
-		s.AttemptEnded(batch.Now, e.Outcome)
+	switch event.Kind {
+	case simprotocol.InstanceStopped:
+		delete(a.instances, event.Instance)
+	case simprotocol.MembershipChanged:
+		instance.MembershipChanged(batch.Now, event.Membership)
+	case simprotocol.RequestArrived:
+		instance.RequestArrived(batch.Now, event.Request)
+	case simprotocol.ProbeEnded:
+		instance.ProbeEnded(batch.Now, event.Probe)
+	case simprotocol.StreamStarted:
+		instance.StreamStarted(batch.Now, event.Outcome.ID, event.Outcome.Attempt)
+	case simprotocol.ClientDisconnected:
+		instance.ClientDisconnected(batch.Now, event.ID)
+	case simprotocol.AttemptEnded:
+		instance.AttemptEnded(batch.Now, event.Outcome)
 	case simprotocol.TimerFired:
-		s.TimerFired(batch.Now, e.Timer)
+		instance.TimerFired(batch.Now, event.Timer)
 	}
 	return nil
 }
+
+// start starts an instance, in place of an earlier one with its number. Unusable settings are reported to the
+// simulator.
+func (a *adapter) start(event *simprotocol.Event) {
+	actions := simprotocol.Instance{Encoder: a.encoder, Number: event.Instance}
+	instance, err := scheduler.New(event.Settings, event.Seed, actions)
+	if err != nil {
+		a.encoder.Fault(event.Instance, err.Error())
+		return
+	}
+	a.instances[event.Instance] = instance
+}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -7,57 +7,77 @@
 	"testing"
 )
 
-const conf = `{"siblings":2,"membershipMode":"push","ceilings":{"cancel":true,"maxAttempts":4,"retryAfter":true,` +
+const settings = `{"siblings":2,"membershipMode":"push","ceilings":{"cancel":true,"maxAttempts":4,"retryAfter":true,` +
 	`"maxRetryAfterMs":1000},"classes":[{"aimMs":300,"deadlineMs":2500,"idempotency":"idempotent","name":"r",` +
 	`"points":2}],"contract":{},"familyInfo":{"meanUnits":2,"mostUnits":6},` +
 	`"policies":[{"baseRate":3,"guaranteed":2,"name":"p","price":1,"proportion":1}],"report":{"via":"off"}}`
 
-// script plays some time to the given instances and gives the reply lines of each.
-func script(t *testing.T, instances ...int) map[int]string {
-	t.Helper()
-	var in bytes.Buffer
-	each := func(format string, args ...any) {
-		for _, i := range instances {
-			fmt.Fprintf(&in, format+"\twho=%d\n", append(args, i)...)
-		}
+// nodeList declares an endpoint list of the given number of nodes.
+func nodeList(nodes int) string {
+	text := fmt.Sprintf("catalog\tbank=0\tmembersList=%d\n", nodes)
+	for i := range nodes {
+		text += fmt.Sprintf("item\tnode=%c\tcluster=%d\tphase=up\n", 'a'+i, i)
 	}
-	in.WriteString("round\ttsMs=1000\ncatalog\tbank=0\tmembersList=2\nitem\tnode=a\tcluster=0\tphase=up\n" +
-		"item\tnode=b\tcluster=1\tphase=up\n")
-	for _, i := range instances {
-		fmt.Fprintf(&in, "init\twho=%d\tinitSeed=%d\tconf=%s\nannounce\twho=%d\tmode=remembered\tbank=0\n", i, i, conf, i)
+	return text
+}
+
+// startInstance starts an instance with its number as its seed, and sends it the endpoint list.
+func startInstance(number int) string {
+	return fmt.Sprintf("init\twho=%d\tinitSeed=%d\tconf=%s\n", number, number, settings) +
+		fmt.Sprintf("announce\twho=%d\tmode=remembered\tbank=0\n", number)
+}
+
+// mixedLoad sends the same 300 batches of requests and timers to some instances.
+func mixedLoad(instances []int) *bytes.Buffer {
+	var input bytes.Buffer
+	input.WriteString("round\ttsMs=1000\n" + nodeList(2))
+	for _, instance := range instances {
+		input.WriteString(startInstance(instance))
 	}
-	in.WriteString("flush\n")
+	input.WriteString("flush\n")
 	for n := range 300 {
-		fmt.Fprintf(&in, "round\ttsMs=%d\n", 1002+2*n)
-		each("ingress\topId=t/%d\tpriority=0\tserviceLevel=0\tpatienceLeftMs=900\tstoreUser=v%d\tcostUnits=%d\thomeCell=%d",
-			n, n%4, 1+n%6, n%3-1)
-		each("alarm\tkeyBack=0")
-		in.WriteString("flush\n")
+		fmt.Fprintf(&input, "round\ttsMs=%d\n", 1002+2*n)
+		request := fmt.Sprintf("ingress\topId=t/%d\tpriority=0\tserviceLevel=0\tpatienceLeftMs=900\t", n) +
+			fmt.Sprintf("storeUser=v%d\tcostUnits=%d\thomeCell=%d", n%4, 1+n%6, n%3-1)
+		for _, instance := range instances {
+			fmt.Fprintf(&input, "%s\twho=%d\n", request, instance)
+		}
+		for _, instance := range instances {
+			fmt.Fprintf(&input, "alarm\tkeyBack=0\twho=%d\n", instance)
+		}
+		input.WriteString("flush\n")
 	}
-	var out bytes.Buffer
-	if err := serve(&in, &out); err != nil {
+	return &input
+}
+
+// replies returns the lines of each instance in the replies to a mixed load.
+func replies(t *testing.T, instances ...int) map[int]string {
+	t.Helper()
+	var output bytes.Buffer
+	if err := serve(mixedLoad(instances), &output); err != nil {
 		t.Fatal(err)
 	}
-	replies := map[int]string{}
-	for line := range strings.Lines(out.String()) {
-		for _, i := range instances {
-			if strings.Contains(line, fmt.Sprintf("\twho=%d\t", i)) || strings.HasSuffix(line, fmt.Sprintf("\twho=%d\n", i)) {
-				replies[i] += line
+	lines := map[int]string{}
+	for line := range strings.Lines(output.String()) {
+		for _, instance := range instances {
+			who := fmt.Sprintf("\twho=%d", instance)
+			if strings.Contains(line, who+"\t") || strings.HasSuffix(line, who+"\n") {
+				lines[instance] += line
 			}
 		}
 	}
-	return replies
+	return lines
 }
 
 func TestInstancesActAlikeTogetherAndApart(t *testing.T) {
-	together := script(t, 1, 2, 3)
-	for i := 1; i <= 3; i++ {
-		apart := script(t, i)[i]
+	together := replies(t, 1, 2, 3)
+	for instance := 1; instance <= 3; instance++ {
+		apart := replies(t, instance)[instance]
 		if strings.Count(apart, "deliver") < 5 || strings.Count(apart, "busy") < 5 {
-			t.Fatalf("the script asks too little: %s", apart)
+			t.Fatalf("the load is too light: %s", apart)
 		}
-		if together[i] != apart {
-			t.Errorf("instance %d acts differently in company", i)
+		if together[instance] != apart {
+			t.Errorf("instance %d acts differently in company", instance)
 		}
 	}
 	if together[1] == strings.ReplaceAll(together[2], "who=2", "who=1") {
@@ -66,39 +86,39 @@
 }
 
 func TestRestartInOneBatchForgetsEverything(t *testing.T) {
-	start := "init\twho=1\tinitSeed=1\tconf=" + conf + "\nannounce\twho=1\tmode=remembered\tbank=0\n"
-	in := "round\ttsMs=1\ncatalog\tbank=0\tmembersList=1\nitem\tnode=a\tcluster=0\tphase=up\n" + start +
+	input := "round\ttsMs=1\n" + nodeList(1) + startInstance(1) +
 		"ingress\twho=1\topId=t/1\tpriority=0\tpatienceLeftMs=900\thomeCell=0\n" +
-		"power_off\twho=1\n" + start +
+		"power_off\twho=1\n" + startInstance(1) +
 		"response\twho=1\topId=t/1\tn=0\tnode=a\tstatus=errored\trttMs=1\nflush\n"
-	var out bytes.Buffer
-	if err := serve(strings.NewReader(in), &out); err != nil {
+	var output bytes.Buffer
+	if err := serve(strings.NewReader(input), &output); err != nil {
 		t.Fatal(err)
 	}
-	if n := strings.Count(out.String(), "deliver"); n != 1 {
-		t.Fatalf("%d sends in\n%s", n, out.String())
+	if sends := strings.Count(output.String(), "deliver"); sends != 1 {
+		t.Fatalf("%d sends in\n%s", sends, output.String())
 	}
 }
 
 func TestFaults(t *testing.T) {
-	var out bytes.Buffer
-	err := serve(strings.NewReader("round\ttsMs=1\nalarm\twho=4\tkeyBack=0\nflush\n"), &out)
+	var output bytes.Buffer
+	err := serve(strings.NewReader("round\ttsMs=1\nalarm\twho=4\tkeyBack=0\nflush\n"), &output)
 	if err == nil || !strings.Contains(err.Error(), "instance 4 before its init") {
 		t.Errorf("event before init: %v", err)
 	}
-	if err := serve(strings.NewReader("nonsense\n"), &out); err == nil {
-		t.Error("nonsense was taken")
+	if err := serve(strings.NewReader("nonsense\n"), &output); err == nil {
+		t.Error("nonsense was accepted")
 	}
-	out.Reset()
-	bad := strings.Replace(conf, `"siblings":2`, `"siblings":0`, 1)
-	if err := serve(strings.NewReader("round\ttsMs=1\ninit\twho=1\tinitSeed=1\tconf="+bad+"\nflush\n"), &out); err != nil {
+	output.Reset()
+	unusable := strings.Replace(settings, `"siblings":2`, `"siblings":0`, 1)
+	input := "round\ttsMs=1\ninit\twho=1\tinitSeed=1\tconf=" + unusable + "\nflush\n"
+	if err := serve(strings.NewReader(input), &output); err != nil {
 		t.Fatal(err)
 	}
-	if !strings.HasPrefix(out.String(), "fatal\twho=1\tmsg=scheduler: ") {
-		t.Errorf("settings: %q", out.String())
+	if !strings.HasPrefix(output.String(), "fatal\twho=1\tmsg=scheduler: ") {
+		t.Errorf("settings: %q", output.String())
 	}
-	out.Reset()
-	if err := serve(strings.NewReader("round\ttsMs=1\nflush\n"), &out); err != nil || out.String() != "ack\n" {
-		t.Errorf("empty batch: %v %q", err, out.String())
+	output.Reset()
+	if err := serve(strings.NewReader("round\ttsMs=1\nflush\n"), &output); err != nil || output.String() != "ack\n" {
+		t.Errorf("empty batch: %v %q", err, output.String())
 	}
 }
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -3,154 +3,221 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math"
-	"time"
 
 	"reachpulley/scheduler"
 )
 
-// conf mirrors the settings object of an init event; keys that it does not name are ignored.
-type conf struct {
-	Callers struct {
-	} `json:"callers"`
-	Ceilings struct {
-		Cancel          bool    `json:"cancel"`
-		ConnIdleMs      float64 `json:"connIdleMs"`
-		DialTimeoutMs   float64 `json:"dialTimeoutMs"`
-		MaxAttempts     int     `json:"maxAttempts"`
-		MaxRetryAfterMs float64 `json:"maxRetryAfterMs"`
-		Probes          bool    `json:"probes"`
-		RetryAfter      bool    `json:"retryAfter"`
-		SecondCopies    bool    `json:"secondCopies"`
-	} `json:"ceilings"`
-	Classes []struct {
-		AimMs       float64 `json:"aimMs"`
-		AimStretch  float64 `json:"aimStretch"`
-		DeadlineMs  float64 `json:"deadlineMs"`
-		Idempotency string  `json:"idempotency"`
-		InTurn      bool    `json:"inTurn"`
-		KeyScope    string  `json:"keyScope"`
-		LateShare   float64 `json:"lateShare"`
-		Name        string  `json:"name"`
-		Points      float64 `json:"points"`
-		Stream      bool    `json:"stream"`
-		WindowMs    float64 `json:"windowMs"`
-	} `json:"classes"`
-	Contract struct {
-		ColdFrom      float64 `json:"coldFrom"`
-		FallMultiple  float64 `json:"fallMultiple"`
-		DrainGraceMs  float64 `json:"drainGraceMs"`
-		OverloadForMs float64 `json:"overloadForMs"`
-		TurnGapMs     float64 `json:"turnGapMs"`
-		WarmWithinMs  float64 `json:"warmWithinMs"`
-		MinExtra      float64 `json:"minExtra"`
-		RepeatRatio   float64 `json:"repeatRatio"`
-		ResendSpanMs  float64 `json:"resendSpanMs"`
-	} `json:"contract"`
-	Dcs        []string `json:"dcs"`
-	FamilyInfo struct {
-		ChangesData []bool  `json:"changesData"`
-		IdleWorth   float64 `json:"idleWorth"`
-		MeanUnits   float64 `json:"meanUnits"`
-		MostUnits   float64 `json:"mostUnits"`
-		ShareWorth  float64 `json:"shareWorth"`
-		YoungLimit  float64 `json:"youngLimit"`
-	} `json:"familyInfo"`
-	MembershipMode string `json:"membershipMode"`
-	Policies       []struct {
-		BaseRate   float64 `json:"baseRate"`
-		Cap        float64 `json:"cap"`
-		Guaranteed float64 `json:"guaranteed"`
-		LimitSlack float64 `json:"limitSlack"`
-		MostAtOnce float64 `json:"mostAtOnce"`
-		Name       string  `json:"name"`
-		Price      float64 `json:"price"`
-		Proportion float64 `json:"proportion"`
-	} `json:"policies"`
-	Prices struct {
+// wireSettings is the settings object of an init event. Keys that it does not name are ignored. Times are in
+// milliseconds.
+type wireSettings struct {
+	Callers        struct{}     `json:"callers"` // only checked to be an object
+	Allowed        wireAllowed  `json:"ceilings"`
+	Classes        []wireClass  `json:"classes"`
+	Rules          wireRules    `json:"contract"`
+	Zones          []string     `json:"dcs"`
+	Requests       wireRequests `json:"familyInfo"`
+	MembershipMode string       `json:"membershipMode"`
+	Plans          []wirePlan   `json:"policies"`
+	Prices         struct {
 		Probe float64 `json:"probe"`
 		Waste float64 `json:"waste"`
 	} `json:"prices"`
-	Report struct {
-		Via string `json:"via"`
+	LoadReports struct {
+		Source string `json:"via"`
 	} `json:"report"`
 	Siblings int     `json:"siblings"`
-	TickMs   float64 `json:"tickMs"`
+	Tick     float64 `json:"tickMs"`
 	Zone     int     `json:"zone"`
 }
 
+type wireAllowed struct {
+	Cancel         bool    `json:"cancel"`
+	IdleTimeout    float64 `json:"connIdleMs"`
+	ConnectTimeout float64 `json:"dialTimeoutMs"`
+	MaxAttempts    int     `json:"maxAttempts"`
+	MaxRetryAfter  float64 `json:"maxRetryAfterMs"`
+	Probes         bool    `json:"probes"`
+	RetryAfter     bool    `json:"retryAfter"`
+	HedgedRequests bool    `json:"secondCopies"`
+}
+
+type wireClass struct {
+	LatencyObjective float64 `json:"aimMs"`
+	ObjectiveStretch float64 `json:"aimStretch"`
+	Deadline         float64 `json:"deadlineMs"`
+	Idempotency      string  `json:"idempotency"`
+	Ordered          bool    `json:"inTurn"`
+	DedupScope       string  `json:"keyScope"`
+	LateWeightShare  float64 `json:"lateShare"`
+	Name             string  `json:"name"`
+	PriorityWeight   float64 `json:"points"`
+	Streamed         bool    `json:"stream"`
+	DedupWindow      float64 `json:"windowMs"`
+}
+
+type wireRules struct {
+	SlowStartShare        float64 `json:"coldFrom"`
+	SlowStartMultiple     float64 `json:"fallMultiple"`
+	DrainGrace            float64 `json:"drainGraceMs"`
+	SlowStartWindow       float64 `json:"overloadForMs"`
+	OrderedKeyQuietPeriod float64 `json:"turnGapMs"`
+	SlowStartDuration     float64 `json:"warmWithinMs"`
+	RetryBudgetBase       float64 `json:"minExtra"`
+	RetryBudgetShare      float64 `json:"repeatRatio"`
+	RetryBudgetWindow     float64 `json:"resendSpanMs"`
+}
+
+// wireRequests describes the family of requests.
+type wireRequests struct {
+	Writes             []bool  `json:"changesData"` // by class
+	SpareWeight        float64 `json:"idleWorth"`
+	MeanUnits          float64 `json:"meanUnits"`
+	MaxUnits           float64 `json:"mostUnits"`
+	ShareWeight        float64 `json:"shareWorth"`
+	SlowStartAllowance float64 `json:"youngLimit"`
+}
+
+type wirePlan struct {
+	Rate    float64 `json:"baseRate"`
+	Limit   float64 `json:"cap"`
+	Reserve float64 `json:"guaranteed"`
+	Slack   float64 `json:"limitSlack"`
+	Burst   float64 `json:"mostAtOnce"`
+	Name    string  `json:"name"`
+	Price   float64 `json:"price"`
+	Weight  float64 `json:"proportion"`
+}
+
 var (
-	repeatsWords = map[string]scheduler.Idempotency{
-		"idempotent": scheduler.Idempotent, "deduplicated": scheduler.IdempotentWithKey, "at_most_once": scheduler.NonIdempotent}
-	groupWords = map[string]scheduler.DedupScope{
-		"": scheduler.ScopeAll, "all": scheduler.ScopeAll, "zone": scheduler.ScopeZone, "cell": scheduler.ScopeShard}
-	reportWords = map[string]scheduler.LoadReportSource{
-		"": scheduler.NoLoadReports, "off": scheduler.NoLoadReports, "inline": scheduler.LoadReportsInResponses, "on_probe": scheduler.LoadReportsInProbes}
+	idempotencies = map[string]scheduler.Idempotency{
+		"idempotent":   scheduler.Idempotent,
+		"deduplicated": scheduler.IdempotentWithKey,
+		"at_most_once": scheduler.NonIdempotent,
+	}
+	dedupScopes = map[string]scheduler.DedupScope{
+		"":     scheduler.ScopeAll,
+		"all":  scheduler.ScopeAll,
+		"zone": scheduler.ScopeZone,
+		"cell": scheduler.ScopeShard,
+	}
+	loadReportSources = map[string]scheduler.LoadReportSource{
+		"":         scheduler.NoLoadReports,
+		"off":      scheduler.NoLoadReports,
+		"inline":   scheduler.LoadReportsInResponses,
+		"on_probe": scheduler.LoadReportsInProbes,
+	}
 )
 
-// ParseSettings reads the settings object of an init event, which a gateway finds in its configuration.
+// ParseSettings reads the settings object of an init event. A gateway has the same object in its configuration.
 func ParseSettings(text []byte) (scheduler.Settings, error) {
-	var c conf
-	var s scheduler.Settings
-	if err := json.Unmarshal(text, &c); err != nil {
-		return s, fmt.Errorf("conf: %w", err)
+	var wire wireSettings
+	if err := json.Unmarshal(text, &wire); err != nil {
+		return scheduler.Settings{}, fmt.Errorf("conf: %w", err)
 	}
-	if c.MembershipMode != "push" && c.MembershipMode != "ask" {
-		return s, fmt.Errorf("conf: unknown membershipMode %q", c.MembershipMode)
+	if wire.MembershipMode != "push" && wire.MembershipMode != "ask" {
+		return scheduler.Settings{}, fmt.Errorf("conf: unknown membershipMode %q", wire.MembershipMode)
 	}
-	reports, ok := reportWords[c.Report.Via]
-	if !ok {
-		return s, fmt.Errorf("conf: unknown report.via %q", c.Report.Via)
+	loadReports, known := loadReportSources[wire.LoadReports.Source]
+	if !known {
+		return scheduler.Settings{}, fmt.Errorf("conf: unknown report.via %q", wire.LoadReports.Source)
 	}
-	s = scheduler.Settings{
-		Siblings: c.Siblings, Zone: c.Zone, Zones: c.Dcs, Tick: millis(c.TickMs),
-		Rules: scheduler.Rules{
-			DrainGrace:     millis(c.Contract.DrainGraceMs),
-			SlowStartShare: c.Contract.ColdFrom, SlowStartDuration: millis(c.Contract.WarmWithinMs),
-			SlowStartWindow: millis(c.Contract.OverloadForMs), SlowStartAllowance: c.FamilyInfo.YoungLimit, SlowStartMultiple: c.Contract.FallMultiple,
-			OrderedKeyQuietPeriod: millis(c.Contract.TurnGapMs),
-			RetryBudgetWindow:     millis(c.Contract.ResendSpanMs),
-			RetryBudgetBase:       c.Contract.MinExtra, RetryBudgetShare: c.Contract.RepeatRatio,
-		},
-		Allowed: scheduler.Allowed{
-			Probes: c.Ceilings.Probes, Cancel: c.Ceilings.Cancel, HedgedRequests: c.Ceilings.SecondCopies,
-			RetryAfter: c.Ceilings.RetryAfter, MaxRetryAfter: millis(c.Ceilings.MaxRetryAfterMs),
-			MaxAttempts: c.Ceilings.MaxAttempts, ConnectTimeout: millis(c.Ceilings.DialTimeoutMs),
-			IdleTimeout: millis(c.Ceilings.ConnIdleMs),
-		},
-		Sizes: scheduler.Sizes{
-			MeanUnits: c.FamilyInfo.MeanUnits, MaxUnits: c.FamilyInfo.MostUnits,
-			ShareWeight: c.FamilyInfo.ShareWorth, SpareWeight: c.FamilyInfo.IdleWorth,
-		},
-		PollMembership: c.MembershipMode == "ask", LoadReports: reports,
-		ProbePrice: c.Prices.Probe, WastePrice: c.Prices.Waste,
+	settings := scheduler.Settings{
+		Siblings:       wire.Siblings,
+		Zone:           wire.Zone,
+		Zones:          wire.Zones,
+		Tick:           millis(wire.Tick),
+		Rules:          wire.rules(),
+		Allowed:        wire.Allowed.allowed(),
+		Sizes:          wire.Requests.sizes(),
+		PollMembership: wire.MembershipMode == "ask",
+		LoadReports:    loadReports,
+		ProbePrice:     wire.Prices.Probe,
+		WastePrice:     wire.Prices.Waste,
 	}
-	for i, k := range c.Classes {
-		repeats, ok := repeatsWords[k.Idempotency]
-		if !ok {
-			return s, fmt.Errorf("conf: class %q: unknown idempotency %q", k.Name, k.Idempotency)
-		}
-		group, ok := groupWords[k.KeyScope]
-		if !ok {
-			return s, fmt.Errorf("conf: class %q: unknown keyScope %q", k.Name, k.KeyScope)
+	for i := range wire.Classes {
+		class, err := wire.Classes[i].class()
+		if err != nil {
+			return settings, err
 		}
-		s.Classes = append(s.Classes, scheduler.Class{
-			Name: k.Name, LatencyObjective: millis(k.AimMs), ObjectiveStretch: k.AimStretch, Deadline: millis(k.DeadlineMs),
-			PriorityWeight: k.Points, LateWeightShare: k.LateShare, Idempotency: repeats, DedupScope: group,
-			DedupWindow: millis(k.WindowMs), Ordered: k.InTurn, Streamed: k.Stream,
-			Writes: i < len(c.FamilyInfo.ChangesData) && c.FamilyInfo.ChangesData[i],
-		})
+		class.Writes = i < len(wire.Requests.Writes) && wire.Requests.Writes[i]
+		settings.Classes = append(settings.Classes, class)
 	}
-	for _, p := range c.Policies {
-		s.Plans = append(s.Plans, scheduler.Plan{
-			Name: p.Name, Rate: p.BaseRate, Reserve: p.Guaranteed, Limit: p.Cap, Burst: p.MostAtOnce,
-			Slack: p.LimitSlack, Weight: p.Proportion, Price: p.Price,
-		})
+	for i := range wire.Plans {
+		settings.Plans = append(settings.Plans, wire.Plans[i].plan())
 	}
-	return s, nil
+	return settings, nil
 }
 
-// millis turns the wire's milliseconds into a duration, to the nearest microsecond.
-func millis(ms float64) time.Duration {
-	return time.Duration(math.Round(ms*1000)) * time.Microsecond
+func (w *wireSettings) rules() scheduler.Rules {
+	return scheduler.Rules{
+		DrainGrace:            millis(w.Rules.DrainGrace),
+		SlowStartShare:        w.Rules.SlowStartShare,
+		SlowStartDuration:     millis(w.Rules.SlowStartDuration),
+		SlowStartWindow:       millis(w.Rules.SlowStartWindow),
+		SlowStartAllowance:    w.Requests.SlowStartAllowance,
+		SlowStartMultiple:     w.Rules.SlowStartMultiple,
+		OrderedKeyQuietPeriod: millis(w.Rules.OrderedKeyQuietPeriod),
+		RetryBudgetWindow:     millis(w.Rules.RetryBudgetWindow),
+		RetryBudgetBase:       w.Rules.RetryBudgetBase,
+		RetryBudgetShare:      w.Rules.RetryBudgetShare,
+	}
+}
+
+func (w *wireAllowed) allowed() scheduler.Allowed {
+	return scheduler.Allowed{
+		Probes:         w.Probes,
+		Cancel:         w.Cancel,
+		HedgedRequests: w.HedgedRequests,
+		RetryAfter:     w.RetryAfter,
+		MaxRetryAfter:  millis(w.MaxRetryAfter),
+		MaxAttempts:    w.MaxAttempts,
+		ConnectTimeout: millis(w.ConnectTimeout),
+		IdleTimeout:    millis(w.IdleTimeout),
+	}
+}
+
+func (w *wireRequests) sizes() scheduler.Sizes {
+	return scheduler.Sizes{
+		MeanUnits:   w.MeanUnits,
+		MaxUnits:    w.MaxUnits,
+		ShareWeight: w.ShareWeight,
+		SpareWeight: w.SpareWeight,
+	}
+}
+
+func (w *wireClass) class() (scheduler.Class, error) {
+	idempotency, known := idempotencies[w.Idempotency]
+	if !known {
+		return scheduler.Class{}, fmt.Errorf("conf: class %q: unknown idempotency %q", w.Name, w.Idempotency)
+	}
+	scope, known := dedupScopes[w.DedupScope]
+	if !known {
+		return scheduler.Class{}, fmt.Errorf("conf: class %q: unknown keyScope %q", w.Name, w.DedupScope)
+	}
+	return scheduler.Class{
+		Name:             w.Name,
+		LatencyObjective: millis(w.LatencyObjective),
+		ObjectiveStretch: w.ObjectiveStretch,
+		Deadline:         millis(w.Deadline),
+		PriorityWeight:   w.PriorityWeight,
+		LateWeightShare:  w.LateWeightShare,
+		Idempotency:      idempotency,
+		DedupScope:       scope,
+		DedupWindow:      millis(w.DedupWindow),
+		Ordered:          w.Ordered,
+		Streamed:         w.Streamed,
+	}, nil
+}
+
+func (w *wirePlan) plan() scheduler.Plan {
+	return scheduler.Plan{
+		Name:    w.Name,
+		Rate:    w.Rate,
+		Reserve: w.Reserve,
+		Limit:   w.Limit,
+		Burst:   w.Burst,
+		Slack:   w.Slack,
+		Weight:  w.Weight,
+		Price:   w.Price,
+	}
 }
