--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -9,9 +9,9 @@
 
 func TestRejectsEarlyWhatCannotBeAnsweredInTime(t *testing.T) {
 	h := newHarness(t, baseSettings())
-	n := h.nodes["a"]
-	n.concurrencyLimit = 6
-	n.setLatency(0.3, 0.3)
+	node := h.nodes["a"]
+	node.concurrencyLimit = 6
+	node.setLatency(0.3, 0.3)
 	for range 12 {
 		h.arrive(Request{})
 	}
@@ -41,10 +41,10 @@
 // The rate of a light load does not say what the node could serve; requests were once rejected by it.
 func TestLowMeasuredRateRejectsNothing(t *testing.T) {
 	h := newHarness(t, baseSettings())
-	n := h.nodes["a"]
-	n.concurrencyLimit = 6
-	n.maxRate = 3
-	n.setLatency(0.03, 0.03)
+	node := h.nodes["a"]
+	node.concurrencyLimit = 6
+	node.maxRate = 3
+	node.setLatency(0.03, 0.03)
 	for range 6 {
 		h.arrive(Request{})
 	}
@@ -62,9 +62,9 @@
 		PriorityWeight:   1,
 	})
 	h := newHarness(t, settings)
-	n := h.nodes["a"]
-	n.setLatency(0.8, 0.05)
-	h.setQueue(n, 0.8, smoothingResponses)
+	node := h.nodes["a"]
+	node.setLatency(0.8, 0.05)
+	h.setQueue(node, 0.8, smoothingResponses)
 	h.arrive(Request{Class: 1})
 	h.wantActions("reject r1", 1)
 	h.now += 4 * nodeDecay // an old measurement blocks no node
@@ -78,25 +78,25 @@
 	settings := baseSettings()
 	settings.Plans[0].Reserve = 1000
 	h := newHarness(t, settings)
-	n := h.nodes["a"]
+	node := h.nodes["a"]
 	for i := range 20 {
 		id := h.arrive(Request{Key: fmt.Sprint(i)})
 		h.advance(100 * ms)
 		h.ClientDisconnected(h.now, id)
 		h.endAttempt(id, 0, Canceled)
 	}
-	n.setLatency(0.02, 0.02)
-	h.setQueue(n, 0.2, 4)
+	node.setLatency(0.02, 0.02)
+	h.setQueue(node, 0.2, 4)
 	h.recorded = nil
 	h.arrive(Request{Key: "k"})
 	h.wantActions("reject", 1)
-	n.queueTime = 0
+	node.queueTime = 0
 	h.arrive(Request{Key: "l"})
 	h.wantActions("send", 1)
 	for i := range 40 { // clients that wait end it
 		h.serve(Request{Key: fmt.Sprint("s", i)})
 	}
-	h.setQueue(n, 0.2, 4)
+	h.setQueue(node, 0.2, 4)
 	h.recorded = nil
 	h.arrive(Request{Key: "m"})
 	h.wantActions("send", 1)
@@ -113,9 +113,9 @@
 // A client's retry earns its full weight only within the objective of the first try.
 func TestClientRetryKeepsTheObjectiveOfTheRejectedTry(t *testing.T) {
 	h := newHarness(t, baseSettings())
-	n := h.nodes["a"]
+	node := h.nodes["a"]
 	h.arrive(Request{Key: "k1"})
-	n.concurrencyLimit = 1
+	node.concurrencyLimit = 1
 	h.arrive(Request{Key: "k2"})
 	h.advance(600 * ms)
 	h.wantActions("reject r2", 1)
--- a/scheduler/concurrency_limit.go
+++ b/scheduler/concurrency_limit.go
@@ -39,78 +39,78 @@
 func (w *latencyWindow) due(now time.Duration) bool { return now-w.openedAt >= windowDuration }
 
 // recordServed updates the estimates of a node by a served attempt.
-func (s *Scheduler) recordServed(n *node, r *request, latency time.Duration, load *Load) {
-	s.recordWork(r, latency)
-	s.recordServedQueue(n, r, latency, load)
-	n.window.units += r.Units
-	n.window.responses++
-	n.window.latency += latency
-	n.window.work += max(r.Units, 1) * s.classWork[r.Class] / s.settings.Sizes.MeanUnits
-	if n.window.responses >= maxWindowResponses || n.window.due(s.now) {
-		s.closeWindow(n)
+func (s *Scheduler) recordServed(node *nodeState, request *requestState, latency time.Duration, load *Load) {
+	s.recordWork(request, latency)
+	s.recordServedQueue(node, request, latency, load)
+	node.window.units += request.Units
+	node.window.responses++
+	node.window.latency += latency
+	node.window.work += max(request.Units, 1) * s.classWork[request.Class] / s.settings.Sizes.MeanUnits
+	if node.window.responses >= maxWindowResponses || node.window.due(s.now) {
+		s.closeWindow(node)
 	}
 }
 
 // closeWindow computes the node's next concurrency limit from the window's mean latency and rate.
-func (s *Scheduler) closeWindow(n *node) {
-	window := n.window
-	n.window = latencyWindow{openedAt: s.now}
+func (s *Scheduler) closeWindow(node *nodeState) {
+	window := node.window
+	node.window = latencyWindow{openedAt: s.now}
 	duration := max(s.now-window.openedAt, s.settings.Tick, time.Millisecond)
 	rate := window.units / duration.Seconds()
-	if window.responses > 0 || n.attemptsInFlight > 0 {
-		n.maxRate = max(rate, n.maxRate+maxRateGain*(rate-n.maxRate))
+	if window.responses > 0 || node.attemptsInFlight > 0 {
+		node.maxRate = max(rate, node.maxRate+maxRateGain*(rate-node.maxRate))
 	}
 	if window.responses > 0 {
-		s.smoothLatency(n, window.latency.Seconds()/window.work, window.responses)
+		s.smoothLatency(node, window.latency.Seconds()/window.work, window.responses)
 	}
-	s.setConcurrencyLimit(n)
+	s.setConcurrencyLimit(node)
 }
 
 // smoothLatency takes a window's mean latency of a mean request into the node's latency and minimum latency. A
 // window holds few responses to requests of unlike size, so windows are weighted by their number of responses.
-func (s *Scheduler) smoothLatency(n *node, mean float64, responses int) {
+func (s *Scheduler) smoothLatency(node *nodeState, mean float64, responses int) {
 	switch {
-	case n.minLatency == 0:
-		n.latency = mean
-		n.minLatency = min(mean, cmp.Or(s.minLatencyMedian, mean))
-	case n.cutDrainedAt > 0 && s.now >= n.cutDrainedAt:
-		n.latency = mean
-		n.minLatency = min(mean, maxRetestRaise*n.minLatency)
-		n.cutDrainedAt = 0
+	case node.minLatency == 0:
+		node.latency = mean
+		node.minLatency = min(mean, cmp.Or(s.minLatencyMedian, mean))
+	case node.cutDrainedAt > 0 && s.now >= node.cutDrainedAt:
+		node.latency = mean
+		node.minLatency = min(mean, maxRetestRaise*node.minLatency)
+		node.cutDrainedAt = 0
 	default:
-		earlier := smoothingResponses * math.Exp(-(s.now-n.learnedAt).Seconds()/nodeDecay.Seconds())
-		n.latency += float64(responses) / (float64(responses) + earlier) * (mean - n.latency)
-		n.minLatency += minLatencyGain * min(0, n.latency-n.minLatency)
+		earlier := smoothingResponses * math.Exp(-(s.now-node.learnedAt).Seconds()/nodeDecay.Seconds())
+		node.latency += float64(responses) / (float64(responses) + earlier) * (mean - node.latency)
+		node.minLatency += minLatencyGain * min(0, node.latency-node.minLatency)
 	}
-	n.learnedAt = s.now
+	node.learnedAt = s.now
 }
 
 // setConcurrencyLimit sets the limit at which the node's latency stays within the tolerance, by Little's law.
-func (s *Scheduler) setConcurrencyLimit(n *node) {
-	if n.minLatency == 0 {
+func (s *Scheduler) setConcurrencyLimit(node *nodeState) {
+	if node.minLatency == 0 {
 		return
 	}
-	limit := n.maxRate * ((2+latencyTolerance)*n.minLatency - n.latency)
-	if n.cutDrainedAt > 0 {
-		limit = min(limit, n.cutLimit)
+	limit := node.maxRate * ((2+latencyTolerance)*node.minLatency - node.latency)
+	if node.cutDrainedAt > 0 {
+		limit = min(limit, node.cutLimit)
 	}
 	sizes := s.settings.Sizes
-	n.concurrencyLimit = min(max(limit, sizes.MaxUnits), maxLimitRequests*sizes.MeanUnits)
+	node.concurrencyLimit = min(max(limit, sizes.MaxUnits), maxLimitRequests*sizes.MeanUnits)
 }
 
 // retestMinLatency cuts the limit below what is in flight from time to time. The latency that is measured once the
 // node's queue has drained becomes the minimum latency, which otherwise could only fall.
-func (s *Scheduler) retestMinLatency(n *node) {
-	if n.minLatency == 0 || s.now < n.retestAt {
+func (s *Scheduler) retestMinLatency(node *nodeState) {
+	if node.minLatency == 0 || s.now < node.retestAt {
 		return
 	}
-	n.retestAt = s.now + retestInterval
-	n.cutLimit = retestCutShare * n.unitsInFlight
-	n.cutDrainedAt = s.now + time.Duration(retestDrainLatencies*n.latency*float64(time.Second))
-	s.setConcurrencyLimit(n)
+	node.retestAt = s.now + retestInterval
+	node.cutLimit = retestCutShare * node.unitsInFlight
+	node.cutDrainedAt = s.now + time.Duration(retestDrainLatencies*node.latency*float64(time.Second))
+	s.setConcurrencyLimit(node)
 }
 
 // drainRate is the rate, in units a second, at which the node's queue drains at its limit, by Little's law.
-func (n *node) drainRate() float64 {
+func (n *nodeState) drainRate() float64 {
 	return n.concurrencyLimit / cmp.Or(n.latency, initialLatency.Seconds())
 }
--- a/scheduler/concurrency_limit_test.go
+++ b/scheduler/concurrency_limit_test.go
@@ -10,9 +10,9 @@
 	for range 20 {
 		h.arrive(Request{Volume: "big", Units: 3})
 	}
-	n := h.nodes["a"]
-	if n.unitsInFlight > InitialRequests*2 {
-		t.Fatalf("%v units in flight over a limit of %v", n.unitsInFlight, n.concurrencyLimit)
+	node := h.nodes["a"]
+	if node.unitsInFlight > InitialRequests*2 {
+		t.Fatalf("%v units in flight over a limit of %v", node.unitsInFlight, node.concurrencyLimit)
 	}
 	h.wantActions("send", 5)
 }
@@ -30,12 +30,12 @@
 		{"at most the highest limit", 1e6, 0.02, maxLimitRequests * 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			n := h.nodes["a"]
-			n.maxRate = test.maxRate
-			n.setLatency(test.latency, 0.02)
-			h.setConcurrencyLimit(n)
-			if n.concurrencyLimit != test.want {
-				t.Fatalf("limit %v, want %v", n.concurrencyLimit, test.want)
+			node := h.nodes["a"]
+			node.maxRate = test.maxRate
+			node.setLatency(test.latency, 0.02)
+			h.setConcurrencyLimit(node)
+			if node.concurrencyLimit != test.want {
+				t.Fatalf("limit %v, want %v", node.concurrencyLimit, test.want)
 			}
 		})
 	}
@@ -45,23 +45,23 @@
 // latency by one step at most.
 func TestRetestRaisesMinLatencyByOneStep(t *testing.T) {
 	h := newHarness(t, baseSettings())
-	n := h.nodes["a"]
-	n.maxRate = 500
-	n.setLatency(0.02, 0.02)
-	n.unitsInFlight = 40
-	n.retestAt = h.now
+	node := h.nodes["a"]
+	node.maxRate = 500
+	node.setLatency(0.02, 0.02)
+	node.unitsInFlight = 40
+	node.retestAt = h.now
 	h.Scheduler.now = h.now
-	h.retestMinLatency(n)
-	if n.concurrencyLimit > retestCutShare*40 {
-		t.Fatalf("no cut: limit %v", n.concurrencyLimit)
+	h.retestMinLatency(node)
+	if node.concurrencyLimit > retestCutShare*40 {
+		t.Fatalf("no cut: limit %v", node.concurrencyLimit)
 	}
 	h.Scheduler.now += time.Second
-	h.smoothLatency(n, 1, 4)
-	if n.minLatency != maxRetestRaise*0.02 {
-		t.Fatalf("minimum latency %v", n.minLatency)
+	h.smoothLatency(node, 1, 4)
+	if node.minLatency != maxRetestRaise*0.02 {
+		t.Fatalf("minimum latency %v", node.minLatency)
 	}
-	h.smoothLatency(n, 1, 4)
-	if n.minLatency != maxRetestRaise*0.02 {
+	h.smoothLatency(node, 1, 4)
+	if node.minLatency != maxRetestRaise*0.02 {
 		t.Fatal("raised without a cut")
 	}
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -8,15 +8,15 @@
 
 // dispatch sends every waiting request that may be sent now.
 func (s *Scheduler) dispatch() {
-	for _, n := range s.listed {
-		for i := 0; i < len(n.waiting); {
-			r := n.waiting[i]
-			if !s.hasCapacity(r, n) && s.permitted(r, n) {
+	for _, node := range s.listed {
+		for i := 0; i < len(node.waiting); {
+			request := node.waiting[i]
+			if !s.hasCapacity(request, node) && s.permitted(request, node) {
 				break // it waits for capacity, and requests behind it may not overtake it
 			}
-			if s.send(r, n) {
-				n.waiting = slices.Delete(n.waiting, i, i+1)
-				s.advanceTags(r, n)
+			if s.send(request, node) {
+				node.waiting = slices.Delete(node.waiting, i, i+1)
+				s.advanceTags(request, node)
 			} else {
 				i++
 			}
@@ -27,53 +27,53 @@
 // hasCapacity says whether the node's concurrency limit has capacity for the request. An idle node may always
 // get one. Unreserved requests wait here until the queue at the node is short, because they would delay
 // reserved ones there.
-func (s *Scheduler) hasCapacity(r *request, n *node) bool {
-	if n.attemptsInFlight == 0 {
+func (s *Scheduler) hasCapacity(request *requestState, node *nodeState) bool {
+	if node.attemptsInFlight == 0 {
 		return true
 	}
-	return n.failures == 0 &&
-		n.unitsInFlight+r.Units <= n.concurrencyLimit &&
-		!s.saturated(n, r, unreservedSend)
+	return node.failures == 0 &&
+		node.unitsInFlight+request.Units <= node.concurrencyLimit &&
+		!s.saturated(request, node, unreservedSend)
 }
 
 // send sends the request to the node if all guards permit it. Nothing else sends requests.
-func (s *Scheduler) send(r *request, n *node) bool {
-	if !s.permitted(r, n) {
+func (s *Scheduler) send(request *requestState, node *nodeState) bool {
+	if !s.permitted(request, node) {
 		return false
 	}
-	s.charge(r)
-	a := &attempt{request: r, number: r.attempts, node: n, sentAt: s.now}
-	r.node = nil
-	r.inFlight = append(r.inFlight, a)
-	r.attempts++
-	if r.firstNode == nil {
-		r.firstNode = n
-		r.firstSentAt = s.now
-		r.firstAttempt = a.number
+	s.charge(request)
+	attempt := &attemptState{request: request, number: request.attempts, node: node, sentAt: s.now}
+	request.node = nil
+	request.inFlight = append(request.inFlight, attempt)
+	request.attempts++
+	if request.firstNode == nil {
+		request.firstNode = node
+		request.firstSentAt = s.now
+		request.firstAttempt = attempt.number
 	}
-	n.recordSend(a, s.settings.Rules.SlowStartWindow)
-	s.actions.Send(r.ID, n.ID, 0)
+	node.recordSend(attempt, s.settings.Rules.SlowStartWindow)
+	s.actions.Send(request.ID, node.ID, 0)
 	return true
 }
 
 // charge accounts for an attempt that is being sent: the first one takes its units from the volume's limit,
 // the others count against the retry budget.
-func (s *Scheduler) charge(r *request) {
-	if !r.charged && r.volume.plan.Limit > 0 {
-		r.volume.limit.tokens -= r.Units
+func (s *Scheduler) charge(request *requestState) {
+	if !request.charged && request.volume.plan.Limit > 0 {
+		request.volume.limit.tokens -= request.Units
 	}
-	r.charged = true
-	if r.attempts > 0 && s.settings.Rules.RetryBudgetWindow > 0 {
+	request.charged = true
+	if request.attempts > 0 && s.settings.Rules.RetryBudgetWindow > 0 {
 		s.retriedAt = append(s.retriedAt, s.now)
 	}
 }
 
 // cancelInFlight cancels the attempts of an ended request, unless its stream has started.
-func (s *Scheduler) cancelInFlight(r *request) {
-	if !s.settings.Allowed.Cancel || r.streamStarted {
+func (s *Scheduler) cancelInFlight(request *requestState) {
+	if !s.settings.Allowed.Cancel || request.streamStarted {
 		return
 	}
-	for _, a := range r.inFlight {
-		s.actions.Cancel(r.ID, a.number)
+	for _, attempt := range request.inFlight {
+		s.actions.Cancel(request.ID, attempt.number)
 	}
 }
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -25,70 +25,70 @@
 
 // Explain says how every listed node stands before a request, either one that is known or one that might arrive. It
 // may refill token buckets, so it is for copies of a Scheduler as [Resume] makes them, not for one that decides.
-func (s *Scheduler) Explain(request Request) []Candidate {
-	if request.Class < 0 || request.Class >= len(s.settings.Classes) {
+func (s *Scheduler) Explain(arriving Request) []Candidate {
+	if arriving.Class < 0 || arriving.Class >= len(s.settings.Classes) {
 		return nil
 	}
-	r := s.requests[request.ID]
-	if r == nil {
-		r = s.hypotheticalRequest(request)
+	request := s.requests[arriving.ID]
+	if request == nil {
+		request = s.hypotheticalRequest(arriving)
 	}
 	var candidates []Candidate
-	for _, n := range s.listed {
+	for _, node := range s.listed {
 		candidates = append(candidates, Candidate{
-			Node:        n.ID,
-			Phase:       n.Phase,
-			Expected:    toDuration(s.expectedWait(n, r)),
-			Queue:       toDuration(s.estimatedQueueTime(n)),
-			ServiceTime: toDuration(s.serviceTime(n, r)),
-			InFlight:    n.unitsInFlight,
-			Waiting:     n.waitingUnits(),
-			Cap:         n.concurrencyLimit,
-			Backoff:     max(0, n.backoffUntil-s.now),
-			WarmingUp:   s.warmingUp(n),
-			BlockedBy:   s.blockedBy(r, n),
+			Node:        node.ID,
+			Phase:       node.Phase,
+			Expected:    toDuration(s.expectedWait(request, node)),
+			Queue:       toDuration(s.estimatedQueueTime(node)),
+			ServiceTime: toDuration(s.serviceTime(request, node)),
+			InFlight:    node.unitsInFlight,
+			Waiting:     node.waitingUnits(),
+			Cap:         node.concurrencyLimit,
+			Backoff:     max(0, node.backoffUntil-s.now),
+			WarmingUp:   s.warmingUp(node),
+			BlockedBy:   s.blockedBy(request, node),
 		})
 	}
 	return candidates
 }
 
 // hypotheticalRequest makes a request that might arrive now, with the random draw that the guards hold back first.
-func (s *Scheduler) hypotheticalRequest(arriving Request) *request {
-	r := &request{
+func (s *Scheduler) hypotheticalRequest(arriving Request) *requestState {
+	request := &requestState{
 		Request:    arriving,
 		class:      &s.settings.Classes[arriving.Class],
 		sequence:   math.MaxUint64,
 		randomDraw: 1,
 		volume:     s.volumeOf(arriving),
 	}
-	s.setDeadlines(r)
-	return r
+	s.setDeadlines(request)
+	return request
 }
 
 // blockedBy names the first guard that keeps a request from a node, in the order of permitted.
-func (s *Scheduler) blockedBy(r *request, n *node) string {
+func (s *Scheduler) blockedBy(request *requestState, node *nodeState) string {
 	switch {
-	case r.Shard != AnyShard && r.Shard != n.Shard:
+	case request.Shard != AnyShard && request.Shard != node.Shard:
 		return BlockedByMissingData
-	case !s.guardEnded(r):
+	case !s.guardEnded(request):
 		return "the request has ended"
-	case !s.guardDraining(n):
+	case !s.guardDraining(node):
 		return "the node is draining or removed"
-	case !s.guardBackoff(n):
+	case !s.guardBackoff(node):
 		return "the node is in backoff after it rejected requests or could not be reached"
-	case len(r.inFlight) > 0:
+	case len(request.inFlight) > 0:
 		return "an attempt is in flight"
-	case !s.guardRetry(r, n):
+	case !s.guardRetry(request, node):
 		return "the class allows no retry there"
-	case !s.guardOrderedKey(r):
+	case !s.guardOrderedKey(request):
 		return "an earlier request of the ordered key goes first"
-	case !s.guardVolumeLimit(r):
+	case !s.guardVolumeLimit(request):
 		return "the volume's limit is used up"
-	case !s.guardSlowStart(r, n):
+	case !s.guardSlowStart(request, node):
 		return "the node is warming up and has had its slow-start allowance"
-	case !s.guardRetryBudget(r):
+	case !s.guardRetryBudget(request):
 		return "the retry budget is used up"
-	case !s.hasCapacity(r, n):
+	case !s.hasCapacity(request, node):
 		return "the concurrency limit of the node is reached"
 	}
 	return ""
--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -8,13 +8,13 @@
 func TestGuardEndedRequest(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	id := h.arrive(Request{})
-	r := h.requests[id]
+	request := h.requests[id]
 	h.endAttempt(id, 0, Overloaded) // it waits for the node's backoff to end
 	h.advance(initialBackoff - 10*ms)
 	h.ClientDisconnected(h.now, id)
 	h.now += initialBackoff
 	h.TimerFired(h.now, housekeepingTimer)
-	if h.send(r, h.nodes["a"]) {
+	if h.send(request, h.nodes["a"]) {
 		t.Fatal("sent after its end")
 	}
 	h.wantActions("send", 1)
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -177,7 +177,7 @@
 		h.now = min(end, h.now+5*ms)
 		h.TimerFired(h.now, housekeepingTimer)
 		for key := uint64(1); key <= h.sequence; key++ {
-			if r := h.requestTimers[key]; r != nil && h.now >= r.answerBy {
+			if request := h.requestTimers[key]; request != nil && h.now >= request.answerBy {
 				h.TimerFired(h.now, key)
 			}
 		}
@@ -205,12 +205,12 @@
 }
 
 // inFlight returns the attempt of a request that has no outcome; nil if there is none.
-func (h *harness) inFlight(id string) *attempt {
-	r := h.requests[id]
-	if r == nil || len(r.inFlight) == 0 {
+func (h *harness) inFlight(id string) *attemptState {
+	request := h.requests[id]
+	if request == nil || len(request.inFlight) == 0 {
 		return nil
 	}
-	return r.inFlight[0]
+	return request.inFlight[0]
 }
 
 // endAttempt ends an attempt after a latency of 20 ms.
@@ -240,8 +240,8 @@
 // serveAll serves all attempts in flight.
 func (h *harness) serveAll() {
 	for _, send := range h.sends {
-		if a := h.inFlight(send.id); a != nil {
-			h.endAttempt(send.id, a.number, Served)
+		if attempt := h.inFlight(send.id); attempt != nil {
+			h.endAttempt(send.id, attempt.number, Served)
 		}
 	}
 }
@@ -255,14 +255,14 @@
 }
 
 // setLatency sets the latency and the minimum latency of a node, in seconds.
-func (n *node) setLatency(latency, minLatency float64) {
+func (n *nodeState) setLatency(latency, minLatency float64) {
 	n.latency = latency
 	n.minLatency = minLatency
 }
 
 // setQueue sets the measured queue of a node, in seconds, and how many responses it is worth from now on.
-func (h *harness) setQueue(n *node, queue, weight float64) {
-	n.queueTime = queue
-	n.queueWeight = weight
-	n.lastServedAt = h.now
+func (h *harness) setQueue(node *nodeState, queue, weight float64) {
+	node.queueTime = queue
+	node.queueWeight = weight
+	node.lastServedAt = h.now
 }
--- a/scheduler/latency_estimates.go
+++ b/scheduler/latency_estimates.go
@@ -19,69 +19,69 @@
 )
 
 // recordWork updates how long a unit takes, and how much work a unit of the request's class is against the mean.
-func (s *Scheduler) recordWork(r *request, latency time.Duration) {
-	perUnit := latency.Seconds() / max(r.Units, 1)
+func (s *Scheduler) recordWork(request *requestState, latency time.Duration) {
+	perUnit := latency.Seconds() / max(request.Units, 1)
 	s.serviceTimePerUnit += workGain * (perUnit - s.serviceTimePerUnit)
-	s.classWork[r.Class] += workGain * (perUnit/s.serviceTimePerUnit - s.classWork[r.Class])
+	s.classWork[request.Class] += workGain * (perUnit/s.serviceTimePerUnit - s.classWork[request.Class])
 }
 
 // recordServedQueue takes the node's queue from the latency of a served attempt, or from its load report if that
 // indicates a longer queue.
-func (s *Scheduler) recordServedQueue(n *node, r *request, latency time.Duration, load *Load) {
-	queue := latency.Seconds() - workTolerance*s.serviceTime(n, r)
+func (s *Scheduler) recordServedQueue(node *nodeState, request *requestState, latency time.Duration, load *Load) {
+	queue := latency.Seconds() - workTolerance*s.serviceTime(request, node)
 	if load != nil && load.Queued >= 1 {
 		perQueued := max(0, queue) / load.Queued
 		s.queueTimePerRequest += responseGain * (perQueued - s.queueTimePerRequest)
 		queue = max(queue, load.Queued*s.queueTimePerRequest)
 	}
-	s.recordQueueTime(n, queue)
+	s.recordQueueTime(node, queue)
 }
 
 // recordUnansweredQueue takes the node's queue from an attempt that ended without an answer. What has lasted so long
 // is expected to last as long again. Otherwise clients that disconnect would hide long queues.
-func (s *Scheduler) recordUnansweredQueue(n *node, a *attempt) {
-	queue := 2*s.unansweredTime(a) - workTolerance*s.serviceTime(n, a.request)
-	s.recordQueueTime(n, max(n.queueTime, queue))
+func (s *Scheduler) recordUnansweredQueue(node *nodeState, attempt *attemptState) {
+	queue := 2*s.unansweredTime(attempt) - workTolerance*s.serviceTime(attempt.request, node)
+	s.recordQueueTime(node, max(node.queueTime, queue))
 }
 
 // recordQueueTime smooths one measurement of the node's queue, in seconds, into its estimate.
-func (s *Scheduler) recordQueueTime(n *node, queue float64) {
-	weight := s.currentQueueWeight(n)
-	n.queueTime = (weight*n.queueTime + queue) / (weight + 1)
-	n.queueWeight = min(weight+1, smoothingResponses)
-	n.lastServedAt = s.now
+func (s *Scheduler) recordQueueTime(node *nodeState, queue float64) {
+	weight := s.currentQueueWeight(node)
+	node.queueTime = (weight*node.queueTime + queue) / (weight + 1)
+	node.queueWeight = min(weight+1, smoothingResponses)
+	node.lastServedAt = s.now
 }
 
 // currentQueueWeight is the number of responses that the node's measured queue is worth now.
-func (s *Scheduler) currentQueueWeight(n *node) float64 {
-	return n.queueWeight * math.Exp(-(s.now-n.lastServedAt).Seconds()/nodeDecay.Seconds())
+func (s *Scheduler) currentQueueWeight(node *nodeState) float64 {
+	return node.queueWeight * math.Exp(-(s.now-node.lastServedAt).Seconds()/nodeDecay.Seconds())
 }
 
 // estimatedQueueTime is the time, in seconds, that the queue at the node takes. With age, what was measured there
 // gives way to the median of the fleet. An overdue attempt counts as one more response.
-func (s *Scheduler) estimatedQueueTime(n *node) float64 {
-	measured := s.currentQueueWeight(n)
+func (s *Scheduler) estimatedQueueTime(node *nodeState) float64 {
+	measured := s.currentQueueWeight(node)
 	weight := measured + fleetPriorResponses
-	queue := (measured*n.queueTime + fleetPriorResponses*s.fleetQueue) / weight
-	if overdue := s.overdueTime(n); overdue > queue {
+	queue := (measured*node.queueTime + fleetPriorResponses*s.fleetQueue) / weight
+	if overdue := s.overdueTime(node); overdue > queue {
 		return (queue*weight + overdue) / (weight + 1)
 	}
 	return max(0, queue)
 }
 
 // serviceTime is the time, in seconds, that the request takes at the node without a queue.
-func (s *Scheduler) serviceTime(n *node, r *request) float64 {
-	perMeanRequest := min(n.latency, n.minLatency)
-	if n.minLatency == 0 {
+func (s *Scheduler) serviceTime(request *requestState, node *nodeState) float64 {
+	perMeanRequest := min(node.latency, node.minLatency)
+	if node.minLatency == 0 {
 		perMeanRequest = cmp.Or(s.minLatencyMedian, s.serviceTimePerUnit*s.settings.Sizes.MeanUnits)
 	}
-	return max(r.Units, 1) * s.classWork[r.Class] / s.settings.Sizes.MeanUnits * perMeanRequest
+	return max(request.Units, 1) * s.classWork[request.Class] / s.settings.Sizes.MeanUnits * perMeanRequest
 }
 
 // overdueTime is the time, in seconds, by which the oldest late attempt at the node exceeds what its work explains.
-func (s *Scheduler) overdueTime(n *node) float64 {
-	for _, a := range n.pending {
-		if late := s.unansweredTime(a) - workTolerance*s.serviceTime(n, a.request); late > 0 {
+func (s *Scheduler) overdueTime(node *nodeState) float64 {
+	for _, attempt := range node.pending {
+		if late := s.unansweredTime(attempt) - workTolerance*s.serviceTime(attempt.request, node); late > 0 {
 			return late
 		}
 	}
@@ -90,24 +90,24 @@
 
 // unansweredTime is the time, in seconds, for which an attempt has been in flight. It is 0 for an attempt that
 // seems lost, because that says nothing about the node's queue.
-func (s *Scheduler) unansweredTime(a *attempt) float64 {
-	lost := s.now-a.sentAt > lostAfterObjectives*s.minClassObjective
-	if a.overtaken > 0 || a.canceled || a.discounted || lost {
+func (s *Scheduler) unansweredTime(attempt *attemptState) float64 {
+	lost := s.now-attempt.sentAt > lostAfterObjectives*s.minClassObjective
+	if attempt.overtaken > 0 || attempt.canceled || attempt.discounted || lost {
 		return 0
 	}
-	return (s.now - a.sentAt).Seconds()
+	return (s.now - attempt.sentAt).Seconds()
 }
 
 // updateFleetEstimates takes the medians of queues and minimum latencies over the nodes that answered recently. They
 // are the prior for nodes that rarely answer. A minority of slow nodes does not move a median.
 func (s *Scheduler) updateFleetEstimates() {
 	var queues, minLatencies []float64
-	for _, n := range s.listed {
-		overdue := s.overdueTime(n)
-		recent := overdue > 0 || s.now-n.lastServedAt < fleetSampleAge
-		if recent && n.minLatency > 0 {
-			queues = append(queues, max(overdue, n.queueTime, 0))
-			minLatencies = append(minLatencies, n.minLatency)
+	for _, node := range s.listed {
+		overdue := s.overdueTime(node)
+		recent := overdue > 0 || s.now-node.lastServedAt < fleetSampleAge
+		if recent && node.minLatency > 0 {
+			queues = append(queues, max(overdue, node.queueTime, 0))
+			minLatencies = append(minLatencies, node.minLatency)
 		}
 	}
 	s.fleetQueue = median(queues)
--- a/scheduler/latency_estimates_test.go
+++ b/scheduler/latency_estimates_test.go
@@ -33,13 +33,13 @@
 func TestOverdueAttemptIndicatesAQueue(t *testing.T) {
 	queue := func(inFlightFor time.Duration, overtaken int) float64 {
 		h := newHarness(t, baseSettings())
-		n := h.nodes["a"]
-		n.setLatency(0.02, 0.02)
+		node := h.nodes["a"]
+		node.setLatency(0.02, 0.02)
 		h.arrive(Request{})
 		h.advance(inFlightFor)
-		n.pending[0].overtaken = overtaken
+		node.pending[0].overtaken = overtaken
 		h.updateFleetEstimates()
-		return h.estimatedQueueTime(n)
+		return h.estimatedQueueTime(node)
 	}
 	if q := queue(400*ms, 0); q < 0.1 {
 		t.Errorf("overdue: queue %v", q)
@@ -71,8 +71,8 @@
 // indicate the queue. Nodes once filled up with the work of those who had disconnected.
 func TestUnansweredAttemptIndicatesAQueue(t *testing.T) {
 	h := newHarness(t, baseSettings())
-	n := h.nodes["a"]
-	n.setLatency(0.02, 0.02)
+	node := h.nodes["a"]
+	node.setLatency(0.02, 0.02)
 	for i := range 6 {
 		id := h.arrive(Request{Key: fmt.Sprint(i)})
 		h.advance(100 * ms)
@@ -83,7 +83,7 @@
 			h.endAttempt(id, 0, Served)
 		}
 	}
-	if queue := h.estimatedQueueTime(n); queue < 0.05 {
+	if queue := h.estimatedQueueTime(node); queue < 0.05 {
 		t.Fatalf("queue %v", queue)
 	}
 }
@@ -95,16 +95,16 @@
 	settings.Plans[0].Reserve = 1000 // an unreserved request would be rejected for the queue at the node
 	queue := func(queued float64) float64 {
 		h := newHarness(t, settings)
-		n := h.nodes["a"]
+		node := h.nodes["a"]
 		for i := range 30 {
 			id := h.arrive(Request{Key: fmt.Sprint(i)})
 			latency := 400 * ms
 			if i == 29 {
 				latency = 20 * ms
 			}
-			n.setLatency(0.02, 0.02)
-			n.queueTime = 0
-			n.queueWeight = 0
+			node.setLatency(0.02, 0.02)
+			node.queueTime = 0
+			node.queueWeight = 0
 			h.AttemptEnded(h.now, Outcome{
 				ID:        id,
 				Node:      "a",
@@ -115,7 +115,7 @@
 				Load:      &Load{InFlight: -1, Queued: queued, Busy: -1},
 			})
 		}
-		return n.queueTime
+		return node.queueTime
 	}
 	if q := queue(10); q < 0.1 {
 		t.Errorf("ten waiting: queue %v", q)
--- a/scheduler/membership.go
+++ b/scheduler/membership.go
@@ -9,27 +9,27 @@
 )
 
 // MembershipChanged takes a watch event of the endpoint list.
-func (s *Scheduler) MembershipChanged(now time.Duration, m Membership) {
+func (s *Scheduler) MembershipChanged(now time.Duration, event Membership) {
 	s.tick(now)
-	if m.Kind == WatchFailed {
+	if event.Kind == WatchFailed {
 		s.scheduleWatch()
 		return
 	}
-	if m.Kind != CachedList {
+	if event.Kind != CachedList {
 		s.watchBackoff = 0
 	}
 	present := map[string]bool{}
-	for _, entry := range m.Nodes {
+	for _, entry := range event.Nodes {
 		present[entry.ID] = true
 		s.listNode(entry)
 	}
 	s.indexNodes()
-	for _, n := range s.listed {
-		if m.Kind != DeltaList && !present[n.ID] {
-			n.Phase = Removed
+	for _, node := range s.listed {
+		if event.Kind != DeltaList && !present[node.ID] {
+			node.Phase = Removed
 		}
-		if n.Phase != Up {
-			s.unassignWaiting(n)
+		if node.Phase != Up {
+			s.unassignWaiting(node)
 		}
 	}
 	s.reassign()
@@ -59,39 +59,39 @@
 
 // listNode takes an entry of the endpoint list.
 func (s *Scheduler) listNode(entry Node) {
-	n := s.nodes[entry.ID]
-	if n == nil {
-		n = s.newNode(entry)
+	node := s.nodes[entry.ID]
+	if node == nil {
+		node = s.newNode(entry)
 	}
-	if entry.StartedAt > n.StartedAt {
-		n.warmingSince = max(n.warmingSince, entry.StartedAt)
+	if entry.StartedAt > node.StartedAt {
+		node.warmingSince = max(node.warmingSince, entry.StartedAt)
 	}
-	n.Node = entry
+	node.Node = entry
 }
 
 // newNode enters a node that is listed for the first time. Its demand is that of the nodes that held its data
 // before, whose place it takes.
-func (s *Scheduler) newNode(entry Node) *node {
-	n := &node{
+func (s *Scheduler) newNode(entry Node) *nodeState {
+	node := &nodeState{
 		concurrencyLimit: InitialRequests * s.settings.Sizes.MeanUnits,
 		window:           latencyWindow{openedAt: s.now},
-		finishTags:       [queueTiers]map[*volume]float64{{}, {}},
+		finishTags:       [queueTiers]map[*volumeState]float64{{}, {}},
 		retestAt:         s.now + time.Duration((0.5+s.random.Float64())*float64(retestInterval)),
 	}
 	for _, previous := range s.nodesByShard[entry.Shard] {
-		n.demand = previous.demand
+		node.demand = previous.demand
 	}
-	s.nodes[entry.ID] = n
-	s.listed = append(s.listed, n)
-	s.restoreNode(n, entry)
-	return n
+	s.nodes[entry.ID] = node
+	s.listed = append(s.listed, node)
+	s.restoreNode(node, entry)
+	return node
 }
 
 // indexNodes finds the nodes of each shard after a change of the listed nodes, so that a request for data considers
 // only those that may hold it.
 func (s *Scheduler) indexNodes() {
-	s.nodesByShard = make(map[int][]*node, len(s.listed))
-	for _, n := range s.listed {
-		s.nodesByShard[n.Shard] = append(s.nodesByShard[n.Shard], n)
+	s.nodesByShard = make(map[int][]*nodeState, len(s.listed))
+	for _, node := range s.listed {
+		s.nodesByShard[node.Shard] = append(s.nodesByShard[node.Shard], node)
 	}
 }
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// node is a storage node as this host sees it.
-type node struct {
+// nodeState is a storage node as this host sees it.
+type nodeState struct {
 	Node
-	waiting []*request // in the order in which they are expected to be sent
-	pending []*attempt // attempts without an outcome, in the order in which they were sent
+	waiting []*requestState // in the order in which they are expected to be sent
+	pending []*attemptState // attempts without an outcome, in the order in which they were sent
 
 	unitsInFlight    float64 // without discounted attempts
 	attemptsInFlight int     // without discounted attempts
@@ -31,8 +31,8 @@
 	lastServedAt     time.Duration
 
 	// The order of its queue; see queue.go.
-	virtualTime [queueTiers]float64             // tag of the last request that was sent
-	finishTags  [queueTiers]map[*volume]float64 // of each volume's last request
+	virtualTime [queueTiers]float64                  // tag of the last request that was sent
+	finishTags  [queueTiers]map[*volumeState]float64 // of each volume's last request
 
 	// Its health; see node_health.go.
 	failures        int // rejections and failed connections in a row
@@ -59,36 +59,36 @@
 }
 
 // recordSend adds an attempt that is being sent to the books of its node.
-func (n *node) recordSend(a *attempt, slowStartWindow time.Duration) {
-	n.pending = append(n.pending, a)
-	n.unitsInFlight += a.request.Units
+func (n *nodeState) recordSend(attempt *attemptState, slowStartWindow time.Duration) {
+	n.pending = append(n.pending, attempt)
+	n.unitsInFlight += attempt.request.Units
 	n.attemptsInFlight++
-	n.sentAt = a.sentAt
+	n.sentAt = attempt.sentAt
 	if n.unansweredSince == 0 {
-		n.unansweredSince = a.sentAt
+		n.unansweredSince = attempt.sentAt
 	}
 	n.recentSends = slices.DeleteFunc(n.recentSends, func(send recentSend) bool {
-		return send.at <= a.sentAt-slowStartWindow
+		return send.at <= attempt.sentAt-slowStartWindow
 	})
-	n.recentSends = append(n.recentSends, recentSend{at: a.sentAt, units: a.request.Units})
+	n.recentSends = append(n.recentSends, recentSend{at: attempt.sentAt, units: attempt.request.Units})
 }
 
 // recordEnd takes an attempt that has an outcome out of the books of its node.
-func (n *node) recordEnd(a *attempt) {
-	n.pending = slices.DeleteFunc(n.pending, func(other *attempt) bool { return other == a })
-	if !a.discounted {
-		n.freeCapacity(a)
+func (n *nodeState) recordEnd(attempt *attemptState) {
+	n.pending = slices.DeleteFunc(n.pending, func(other *attemptState) bool { return other == attempt })
+	if !attempt.discounted {
+		n.freeCapacity(attempt)
 	}
 }
 
 // freeCapacity takes an attempt out of what is in flight at the node.
-func (n *node) freeCapacity(a *attempt) {
-	n.unitsInFlight = max(0, n.unitsInFlight-a.request.Units)
+func (n *nodeState) freeCapacity(attempt *attemptState) {
+	n.unitsInFlight = max(0, n.unitsInFlight-attempt.request.Units)
 	n.attemptsInFlight--
 }
 
 // unitsSentSince is the number of units sent to the node after a time.
-func (n *node) unitsSentSince(at time.Duration) float64 {
+func (n *nodeState) unitsSentSince(at time.Duration) float64 {
 	sum := 0.0
 	for _, send := range n.recentSends {
 		if send.at > at {
@@ -99,10 +99,10 @@
 }
 
 // waitingUnits is the number of units that wait for the node.
-func (n *node) waitingUnits() float64 {
+func (n *nodeState) waitingUnits() float64 {
 	sum := 0.0
-	for _, r := range n.waiting {
-		sum += r.Units
+	for _, request := range n.waiting {
+		sum += request.Units
 	}
 	return sum
 }
--- a/scheduler/node_health.go
+++ b/scheduler/node_health.go
@@ -9,45 +9,45 @@
 )
 
 // updateHealth updates what is known of a node by the outcome of an attempt.
-func (s *Scheduler) updateHealth(a *attempt, o Outcome) {
-	switch o.Result {
+func (s *Scheduler) updateHealth(attempt *attemptState, outcome Outcome) {
+	switch outcome.Result {
 	case Served:
-		s.markServing(a)
-		s.meterReserve(a.request.volume, a.request.Units, o.VolumeUse)
-		s.recordServed(a.node, a.request, o.Latency, o.Load)
+		s.markServing(attempt)
+		s.meterReserve(attempt.request.volume, attempt.request.Units, outcome.VolumeUse)
+		s.recordServed(attempt.node, attempt.request, outcome.Latency, outcome.Load)
 	case Canceled, TimedOut:
-		s.recordUnansweredQueue(a.node, a)
+		s.recordUnansweredQueue(attempt.node, attempt)
 	case Overloaded, ConnectFailed:
-		s.backOff(a.node, o.Result)
+		s.backOff(attempt.node, outcome.Result)
 	}
 }
 
 // markServing records that the node has served an attempt. If the node was down, it may have restarted just
 // before that and is warming up.
-func (s *Scheduler) markServing(a *attempt) {
-	n := a.node
-	for _, other := range n.pending {
-		if other.sentAt < a.sentAt {
+func (s *Scheduler) markServing(attempt *attemptState) {
+	node := attempt.node
+	for _, other := range node.pending {
+		if other.sentAt < attempt.sentAt {
 			other.overtaken++
 		}
 	}
-	if n.down {
-		n.down = false
-		n.warmingSince = max(n.warmingSince, a.sentAt)
+	if node.down {
+		node.down = false
+		node.warmingSince = max(node.warmingSince, attempt.sentAt)
 	}
-	n.failures = 0
-	n.backoffUntil = 0
+	node.failures = 0
+	node.backoffUntil = 0
 }
 
 // backOff pauses a node that rejected a request or could not be reached. One failed connection alone may come
 // from a full table of connections; the node is down after the second.
-func (s *Scheduler) backOff(n *node, result Result) {
-	if s.now >= n.backoffUntil {
-		n.backoffUntil = s.now + min(initialBackoff<<min(n.failures, 10), maxBackoff)
-		n.failures++
+func (s *Scheduler) backOff(node *nodeState, result Result) {
+	if s.now >= node.backoffUntil {
+		node.backoffUntil = s.now + min(initialBackoff<<min(node.failures, 10), maxBackoff)
+		node.failures++
 	}
-	if result == ConnectFailed && n.failures > 1 {
-		n.down = true
-		s.logf("node %s cannot be reached: held for %v", n.ID, n.backoffUntil-s.now)
+	if result == ConnectFailed && node.failures > 1 {
+		node.down = true
+		s.logf("node %s cannot be reached: held for %v", node.ID, node.backoffUntil-s.now)
 	}
 }
--- a/scheduler/node_selection.go
+++ b/scheduler/node_selection.go
@@ -8,58 +8,59 @@
 // selection is where a request goes: to a node; or nowhere until the membership changes, without a node; or,
 // if it is rejected, back to the client.
 type selection struct {
-	node       *node
+	node       *nodeState
 	rejected   bool
 	retryAfter time.Duration // when a rejected request may be of use again
 }
 
 // enqueue selects the node for a request and puts it into the node's queue.
-func (s *Scheduler) enqueue(r *request) {
-	selected := s.selectNode(r)
+func (s *Scheduler) enqueue(request *requestState) {
+	selected := s.selectNode(request)
 	if selected.rejected {
 		retryAfter := min(selected.retryAfter, s.settings.Allowed.MaxRetryAfter)
-		s.rejectOrFail(r, max(s.retryAfter(nil), retryAfter))
+		s.rejectOrFail(request, max(s.retryAfter(nil), retryAfter))
 		return
 	}
-	r.node = selected.node
-	if r.node == nil {
-		s.unassigned = append(s.unassigned, r)
+	request.node = selected.node
+	if request.node == nil {
+		s.unassigned = append(s.unassigned, request)
 		return
 	}
-	r.node.waiting = append(r.node.waiting, r)
-	s.rejectLate(r.node)
+	request.node.waiting = append(request.node.waiting, request)
+	s.rejectLate(request.node)
 }
 
 // selectNode selects the node with the shortest expected wait, within the tiers of zones if the settings have
 // any.
-func (s *Scheduler) selectNode(r *request) selection {
-	r.spilledOver = false
+func (s *Scheduler) selectNode(request *requestState) selection {
+	request.spilledOver = false
 	switch {
 	case s.zoneTracker == nil:
-		n, _ := s.shortestWait(r, anyNode)
-		return selection{node: n}
-	case r.Shard == AnyShard:
-		return s.selectForNewObject(r)
+		node, _ := s.shortestWait(request, anyNode)
+		return selection{node: node}
+	case request.Shard == AnyShard:
+		return s.selectForNewObject(request)
 	default:
-		return s.selectForData(r)
+		return s.selectForData(request)
 	}
 }
 
 // shortestWait returns the eligible node with the shortest expected wait and that wait, in seconds; nil if
 // the request may wait for none.
-func (s *Scheduler) shortestWait(r *request, eligible func(*node) bool) (*node, float64) {
+func (s *Scheduler) shortestWait(
+	request *requestState, eligible func(*nodeState) bool,
+) (best *nodeState, shortest float64) {
 	nodes := s.listed
-	if r.Shard != AnyShard {
-		nodes = s.nodesByShard[r.Shard]
+	if request.Shard != AnyShard {
+		nodes = s.nodesByShard[request.Shard]
 	}
-	var best *node
-	shortest := math.Inf(1)
-	for _, n := range nodes {
-		if !s.mayWaitFor(r, n) || !eligible(n) {
+	shortest = math.Inf(1)
+	for _, node := range nodes {
+		if !s.mayWaitFor(request, node) || !eligible(node) {
 			continue
 		}
-		if wait := s.expectedWait(n, r); wait < shortest {
-			best = n
+		if wait := s.expectedWait(request, node); wait < shortest {
+			best = node
 			shortest = wait
 		}
 	}
@@ -67,49 +68,51 @@
 }
 
 // anyNode makes every node eligible.
-func anyNode(*node) bool { return true }
+func anyNode(*nodeState) bool { return true }
 
 // holdsData says whether the node is up and holds the data of the request, as any node does for a new object.
-func (n *node) holdsData(r *request) bool {
-	return n.Phase == Up && (r.Shard == AnyShard || r.Shard == n.Shard)
+func (n *nodeState) holdsData(request *requestState) bool {
+	return n.Phase == Up && (request.Shard == AnyShard || request.Shard == n.Shard)
 }
 
 // mayWaitFor says whether the request may wait for the node.
-func (s *Scheduler) mayWaitFor(r *request, n *node) bool {
-	return n.holdsData(r) && s.restrictionLevel(r, n) < AvoidNode && s.safeToRetry(r, n)
+func (s *Scheduler) mayWaitFor(request *requestState, node *nodeState) bool {
+	return node.holdsData(request) &&
+		s.restrictionLevel(request, node) < AvoidNode &&
+		s.safeToRetry(request, node)
 }
 
 // expectedWait is the time, in seconds, until the node would have served the request.
-func (s *Scheduler) expectedWait(n *node, r *request) float64 {
-	unitsAhead := n.unitsInFlight + n.waitingUnits()
-	atNode := s.estimatedQueueTime(n) + s.serviceTime(n, r)
+func (s *Scheduler) expectedWait(request *requestState, node *nodeState) float64 {
+	unitsAhead := node.unitsInFlight + node.waitingUnits()
+	atNode := s.estimatedQueueTime(node) + s.serviceTime(request, node)
 	wait := atNode * (1 + unitsAhead/s.settings.Sizes.MeanUnits)
-	if s.now < n.backoffUntil {
-		wait += (n.backoffUntil - s.now).Seconds()
+	if s.now < node.backoffUntil {
+		wait += (node.backoffUntil - s.now).Seconds()
 	}
-	if !s.guardSlowStart(r, n) {
+	if !s.guardSlowStart(request, node) {
 		wait += s.settings.Rules.SlowStartWindow.Seconds()
 	}
 	return wait
 }
 
 // unassignWaiting takes all requests that wait for the node out of its queue, to be reassigned.
-func (s *Scheduler) unassignWaiting(n *node) {
-	s.unassigned = append(s.unassigned, n.waiting...)
-	n.waiting = nil
+func (s *Scheduler) unassignWaiting(node *nodeState) {
+	s.unassigned = append(s.unassigned, node.waiting...)
+	node.waiting = nil
 }
 
 // reassign selects nodes for requests that have none. It rejects those for which that is too late or in vain.
 func (s *Scheduler) reassign() {
 	unassigned := s.unassigned
 	s.unassigned = nil
-	for _, r := range unassigned {
+	for _, request := range unassigned {
 		switch {
-		case r.ended:
-		case s.now >= r.objectiveAt || s.exhausted(r) || s.avoidedEverywhere(r):
-			s.rejectOrFail(r, s.retryAfter(nil))
+		case request.ended:
+		case s.now >= request.objectiveAt || s.exhausted(request) || s.avoidedEverywhere(request):
+			s.rejectOrFail(request, s.retryAfter(nil))
 		default:
-			s.enqueue(r)
+			s.enqueue(request)
 		}
 	}
 }
--- a/scheduler/node_selection_test.go
+++ b/scheduler/node_selection_test.go
@@ -27,16 +27,16 @@
 		}
 		s.MembershipChanged(time.Hour, list)
 		for kind, shard := range map[string]int{"for its data": nodes - 1, "a new object": AnyShard} {
-			r := &request{
+			request := &requestState{
 				Request:     Request{Class: 0, Units: 2, Shard: shard},
 				class:       &s.settings.Classes[0],
 				objectiveAt: s.now + time.Second,
 				answerBy:    s.now + time.Second,
 			}
-			r.volume = s.volumeOf(r.Request)
+			request.volume = s.volumeOf(request.Request)
 			b.Run(fmt.Sprint(kind, ", nodes: ", nodes), func(b *testing.B) {
 				for b.Loop() {
-					s.selectNode(r)
+					s.selectNode(request)
 				}
 			})
 		}
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -16,25 +16,27 @@
 // then by the start tags of weighted fair queueing among volumes. The requests of one volume are ordered by
 // weight per work, then by objective. The first of them are within its reserve, so what exceeds the share of
 // a volume is last.
-func (s *Scheduler) sortQueue(n *node) {
-	slices.SortFunc(n.waiting, func(a, b *request) int {
+func (s *Scheduler) sortQueue(node *nodeState) {
+	slices.SortFunc(node.waiting, func(a, b *requestState) int {
 		return cmp.Or(
 			cmp.Compare(s.weightPerWork(b), s.weightPerWork(a)),
 			cmp.Compare(a.objectiveAt, b.objectiveAt),
 			cmp.Compare(a.sequence, b.sequence),
 		)
 	})
-	ahead := [queueTiers]map[*volume]float64{{}, {}} // units of each volume
-	for _, r := range n.waiting {
-		r.tier = sharedTier
-		if !r.spilledOver && ahead[reservedTier][r.volume]+r.Units <= r.volume.reserve.refill(s.now) {
-			r.tier = reservedTier
+	ahead := [queueTiers]map[*volumeState]float64{{}, {}} // units of each volume
+	for _, request := range node.waiting {
+		volume := request.volume
+		tier := sharedTier
+		if !request.spilledOver && ahead[reservedTier][volume]+request.Units <= volume.reserve.refill(s.now) {
+			tier = reservedTier
 		}
-		start := max(n.virtualTime[r.tier], n.finishTags[r.tier][r.volume])
-		r.tag = start + ahead[r.tier][r.volume]/r.volume.weight
-		ahead[r.tier][r.volume] += r.Units
+		start := max(node.virtualTime[tier], node.finishTags[tier][volume])
+		request.tier = tier
+		request.tag = start + ahead[tier][volume]/volume.weight
+		ahead[tier][volume] += request.Units
 	}
-	slices.SortStableFunc(n.waiting, func(a, b *request) int {
+	slices.SortStableFunc(node.waiting, func(a, b *requestState) int {
 		return cmp.Or(
 			a.tier-b.tier,
 			cmp.Compare(a.tag, b.tag),
@@ -44,16 +46,17 @@
 }
 
 // weightPerWork is the priority weight of a request for the work that it causes.
-func (s *Scheduler) weightPerWork(r *request) float64 {
-	return r.class.PriorityWeight / s.classWork[r.Class]
+func (s *Scheduler) weightPerWork(request *requestState) float64 {
+	return request.class.PriorityWeight / s.classWork[request.Class]
 }
 
 // advanceTags moves the fair queueing on by a request that was sent.
-func (s *Scheduler) advanceTags(r *request, n *node) {
-	if r.tier == reservedTier {
-		r.volume.reserve.tokens -= r.Units
+func (s *Scheduler) advanceTags(request *requestState, node *nodeState) {
+	tier, volume := request.tier, request.volume
+	if tier == reservedTier {
+		volume.reserve.tokens -= request.Units
 	}
-	finish := max(r.tag, n.finishTags[r.tier][r.volume])
-	n.virtualTime[r.tier] = max(n.virtualTime[r.tier], r.tag)
-	n.finishTags[r.tier][r.volume] = finish + r.Units/r.volume.weight
+	finish := max(request.tag, node.finishTags[tier][volume])
+	node.virtualTime[tier] = max(node.virtualTime[tier], request.tag)
+	node.finishTags[tier][volume] = finish + request.Units/volume.weight
 }
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -10,9 +10,9 @@
 		{Name: "z", Weight: 1, Reserve: 100},
 	}
 	h := newHarness(t, settings)
-	n := h.nodes["a"]
-	n.concurrencyLimit = 2
-	n.setLatency(0.001, 0.001)
+	node := h.nodes["a"]
+	node.concurrencyLimit = 2
+	node.setLatency(0.001, 0.001)
 	h.arrive(Request{Volume: "first"})
 	for range 4 {
 		h.arrive(Request{Volume: "vx", Plan: 0})
@@ -26,7 +26,7 @@
 		last := h.sends[len(h.sends)-1]
 		order = append(order, h.requests[last.id].Volume)
 		h.endAttempt(last.id, 0, Served)
-		n.concurrencyLimit = 2
+		node.concurrencyLimit = 2
 	}
 	if order[1] != "vz" {
 		t.Fatalf("the reserved request was not sent first: %v", order)
@@ -57,14 +57,14 @@
 			settings := baseSettings()
 			settings.Plans[0].Reserve = test.reserve
 			h := newHarness(t, settings)
-			n := h.nodes["a"]
-			n.setLatency(0.02, 0.02)
-			h.setQueue(n, 0.15, smoothingResponses)
+			node := h.nodes["a"]
+			node.setLatency(0.02, 0.02)
+			h.setQueue(node, 0.15, smoothingResponses)
 			h.arrive(Request{}) // one is always in flight
 			h.arrive(Request{})
 			h.wantActions("send", test.atOnce)
 			h.wantActions("reject", 0)
-			n.queueTime = 0
+			node.queueTime = 0
 			h.advance(10 * ms)
 			h.wantActions("send", 2)
 		})
--- a/scheduler/random_events_test.go
+++ b/scheduler/random_events_test.go
@@ -90,8 +90,8 @@
 
 func (run *randomRun) endRandomAttempt() {
 	for _, send := range slices.Clone(run.sends) {
-		a := run.harness.inFlight(send.id)
-		if a == nil || run.random.IntN(3) > 0 {
+		attempt := run.harness.inFlight(send.id)
+		if attempt == nil || run.random.IntN(3) > 0 {
 			continue
 		}
 		result := Result(run.random.IntN(int(NotSent)))
@@ -103,7 +103,7 @@
 			r.ranOn = ""
 		}
 		r.ended = r.ended || result == Served
-		run.endAttempt(send.id, a.number, result)
+		run.endAttempt(send.id, attempt.number, result)
 		return
 	}
 }
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -1,6 +1,9 @@
 package scheduler
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
 // Tuned values of a request's times; ours.
 const (
@@ -9,12 +12,12 @@
 	demandWindows      = 6                    // slow-start windows over which the demand at a node is smoothed
 )
 
-// request is a request from its arrival until it has ended and all its attempts have outcomes.
-type request struct {
+// requestState is a request from its arrival until it has ended and all its attempts have outcomes.
+type requestState struct {
 	Request
 	class           *Class
 	effectivePolicy RetryPolicy // of its class, narrowed by its own
-	volume          *volume
+	volume          *volumeState
 	sequence        uint64 // number of the arrival, and key of its timer
 	randomDraw      float64
 
@@ -23,17 +26,17 @@
 	answerBy        time.Duration // the final answer is due
 	clientTimeoutAt time.Duration // the client gives up, over all its tries
 
-	node        *node // where it waits; nil: it does not wait for a node
-	tier        int   // of the queue
+	node        *nodeState // where it waits; nil: it does not wait for a node
+	tier        int        // of the queue
 	tag         float64
 	spilledOver bool // it goes to another zone than it prefers
 
-	inFlight []*attempt // attempts without an outcome
-	attempts int        // attempts sent so far
-	charged  bool       // its units were taken from the volume's limit
+	inFlight []*attemptState // attempts without an outcome
+	attempts int             // attempts sent so far
+	charged  bool            // its units were taken from the volume's limit
 
 	// The first attempt that may have run. Without one, firstNode is nil.
-	firstNode    *node
+	firstNode    *nodeState
 	firstSentAt  time.Duration
 	firstAttempt int
 
@@ -42,11 +45,11 @@
 	ended         bool
 }
 
-// attempt is a request that was sent to a node.
-type attempt struct {
-	request    *request
+// attemptState is a request that was sent to a node.
+type attemptState struct {
+	request    *requestState
 	number     int // 0 for the first
-	node       *node
+	node       *nodeState
 	sentAt     time.Duration
 	overtaken  int  // attempts sent to the node later and served earlier
 	canceled   bool // as lost
@@ -54,7 +57,7 @@
 }
 
 // discount stops an attempt from holding capacity at its node.
-func (a *attempt) discount() {
+func (a *attemptState) discount() {
 	if !a.discounted {
 		a.discounted = true
 		a.node.freeCapacity(a)
@@ -69,81 +72,92 @@
 	units  float64
 }
 
-func (r *request) fingerprint() requestFingerprint {
+// takeInFlight removes an attempt from those without an outcome; nil if it is none of them.
+func (r *requestState) takeInFlight(number int) *attemptState {
+	i := slices.IndexFunc(r.inFlight, func(attempt *attemptState) bool { return attempt.number == number })
+	if i < 0 {
+		return nil
+	}
+	attempt := r.inFlight[i]
+	r.inFlight = slices.Delete(r.inFlight, i, i+1)
+	return attempt
+}
+
+func (r *requestState) fingerprint() requestFingerprint {
 	return requestFingerprint{volume: r.Volume, key: r.Key, class: r.Class, units: r.Units}
 }
 
 // newRequest enters a request that has arrived into the books and sets the timer of its final answer.
-func (s *Scheduler) newRequest(arrived Request) *request {
+func (s *Scheduler) newRequest(arrived Request) *requestState {
 	if s.settings.Rules.RetryBudgetWindow > 0 {
 		s.arrivedAt = append(s.arrivedAt, s.now)
 	}
 	s.sequence++
-	r := &request{
+	request := &requestState{
 		Request:    arrived,
 		class:      &s.settings.Classes[arrived.Class],
 		sequence:   s.sequence,
 		randomDraw: s.random.Float64(),
 		volume:     s.volumeOf(arrived),
 	}
-	r.effectivePolicy = r.class.RetryPolicy().NarrowedBy(arrived.RetryPolicy)
-	r.Units = max(arrived.Units, 0)
-	s.setDeadlines(r)
-	r.volume.idleAt = max(r.volume.idleAt, r.answerBy+sweepInterval)
-	s.requests[r.ID] = r
-	for _, n := range s.nodesByShard[r.Shard] {
-		n.demand.add(s.now, demandWindows*s.settings.Rules.SlowStartWindow, r.Units)
+	request.effectivePolicy = request.class.RetryPolicy().NarrowedBy(arrived.RetryPolicy)
+	request.Units = max(arrived.Units, 0)
+	s.setDeadlines(request)
+	request.volume.idleAt = max(request.volume.idleAt, request.answerBy+sweepInterval)
+	s.requests[request.ID] = request
+	for _, node := range s.nodesByShard[request.Shard] {
+		node.demand.add(s.now, demandWindows*s.settings.Rules.SlowStartWindow, request.Units)
 	}
-	s.requestTimers[r.sequence] = r
-	s.actions.SetTimer(max(0, r.answerBy-s.now), r.sequence)
-	s.joinOrderedKey(r)
-	return r
+	s.requestTimers[request.sequence] = request
+	s.actions.SetTimer(max(0, request.answerBy-s.now), request.sequence)
+	s.joinOrderedKey(request)
+	return request
 }
 
 // setDeadlines sets when the final answer of a request is due and until when it earns the full weight. If the
 // request is the client's retry of one that was rejected, the times of that one count. A retry is recognized by its
 // fingerprint and by a client timeout that ends within the deadline of the first try.
-func (s *Scheduler) setDeadlines(r *request) {
-	serviceTime := r.Units * s.classWork[r.Class] * s.serviceTimePerUnit // in seconds
-	stretch := time.Duration(r.class.ObjectiveStretch * serviceTime * float64(time.Second))
-	r.arrivedAt = s.now
-	r.answerBy = s.now + r.ClientTimeout - answerMargin
-	r.objectiveAt = min(s.now+r.class.LatencyObjective+stretch, r.answerBy)
-	if s.disconnectShare[r.Class] > minDisconnectShare {
-		disconnectAfter := time.Duration(s.disconnectAfter[r.Class] * float64(time.Second))
-		r.objectiveAt = min(r.objectiveAt, s.now+disconnectAfter)
+func (s *Scheduler) setDeadlines(request *requestState) {
+	serviceTime := request.Units * s.classWork[request.Class] * s.serviceTimePerUnit // in seconds
+	stretch := time.Duration(request.class.ObjectiveStretch * serviceTime * float64(time.Second))
+	request.arrivedAt = s.now
+	request.answerBy = s.now + request.ClientTimeout - answerMargin
+	request.objectiveAt = min(s.now+request.class.LatencyObjective+stretch, request.answerBy)
+	if s.disconnectShare[request.Class] > minDisconnectShare {
+		disconnectAfter := time.Duration(s.disconnectAfter[request.Class] * float64(time.Second))
+		request.objectiveAt = min(request.objectiveAt, s.now+disconnectAfter)
 	}
-	r.clientTimeoutAt = s.now + r.class.Deadline
-	if first := s.rejected[r.fingerprint()]; first != nil && r.answerBy <= first.clientTimeoutAt {
-		r.objectiveAt = min(r.objectiveAt, first.objectiveAt)
-		r.clientTimeoutAt = first.clientTimeoutAt
-		delete(s.rejected, r.fingerprint())
+	request.clientTimeoutAt = s.now + request.class.Deadline
+	if first := s.rejected[request.fingerprint()]; first != nil && request.answerBy <= first.clientTimeoutAt {
+		request.objectiveAt = min(request.objectiveAt, first.objectiveAt)
+		request.clientTimeoutAt = first.clientTimeoutAt
+		delete(s.rejected, request.fingerprint())
 	}
 }
 
 // recordDisconnect updates how many clients of a class disconnect early, and after what time.
-func (s *Scheduler) recordDisconnect(r *request) {
-	waited := (s.now - r.arrivedAt).Seconds()
-	s.disconnectAfter[r.Class] += responseGain * (waited - s.disconnectAfter[r.Class])
-	s.disconnectShare[r.Class] += responseGain
+func (s *Scheduler) recordDisconnect(request *requestState) {
+	waited := (s.now - request.arrivedAt).Seconds()
+	s.disconnectAfter[request.Class] += responseGain * (waited - s.disconnectAfter[request.Class])
+	s.disconnectShare[request.Class] += responseGain
 }
 
 // end marks a request as ended and takes it out of the queue in which it waits.
-func (s *Scheduler) end(r *request) {
-	r.ended = true
-	s.disconnectShare[r.Class] -= responseGain * s.disconnectShare[r.Class]
-	delete(s.requestTimers, r.sequence)
-	if r.node != nil {
-		r.node.waiting = removeRequest(r.node.waiting, r)
-		r.node = nil
+func (s *Scheduler) end(request *requestState) {
+	request.ended = true
+	s.disconnectShare[request.Class] -= responseGain * s.disconnectShare[request.Class]
+	delete(s.requestTimers, request.sequence)
+	if request.node != nil {
+		request.node.waiting = removeRequest(request.node.waiting, request)
+		request.node = nil
 	}
-	s.unassigned = removeRequest(s.unassigned, r)
+	s.unassigned = removeRequest(s.unassigned, request)
 }
 
 // release forgets an ended request once all its attempts have outcomes, and lets the next one of its key run.
-func (s *Scheduler) release(r *request) {
-	if r.ended && len(r.inFlight) == 0 {
-		delete(s.requests, r.ID)
-		s.leaveOrderedKey(r)
+func (s *Scheduler) release(request *requestState) {
+	if request.ended && len(request.inFlight) == 0 {
+		delete(s.requests, request.ID)
+		s.leaveOrderedKey(request)
 	}
 }
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -102,45 +102,45 @@
 }
 
 // restoreNode gives a node that is listed for the first time what was learned of it.
-func (s *Scheduler) restoreNode(n *node, entry Node) {
+func (s *Scheduler) restoreNode(node *nodeState, entry Node) {
 	learned := s.restoredNodes[entry.ID]
 	if learned == nil {
 		return
 	}
 	delete(s.restoredNodes, entry.ID)
-	n.warmingSince = learned.WarmingSince
-	n.down = learned.Down
+	node.warmingSince = learned.WarmingSince
+	node.down = learned.Down
 	for _, send := range learned.RecentSends {
-		n.recentSends = append(n.recentSends, recentSend{at: send.At, units: send.Units})
-		n.sentAt = max(n.sentAt, send.At)
+		node.recentSends = append(node.recentSends, recentSend{at: send.At, units: send.Units})
+		node.sentAt = max(node.sentAt, send.At)
 	}
 	if entry.StartedAt > learned.StartedAt+startTimeTolerance || learned.Cap <= 0 {
 		return
 	}
-	n.concurrencyLimit = learned.Cap
-	n.maxRate = learned.MaxRate
-	n.latency = learned.Latency
-	n.minLatency = learned.MinLatency
-	n.queueTime = learned.Queue
-	n.queueWeight = learned.QueueConfidence
-	n.lastServedAt = learned.LastServedAt
-	n.learnedAt = learned.LastServedAt
+	node.concurrencyLimit = learned.Cap
+	node.maxRate = learned.MaxRate
+	node.latency = learned.Latency
+	node.minLatency = learned.MinLatency
+	node.queueTime = learned.Queue
+	node.queueWeight = learned.QueueConfidence
+	node.lastServedAt = learned.LastServedAt
+	node.learnedAt = learned.LastServedAt
 }
 
 // restoreVolume lowers the token buckets of a volume that is used for the first time to what was left in them.
-func (s *Scheduler) restoreVolume(name string, v *volume) {
+func (s *Scheduler) restoreVolume(name string, volume *volumeState) {
 	learned := s.restoredVolumes[name]
 	if learned == nil {
 		return
 	}
 	delete(s.restoredVolumes, name)
 	if learned.ReserveRate > 0 {
-		v.reserve.rate = min(max(learned.ReserveRate, v.reserve.rate), v.plan.Reserve)
-		v.reserve.burst = v.reserve.rate + s.settings.Sizes.MaxUnits
+		volume.reserve.rate = min(max(learned.ReserveRate, volume.reserve.rate), volume.plan.Reserve)
+		volume.reserve.burst = volume.reserve.rate + s.settings.Sizes.MaxUnits
 	}
 	at := min(learned.At, s.now)
-	v.limit.lowerTo(learned.LimitTokens, at, s.now)
-	v.reserve.lowerTo(learned.ReserveTokens, at, s.now)
+	volume.limit.lowerTo(learned.LimitTokens, at, s.now)
+	volume.reserve.lowerTo(learned.ReserveTokens, at, s.now)
 }
 
 // lowerTo lowers the tokens to what so many tokens at an earlier time have become by now, if that is less.
--- a/scheduler/restrictions.go
+++ b/scheduler/restrictions.go
@@ -19,11 +19,11 @@
 func (s *Scheduler) Restrict(now time.Duration, restriction Restriction) {
 	s.tick(now)
 	s.setRestriction(restriction)
-	for _, n := range s.listed {
-		for _, r := range slices.Clone(n.waiting) {
-			if r.Operation == restriction.Operation && !s.mayWaitFor(r, n) {
-				n.waiting = removeRequest(n.waiting, r)
-				s.unassigned = append(s.unassigned, r)
+	for _, node := range s.listed {
+		for _, request := range slices.Clone(node.waiting) {
+			if request.Operation == restriction.Operation && !s.mayWaitFor(request, node) {
+				node.waiting = removeRequest(node.waiting, request)
+				s.unassigned = append(s.unassigned, request)
 			}
 		}
 	}
@@ -45,32 +45,32 @@
 }
 
 // restrictionLevel is how cautiously a request is handled at a node.
-func (s *Scheduler) restrictionLevel(r *request, n *node) RestrictionLevel {
-	if r.Operation == "" {
+func (s *Scheduler) restrictionLevel(request *requestState, node *nodeState) RestrictionLevel {
+	if request.Operation == "" {
 		return Unrestricted
 	}
 	return max(
 		s.overflowRestriction,
-		s.restrictions[restrictionKey{operation: r.Operation}],
-		s.restrictions[restrictionKey{operation: r.Operation, node: n.ID}],
+		s.restrictions[restrictionKey{operation: request.Operation}],
+		s.restrictions[restrictionKey{operation: request.Operation, node: node.ID}],
 	)
 }
 
 // distrusted says whether a request that may have run at the node must not be sent again.
-func (s *Scheduler) distrusted(r *request, n *node) bool {
-	level := s.restrictionLevel(r, n)
-	return level >= NoRetries || level == NoHedging && r.mayStillRun
+func (s *Scheduler) distrusted(request *requestState, node *nodeState) bool {
+	level := s.restrictionLevel(request, node)
+	return level >= NoRetries || level == NoHedging && request.mayStillRun
 }
 
 // avoidedEverywhere says whether the operation of the request is to avoid all nodes that could take it, so
 // that it waits in vain.
-func (s *Scheduler) avoidedEverywhere(r *request) bool {
+func (s *Scheduler) avoidedEverywhere(request *requestState) bool {
 	found := false
-	for _, n := range s.listed {
-		if !n.holdsData(r) {
+	for _, node := range s.listed {
+		if !node.holdsData(request) {
 			continue
 		}
-		if s.restrictionLevel(r, n) < AvoidNode {
+		if s.restrictionLevel(request, node) < AvoidNode {
 			return false
 		}
 		found = true
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -49,80 +49,80 @@
 }
 
 // retryOrReject decides what follows an attempt at the node that did not conclude the request.
-func (s *Scheduler) retryOrReject(r *request, n *node, result Result) {
-	if s.mayRetry(r, n, result) {
-		s.enqueue(r)
+func (s *Scheduler) retryOrReject(request *requestState, node *nodeState, result Result) {
+	if s.mayRetry(request, node, result) {
+		s.enqueue(request)
 	} else {
-		s.rejectOrFail(r, s.retryAfter(nil))
+		s.rejectOrFail(request, s.retryAfter(nil))
 	}
 }
 
 // mayRetry says whether a request may wait for another attempt. What was not sent needs no token for that.
-func (s *Scheduler) mayRetry(r *request, n *node, result Result) bool {
-	if result == TimedOut || s.exhausted(r) || s.now >= r.answerBy {
+func (s *Scheduler) mayRetry(request *requestState, node *nodeState, result Result) bool {
+	if result == TimedOut || s.exhausted(request) || s.now >= request.answerBy {
 		return false
 	}
-	return result == NotSent || s.takeRetryToken(r, n)
+	return result == NotSent || s.takeRetryToken(request, node)
 }
 
 // exhausted says whether a request can never be sent again, so that it waits in vain.
-func (s *Scheduler) exhausted(r *request) bool {
-	return s.attemptsUsedUp(r) || r.firstNode != nil && !s.safeToRetry(r, r.firstNode)
+func (s *Scheduler) exhausted(request *requestState) bool {
+	return s.attemptsUsedUp(request) || request.firstNode != nil && !s.safeToRetry(request, request.firstNode)
 }
 
 // attemptsUsedUp says whether a request has had all attempts that it may have.
-func (s *Scheduler) attemptsUsedUp(r *request) bool {
-	return s.settings.Allowed.MaxAttempts > 0 && r.attempts >= s.settings.Allowed.MaxAttempts
+func (s *Scheduler) attemptsUsedUp(request *requestState) bool {
+	return s.settings.Allowed.MaxAttempts > 0 && request.attempts >= s.settings.Allowed.MaxAttempts
 }
 
 // safeToRetry says whether the request may be sent to the node after the attempt that may have run: whether a
 // second run has no effect there.
-func (s *Scheduler) safeToRetry(r *request, n *node) bool {
-	if r.firstNode == nil {
+func (s *Scheduler) safeToRetry(request *requestState, node *nodeState) bool {
+	if request.firstNode == nil {
 		return true
 	}
-	if s.distrusted(r, r.firstNode) || s.distrusted(r, n) {
+	if s.distrusted(request, request.firstNode) || s.distrusted(request, node) {
 		return false
 	}
-	policy := &r.effectivePolicy
+	policy := &request.effectivePolicy
 	if policy.Idempotency == Idempotent {
 		return true
 	}
-	if policy.Idempotency == NonIdempotent || s.now >= r.firstSentAt+policy.Window {
+	if policy.Idempotency == NonIdempotent || s.now >= request.firstSentAt+policy.Window {
 		return false
 	}
 	switch policy.Scope {
 	case ScopeAll:
 		return true
 	case ScopeZone:
-		return n.Zone == r.firstNode.Zone
+		return node.Zone == request.firstNode.Zone
 	}
-	return n.Shard == r.firstNode.Shard
+	return node.Shard == request.firstNode.Shard
 }
 
 // safeToReject says whether the client may safely send the request again, as a rejection promises.
-func (s *Scheduler) safeToReject(r *request) bool {
-	if r.firstNode == nil {
+func (s *Scheduler) safeToReject(request *requestState) bool {
+	if request.firstNode == nil {
 		return true
 	}
-	policy := &r.effectivePolicy
-	return !s.distrusted(r, r.firstNode) && (policy.Idempotency == Idempotent ||
+	policy := &request.effectivePolicy
+	return !s.distrusted(request, request.firstNode) && (policy.Idempotency == Idempotent ||
 		policy.Idempotency == IdempotentWithKey && policy.Scope == ScopeAll)
 }
 
 // recordExecution records whether an attempt that ended may have run, or may still run.
-func (s *Scheduler) recordExecution(r *request, a *attempt, result Result) {
+func (s *Scheduler) recordExecution(request *requestState, attempt *attemptState, result Result) {
 	switch result {
 	case Overloaded, ConnectFailed, NotSent:
-		if result == Overloaded && s.restrictionLevel(r, a.node) >= NoRetries {
+		if result == Overloaded && s.restrictionLevel(request, attempt.node) >= NoRetries {
 			return // the node was seen to run what it claimed not to have run
 		}
-		if r.firstAttempt == a.number { // later attempts may have been sent at the same instant
-			r.firstNode = nil
+		if request.firstAttempt == attempt.number { // later attempts may have been sent at the same instant
+			request.firstNode = nil
 		}
 	case TimedOut, ConnectionReset, Canceled:
-		r.mayStillRun = true
-		s.startQuietPeriod(r)
+		request.mayStillRun = true
+		s.startQuietPeriod(request)
 	}
 }
 
@@ -130,55 +130,60 @@
 // is a retry that nodes discard for a limited time only: the way to the node may take longer than that. It
 // may be called while the attempt is being sent.
 func (s *Scheduler) RetryWindowLeft(id string) (left time.Duration, limited bool) {
-	r := s.requests[id]
-	if r == nil || r.firstNode == nil || r.firstAttempt == r.attempts-1 {
+	request := s.requests[id]
+	if request == nil || request.firstNode == nil || request.firstAttempt == request.attempts-1 {
 		return 0, false
 	}
-	if r.effectivePolicy.Idempotency != IdempotentWithKey {
+	if request.effectivePolicy.Idempotency != IdempotentWithKey {
 		return 0, false
 	}
-	return r.firstSentAt + r.effectivePolicy.Window - s.now, true
+	return request.firstSentAt + request.effectivePolicy.Window - s.now, true
 }
 
 // cancelLost cancels attempts that will hardly be answered: that take far longer than expected, while others
 // that were sent later have been served. They would hold capacity until their clients give up; somewhat
 // earlier, they stop to hold any. This covers all losses on the way and stuck workers. Its price is that an
 // attempt with far more work than its size says runs twice.
-func (s *Scheduler) cancelLost(n *node) {
-	for _, a := range slices.Clone(n.pending) {
-		age := (s.now - a.sentAt).Seconds()
-		expected := max(s.estimatedQueueTime(n)+s.serviceTime(n, a.request), n.latency)
-		if a.overtaken >= discountOvertaken && age > discountFactor*expected {
-			a.discount()
+func (s *Scheduler) cancelLost(node *nodeState) {
+	for _, attempt := range slices.Clone(node.pending) {
+		age := (s.now - attempt.sentAt).Seconds()
+		expected := max(s.estimatedQueueTime(node)+s.serviceTime(attempt.request, node), node.latency)
+		if attempt.overtaken >= discountOvertaken && age > discountFactor*expected {
+			attempt.discount()
 		}
-		lost := a.overtaken > 0 && age > lostFactor*expected
-		if lost && s.settings.Allowed.Cancel && !a.canceled && !a.request.streamStarted {
-			a.canceled = true
+		lost := attempt.overtaken > 0 && age > lostFactor*expected
+		if lost && s.settings.Allowed.Cancel && !attempt.canceled && !attempt.request.streamStarted {
+			attempt.canceled = true
 			s.logf("node %s: no answer for %.0f ms, %d later ones served: withdrawn",
-				n.ID, age*1000, a.overtaken)
-			s.actions.Cancel(a.request.ID, a.number)
+				node.ID, age*1000, attempt.overtaken)
+			s.actions.Cancel(attempt.request.ID, attempt.number)
 		}
 	}
 }
 
 // takeRetryToken takes a token for a retry from the budget of the operation at the node, if there are
 // budgets.
-func (s *Scheduler) takeRetryToken(r *request, n *node) bool {
-	if s.retryBudget == nil || s.retryBudget.Take(s.now, retryBudgetKey(r, n)) {
+func (s *Scheduler) takeRetryToken(request *requestState, node *nodeState) bool {
+	if s.retryBudget == nil || s.retryBudget.Take(s.now, retryBudgetKey(request, node)) {
 		return true
 	}
-	s.logf("further attempts of class %s at node %s are not earned", r.class.Name, n.ID)
+	s.logf("further attempts of class %s at node %s are not earned", request.class.Name, node.ID)
 	return false
 }
 
 // reportToRetryBudget reports the end of an attempt to the budget of its operation, if there are budgets.
-func (s *Scheduler) reportToRetryBudget(a *attempt, result Result) {
+func (s *Scheduler) reportToRetryBudget(attempt *attemptState, result Result) {
 	if s.retryBudget != nil {
-		key := retryBudgetKey(a.request, a.node)
-		s.retryBudget.AttemptEnded(s.now, key, a.number > 0, result == Served)
+		key := retryBudgetKey(attempt.request, attempt.node)
+		s.retryBudget.AttemptEnded(s.now, key, attempt.number > 0, result == Served)
 	}
 }
 
-func retryBudgetKey(r *request, n *node) retrybudget.Key {
-	return retrybudget.Key{Operation: r.Operation, Class: r.Class, Shard: n.Shard, Zone: n.Zone}
+func retryBudgetKey(request *requestState, node *nodeState) retrybudget.Key {
+	return retrybudget.Key{
+		Operation: request.Operation,
+		Class:     request.Class,
+		Shard:     node.Shard,
+		Zone:      node.Zone,
+	}
 }
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -96,8 +96,8 @@
 		h := newHarness(t, settings)
 		for i := range 200 {
 			id := h.arrive(Request{Key: fmt.Sprint(i)})
-			for a := h.inFlight(id); a != nil; a = h.inFlight(id) {
-				h.endAttempt(id, a.number, Errored)
+			for attempt := h.inFlight(id); attempt != nil; attempt = h.inFlight(id) {
+				h.endAttempt(id, attempt.number, Errored)
 			}
 			h.advance(10 * ms)
 		}
@@ -129,13 +129,13 @@
 				h.serve(Request{})
 			}
 			h.advance(70 * ms)
-			n := h.nodes["a"]
-			if n.unitsInFlight != want {
-				t.Errorf("%v units count as in flight, want %v", n.unitsInFlight, want)
+			node := h.nodes["a"]
+			if node.unitsInFlight != want {
+				t.Errorf("%v units count as in flight, want %v", node.unitsInFlight, want)
 			}
 			h.endAttempt(hanging, 0, ConnectionReset) // it is sent again
-			if n.unitsInFlight != 2 {
-				t.Errorf("%v units count as in flight after it was sent again", n.unitsInFlight)
+			if node.unitsInFlight != 2 {
+				t.Errorf("%v units count as in flight after it was sent again", node.unitsInFlight)
 			}
 		})
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -32,17 +32,17 @@
 	now          time.Duration
 	started      bool // there has been an event
 
-	nodes        map[string]*node
-	listed       []*node         // every node ever listed, in the order of listing, until it is swept
-	nodesByShard map[int][]*node // the same, in the same order
-	volumes      map[string]*volume
+	nodes        map[string]*nodeState
+	listed       []*nodeState         // every node ever listed, in the order of listing, until it is swept
+	nodesByShard map[int][]*nodeState // the same, in the same order
+	volumes      map[string]*volumeState
 
-	requests      map[string]*request // not ended, or with an attempt that has no outcome
-	requestTimers map[uint64]*request // by sequence
-	sequence      uint64              // of the last request
-	unassigned    []*request          // no listed node may take them now
+	requests      map[string]*requestState // not ended, or with an attempt that has no outcome
+	requestTimers map[uint64]*requestState // by sequence
+	sequence      uint64                   // of the last request
+	unassigned    []*requestState          // no listed node may take them now
 	orderedKeys   map[string]*orderedKeyQueue
-	rejected      map[requestFingerprint]*request // rejected or failed recently
+	rejected      map[requestFingerprint]*requestState // rejected or failed recently
 
 	minClassObjective   time.Duration
 	classWork           []float64 // work of a unit of each class, against the mean
@@ -85,12 +85,12 @@
 		actions:         actions,
 		randomSource:    source,
 		random:          rand.New(source),
-		nodes:           map[string]*node{},
-		volumes:         map[string]*volume{},
-		requests:        map[string]*request{},
-		requestTimers:   map[uint64]*request{},
+		nodes:           map[string]*nodeState{},
+		volumes:         map[string]*volumeState{},
+		requests:        map[string]*requestState{},
+		requestTimers:   map[uint64]*requestState{},
 		orderedKeys:     map[string]*orderedKeyQueue{},
-		rejected:        map[requestFingerprint]*request{},
+		rejected:        map[requestFingerprint]*requestState{},
 		disconnectShare: make([]float64, len(settings.Classes)),
 		disconnectAfter: make([]float64, len(settings.Classes)),
 		retryBudget:     retrybudget.New(settings.RetryBudget),
@@ -127,46 +127,44 @@
 // AttemptEnded takes the outcome of an attempt.
 func (s *Scheduler) AttemptEnded(now time.Duration, outcome Outcome) {
 	s.tick(now)
-	r := s.requests[outcome.ID]
-	if r == nil {
+	request := s.requests[outcome.ID]
+	if request == nil {
 		return
 	}
-	i := slices.IndexFunc(r.inFlight, func(a *attempt) bool { return a.number == outcome.Attempt })
-	if i < 0 {
+	attempt := request.takeInFlight(outcome.Attempt)
+	if attempt == nil {
 		return
 	}
-	a := r.inFlight[i]
-	r.inFlight = slices.Delete(r.inFlight, i, i+1)
-	a.node.recordEnd(a)
-	s.reportToRetryBudget(a, outcome.Result)
-	s.recordResponse(a, outcome)
-	s.updateHealth(a, outcome)
-	s.recordExecution(r, a, outcome.Result)
+	attempt.node.recordEnd(attempt)
+	s.reportToRetryBudget(attempt, outcome.Result)
+	s.recordResponse(attempt, outcome)
+	s.updateHealth(attempt, outcome)
+	s.recordExecution(request, attempt, outcome.Result)
 	if outcome.Concluded {
-		s.end(r)
-	} else if !r.ended && len(r.inFlight) == 0 {
-		s.retryOrReject(r, a.node, outcome.Result)
+		s.end(request)
+	} else if !request.ended && len(request.inFlight) == 0 {
+		s.retryOrReject(request, attempt.node, outcome.Result)
 	}
-	s.release(r)
+	s.release(request)
 	s.dispatch()
 }
 
 // StreamStarted says that the response to a request has started as a stream. Its time no longer runs out.
 func (s *Scheduler) StreamStarted(now time.Duration, id string, _ int) {
 	s.tick(now)
-	if r := s.requests[id]; r != nil {
-		r.streamStarted = true
+	if request := s.requests[id]; request != nil {
+		request.streamStarted = true
 	}
 }
 
 // ClientDisconnected says that the client of a request is gone.
 func (s *Scheduler) ClientDisconnected(now time.Duration, id string) {
 	s.tick(now)
-	if r := s.requests[id]; r != nil && !r.ended {
-		s.recordDisconnect(r)
-		s.end(r)
-		s.cancelInFlight(r)
-		s.release(r)
+	if request := s.requests[id]; request != nil && !request.ended {
+		s.recordDisconnect(request)
+		s.end(request)
+		s.cancelInFlight(request)
+		s.release(request)
 	}
 	s.dispatch()
 }
@@ -177,9 +175,9 @@
 	if key == housekeepingTimer {
 		s.housekeep()
 		s.actions.SetTimer(housekeepingInterval, housekeepingTimer)
-	} else if r := s.requestTimers[key]; r != nil {
+	} else if request := s.requestTimers[key]; request != nil {
 		delete(s.requestTimers, key)
-		s.expire(r)
+		s.expire(request)
 	}
 	s.dispatch()
 }
@@ -199,14 +197,14 @@
 
 // housekeep closes windows that are due and reconsiders all queues.
 func (s *Scheduler) housekeep() {
-	for _, n := range s.listed {
-		if n.window.due(s.now) && (n.window.responses > 0 || n.attemptsInFlight > 0) {
-			s.closeWindow(n)
+	for _, node := range s.listed {
+		if node.window.due(s.now) && (node.window.responses > 0 || node.attemptsInFlight > 0) {
+			s.closeWindow(node)
 		}
-		s.retestMinLatency(n)
-		s.drawSlowStart(n)
-		s.cancelLost(n)
-		s.rejectLate(n)
+		s.retestMinLatency(node)
+		s.drawSlowStart(node)
+		s.cancelLost(node)
+		s.rejectLate(node)
 	}
 	s.updateFleetEstimates()
 	s.updateZoneHealth()
@@ -221,26 +219,29 @@
 // sweep releases what is over. Its loops over maps only delete, so that their order does not matter.
 func (s *Scheduler) sweep() {
 	s.dropRestored()
-	maps.DeleteFunc(s.rejected, func(_ requestFingerprint, r *request) bool {
-		return s.now >= r.clientTimeoutAt
+	maps.DeleteFunc(s.rejected, func(_ requestFingerprint, request *requestState) bool {
+		return s.now >= request.clientTimeoutAt
 	})
 	maps.DeleteFunc(s.orderedKeys, func(_ string, queue *orderedKeyQueue) bool {
 		return len(queue.waiters) == 0 && s.now >= queue.quietUntil
 	})
-	maps.DeleteFunc(s.volumes, func(_ string, v *volume) bool { return v.idle(s.now) })
+	maps.DeleteFunc(s.volumes, func(_ string, volume *volumeState) bool { return volume.idle(s.now) })
 	s.sweepNodes()
 }
 
 // sweepNodes releases the fair-queueing tags of idle volumes, and nodes that were removed long ago.
 func (s *Scheduler) sweepNodes() {
 	before := len(s.listed)
-	s.listed = slices.DeleteFunc(s.listed, func(n *node) bool {
-		for tier := range n.finishTags {
-			maps.DeleteFunc(n.finishTags[tier], func(v *volume, _ float64) bool { return v.idle(s.now) })
+	s.listed = slices.DeleteFunc(s.listed, func(node *nodeState) bool {
+		for tier := range node.finishTags {
+			maps.DeleteFunc(node.finishTags[tier], func(volume *volumeState, _ float64) bool {
+				return volume.idle(s.now)
+			})
 		}
-		over := n.Phase == Removed && len(n.pending) == 0 && s.now-n.sentAt > s.settings.Rules.SlowStartDuration
+		idleFor := s.now - node.sentAt
+		over := node.Phase == Removed && len(node.pending) == 0 && idleFor > s.settings.Rules.SlowStartDuration
 		if over {
-			delete(s.nodes, n.ID)
+			delete(s.nodes, node.ID)
 		}
 		return over
 	})
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -84,8 +84,8 @@
 		if i%3 == 0 {
 			h.advance(15 * ms)
 			for _, send := range slices.Clone(h.sends) {
-				if a := h.inFlight(send.id); a != nil {
-					h.endAttempt(send.id, a.number, results[i/3%len(results)])
+				if attempt := h.inFlight(send.id); attempt != nil {
+					h.endAttempt(send.id, attempt.number, results[i/3%len(results)])
 				}
 			}
 		}
@@ -125,8 +125,8 @@
 			t.Errorf("%s has %d answers", id, count)
 		}
 	}
-	for id, r := range h.requests {
-		if !r.ended {
+	for id, request := range h.requests {
+		if !request.ended {
 			t.Errorf("%s has no answer", id)
 		}
 	}
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -55,17 +55,17 @@
 	case s.Rules.SlowStartAllowance < 0:
 		return fmt.Errorf("%w: the slow-start allowance is negative", ErrSettings)
 	}
-	for _, c := range s.Classes {
-		if c.Deadline <= 0 || c.LatencyObjective <= 0 {
-			return fmt.Errorf("%w: class %q has no deadline or no latency objective", ErrSettings, c.Name)
+	for _, class := range s.Classes {
+		if class.Deadline <= 0 || class.LatencyObjective <= 0 {
+			return fmt.Errorf("%w: class %q has no deadline or no latency objective", ErrSettings, class.Name)
 		}
 	}
 	if err := s.ZoneFailover.Check(); err != nil {
 		return fmt.Errorf("%w: zone failover: %w", ErrSettings, err)
 	}
-	for _, p := range s.Plans {
-		if p.Rate < 0 || p.Reserve < 0 || p.Limit < 0 || p.Burst < 0 || p.Weight < 0 {
-			return fmt.Errorf("%w: plan %q has a negative rate", ErrSettings, p.Name)
+	for _, plan := range s.Plans {
+		if plan.Rate < 0 || plan.Reserve < 0 || plan.Limit < 0 || plan.Burst < 0 || plan.Weight < 0 {
+			return fmt.Errorf("%w: plan %q has a negative rate", ErrSettings, plan.Name)
 		}
 	}
 	return nil
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -12,38 +12,38 @@
 // With many hosts the part is smaller than a request, and rounding it up would overload the node. Requests
 // then pass at random, so many that the part is kept in the mean: requests for the node's data by the demand
 // at this host, new objects by a draw that the host makes once a window.
-func (s *Scheduler) guardSlowStart(r *request, n *node) bool {
-	if !s.warmingUp(n) {
+func (s *Scheduler) guardSlowStart(request *requestState, node *nodeState) bool {
+	if !s.warmingUp(node) {
 		return true
 	}
 	rules := &s.settings.Rules
-	warmed := max(0, s.now-n.warmingSince).Seconds() / rules.SlowStartDuration.Seconds()
+	warmed := max(0, s.now-node.warmingSince).Seconds() / rules.SlowStartDuration.Seconds()
 	capacity := rules.SlowStartShare + (1-rules.SlowStartShare)*warmed // as a share of the warm node's
 	part := rules.SlowStartAllowance / float64(s.settings.Siblings) * capacity / rules.SlowStartShare
-	sent := n.unitsSentSince(s.now - rules.SlowStartWindow)
+	sent := node.unitsSentSince(s.now - rules.SlowStartWindow)
 	if part >= s.settings.Sizes.MaxUnits {
-		return sent+r.Units <= part
+		return sent+request.Units <= part
 	}
-	if r.Shard == AnyShard {
-		return sent+(1-n.slowStartDraw)*r.Units <= slowStartDrawShare*part
+	if request.Shard == AnyShard {
+		return sent+(1-node.slowStartDraw)*request.Units <= slowStartDrawShare*part
 	}
 	usualDemand := slowStartUsualDemand / (rules.SlowStartMultiple * capacity) * part
-	demand := n.demand.valueAt(s.now, demandWindows*rules.SlowStartWindow) / demandWindows
-	return r.randomDraw*max(demand, usualDemand, part) < 2*slowStartDrawShare*part
+	demand := node.demand.valueAt(s.now, demandWindows*rules.SlowStartWindow) / demandWindows
+	return request.randomDraw*max(demand, usualDemand, part) < 2*slowStartDrawShare*part
 }
 
 // warmingUp says whether the node has started so recently that it may not be warm.
-func (s *Scheduler) warmingUp(n *node) bool {
+func (s *Scheduler) warmingUp(node *nodeState) bool {
 	rules := &s.settings.Rules
 	return rules.SlowStartShare > 0 &&
-		n.warmingSince > 0 &&
-		s.now-n.warmingSince < rules.SlowStartDuration
+		node.warmingSince > 0 &&
+		s.now-node.warmingSince < rules.SlowStartDuration
 }
 
 // drawSlowStart makes the random draw of a warming node for the next window.
-func (s *Scheduler) drawSlowStart(n *node) {
-	if s.warmingUp(n) && s.now >= n.slowStartDrawUntil {
-		n.slowStartDraw = s.random.Float64()
-		n.slowStartDrawUntil = s.now + s.settings.Rules.SlowStartWindow
+func (s *Scheduler) drawSlowStart(node *nodeState) {
+	if s.warmingUp(node) && s.now >= node.slowStartDrawUntil {
+		node.slowStartDraw = s.random.Float64()
+		node.slowStartDrawUntil = s.now + s.settings.Rules.SlowStartWindow
 	}
 }
--- a/scheduler/snapshot_decode.go
+++ b/scheduler/snapshot_decode.go
@@ -44,9 +44,9 @@
 type snapshotDecoder struct {
 	scheduler *Scheduler
 	snapshot  *Snapshot
-	nodes     []*node
-	volumes   []*volume
-	requests  []*request
+	nodes     []*nodeState
+	volumes   []*volumeState
+	requests  []*requestState
 }
 
 // validIndex says whether i is an index of a list of so many.
@@ -137,19 +137,19 @@
 		return invalid("%d of %d nodes are listed", from.Listed, len(from.Nodes))
 	}
 	for i := range from.Nodes {
-		n := newSnapshotNode(&from.Nodes[i])
-		d.nodes = append(d.nodes, n)
+		node := newSnapshotNode(&from.Nodes[i])
+		d.nodes = append(d.nodes, node)
 		if i < from.Listed {
-			s.nodes[n.ID] = n
-			s.listed = append(s.listed, n)
+			s.nodes[node.ID] = node
+			s.listed = append(s.listed, node)
 		}
 	}
 	s.indexNodes()
 	return nil
 }
 
-func newSnapshotNode(from *SnapshotNode) *node {
-	n := &node{
+func newSnapshotNode(from *SnapshotNode) *nodeState {
+	node := &nodeState{
 		Node:             from.Node,
 		unitsInFlight:    from.UnitsInFlight,
 		attemptsInFlight: from.AttemptsInFlight,
@@ -175,7 +175,7 @@
 		lastServedAt: from.LastServedAt,
 
 		virtualTime: from.VirtualTime,
-		finishTags:  [queueTiers]map[*volume]float64{{}, {}},
+		finishTags:  [queueTiers]map[*volumeState]float64{{}, {}},
 
 		failures:        from.Failures,
 		backoffUntil:    from.BackoffUntil,
@@ -191,9 +191,9 @@
 		slowStartDrawUntil: from.SlowStartDrawUntil,
 	}
 	for _, send := range from.RecentSends {
-		n.recentSends = append(n.recentSends, recentSend{at: send.At, units: send.Units})
+		node.recentSends = append(node.recentSends, recentSend{at: send.At, units: send.Units})
 	}
-	return n
+	return node
 }
 
 func (d *snapshotDecoder) allVolumes() error {
@@ -203,7 +203,7 @@
 		if !validIndexOrNone(from.Plan, len(s.settings.Plans)) {
 			return invalid("volume %q has plan %d of %d", from.Name, from.Plan, len(s.settings.Plans))
 		}
-		v := &volume{
+		volume := &volumeState{
 			plan:     &Plan{Weight: 1, Price: 1},
 			idleAt:   from.IdleAt,
 			weight:   from.Weight,
@@ -213,11 +213,11 @@
 			ownUnits: decayingSum{value: from.OwnUnits, updatedAt: from.OwnUnitsAt},
 		}
 		if from.Plan >= 0 {
-			v.plan = &s.settings.Plans[from.Plan]
+			volume.plan = &s.settings.Plans[from.Plan]
 		}
-		d.volumes = append(d.volumes, v)
+		d.volumes = append(d.volumes, volume)
 		if from.Indexed {
-			s.volumes[from.Name] = v
+			s.volumes[from.Name] = volume
 		}
 	}
 	return nil
@@ -234,13 +234,13 @@
 		if !d.validRequest(from) {
 			return invalid("request %q", from.Request.ID)
 		}
-		r := d.newRequest(from)
+		request := d.newRequest(from)
 		for _, a := range from.InFlight {
 			if a.Request != i || !validIndex(a.Node, len(d.nodes)) {
 				return invalid("an attempt of request %q", from.Request.ID)
 			}
-			r.inFlight = append(r.inFlight, &attempt{
-				request:    r,
+			request.inFlight = append(request.inFlight, &attemptState{
+				request:    request,
 				number:     a.Number,
 				node:       d.nodes[a.Node],
 				sentAt:     a.SentAt,
@@ -249,10 +249,10 @@
 				discounted: a.Discounted,
 			})
 		}
-		d.requests = append(d.requests, r)
-		s.requests[r.ID] = r
+		d.requests = append(d.requests, request)
+		s.requests[request.ID] = request
 		if from.TimerSet {
-			s.requestTimers[r.sequence] = r
+			s.requestTimers[request.sequence] = request
 		}
 	}
 	return nil
@@ -267,8 +267,8 @@
 }
 
 // newRequest makes a request without its attempts.
-func (d *snapshotDecoder) newRequest(from *SnapshotRequest) *request {
-	r := &request{
+func (d *snapshotDecoder) newRequest(from *SnapshotRequest) *requestState {
+	request := &requestState{
 		Request:         from.Request,
 		class:           &d.scheduler.settings.Classes[from.Request.Class],
 		volume:          d.volumes[from.Volume],
@@ -289,14 +289,14 @@
 		streamStarted:   from.StreamStarted,
 		ended:           from.Ended,
 	}
-	r.effectivePolicy = r.class.RetryPolicy().NarrowedBy(r.RetryPolicy)
+	request.effectivePolicy = request.class.RetryPolicy().NarrowedBy(request.RetryPolicy)
 	if from.Node >= 0 {
-		r.node = d.nodes[from.Node]
+		request.node = d.nodes[from.Node]
 	}
 	if from.FirstNode >= 0 {
-		r.firstNode = d.nodes[from.FirstNode]
+		request.firstNode = d.nodes[from.FirstNode]
 	}
-	return r
+	return request
 }
 
 // allNodeQueues gives the nodes what refers to volumes and requests.
@@ -309,12 +309,12 @@
 	return nil
 }
 
-func (d *snapshotDecoder) nodeQueues(n *node, from *SnapshotNode) error {
+func (d *snapshotDecoder) nodeQueues(node *nodeState, from *SnapshotNode) error {
 	if from.Failures < 0 {
 		return invalid("%d failures", from.Failures)
 	}
 	var err error
-	if n.waiting, err = d.requestsAt(from.Waiting); err != nil {
+	if node.waiting, err = d.requestsAt(from.Waiting); err != nil {
 		return err
 	}
 	for tier := range from.FinishTags {
@@ -322,34 +322,36 @@
 			if !validIndex(tag.Volume, len(d.volumes)) {
 				return invalid("volume %d of %d", tag.Volume, len(d.volumes))
 			}
-			n.finishTags[tier][d.volumes[tag.Volume]] = tag.Tag
+			node.finishTags[tier][d.volumes[tag.Volume]] = tag.Tag
 		}
 	}
 	for _, pending := range from.Pending {
-		a, err := d.attemptAt(n, pending)
+		attempt, err := d.attemptAt(node, pending)
 		if err != nil {
 			return err
 		}
-		n.pending = append(n.pending, a)
+		node.pending = append(node.pending, attempt)
 	}
 	return nil
 }
 
 // attemptAt finds an attempt at a node among those of its request.
-func (d *snapshotDecoder) attemptAt(n *node, from SnapshotAttempt) (*attempt, error) {
+func (d *snapshotDecoder) attemptAt(node *nodeState, from SnapshotAttempt) (*attemptState, error) {
 	if !validIndex(from.Request, len(d.requests)) {
 		return nil, invalid("an attempt of request %d of %d", from.Request, len(d.requests))
 	}
 	inFlight := d.requests[from.Request].inFlight
-	i := slices.IndexFunc(inFlight, func(a *attempt) bool { return a.number == from.Number && a.node == n })
+	i := slices.IndexFunc(inFlight, func(attempt *attemptState) bool {
+		return attempt.number == from.Number && attempt.node == node
+	})
 	if i < 0 {
 		return nil, invalid("an attempt that its request lacks")
 	}
 	return inFlight[i], nil
 }
 
-func (d *snapshotDecoder) requestsAt(indexes []int) ([]*request, error) {
-	var requests []*request
+func (d *snapshotDecoder) requestsAt(indexes []int) ([]*requestState, error) {
+	var requests []*requestState
 	for _, i := range indexes {
 		if !validIndex(i, len(d.requests)) {
 			return nil, invalid("request %d of %d", i, len(d.requests))
@@ -386,9 +388,9 @@
 // rejected restores of the recently rejected requests what their next tries need.
 func (d *snapshotDecoder) rejected() {
 	for _, from := range d.snapshot.Rejected {
-		r := &request{objectiveAt: from.ObjectiveAt, clientTimeoutAt: from.ClientTimeoutAt}
-		r.Volume, r.Key, r.Class, r.Units = from.Volume, from.Key, from.Class, from.Units
-		d.scheduler.rejected[r.fingerprint()] = r
+		request := &requestState{objectiveAt: from.ObjectiveAt, clientTimeoutAt: from.ClientTimeoutAt}
+		request.Volume, request.Key, request.Class, request.Units = from.Volume, from.Key, from.Class, from.Units
+		d.scheduler.rejected[request.fingerprint()] = request
 	}
 }
 
--- a/scheduler/snapshot_encode.go
+++ b/scheduler/snapshot_encode.go
@@ -69,21 +69,21 @@
 // same whatever the order of the maps.
 type snapshotEncoder struct {
 	scheduler    *Scheduler
-	nodes        []*node
-	volumes      []*volume
+	nodes        []*nodeState
+	volumes      []*volumeState
 	volumeNames  []string
-	requests     []*request
-	nodeIndex    map[*node]int
-	volumeIndex  map[*volume]int
-	requestIndex map[*request]int
+	requests     []*requestState
+	nodeIndex    map[*nodeState]int
+	volumeIndex  map[*volumeState]int
+	requestIndex map[*requestState]int
 }
 
 func newSnapshotEncoder(s *Scheduler) *snapshotEncoder {
 	e := &snapshotEncoder{
 		scheduler:    s,
-		nodeIndex:    map[*node]int{},
-		volumeIndex:  map[*volume]int{},
-		requestIndex: map[*request]int{},
+		nodeIndex:    map[*nodeState]int{},
+		volumeIndex:  map[*volumeState]int{},
+		requestIndex: map[*requestState]int{},
 	}
 	e.indexRequests()
 	e.indexVolumes()
@@ -92,12 +92,12 @@
 }
 
 func (e *snapshotEncoder) indexRequests() {
-	for _, r := range e.scheduler.requests {
-		e.requests = append(e.requests, r)
+	for _, request := range e.scheduler.requests {
+		e.requests = append(e.requests, request)
 	}
-	slices.SortFunc(e.requests, func(a, b *request) int { return cmp.Compare(a.sequence, b.sequence) })
-	for i, r := range e.requests {
-		e.requestIndex[r] = i
+	slices.SortFunc(e.requests, func(a, b *requestState) int { return cmp.Compare(a.sequence, b.sequence) })
+	for i, request := range e.requests {
+		e.requestIndex[request] = i
 	}
 }
 
@@ -108,37 +108,37 @@
 	}
 	slices.Sort(e.volumeNames)
 	for i, name := range e.volumeNames {
-		v := e.scheduler.volumes[name]
-		e.volumeIndex[v] = i
-		e.volumes = append(e.volumes, v)
+		volume := e.scheduler.volumes[name]
+		e.volumeIndex[volume] = i
+		e.volumes = append(e.volumes, volume)
 	}
-	for _, r := range e.requests {
-		if _, known := e.volumeIndex[r.volume]; !known {
-			e.volumeIndex[r.volume] = len(e.volumes)
-			e.volumes = append(e.volumes, r.volume)
-			e.volumeNames = append(e.volumeNames, r.Volume)
+	for _, request := range e.requests {
+		if _, known := e.volumeIndex[request.volume]; !known {
+			e.volumeIndex[request.volume] = len(e.volumes)
+			e.volumes = append(e.volumes, request.volume)
+			e.volumeNames = append(e.volumeNames, request.Volume)
 		}
 	}
 }
 
 // indexNodes indexes first the listed nodes, then those that only requests refer to.
 func (e *snapshotEncoder) indexNodes() {
-	for _, n := range e.scheduler.listed {
-		e.indexNode(n)
+	for _, node := range e.scheduler.listed {
+		e.indexNode(node)
 	}
-	for _, r := range e.requests {
-		e.indexNode(r.firstNode)
-		e.indexNode(r.node)
-		for _, a := range r.inFlight {
-			e.indexNode(a.node)
+	for _, request := range e.requests {
+		e.indexNode(request.firstNode)
+		e.indexNode(request.node)
+		for _, attempt := range request.inFlight {
+			e.indexNode(attempt.node)
 		}
 	}
 }
 
-func (e *snapshotEncoder) indexNode(n *node) {
-	if _, known := e.nodeIndex[n]; !known && n != nil {
-		e.nodeIndex[n] = len(e.nodes)
-		e.nodes = append(e.nodes, n)
+func (e *snapshotEncoder) indexNode(node *nodeState) {
+	if _, known := e.nodeIndex[node]; !known && node != nil {
+		e.nodeIndex[node] = len(e.nodes)
+		e.nodes = append(e.nodes, node)
 	}
 }
 
@@ -150,82 +150,82 @@
 	return -1
 }
 
-func (e *snapshotEncoder) requestIndexes(requests []*request) []int {
+func (e *snapshotEncoder) requestIndexes(requests []*requestState) []int {
 	var indexes []int
-	for _, r := range requests {
-		indexes = append(indexes, e.requestIndex[r])
+	for _, request := range requests {
+		indexes = append(indexes, e.requestIndex[request])
 	}
 	return indexes
 }
 
 // encode writes the parts into a snapshot.
 func (e *snapshotEncoder) encode(snapshot *Snapshot) {
-	for _, n := range e.nodes {
-		snapshot.Nodes = append(snapshot.Nodes, e.node(n))
+	for _, node := range e.nodes {
+		snapshot.Nodes = append(snapshot.Nodes, e.node(node))
 	}
-	for i, v := range e.volumes {
-		snapshot.Volumes = append(snapshot.Volumes, e.volume(e.volumeNames[i], v))
+	for i, volume := range e.volumes {
+		snapshot.Volumes = append(snapshot.Volumes, e.volume(e.volumeNames[i], volume))
 	}
-	for _, r := range e.requests {
-		snapshot.Requests = append(snapshot.Requests, e.request(r))
+	for _, request := range e.requests {
+		snapshot.Requests = append(snapshot.Requests, e.request(request))
 	}
 	snapshot.Unassigned = e.requestIndexes(e.scheduler.unassigned)
 	snapshot.OrderedKeys = e.orderedKeys()
 	snapshot.Rejected = e.rejected()
 }
 
-func (e *snapshotEncoder) node(n *node) SnapshotNode {
+func (e *snapshotEncoder) node(node *nodeState) SnapshotNode {
 	return SnapshotNode{
-		Node:    n.Node,
-		Waiting: e.requestIndexes(n.waiting),
+		Node:    node.Node,
+		Waiting: e.requestIndexes(node.waiting),
 
-		UnitsInFlight:    n.unitsInFlight,
-		AttemptsInFlight: n.attemptsInFlight,
-		LastServedAt:     n.lastServedAt,
-		Queue:            n.queueTime,
-		QueueConfidence:  n.queueWeight,
-		Cap:              n.concurrencyLimit,
+		UnitsInFlight:    node.unitsInFlight,
+		AttemptsInFlight: node.attemptsInFlight,
+		LastServedAt:     node.lastServedAt,
+		Queue:            node.queueTime,
+		QueueConfidence:  node.queueWeight,
+		Cap:              node.concurrencyLimit,
 
-		WindowOpenedAt:  n.window.openedAt,
-		WindowUnits:     n.window.units,
-		WindowResponses: n.window.responses,
-		WindowLatency:   n.window.latency,
-		WindowWork:      n.window.work,
-		MaxRate:         n.maxRate,
-		Latency:         n.latency,
-		MinLatency:      n.minLatency,
-		LearnedAt:       n.learnedAt,
-		RetestAt:        n.retestAt,
-		CutDrainedAt:    n.cutDrainedAt,
-		CutCap:          n.cutLimit,
+		WindowOpenedAt:  node.window.openedAt,
+		WindowUnits:     node.window.units,
+		WindowResponses: node.window.responses,
+		WindowLatency:   node.window.latency,
+		WindowWork:      node.window.work,
+		MaxRate:         node.maxRate,
+		Latency:         node.latency,
+		MinLatency:      node.minLatency,
+		LearnedAt:       node.learnedAt,
+		RetestAt:        node.retestAt,
+		CutDrainedAt:    node.cutDrainedAt,
+		CutCap:          node.cutLimit,
 
-		VirtualTime: n.virtualTime,
-		FinishTags:  e.finishTags(n),
+		VirtualTime: node.virtualTime,
+		FinishTags:  e.finishTags(node),
 
-		Failures:           n.failures,
-		BackoffUntil:       n.backoffUntil,
-		Down:               n.down,
-		WarmingSince:       n.warmingSince,
-		Pending:            e.pending(n),
-		SentAt:             n.sentAt,
-		Demand:             n.demand.value,
-		DemandAt:           n.demand.updatedAt,
-		SlowStartDraw:      n.slowStartDraw,
-		SlowStartDrawUntil: n.slowStartDrawUntil,
-		UnansweredSince:    n.unansweredSince,
-		LastResponseAt:     n.lastResponseAt,
-		RecoveredAt:        n.recoveredAt,
-		ResetAt:            n.resetAt,
-		RecentSends:        n.snapshotSends(),
+		Failures:           node.failures,
+		BackoffUntil:       node.backoffUntil,
+		Down:               node.down,
+		WarmingSince:       node.warmingSince,
+		Pending:            e.pending(node),
+		SentAt:             node.sentAt,
+		Demand:             node.demand.value,
+		DemandAt:           node.demand.updatedAt,
+		SlowStartDraw:      node.slowStartDraw,
+		SlowStartDrawUntil: node.slowStartDrawUntil,
+		UnansweredSince:    node.unansweredSince,
+		LastResponseAt:     node.lastResponseAt,
+		RecoveredAt:        node.recoveredAt,
+		ResetAt:            node.resetAt,
+		RecentSends:        node.snapshotSends(),
 	}
 }
 
 // finishTags leaves out the tags of volumes that nothing refers to any more.
-func (e *snapshotEncoder) finishTags(n *node) [queueTiers][]SnapshotFinishTag {
+func (e *snapshotEncoder) finishTags(node *nodeState) [queueTiers][]SnapshotFinishTag {
 	var tags [queueTiers][]SnapshotFinishTag
-	for tier := range n.finishTags {
-		for v, tag := range n.finishTags[tier] {
-			if i, known := e.volumeIndex[v]; known {
+	for tier := range node.finishTags {
+		for volume, tag := range node.finishTags[tier] {
+			if i, known := e.volumeIndex[volume]; known {
 				tags[tier] = append(tags[tier], SnapshotFinishTag{Volume: i, Tag: tag})
 			}
 		}
@@ -234,15 +234,15 @@
 	return tags
 }
 
-func (e *snapshotEncoder) pending(n *node) []SnapshotAttempt {
+func (e *snapshotEncoder) pending(node *nodeState) []SnapshotAttempt {
 	var attempts []SnapshotAttempt
-	for _, a := range n.pending {
-		attempts = append(attempts, SnapshotAttempt{Request: e.requestIndex[a.request], Number: a.number})
+	for _, attempt := range node.pending {
+		attempts = append(attempts, SnapshotAttempt{Request: e.requestIndex[attempt.request], Number: attempt.number})
 	}
 	return attempts
 }
 
-func (n *node) snapshotSends() []SnapshotSend {
+func (n *nodeState) snapshotSends() []SnapshotSend {
 	var sends []SnapshotSend
 	for _, send := range n.recentSends {
 		sends = append(sends, SnapshotSend{At: send.at, Units: send.units})
@@ -250,24 +250,24 @@
 	return sends
 }
 
-func (e *snapshotEncoder) volume(name string, v *volume) SnapshotVolume {
+func (e *snapshotEncoder) volume(name string, volume *volumeState) SnapshotVolume {
 	plan := -1
 	for i := range e.scheduler.settings.Plans {
-		if v.plan == &e.scheduler.settings.Plans[i] { // by address, because names need not differ
+		if volume.plan == &e.scheduler.settings.Plans[i] { // by address, because names need not differ
 			plan = i
 		}
 	}
 	return SnapshotVolume{
 		Name:       name,
-		Indexed:    e.scheduler.volumes[name] == v,
+		Indexed:    e.scheduler.volumes[name] == volume,
 		Plan:       plan,
-		IdleAt:     v.idleAt,
-		Weight:     v.weight,
-		Hosts:      v.hosts,
-		Reserve:    v.reserve.snapshot(),
-		Limit:      v.limit.snapshot(),
-		OwnUnits:   v.ownUnits.value,
-		OwnUnitsAt: v.ownUnits.updatedAt,
+		IdleAt:     volume.idleAt,
+		Weight:     volume.weight,
+		Hosts:      volume.hosts,
+		Reserve:    volume.reserve.snapshot(),
+		Limit:      volume.limit.snapshot(),
+		OwnUnits:   volume.ownUnits.value,
+		OwnUnitsAt: volume.ownUnits.updatedAt,
 	}
 }
 
@@ -275,44 +275,44 @@
 	return SnapshotTokenBucket{Tokens: b.tokens, Rate: b.rate, Burst: b.burst, RefilledAt: b.refilledAt}
 }
 
-func (e *snapshotEncoder) request(r *request) SnapshotRequest {
+func (e *snapshotEncoder) request(request *requestState) SnapshotRequest {
 	return SnapshotRequest{
-		Request:         r.Request,
-		Volume:          e.volumeIndex[r.volume],
-		Sequence:        r.sequence,
-		ArrivedAt:       r.arrivedAt,
-		ObjectiveAt:     r.objectiveAt,
-		AnswerBy:        r.answerBy,
-		ClientTimeoutAt: r.clientTimeoutAt,
-		Tier:            r.tier,
-		Tag:             r.tag,
-		RandomDraw:      r.randomDraw,
-		Node:            indexOf(e.nodeIndex, r.node),
-		InFlight:        e.inFlight(r),
-		Attempts:        r.attempts,
-		Charged:         r.charged,
-		FirstNode:       indexOf(e.nodeIndex, r.firstNode),
-		FirstSentAt:     r.firstSentAt,
-		FirstAttempt:    r.firstAttempt,
-		MayStillRun:     r.mayStillRun,
-		SpilledOver:     r.spilledOver,
-		StreamStarted:   r.streamStarted,
-		Ended:           r.ended,
-		TimerSet:        e.scheduler.requestTimers[r.sequence] == r,
+		Request:         request.Request,
+		Volume:          e.volumeIndex[request.volume],
+		Sequence:        request.sequence,
+		ArrivedAt:       request.arrivedAt,
+		ObjectiveAt:     request.objectiveAt,
+		AnswerBy:        request.answerBy,
+		ClientTimeoutAt: request.clientTimeoutAt,
+		Tier:            request.tier,
+		Tag:             request.tag,
+		RandomDraw:      request.randomDraw,
+		Node:            indexOf(e.nodeIndex, request.node),
+		InFlight:        e.inFlight(request),
+		Attempts:        request.attempts,
+		Charged:         request.charged,
+		FirstNode:       indexOf(e.nodeIndex, request.firstNode),
+		FirstSentAt:     request.firstSentAt,
+		FirstAttempt:    request.firstAttempt,
+		MayStillRun:     request.mayStillRun,
+		SpilledOver:     request.spilledOver,
+		StreamStarted:   request.streamStarted,
+		Ended:           request.ended,
+		TimerSet:        e.scheduler.requestTimers[request.sequence] == request,
 	}
 }
 
-func (e *snapshotEncoder) inFlight(r *request) []SnapshotAttempt {
+func (e *snapshotEncoder) inFlight(request *requestState) []SnapshotAttempt {
 	var attempts []SnapshotAttempt
-	for _, a := range r.inFlight {
+	for _, attempt := range request.inFlight {
 		attempts = append(attempts, SnapshotAttempt{
-			Request:    e.requestIndex[r],
-			Number:     a.number,
-			Node:       e.nodeIndex[a.node],
-			SentAt:     a.sentAt,
-			Overtaken:  a.overtaken,
-			Canceled:   a.canceled,
-			Discounted: a.discounted,
+			Request:    e.requestIndex[request],
+			Number:     attempt.number,
+			Node:       e.nodeIndex[attempt.node],
+			SentAt:     attempt.sentAt,
+			Overtaken:  attempt.overtaken,
+			Canceled:   attempt.canceled,
+			Discounted: attempt.discounted,
 		})
 	}
 	return attempts
@@ -336,14 +336,14 @@
 // rejected returns the recently rejected requests in the order of their fingerprints.
 func (e *snapshotEncoder) rejected() []SnapshotRejected {
 	var rejected []SnapshotRejected
-	for fingerprint, r := range e.scheduler.rejected {
+	for fingerprint, request := range e.scheduler.rejected {
 		rejected = append(rejected, SnapshotRejected{
 			Volume:          fingerprint.volume,
 			Key:             fingerprint.key,
 			Class:           fingerprint.class,
 			Units:           fingerprint.units,
-			ObjectiveAt:     r.objectiveAt,
-			ClientTimeoutAt: r.clientTimeoutAt,
+			ObjectiveAt:     request.objectiveAt,
+			ClientTimeoutAt: request.clientTimeoutAt,
 		})
 	}
 	slices.SortFunc(rejected, func(a, b SnapshotRejected) int {
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -8,8 +8,8 @@
 	reserveMeterSpan = time.Second // over which this host's part of a volume's use is smoothed
 )
 
-// volume is what this host knows of a volume: its plan and the tokens that this host may spend for it.
-type volume struct {
+// volumeState is what this host knows of a volume: its plan and the tokens that this host may spend for it.
+type volumeState struct {
 	plan     *Plan
 	idleAt   time.Duration // when its last request will be over for long
 	weight   float64
@@ -20,17 +20,17 @@
 }
 
 // volumeOf finds the volume of a request, and sets it up at its first request.
-func (s *Scheduler) volumeOf(q Request) *volume {
-	v := s.volumes[q.Volume]
-	if v == nil {
-		v = s.newVolume(q)
-		s.restoreVolume(q.Volume, v)
-		s.volumes[q.Volume] = v
+func (s *Scheduler) volumeOf(q Request) *volumeState {
+	volume := s.volumes[q.Volume]
+	if volume == nil {
+		volume = s.newVolume(q)
+		s.restoreVolume(q.Volume, volume)
+		s.volumes[q.Volume] = volume
 	}
-	return v
+	return volume
 }
 
-func (s *Scheduler) newVolume(q Request) *volume {
+func (s *Scheduler) newVolume(q Request) *volumeState {
 	plan := &Plan{Weight: 1, Price: 1}
 	if q.Plan >= 0 && q.Plan < len(s.settings.Plans) {
 		plan = &s.settings.Plans[q.Plan]
@@ -40,7 +40,7 @@
 	// The previous incarnation of this host may have spent its part of the limit. The bucket therefore holds half
 	// of the even part of burst and slack; the other half covers what one previous incarnation spent.
 	limitBurst := (plan.Burst + plan.Slack) / hosts / 2
-	return &volume{
+	return &volumeState{
 		plan:   plan,
 		weight: max(plan.Weight, minPlanWeight),
 		hosts:  hosts,
@@ -62,18 +62,18 @@
 // meterReserve gives this host the part of a volume's reserve that corresponds to its part of the volume's
 // requests, instead of the even part, because clients use their hosts unevenly. Use is the recent rate through all
 // hosts, as a share of the plan's rate, as the nodes report it.
-func (s *Scheduler) meterReserve(v *volume, units, use float64) {
-	v.ownUnits.add(s.now, reserveMeterSpan, units)
-	if use > 0 && v.plan.Reserve > 0 {
-		part := min(max(v.ownUnits.value/reserveMeterSpan.Seconds()/(use*v.plan.Rate), 1/v.hosts), 1)
-		v.reserve.refill(s.now)
-		v.reserve.rate = v.plan.Reserve * part
-		v.reserve.burst = v.reserve.rate + s.settings.Sizes.MaxUnits
+func (s *Scheduler) meterReserve(volume *volumeState, units, use float64) {
+	volume.ownUnits.add(s.now, reserveMeterSpan, units)
+	if use > 0 && volume.plan.Reserve > 0 {
+		part := min(max(volume.ownUnits.value/reserveMeterSpan.Seconds()/(use*volume.plan.Rate), 1/volume.hosts), 1)
+		volume.reserve.refill(s.now)
+		volume.reserve.rate = volume.plan.Reserve * part
+		volume.reserve.burst = volume.reserve.rate + s.settings.Sizes.MaxUnits
 	}
 }
 
 // idle says whether the volume has been without requests until the bucket of its limit is full, so that setting it
 // up again regains nothing.
-func (v *volume) idle(now time.Duration) bool {
+func (v *volumeState) idle(now time.Duration) bool {
 	return now >= v.idleAt && v.limit.refill(now) >= v.limit.burst
 }
--- a/scheduler/zone_failover_test.go
+++ b/scheduler/zone_failover_test.go
@@ -121,8 +121,8 @@
 			h.makeUnavailable()
 			h.advance(500 * ms)
 			h.endAttempt("r1", 0, Served)
-			n := h.nodes["a"]
-			if !h.warmingUp(n) {
+			node := h.nodes["a"]
+			if !h.warmingUp(node) {
 				t.Error("it counts as warm at once")
 			}
 			if restarted {
@@ -130,8 +130,8 @@
 				h.list(DeltaList, Node{ID: "a", StartedAt: h.now - 2*time.Second})
 			}
 			h.advance(6 * time.Second)
-			if h.warmingUp(n) != restarted {
-				t.Errorf("warming up: %v", h.warmingUp(n))
+			if h.warmingUp(node) != restarted {
+				t.Errorf("warming up: %v", h.warmingUp(node))
 			}
 		})
 	}
--- a/scheduler/zone_observation.go
+++ b/scheduler/zone_observation.go
@@ -14,113 +14,113 @@
 
 // recordResponse records, for the zone tracker, whether an outcome is a sign of life of its node. A rejection and
 // a connection that is refused at once are as good as an answer.
-func (s *Scheduler) recordResponse(a *attempt, o Outcome) {
+func (s *Scheduler) recordResponse(attempt *attemptState, outcome Outcome) {
 	if s.zoneTracker == nil {
 		return
 	}
-	n := a.node
-	idle := len(n.pending) == 0
-	early := o.Latency < minUnanswered // nobody could expect a response yet
-	switch o.Result {
+	node := attempt.node
+	idle := len(node.pending) == 0
+	early := outcome.Latency < minUnanswered // nobody could expect a response yet
+	switch outcome.Result {
 	case Served, Errored, Overloaded:
-		s.markResponding(n)
-		if n.down {
-			n.recoveredAt = s.now
+		s.markResponding(node)
+		if node.down {
+			node.recoveredAt = s.now
 		}
 	case ConnectFailed:
-		if 2*o.Latency < s.settings.Allowed.ConnectTimeout {
-			s.markResponding(n)
+		if 2*outcome.Latency < s.settings.Allowed.ConnectTimeout {
+			s.markResponding(node)
 		}
 	case NotSent:
-		if idle && (early || n.unansweredSince == a.sentAt) {
-			n.unansweredSince = 0
+		if idle && (early || node.unansweredSince == attempt.sentAt) {
+			node.unansweredSince = 0
 		}
 	default:
-		if o.Result == ConnectionReset {
-			s.recordReset(n)
+		if outcome.Result == ConnectionReset {
+			s.recordReset(node)
 		}
 		if idle && early {
-			n.unansweredSince = 0
+			node.unansweredSince = 0
 		}
 	}
 }
 
 // markResponding records a sign of life. The attempts that are still in flight may have been sent before it or
 // after it, so they count as unanswered from now on.
-func (s *Scheduler) markResponding(n *node) {
-	n.lastResponseAt = s.now
-	n.unansweredSince = 0
-	if len(n.pending) > 0 {
-		n.unansweredSince = s.now
+func (s *Scheduler) markResponding(node *nodeState) {
+	node.lastResponseAt = s.now
+	node.unansweredSince = 0
+	if len(node.pending) > 0 {
+		node.unansweredSince = s.now
 	}
 }
 
 // recordReset records that a connection broke. If all attempts broke, or two at once, the node may have restarted
 // faster than anybody noticed; the endpoint list will say.
-func (s *Scheduler) recordReset(n *node) {
-	if len(n.pending) == 0 || n.resetAt > 0 && s.now-n.resetAt < resetBurstSpan {
-		n.down = true
+func (s *Scheduler) recordReset(node *nodeState) {
+	if len(node.pending) == 0 || node.resetAt > 0 && s.now-node.resetAt < resetBurstSpan {
+		node.down = true
 	}
-	n.resetAt = s.now
+	node.resetAt = s.now
 }
 
 // ProbeEnded takes the result of a probe.
 func (s *Scheduler) ProbeEnded(now time.Duration, probe ProbeResult) {
 	s.tick(now)
-	n := s.nodes[probe.Node]
-	if s.zoneTracker == nil || n == nil || !probe.Served {
+	node := s.nodes[probe.Node]
+	if s.zoneTracker == nil || node == nil || !probe.Served {
 		return
 	}
-	n.lastResponseAt = s.now
-	n.unansweredSince = 0
-	if n.down {
-		n.recoveredAt = s.now
+	node.lastResponseAt = s.now
+	node.unansweredSince = 0
+	if node.down {
+		node.recoveredAt = s.now
 	}
 }
 
 // markUnavailable records that the zone tracker holds the node to be unavailable. Attempts that are in flight there
 // will say nothing about its queue once it has recovered.
-func (s *Scheduler) markUnavailable(n *node) {
-	n.down = true
-	n.recoveredAt = 0
-	for _, a := range n.pending {
-		a.discount()
+func (s *Scheduler) markUnavailable(node *nodeState) {
+	node.down = true
+	node.recoveredAt = 0
+	for _, attempt := range node.pending {
+		attempt.discount()
 	}
 }
 
 // clearFalseWarming ends the slow start of a node that recovered, once the endpoint list would have said that the
 // node had restarted: then only the network path to it was cut.
-func (s *Scheduler) clearFalseWarming(n *node) {
+func (s *Scheduler) clearFalseWarming(node *nodeState) {
 	delay := s.settings.ZoneFailover.MembershipDelay
-	if n.recoveredAt == 0 || delay == 0 || s.now-n.recoveredAt < delay {
+	if node.recoveredAt == 0 || delay == 0 || s.now-node.recoveredAt < delay {
 		return
 	}
 	membershipCurrent := s.nextWatchAt == 0
-	restarted := n.StartedAt >= n.recoveredAt-delay
-	if membershipCurrent && !restarted && n.warmingSince > n.StartedAt && n.failures == 0 {
-		n.warmingSince = n.StartedAt
+	restarted := node.StartedAt >= node.recoveredAt-delay
+	if membershipCurrent && !restarted && node.warmingSince > node.StartedAt && node.failures == 0 {
+		node.warmingSince = node.StartedAt
 	}
-	n.recoveredAt = 0
+	node.recoveredAt = 0
 }
 
 // observation is what the zone tracker is told of the node.
-func (s *Scheduler) observation(n *node) zonefailover.Observation {
+func (s *Scheduler) observation(node *nodeState) zonefailover.Observation {
 	observation := zonefailover.Observation{
-		ID:           n.ID,
-		Zone:         n.Zone,
-		Size:         n.Size,
-		Removed:      n.Phase != Up,
-		LastResponse: n.lastResponseAt,
-		UsualLatency: toDuration(n.latency),
+		ID:           node.ID,
+		Zone:         node.Zone,
+		Size:         node.Size,
+		Removed:      node.Phase != Up,
+		LastResponse: node.lastResponseAt,
+		UsualLatency: toDuration(node.latency),
 	}
-	if n.unansweredSince > 0 {
-		observation.UnansweredFor = s.now - n.unansweredSince
+	if node.unansweredSince > 0 {
+		observation.UnansweredFor = s.now - node.unansweredSince
 	}
 	return observation
 }
 
 // spareRate is the rate, in units a second, that the node has been seen to serve beyond what it serves now.
-func (s *Scheduler) spareRate(n *node) float64 {
-	open := max(s.now-n.window.openedAt, windowDuration)
-	return max(0, n.maxRate-n.window.units/open.Seconds())
+func (s *Scheduler) spareRate(node *nodeState) float64 {
+	open := max(s.now-node.window.openedAt, windowDuration)
+	return max(0, node.maxRate-node.window.units/open.Seconds())
 }
