--- /dev/null
+++ b/scheduler/admission_test.go
@@ -0,0 +1,128 @@
+package scheduler
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestRejectsEarlyWhatCannotBeAnsweredInTime(t *testing.T) {
+	h := newHarness(t, baseSettings())
+	node := h.nodes["a"]
+	node.concurrencyLimit = 6
+	node.setLatency(0.3, 0.3)
+	for range 12 {
+		h.arrive(Request{})
+	}
+	h.wantActions("send", 3)
+	if got := h.count("reject"); got < 6 {
+		t.Fatalf("%d rejected", got)
+	}
+	for _, line := range h.recorded {
+		if strings.HasPrefix(line, "reject") && strings.HasSuffix(line, " 0s") {
+			t.Fatalf("no Retry-After: %s", line)
+		}
+	}
+}
+
+// Service times vary. What takes a little longer than its objective in the mean is often served in time.
+func TestSlightlyLateEstimateIsStillAdmitted(t *testing.T) {
+	for latency, sends := range map[float64]int{0.7: 1, 0.9: 0} {
+		t.Run(fmt.Sprint(latency, " s"), func(t *testing.T) {
+			h := newHarness(t, baseSettings())
+			h.nodes["a"].setLatency(latency, latency)
+			h.arrive(Request{})
+			h.wantActions("send", sends)
+		})
+	}
+}
+
+// The rate of a light load does not say what the node could serve; requests were once rejected by it.
+func TestLowMeasuredRateRejectsNothing(t *testing.T) {
+	h := newHarness(t, baseSettings())
+	node := h.nodes["a"]
+	node.concurrencyLimit = 6
+	node.maxRate = 3
+	node.setLatency(0.03, 0.03)
+	for range 6 {
+		h.arrive(Request{})
+	}
+	h.wantActions("send", 3)
+	h.wantActions("reject", 0)
+}
+
+// Unreserved requests with a long objective must not keep a node full while others with a short one need it.
+func TestNodeQueueIsComparedWithTheShortestObjective(t *testing.T) {
+	settings := baseSettings()
+	settings.Classes = append(settings.Classes, Class{
+		Name:             "bulk",
+		LatencyObjective: 5 * time.Second,
+		Deadline:         9 * time.Second,
+		PriorityWeight:   1,
+	})
+	h := newHarness(t, settings)
+	node := h.nodes["a"]
+	node.setLatency(0.8, 0.05)
+	h.setQueue(node, 0.8, smoothingResponses)
+	h.arrive(Request{Class: 1})
+	h.wantActions("reject r1", 1)
+	h.now += 4 * nodeDecay // an old measurement blocks no node
+	h.arrive(Request{Class: 1})
+	h.wantActions("send r2", 1)
+}
+
+// If a fifth of a class's clients disconnect long before the objective, what would take longer than they wait is
+// rejected.
+func TestClientsThatDisconnectEarlySetTheObjective(t *testing.T) {
+	settings := baseSettings()
+	settings.Plans[0].Reserve = 1000
+	h := newHarness(t, settings)
+	node := h.nodes["a"]
+	for i := range 20 {
+		id := h.arrive(Request{Key: fmt.Sprint(i)})
+		h.advance(100 * ms)
+		h.ClientDisconnected(h.now, id)
+		h.endAttempt(id, 0, Canceled)
+	}
+	node.setLatency(0.02, 0.02)
+	h.setQueue(node, 0.2, 4)
+	h.recorded = nil
+	h.arrive(Request{Key: "k"})
+	h.wantActions("reject", 1)
+	node.queueTime = 0
+	h.arrive(Request{Key: "l"})
+	h.wantActions("send", 1)
+	for i := range 40 { // clients that wait end it
+		h.serve(Request{Key: fmt.Sprint("s", i)})
+	}
+	h.setQueue(node, 0.2, 4)
+	h.recorded = nil
+	h.arrive(Request{Key: "m"})
+	h.wantActions("send", 1)
+}
+
+// Requests with a short client timeout were once taken for late retries and rejected.
+func TestShortClientTimeoutIsNoRetry(t *testing.T) {
+	h := newHarness(t, baseSettings())
+	h.arrive(Request{})
+	h.arrive(Request{ClientTimeout: 300 * ms})
+	h.wantActions("send r2", 1)
+}
+
+// A client's retry earns its full weight only within the objective of the first try.
+func TestClientRetryKeepsTheObjectiveOfTheRejectedTry(t *testing.T) {
+	h := newHarness(t, baseSettings())
+	node := h.nodes["a"]
+	h.arrive(Request{Key: "k1"})
+	node.concurrencyLimit = 1
+	h.arrive(Request{Key: "k2"})
+	h.advance(600 * ms)
+	h.wantActions("reject r2", 1)
+	h.arrive(Request{Key: "k2"}) // a client timeout of the whole deadline: another client's first try
+	h.wantActions("reject r3", 0)
+	h.arrive(Request{Key: "k2", ClientTimeout: 1300 * ms})
+	h.wantActions("reject r4", 1)
+	h.arrive(Request{Key: "k2", ClientTimeout: 1300 * ms}) // its time is that of the first try, too
+	h.wantActions("reject r5", 1)
+}
--- /dev/null
+++ b/scheduler/guards.go
@@ -0,0 +1,64 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+)
+
+// permitted says whether all guards let the request be sent to the node. Each guard keeps one rule.
+func (s *Scheduler) permitted(request *requestState, node *nodeState) bool {
+	return s.guardEnded(request) &&
+		s.guardDraining(node) &&
+		s.guardBackoff(node) &&
+		s.guardRetry(request, node) &&
+		s.guardOrderedKey(request) &&
+		s.guardVolumeLimit(request) &&
+		s.guardSlowStart(request, node) &&
+		s.guardRetryBudget(request)
+}
+
+// guardEnded keeps requests back that have ended or whose final answer is due.
+func (s *Scheduler) guardEnded(request *requestState) bool {
+	return !request.ended && s.now < request.answerBy
+}
+
+// guardDraining keeps requests from nodes that are known to drain or to have been removed.
+func (s *Scheduler) guardDraining(node *nodeState) bool { return node.Phase == Up }
+
+// guardBackoff keeps requests from nodes that rejected requests or could not be reached.
+func (s *Scheduler) guardBackoff(node *nodeState) bool { return s.now >= node.backoffUntil }
+
+// guardRetry keeps a request from having its effect twice.
+func (s *Scheduler) guardRetry(request *requestState, node *nodeState) bool {
+	return len(request.inFlight) == 0 && !s.attemptsUsedUp(request) && s.safeToRetry(request, node)
+}
+
+// guardOrderedKey lets the requests of an ordered key run one at a time, in the order of their arrival.
+func (s *Scheduler) guardOrderedKey(request *requestState) bool {
+	queue := s.orderedKeyQueue(request)
+	if queue == nil || len(queue.waiters) == 0 {
+		return true
+	}
+	return queue.waiters[0] == request && (queue.quietExempt == request || s.now >= queue.quietUntil)
+}
+
+// guardVolumeLimit keeps the first attempts of a volume within this host's part of its limit.
+func (s *Scheduler) guardVolumeLimit(request *requestState) bool {
+	limit := &request.volume.limit
+	return request.charged ||
+		request.volume.plan.Limit <= 0 ||
+		limit.refill(s.now) >= min(request.Units, limit.burst)
+}
+
+// guardRetryBudget keeps the retries of this host within the budget of the rules.
+func (s *Scheduler) guardRetryBudget(request *requestState) bool {
+	rules := &s.settings.Rules
+	if request.attempts == 0 || rules.RetryBudgetWindow == 0 {
+		return true
+	}
+	expired := func(at time.Duration) bool { return at <= s.now-rules.RetryBudgetWindow }
+	s.arrivedAt = slices.DeleteFunc(s.arrivedAt, expired)
+	s.retriedAt = slices.DeleteFunc(s.retriedAt, expired)
+	allowed := rules.RetryBudgetBase + rules.RetryBudgetShare*float64(len(s.arrivedAt))
+	return float64(len(s.retriedAt)+1) <= allowed
+}
--- /dev/null
+++ b/scheduler/scheduler.go
@@ -0,0 +1,260 @@
+package scheduler
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"reachpulley/internal/retrybudget"
+	"reachpulley/internal/zonefailover"
+)
+
+// Tuned values of the housekeeping; ours.
+const (
+	housekeepingInterval = 25 * time.Millisecond // between two rounds over all queues
+	sweepInterval        = 5 * time.Second       // between two searches for what can be released
+	logInterval          = time.Second           // between two log lines
+)
+
+// housekeepingTimer is the key of the timer of the housekeeping. The timers of requests have their sequence numbers
+// as keys, which begin at 1.
+const housekeepingTimer = 0
+
+// Scheduler decides for one host. It is not safe for concurrent use.
+type Scheduler struct {
+	settings     Settings
+	actions      Actions
+	randomSource *rand.PCG // of random
+	random       *rand.Rand
+	now          time.Duration
+	started      bool // there has been an event
+
+	nodes        map[string]*nodeState
+	listed       []*nodeState         // every node ever listed, in the order of listing, until it is swept
+	nodesByShard map[int][]*nodeState // the same, in the same order
+	volumes      map[string]*volumeState
+
+	requests      map[string]*requestState // not ended, or with an attempt that has no outcome
+	requestTimers map[uint64]*requestState // by sequence
+	sequence      uint64                   // of the last request
+	unassigned    []*requestState          // no listed node may take them now
+	orderedKeys   map[string]*orderedKeyQueue
+	rejected      map[requestFingerprint]*requestState // rejected or failed recently
+
+	minClassObjective   time.Duration
+	classWork           []float64 // work of a unit of each class, against the mean
+	disconnectShare     []float64 // share of each class's clients that disconnect early
+	disconnectAfter     []float64 // seconds after which they do
+	serviceTimePerUnit  float64   // mean, in seconds
+	queueTimePerRequest float64   // seconds that a request waiting at a node adds to the node's queue
+	fleetQueue          float64   // median queue of the nodes that answered recently, in seconds
+	minLatencyMedian    float64   // median of their minimum latencies, in seconds
+
+	arrivedAt   []time.Duration      // requests within the window of the rules' retry budget
+	retriedAt   []time.Duration      // retries within it
+	retryBudget *retrybudget.Budgets // nil: retries need no tokens
+
+	restrictions        map[restrictionKey]RestrictionLevel
+	overflowRestriction RestrictionLevel // of all operations, for restrictions that found no place
+
+	zoneTracker *zonefailover.Tracker // nil: all zones are alike
+	spillover   *zonefailover.SpilloverLimiter
+
+	nextWatchAt  time.Duration // 0: the last watch has not failed
+	watchBackoff time.Duration
+	loggedAt     time.Duration
+	sweepAt      time.Duration
+
+	restoredNodes   map[string]*LearnedNode // of the previous incarnation, until they are listed
+	restoredVolumes map[string]*LearnedVolume
+	restoredUntil   time.Duration
+}
+
+// New makes a Scheduler that calls actions. Schedulers with the same settings and seed make the same decisions on
+// the same events. New fails with [ErrSettings] on settings that cannot be used.
+func New(settings Settings, seed uint64, actions Actions) (*Scheduler, error) {
+	if err := settings.check(); err != nil {
+		return nil, err
+	}
+	source := rand.NewPCG(seed, 0)
+	s := &Scheduler{
+		settings:        settings,
+		actions:         actions,
+		randomSource:    source,
+		random:          rand.New(source),
+		nodes:           map[string]*nodeState{},
+		volumes:         map[string]*volumeState{},
+		requests:        map[string]*requestState{},
+		requestTimers:   map[uint64]*requestState{},
+		orderedKeys:     map[string]*orderedKeyQueue{},
+		rejected:        map[requestFingerprint]*requestState{},
+		disconnectShare: make([]float64, len(settings.Classes)),
+		disconnectAfter: make([]float64, len(settings.Classes)),
+		retryBudget:     retrybudget.New(settings.RetryBudget),
+		restrictions:    map[restrictionKey]RestrictionLevel{},
+	}
+	sizes := &s.settings.Sizes
+	sizes.MeanUnits = cmp.Or(sizes.MeanUnits, 1)
+	sizes.MaxUnits = max(sizes.MaxUnits, sizes.MeanUnits)
+	s.serviceTimePerUnit = initialLatency.Seconds() / sizes.MeanUnits
+	s.minClassObjective = settings.Classes[0].LatencyObjective
+	for _, class := range settings.Classes {
+		s.classWork = append(s.classWork, 1)
+		s.minClassObjective = min(s.minClassObjective, class.LatencyObjective)
+	}
+	if settings.ZoneFailover.Enabled() {
+		s.zoneTracker = zonefailover.NewTracker(len(settings.ZoneFailover.Tiers))
+		s.spillover = zonefailover.NewSpilloverLimiter(settings.ZoneFailover)
+	}
+	return s, nil
+}
+
+// RequestArrived takes a client's request. The request gets one final answer before its client gives up. A request
+// with the ID of one that is still known is ignored.
+func (s *Scheduler) RequestArrived(now time.Duration, arrived Request) {
+	s.tick(now)
+	if s.requests[arrived.ID] != nil {
+		return
+	}
+	if s.admit(arrived) {
+		s.dispatch()
+	}
+}
+
+// AttemptEnded takes the outcome of an attempt.
+func (s *Scheduler) AttemptEnded(now time.Duration, outcome Outcome) {
+	s.tick(now)
+	request := s.requests[outcome.ID]
+	if request == nil {
+		return
+	}
+	attempt := request.takeInFlight(outcome.Attempt)
+	if attempt == nil {
+		return
+	}
+	attempt.node.recordEnd(attempt)
+	s.reportToRetryBudget(attempt, outcome.Result)
+	s.recordResponse(attempt, outcome)
+	s.updateHealth(attempt, outcome)
+	s.recordExecution(request, attempt, outcome.Result)
+	if outcome.Concluded {
+		s.end(request)
+	} else if !request.ended && len(request.inFlight) == 0 {
+		s.retryOrReject(request, attempt.node, outcome.Result)
+	}
+	s.release(request)
+	s.dispatch()
+}
+
+// StreamStarted says that the response to a request has started as a stream. Its time no longer runs out.
+func (s *Scheduler) StreamStarted(now time.Duration, id string, _ int) {
+	s.tick(now)
+	if request := s.requests[id]; request != nil {
+		request.streamStarted = true
+	}
+}
+
+// ClientDisconnected says that the client of a request is gone.
+func (s *Scheduler) ClientDisconnected(now time.Duration, id string) {
+	s.tick(now)
+	if request := s.requests[id]; request != nil && !request.ended {
+		s.recordDisconnect(request)
+		s.end(request)
+		s.cancelInFlight(request)
+		s.release(request)
+	}
+	s.dispatch()
+}
+
+// TimerFired says that the timer with the key, set by [Actions.SetTimer], has run out.
+func (s *Scheduler) TimerFired(now time.Duration, key uint64) {
+	s.tick(now)
+	if key == housekeepingTimer {
+		s.housekeep()
+		s.actions.SetTimer(housekeepingInterval, housekeepingTimer)
+	} else if request := s.requestTimers[key]; request != nil {
+		delete(s.requestTimers, key)
+		s.expire(request)
+	}
+	s.dispatch()
+}
+
+// tick moves the clock on. At the first event it starts the housekeeping and the watch of the endpoint list.
+func (s *Scheduler) tick(now time.Duration) {
+	s.now = max(s.now, now)
+	if s.started {
+		return
+	}
+	s.started = true
+	s.actions.SetTimer(housekeepingInterval, housekeepingTimer)
+	if s.settings.PollMembership || s.settings.LocalAgent {
+		s.actions.Watch()
+	}
+}
+
+// housekeep closes windows that are due and reconsiders all queues.
+func (s *Scheduler) housekeep() {
+	for _, node := range s.listed {
+		if node.window.due(s.now) && (node.window.responses > 0 || node.attemptsInFlight > 0) {
+			s.closeWindow(node)
+		}
+		s.retestMinLatency(node)
+		s.drawSlowStart(node)
+		s.cancelLost(node)
+		s.rejectLate(node)
+	}
+	s.updateFleetEstimates()
+	s.updateZoneHealth()
+	s.reassign()
+	s.watchIfDue()
+	if s.now >= s.sweepAt {
+		s.sweepAt = s.now + sweepInterval
+		s.sweep()
+	}
+}
+
+// sweep releases what is over. Its loops over maps only delete, so that their order does not matter.
+func (s *Scheduler) sweep() {
+	s.dropRestored()
+	maps.DeleteFunc(s.rejected, func(_ requestFingerprint, request *requestState) bool {
+		return s.now >= request.clientTimeoutAt
+	})
+	maps.DeleteFunc(s.orderedKeys, func(_ string, queue *orderedKeyQueue) bool {
+		return len(queue.waiters) == 0 && s.now >= queue.quietUntil
+	})
+	maps.DeleteFunc(s.volumes, func(_ string, volume *volumeState) bool { return volume.idle(s.now) })
+	s.sweepNodes()
+}
+
+// sweepNodes releases the fair-queueing tags of idle volumes, and nodes that were removed long ago.
+func (s *Scheduler) sweepNodes() {
+	before := len(s.listed)
+	s.listed = slices.DeleteFunc(s.listed, func(node *nodeState) bool {
+		for tier := range node.finishTags {
+			maps.DeleteFunc(node.finishTags[tier], func(volume *volumeState, _ float64) bool {
+				return volume.idle(s.now)
+			})
+		}
+		idleFor := s.now - node.sentAt
+		over := node.Phase == Removed && len(node.pending) == 0 && idleFor > s.settings.Rules.SlowStartDuration
+		if over {
+			delete(s.nodes, node.ID)
+		}
+		return over
+	})
+	if len(s.listed) != before {
+		s.indexNodes()
+	}
+}
+
+// logf logs a line, unless one was logged a moment ago.
+func (s *Scheduler) logf(format string, args ...any) {
+	if s.loggedAt > 0 && s.now-s.loggedAt < logInterval {
+		return
+	}
+	s.loggedAt = s.now
+	s.actions.Log(fmt.Sprintf(format, args...))
+}
--- /dev/null
+++ b/scheduler/zone_failover_test.go
@@ -0,0 +1,170 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"reachpulley/internal/zonefailover"
+)
+
+// makeUnavailable sends a request to node a and leaves it unanswered until the node is unavailable.
+func (h *harness) makeUnavailable() {
+	h.t.Helper()
+	h.arrive(Request{Key: "lost"})
+	for range 40 {
+		h.advance(25 * ms)
+		if h.zoneTracker.Node("a") == zonefailover.Unavailable {
+			return
+		}
+	}
+	h.t.Fatal("the node is not unavailable after a second")
+}
+
+func TestNewObjectsStayInTheHomeZone(t *testing.T) {
+	h := newHarness(t, zonedSettings())
+	h.advance(2 * time.Second) // the spillover bucket is full, and nothing needs it
+	for range 8 {
+		h.arrive(Request{Shard: AnyShard})
+	}
+	h.wantActions("send", 8)
+	for _, send := range h.sends {
+		if send.node != "a" {
+			t.Errorf("%s went to %s", send.id, send.node)
+		}
+	}
+}
+
+func TestSpilloverKeepsItsBound(t *testing.T) {
+	h := newHarness(t, zonedSettings())
+	h.advance(2 * time.Second)
+	h.makeUnavailable()
+	h.advance(time.Second)
+	before := len(h.sends)
+	for i := range 20 {
+		h.arrive(Request{Shard: AnyShard, Key: string(rune('a' + i))})
+	}
+	spilledOver := 0
+	for _, send := range h.sends[before:] {
+		if send.node == "b" {
+			spilledOver++
+			h.endAttempt(send.id, 0, Served)
+		}
+	}
+	if spilledOver != 5 || h.count("reject") < 15 { // 10 units at once, of two each
+		t.Errorf("%d spilled over, %d rejected", spilledOver, h.count("reject"))
+	}
+	h.advance(time.Second)
+	h.arrive(Request{Shard: AnyShard, Key: "later"})
+	if last := h.sends[len(h.sends)-1]; last.node != "b" {
+		t.Errorf("%+v", last)
+	}
+}
+
+func TestForbiddenZonesGetNoSpillover(t *testing.T) {
+	settings := zonedSettings()
+	settings.ZoneFailover.Work = []zonefailover.Work{
+		{Class: 0, Plan: -1, Tiers: []int{0, zonefailover.Forbidden}},
+	}
+	h := newHarness(t, settings)
+	h.advance(2 * time.Second)
+	h.makeUnavailable()
+	id := h.arrive(Request{Shard: AnyShard})
+	h.wantActions("reject "+id, 1)
+
+	settings.ZoneFailover.Work = []zonefailover.Work{
+		{Class: -1, Plan: 0, Tiers: []int{zonefailover.Forbidden, 0}},
+	}
+	h = newHarness(t, settings)
+	id = h.arrive(Request{Shard: AnyShard})
+	h.wantActions("send "+id+" b", 1) // its home is the other zone, so nothing spills over
+}
+
+// Requests for the data of an unavailable node are rejected at once, with the time of the next trial. If nodes may
+// not be probed, one of the requests is the trial.
+func TestRequestsForAnUnavailableNode(t *testing.T) {
+	send := func(t *testing.T, probes bool) (h *harness, trials int) {
+		settings := zonedSettings()
+		settings.Allowed.Probes = probes
+		h = newHarness(t, settings)
+		h.makeUnavailable()
+		h.advance(100 * ms)
+		before := h.count("send")
+		for range 10 {
+			h.arrive(Request{Key: "k"})
+			h.advance(50 * ms)
+		}
+		return h, h.count("send") - before
+	}
+	t.Run("trials", func(t *testing.T) {
+		h, trials := send(t, false)
+		if trials < 1 || trials > 4 || h.count("reject") < 6 {
+			t.Errorf("%d trials, %d rejected", trials, h.count("reject"))
+		}
+	})
+	t.Run("probes", func(t *testing.T) {
+		h, trials := send(t, true)
+		if probes := h.count("probe a"); trials > 0 || probes < 2 || probes > 5 {
+			t.Errorf("%d sent, %d probes", trials, probes)
+		}
+		h.ProbeEnded(h.now, ProbeResult{Node: "a", Served: true})
+		h.advance(30 * ms)
+		id := h.arrive(Request{Key: "recovered"})
+		h.wantActions("send "+id+" a", 1)
+	})
+}
+
+// A recovered node warms up until the endpoint list would have said that it had restarted.
+func TestRecoveredNodeWarmsUp(t *testing.T) {
+	for name, restarted := range map[string]bool{"only the network path was cut": false, "restarted": true} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, zonedSettings())
+			h.makeUnavailable()
+			h.advance(500 * ms)
+			h.endAttempt("r1", 0, Served)
+			node := h.nodes["a"]
+			if !h.warmingUp(node) {
+				t.Error("it counts as warm at once")
+			}
+			if restarted {
+				h.advance(2 * time.Second)
+				h.list(DeltaList, Node{ID: "a", StartedAt: h.now - 2*time.Second})
+			}
+			h.advance(6 * time.Second)
+			if h.warmingUp(node) != restarted {
+				t.Errorf("warming up: %v", h.warmingUp(node))
+			}
+		})
+	}
+}
+
+// A node at which all attempts break at once may have restarted.
+func TestResetOfAllAttemptsMeansARestart(t *testing.T) {
+	h := newHarness(t, zonedSettings())
+	h.arrive(Request{Key: "1"})
+	h.arrive(Request{Key: "2"})
+	h.endAttempt("r1", 0, ConnectionReset)
+	h.endAttempt("r2", 0, ConnectionReset)
+	h.serveAll()
+	if !h.warmingUp(h.nodes["a"]) {
+		t.Error("it counts as warm")
+	}
+}
+
+// Neither a client that disconnects early nor a connection that is refused means that the node does not respond.
+func TestEarlyDisconnectAndFailedConnectAreNoSilence(t *testing.T) {
+	h := newHarness(t, zonedSettings())
+	id := h.arrive(Request{Key: "1"})
+	h.advance(10 * ms)
+	h.ClientDisconnected(h.now, id)
+	h.AttemptEnded(h.now, Outcome{ID: id, Node: "a", Result: Canceled, Latency: 10 * ms, VolumeUse: -1})
+	h.advance(5 * time.Second)
+	if state := h.zoneTracker.Node("a"); state != zonefailover.Available {
+		t.Errorf("%v after an early disconnect", state)
+	}
+	id = h.arrive(Request{Key: "2"})
+	h.AttemptEnded(h.now, Outcome{ID: id, Node: "a", Result: ConnectFailed, Latency: ms, VolumeUse: -1})
+	h.advance(20 * ms)
+	if state := h.zoneTracker.Node("a"); state != zonefailover.Available || h.nodes["a"].unansweredSince != 0 {
+		t.Errorf("%v after a refused connection", state)
+	}
+}
