--- a/internal/zonefailover/tracker.go
+++ b/internal/zonefailover/tracker.go
@@ -16,9 +16,13 @@
 	Recovering               // it responds again, not yet for long enough to be called available
 )
 
-// stateNames are part of log messages that captures record. A replay compares them, so a capture recorded under other
-// names would differ.
-var stateNames = [...]string{"here", "thin", "suspected", "dark", "returning"}
+var stateNames = [...]string{
+	Available:   "available",
+	Degraded:    "degraded",
+	Suspect:     "suspect",
+	Unavailable: "unavailable",
+	Recovering:  "recovering",
+}
 
 // String returns the name that commands and logs show.
 func (s State) String() string { return stateNames[s] }
