--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -240,7 +240,8 @@
 			t.Errorf("%.0f units spilled over while nothing was wrong", spilledBefore)
 		}
 		if results.answered[http.StatusOK] < results.sent/2 || results.newObjectsLost > 30 {
-			t.Errorf("%d sent, answered %v, %d new objects lost", results.sent, results.answered, results.newObjectsLost)
+			t.Errorf("%d sent, answered %v, %d new objects lost",
+				results.sent, results.answered, results.newObjectsLost)
 		}
 		cancel()
 		gateways.Wait()
