--- a/internal/backend/httpbackend/attempt.go
+++ b/internal/backend/httpbackend/attempt.go
@@ -38,7 +38,7 @@
 	request := newRequest(payload, c.address, attempt.Deadline.Sub(began))
 	received, written, err := b.roundTrip(ctx, c, request)
 	if err != nil {
-		// Without the request's last byte the node cannot have begun to process it; with it, nobody knows.
+		// A node does not begin to process a request before its last byte. After that, it may or may not have.
 		result := scheduler.ConnectionReset
 		if !written {
 			result = scheduler.ConnectFailed
@@ -118,8 +118,8 @@
 }
 
 // roundTrip sends a request, reads the response in full and returns the connection to the pool. If ctx ends first, the
-// connection is closed, which also tells the node that nobody waits any more. Written reports whether the request's
-// last byte was sent.
+// connection is closed, which also signals the node that the response is no longer wanted. Written reports whether the
+// request's last byte was sent.
 func (b *Backend) roundTrip(ctx context.Context, c *conn, request *http.Request) (
 	received response, written bool, err error) {
 	stopClosing := context.AfterFunc(ctx, func() { c.Close() })
--- a/internal/backend/httpbackend/pool.go
+++ b/internal/backend/httpbackend/pool.go
@@ -160,7 +160,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.connections >= p.maxConnections {
-		node, found := p.longestIdleLocked()
+		node, found := p.oldestIdleLocked()
 		if !found {
 			capacity := make(waiter, 1)
 			p.waiters = append(p.waiters, capacity)
@@ -174,8 +174,8 @@
 	return nil
 }
 
-// longestIdleLocked returns the node with the connection that was idle for longest.
-func (p *pool) longestIdleLocked() (node string, found bool) {
+// oldestIdleLocked returns the node with the connection that was idle for longest.
+func (p *pool) oldestIdleLocked() (node string, found bool) {
 	for candidate, idle := range p.idle {
 		if len(idle) > 0 && (!found || idle[0].idleSince.Before(p.idle[node][0].idleSince)) {
 			node = candidate
--- a/internal/backend/httpbackend/response.go
+++ b/internal/backend/httpbackend/response.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// readContent reads a response's content. For a large one it first reserves memory, which it gives back on return: from
-// then on the content is held for as long as the client's connection takes it.
+// readContent reads a response's content. For a large one it reserves memory, but only while it reads: how long the
+// content is held after that depends on the client's connection and not on the node.
 func readContent(ctx context.Context, resp *http.Response, largeResponses *semaphore.Weighted) ([]byte, error) {
 	limit := resp.ContentLength
 	if limit < 0 { // unknown: chunked, or until the connection ends
--- a/internal/backend/iscsiinitiator/session.go
+++ b/internal/backend/iscsiinitiator/session.go
@@ -130,8 +130,8 @@
 	return idle
 }
 
-// remove takes a task out of the table; nil if it has ended already. It closes the connection of an ending session
-// after its last task.
+// remove removes a task from the table and returns it, or nil if it has ended already. It closes the connection of an
+// ending session after its last task.
 func (s *session) remove(tag uint32) *task {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scenariotest/scenario.go
+++ b/internal/scenariotest/scenario.go
@@ -93,13 +93,12 @@
 }
 
 func (s *Stage) runLine(line string) error {
-	name, rest, _ := strings.Cut(line, " ")
-	verb, words, _ := strings.Cut(rest, " ")
+	name, action, _ := strings.Cut(line, " ")
 	switch name {
 	case "wait":
-		return wait(rest)
+		return wait(action)
 	case "within":
-		return s.checkWithin(rest)
+		return s.checkWithin(action)
 	}
 	if do := s.controls[line]; do != nil {
 		do()
@@ -110,6 +109,7 @@
 	if a == nil {
 		return fmt.Errorf("unknown actor %q", name)
 	}
+	verb, words, _ := strings.Cut(action, " ")
 	switch verb {
 	case "send":
 		return a.send(words)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -81,7 +81,7 @@
 	n.Simulation.After(0, func() { j.done(scheduler.Canceled) })
 }
 
-// Restart starts the node anew: its slow start begins, and its attempts are lost.
+// Restart restarts the node: its slow start begins, and its attempts are lost.
 func (n *Node) Restart() {
 	n.Started = n.Simulation.Now
 	n.arrivals = nil
--- a/internal/simulation/storm_client.go
+++ b/internal/simulation/storm_client.go
@@ -6,8 +6,8 @@
 	"reachpulley/scheduler"
 )
 
-// stormClient submits a request, waits for the answer, retries at once or when it is told to if the request was not
-// served, and thinks before its next request.
+// stormClient submits a request and waits for the answer. If the request was not served, it retries at once or after
+// the answer's RetryAfter. It thinks before its next request.
 type stormClient struct {
 	run     *stormRun
 	gateway *Gateway
--- a/internal/simulation/zone_scenario.go
+++ b/internal/simulation/zone_scenario.go
@@ -13,12 +13,12 @@
 	Seed             uint64
 	Zones            int
 	Nodes            int     // in each zone
-	Gateways         int     // in the zones in rotation
+	Gateways         int     // spread over the zones in rotation
 	Load             float64 // share of what all nodes can do
 	NewObjectShare   float64 // share of the requests that write new objects, which any node can take
 	Events           []ZoneEvent
 	Length           time.Duration
-	Settings         zonefailover.Settings // the scenario sets tiers, siblings and membership delay; no spillover: none
+	Settings         zonefailover.Settings // without tiers, siblings and membership delay, which the scenario sets
 	FailoverDisabled bool                  // gateways ignore zones
 	Passthrough      bool                  // gateways retry at once, without package scheduler
 	MembershipDelay  time.Duration         // longest time until a gateway learns that a node has restarted
