--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -10,61 +10,68 @@
 
 // manyRules is a file of n routes, each with its own path, behind a few rules that hold for all.
 func manyRules(n int) string {
-	var b strings.Builder
-	b.WriteString("budget = 1000000\n[[let]]\nname = 'project'\nis = 'header(\"X-Project\")'\n")
+	var text strings.Builder
+	text.WriteString("budget = 1000000\n[[let]]\nname = 'project'\nis = 'header(\"X-Project\")'\n")
 	for i := range n {
-		fmt.Fprintf(&b, "[[rule]]\nname = 'c%d'\nstage = 'classify'\npath = '/api/app%d/{sheet}'\nwhen = 'method == \"GET\"'\n"+
-			"set = { class = '\"sheet-read\"', plan = '\"standard\"', deadline = 'seconds(1)', units = '1' }\n", i, i)
+		fmt.Fprintf(&text, "[[rule]]\nname = 'c%d'\nstage = 'classify'\n", i)
+		fmt.Fprintf(&text, "path = '/api/app%d/{sheet}'\nwhen = 'method == \"GET\"'\n", i)
+		text.WriteString("set.class = '\"sheet-read\"'\nset.plan = '\"standard\"'\n")
+		text.WriteString("set.deadline = 'seconds(1)'\nset.units = '1'\n")
 	}
-	b.WriteString("[[rule]]\nname = 'key'\nstage = 'key'\nset = { volume = 'hash(project)', " +
+	text.WriteString("[[rule]]\nname = 'key'\nstage = 'key'\nset = { volume = 'hash(project)', " +
 		"key = 'hash(project + \"/\" + date(arrival, \"Europe/Zagreb\"))', shard = '-1', hosts = '1' }\n")
-	return b.String()
+	return text.String()
 }
 
-// heads are requests with 64 KiB of headers: in one, or in 500.
-func heads() map[string]*expression.Facts {
-	one := request("GET", "/api/app1/7", "X-Project", "bridge", "X-Long", strings.Repeat("x", 63<<10))
-	many := request("GET", "/api/app1/7", "X-Project", "bridge")
+// largeRequests have 64 KiB of headers: in one, in 500, or in the one that is hashed.
+func largeRequests() map[string]*expression.Facts {
+	oneHeader := request("GET", "/api/app1/7", "X-Project", "bridge", "X-Long", strings.Repeat("x", 63<<10))
+	manyHeaders := request("GET", "/api/app1/7", "X-Project", "bridge")
 	for i := range 500 {
-		many.Header.Set(fmt.Sprintf("X-Filler-%d", i), strings.Repeat("x", 115))
+		manyHeaders.Header.Set(fmt.Sprintf("X-Filler-%d", i), strings.Repeat("x", 115))
 	}
-	long := request("GET", "/api/app1/7", "X-Project", strings.Repeat("p", 63<<10))
-	for _, f := range []*expression.Facts{one, many, long} {
-		f.HeaderBytes = 64 << 10 // as a front tells that bounds them
+	longKey := request("GET", "/api/app1/7", "X-Project", strings.Repeat("p", 63<<10))
+	requests := map[string]*expression.Facts{
+		"one-header":  oneHeader,
+		"500-headers": manyHeaders,
+		"long-key":    longKey,
 	}
-	return map[string]*expression.Facts{"one-header": one, "500-headers": many, "long-key": long}
+	for _, f := range requests {
+		f.HeaderBytes = 64 << 10 // as given by a frontend that bounds them
+	}
+	return requests
 }
 
-// BenchmarkEvaluate64K is what the rules cost a request with 64 KiB of headers.
+// BenchmarkEvaluate64K measures what the rules cost a request with 64 KiB of headers.
 func BenchmarkEvaluate64K(b *testing.B) {
 	for _, n := range []int{3, 30, 300} {
-		s := parse(b, manyRules(n))
-		for name, f := range heads() {
+		set := parse(b, manyRules(n))
+		for name, f := range largeRequests() {
 			b.Run(fmt.Sprintf("rules=%d/%s", n, name), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					if _, err := s.one(f); err != nil {
+					if _, err := set.evaluate(f); err != nil {
 						b.Fatal(err)
 					}
 				}
-				b.ReportMetric(float64(s.Cost), "reckoned-ns/op")
+				b.ReportMetric(float64(set.Cost), "estimated-ns/op")
 			})
 		}
 	}
 }
 
-// BenchmarkIndex compares the index with the plain scan.
+// BenchmarkIndex compares the index with trying all rules.
 func BenchmarkIndex(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		if n == 10000 {
 			n = 9999 // and the rule for the key
 		}
-		s := parse(b, manyRules(n))
+		set := parse(b, manyRules(n))
 		f := request("GET", fmt.Sprintf("/api/app%d/7", n-1), "X-Project", "bridge")
-		for name, find := range map[string]finder{"index": indexed, "scan": scanned} {
+		for name, find := range map[string]candidateFinder{"index": indexCandidates, "scan": allCandidates} {
 			b.Run(fmt.Sprintf("rules=%d/%s", n, name), func(b *testing.B) {
 				for b.Loop() {
-					if _, err := s.run(f, find); err != nil {
+					if _, err := set.evaluateBy(find, f); err != nil {
 						b.Fatal(err)
 					}
 				}
--- /dev/null
+++ b/internal/rules/cost.go
@@ -0,0 +1,123 @@
+package rules
+
+import (
+	"fmt"
+	"slices"
+
+	"reachpulley/internal/configfile"
+	"reachpulley/internal/rules/expression"
+)
+
+// Costs in estimated nanoseconds.
+const (
+	requestCost   = 500 // a request without any rule
+	lookupCost    = 60  // looking for candidates in one of the indexes of a stage
+	candidateCost = 25  // each candidate that is found
+	limitCost     = 300 // taking from one limit
+)
+
+// checkBudget estimates the worst-case cost of the set and rejects one that costs too much.
+func (l *loader) checkBudget() {
+	set := l.set
+	set.Cost = set.worstCase().WorstCase(set.Sizes.Headers)
+	if set.Cost <= set.budget {
+		return
+	}
+	fault := l.costliestExpression()
+	const message = "the rules cost up to %d, more than the budget of %d (estimated nanoseconds a request); %s"
+	fault.Message = fmt.Sprintf(message, set.Cost, set.budget, fault.Message)
+	l.faults = append(l.faults, fault)
+}
+
+// worstCase returns what the evaluation of one request can cost.
+func (s *Set) worstCase() expression.Amount {
+	total := expression.Fixed(requestCost)
+	for _, program := range s.lets { // Each is evaluated once a request.
+		total = total.Plus(program.Cost)
+	}
+	for _, index := range s.indexes {
+		total = total.Plus(index.worstAssignmentCost()).Plus(index.worstCandidateCost())
+	}
+	for _, limit := range s.limits {
+		total = total.Plus(expression.Fixed(limitCost)).Plus(limit.key.Cost)
+		if limit.condition != nil {
+			total = total.Plus(limit.condition.Cost)
+		}
+	}
+	return total
+}
+
+// skips reports whether a fault skips any of the rules. Then a rule that faults while it sets its fields is followed by
+// others that may set theirs.
+func (x *ruleIndex) skips() bool {
+	return slices.ContainsFunc(x.rules, func(r *Rule) bool { return r.SkipOnFault })
+}
+
+// worstAssignmentCost returns what the one rule that matches can cost by what it sets. If rules can be skipped,
+// worstCandidateCost counts it instead.
+func (x *ruleIndex) worstAssignmentCost() expression.Amount {
+	var highest expression.Amount
+	if x.skips() {
+		return highest
+	}
+	for _, r := range x.rules {
+		highest = highest.Max(r.assignmentCost())
+	}
+	return highest
+}
+
+// worstCandidateCost returns what the rules that one request tries can cost.
+func (x *ruleIndex) worstCandidateCost() expression.Amount {
+	skips := x.skips()
+	return x.worstCase(func(r *Rule) expression.Amount {
+		cost := expression.Fixed(candidateCost)
+		if r.condition != nil {
+			cost = cost.Plus(r.condition.Cost)
+		}
+		if skips {
+			cost = cost.Plus(r.assignmentCost())
+		}
+		return cost
+	})
+}
+
+func (r *Rule) assignmentCost() expression.Amount {
+	var total expression.Amount
+	for _, assignment := range r.assignments {
+		total = total.Plus(assignment.program.Cost)
+	}
+	return total
+}
+
+// costliestExpression returns a fault at the expression of the file that costs most.
+func (l *loader) costliestExpression() configfile.Fault {
+	var fault configfile.Fault
+	highest := -1
+	consider := func(key string, program *expression.Program) {
+		if program == nil {
+			return
+		}
+		worst := program.Cost.WorstCase(l.set.Sizes.Headers)
+		if worst <= highest {
+			return
+		}
+		highest = worst
+		term := expression.RestoreNames(program.CostliestTerm, l.set.letNames)
+		fault = l.document.Fault(key, "the costliest expression costs %d, most of it in: %s", worst, term)
+	}
+	for i, program := range l.set.lets {
+		consider(fmt.Sprintf("let[%d].is", i), program)
+	}
+	for i, r := range l.set.rules {
+		key := fmt.Sprintf("rule[%d]", i)
+		consider(key+".when", r.condition)
+		for _, assignment := range r.assignments {
+			consider(key+".set."+assignment.field.String(), assignment.program)
+		}
+	}
+	for i, limit := range l.set.limits {
+		consider(fmt.Sprintf("limit[%d].when", i), limit.condition)
+		consider(fmt.Sprintf("limit[%d].key", i), limit.key)
+	}
+	return fault
+}
--- a/internal/rules/difference.go
+++ b/internal/rules/difference.go
@@ -2,42 +2,43 @@
 
 import "reachpulley/internal/rules/expression"
 
-// Difference is a field for which two sets give something else.
+// Difference is a field for which two sets give different values.
 type Difference struct {
 	Field string `json:"field"`
 	Old   string `json:"old"`
 	New   string `json:"new"`
 }
 
-// Compare has two sets, which know the same settings, take one request, and tells what they give differently.
+// Compare evaluates a request by two sets with the same settings and returns how their results differ.
 func Compare(f *expression.Facts, old, next *Set) []Difference {
-	e := old.Begin(f)
-	res, err := e.Apply()
-	e.End()
-	return next.Differences(f, &res, err)
+	evaluation := old.Begin(f)
+	result, err := evaluation.Apply()
+	evaluation.End()
+	return next.Differences(f, &result, err)
 }
 
-// Differences has the set take a request and compares what it gives with another's result.
-func (s *Set) Differences(f *expression.Facts, r *Result, err error) (all []Difference) {
-	e := s.Begin(f)
-	other, otherErr := e.Apply()
-	e.End()
-	add := func(field, before, after string) {
+// Differences evaluates a request and compares the result with that of another set.
+func (s *Set) Differences(f *expression.Facts, other *Result, otherErr error) []Difference {
+	evaluation := s.Begin(f)
+	result, err := evaluation.Apply()
+	evaluation.End()
+	var differences []Difference
+	compare := func(field, before, after string) {
 		if before != after {
-			all = append(all, Difference{field, before, after})
+			differences = append(differences, Difference{Field: field, Old: before, New: after})
 		}
 	}
-	add("refused", told(err), told(otherErr))
-	if err != nil || otherErr != nil {
-		return all
+	compare("refused", describeRejection(otherErr), describeRejection(err))
+	if otherErr != nil || err != nil {
+		return differences
 	}
-	for f := range fields {
-		add(f.String(), s.Value(r, f), s.Value(&other, f))
+	for field := range fieldCount {
+		compare(field.String(), s.Value(other, field), s.Value(&result, field))
 	}
-	return all
+	return differences
 }
 
-func told(err error) string {
+func describeRejection(err error) string {
 	if err == nil {
 		return "no"
 	}
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -2,24 +2,22 @@
 
 import (
 	"fmt"
-	"strings"
 
-	"reachpulley/internal/ratelimit"
 	"reachpulley/internal/rules/expression"
 )
 
-// Explanation tells how a set came to what it gives for a request.
+// Explanation says how a set came to what it sets for a request.
 type Explanation struct {
-	Tried    []Tried           `json:"tried"`
+	Tried    []TriedRule       `json:"tried"`
 	Assigned map[string]string `json:"gives,omitempty"`
 	Rejected string            `json:"refused,omitempty"`
-	Limits   map[string]string `json:"limits,omitempty"` // the keys by which the request counts
+	Limits   map[string]string `json:"limits,omitempty"` // the keys by which limits count the request
 	Cost     int               `json:"cost"`
-	Worst    int               `json:"worst"`
+	Worst    int               `json:"worst"` // the worst case of the set
 }
 
-// Tried is a rule that was looked at.
-type Tried struct {
+// TriedRule is a rule that was tried.
+type TriedRule struct {
 	Rule    string            `json:"rule"`
 	Stage   string            `json:"stage"`
 	Place   string            `json:"place"`
@@ -28,109 +26,98 @@
 	Terms   []expression.Term `json:"terms,omitempty"`
 }
 
-// Explain follows a request through the rules, as Begin and Apply take it.
+// Explain evaluates a request as Begin, Apply and Claims do, and records each step.
 func (s *Set) Explain(f *expression.Facts) Explanation {
-	x := Explanation{Worst: s.Cost, Assigned: map[string]string{}, Limits: map[string]string{}}
-	stage := ""
-	e := s.begin(f, indexed, func(e *Evaluation, r *Rule, matched bool, fault *RuleFault) {
-		t := Tried{Rule: r.Name, Stage: stage, Place: r.Place, Matched: matched}
-		if stage == "" {
-			t.Stage = r.Stage.String()
-		}
+	explanation := Explanation{
+		Worst:    s.Cost,
+		Assigned: map[string]string{},
+		Limits:   map[string]string{},
+	}
+	var evaluation *Evaluation
+	trace := func(stage string, r *Rule, matched bool, fault *RuleFault) {
+		tried := TriedRule{Rule: r.Name, Stage: stage, Place: r.Position, Matched: matched}
 		if fault != nil {
-			t.Fault = fault.Error()
+			tried.Fault = fault.Error()
 		}
-		programs := []*expression.Program{r.when}
-		for _, set := range r.sets {
-			programs = append(programs, set.program)
+		for _, program := range r.programs() {
+			tried.Terms = append(tried.Terms, evaluation.evaluator.Terms(program, s.letNames)...)
 		}
-		for _, p := range programs {
-			if p != nil {
-				t.Terms = append(t.Terms, e.w.Terms(p, s.letNames)...)
-			}
-		}
-		x.Tried = append(x.Tried, t)
-	})
-	res, err := e.Apply()
-	for f := range fields {
-		if res.Has[f] {
-			x.Assigned[f.String()] = s.Value(&res, f) + " (" + res.By[f].Name + ")"
+		explanation.Tried = append(explanation.Tried, tried)
+	}
+	evaluation = s.begin(f, indexCandidates, trace)
+	result, err := evaluation.Apply()
+	for field := range fieldCount {
+		if result.Has[field] {
+			explanation.Assigned[field.String()] = s.Value(&result, field) + " (" + result.By[field].Name + ")"
 		}
 	}
 	if err == nil {
-		stage = "limit"
-		class, plan := "", ""
-		if res.Has[Class] {
-			class = s.settings.Classes[res.Class].Name
-		}
-		if res.Has[Plan] {
-			plan = s.settings.Plans[res.Plan].Name
-		}
-		var asks []ratelimit.Claim
-		if asks, _, err = e.Claims(class, plan, res.Volume, nil); err == nil {
-			for _, a := range asks {
-				x.Limits[s.limits[a.Limit].Name] = a.Key
-			}
-		}
+		err = s.explainLimits(evaluation, &result, explanation.Limits)
 	}
 	if err != nil {
-		x.Rejected = err.Error()
+		explanation.Rejected = err.Error()
 	}
-	x.Cost = e.End()
-	return x
+	explanation.Cost = evaluation.End()
+	return explanation
 }
 
-// Value gives a field in words; "-" where no rule set it.
-func (s *Set) Value(r *Result, f Field) string {
-	if !r.Has[f] {
-		return "-"
+// programs returns the condition, if there is one, and the values that the rule sets.
+func (r *Rule) programs() []*expression.Program {
+	var programs []*expression.Program
+	if r.condition != nil {
+		programs = append(programs, r.condition)
 	}
-	return fmt.Sprint([fields]any{Client: r.Client, Class: s.settings.Classes[r.Class].Name, Plan: s.settings.Plans[r.Plan].Name, Deadline: r.Deadline,
-		Units: r.Units, Volume: r.Volume, Key: r.Key, Shard: r.Shard, Hosts: r.Hosts, Idempotency: r.Idempotency}[f])
-}
-
-// Case is a request of a file's own table of tests.
-type Case struct {
-	Name  string
-	Facts *expression.Facts
-}
-
-// testEntry is a request and what the rules must give for it.
-type testEntry struct {
-	Name    string            `toml:"name"`
-	Request string            `toml:"request"` // the head as HTTP/1.1 has it, or JSON
-	Gives   map[string]string `toml:"gives"`
-	Limits  map[string]string `toml:"limits"`
-	Refused string            `toml:"refused"` // a part of why; empty: it must not be
+	for _, assignment := range r.assignments {
+		programs = append(programs, assignment.program)
+	}
+	return programs
 }
 
-// Outcome is how a test ended.
-type Outcome struct {
-	Test     string   `json:"test"`
-	Failures []string `json:"failures,omitempty"`
+// explainLimits stores the key of each limit that counts the request.
+func (s *Set) explainLimits(evaluation *Evaluation, result *Result, keys map[string]string) error {
+	var class, plan string
+	if result.Has[Class] {
+		class = s.settings.Classes[result.Class].Name
+	}
+	if result.Has[Plan] {
+		plan = s.settings.Plans[result.Plan].Name
+	}
+	claims, _, err := evaluation.Claims(class, plan, result.Volume, nil)
+	if err != nil {
+		return err
+	}
+	for _, claim := range claims {
+		keys[s.limits[claim.Limit].Name] = claim.Key
+	}
+	return nil
 }
 
-// Test runs the tests of a set's file.
-func (s *Set) Test() (all []Outcome) {
-	for i, t := range s.tests {
-		x := s.Explain(s.Cases[i].Facts)
-		o := Outcome{Test: t.Name}
-		failed := func(format string, args ...any) { o.Failures = append(o.Failures, fmt.Sprintf(format, args...)) }
-		if t.Refused == "" && x.Rejected != "" || t.Refused != "" && !strings.Contains(x.Rejected, t.Refused) {
-			failed("refused: %q, want %q", x.Rejected, t.Refused)
-		}
-		for f := range fields {
-			got, _, _ := strings.Cut(x.Assigned[f.String()], " (")
-			if want, ok := t.Gives[f.String()]; ok && got != want {
-				failed("%s: %q, want %q", f, got, want)
-			}
-		}
-		for name, want := range t.Limits {
-			if got, ok := x.Limits[name]; !ok || got != want {
-				failed("limit %s: key %q, want %q", name, got, want)
-			}
-		}
-		all = append(all, o)
+// Value formats the value of a field; "-" if no rule set it.
+func (s *Set) Value(r *Result, f Field) string {
+	if !r.Has[f] {
+		return "-"
+	}
+	switch f {
+	case Client:
+		return r.Client
+	case Class:
+		return s.settings.Classes[r.Class].Name
+	case Plan:
+		return s.settings.Plans[r.Plan].Name
+	case Deadline:
+		return r.Deadline.String()
+	case Units:
+		return fmt.Sprint(r.Units)
+	case Volume:
+		return r.Volume
+	case Key:
+		return r.Key
+	case Shard:
+		return fmt.Sprint(r.Shard)
+	case Hosts:
+		return fmt.Sprint(r.Hosts)
+	case Idempotency:
+		return r.Idempotency
 	}
-	return all
+	return "-"
 }
--- a/internal/rules/fuzz_test.go
+++ b/internal/rules/fuzz_test.go
@@ -8,21 +8,21 @@
 	"reachpulley/internal/configfile"
 )
 
-// Whatever stands in a rule file, loading it gives a set or faults with places; and a set takes any request.
+// Whatever a rule file says, loading it gives a set or faults with positions, and a set evaluates any request.
 func FuzzLoad(f *testing.F) {
 	example, err := os.ReadFile("../../examples/rules.toml")
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(string(example))
-	f.Add(sheets)
+	f.Add(sheetRules)
 	f.Add("[[limit]]\nname='l'\nkey='who'\nrate=1e300\nburst=-1\nparent='l'")
 	f.Add("[[rule]]\nname='a'\nstage='key'\npath='/{a}/{b...}'\nset.key='hash(param(\"b\"))'")
 	f.Add("sizes.headers = -5\nconst = {a = [1, {}], b = 2020-01-01}\nlet = [{name='x', is='x'}]")
 	f.Add("const = {b = 2020-01-01}\n[[rule]]\nname='a'\nstage='key'\nwhen='b == 1'\nset.key='b'")
 	f.Add("[[rule]]\nname='a'\nstage='key'\nwhen='default(headerOr(), \"x\") == \"y\"'\nset.hosts='1'")
 	f.Fuzz(func(t *testing.T, text string) {
-		s, err := Parse("r", []byte(text), settings)
+		set, err := Parse("r", []byte(text), settings)
 		if err != nil {
 			var faults configfile.Faults
 			if !errors.As(err, &faults) || len(faults) == 0 {
@@ -31,7 +31,7 @@
 			return
 		}
 		for _, target := range []string{"/", "/api/a/b", "/a//b?x=1"} {
-			s.Explain(request("PUT", target, "X-Project", "p"))
+			set.Explain(request("PUT", target, "X-Project", "p"))
 		}
 	})
 }
--- /dev/null
+++ b/internal/rules/load_limits.go
@@ -0,0 +1,72 @@
+package rules
+
+import (
+	"cmp"
+	"fmt"
+
+	"reachpulley/internal/ratelimit"
+	"reachpulley/internal/rules/expression"
+)
+
+// loadLimits compiles the limits.
+func (l *loader) loadLimits() {
+	scope := l.scope
+	scope.ClientKnown = true
+	scope.DecisionKnown = true
+	for i, entry := range l.file.Limit {
+		l.set.limits = append(l.set.limits, l.loadLimit(fmt.Sprintf("limit[%d]", i), entry, scope))
+	}
+	if count := len(l.file.Limit); count > ratelimit.MaxClaims {
+		const message = "%d limits are more than the %d that a request can be counted by"
+		l.addFault("limit", message, count, ratelimit.MaxClaims)
+		return
+	}
+	if i, err := ratelimit.Check(l.set.Limits()); err != nil {
+		l.addFault(fmt.Sprintf("limit[%d]", i), "%v", err)
+	}
+}
+
+func (l *loader) loadLimit(key string, entry limitEntry, scope expression.Scope) *limitRule {
+	limit := &limitRule{
+		Rule: Rule{
+			Name:        entry.Name,
+			Position:    l.position(key),
+			SkipOnFault: l.skipsOnFault(key, entry.OnFault),
+		},
+	}
+	l.compileCondition(key, entry.Condition, scope, &limit.Rule)
+	limit.key = l.compile(key+".key", entry.Key, scope, expression.String)
+	limit.definition = entry.definition(l.shares(key, entry.Per))
+	return limit
+}
+
+// shares returns the number of gateways that a limit is divided by.
+func (l *loader) shares(key, per string) float64 {
+	switch per {
+	case perTier, "":
+		return float64(max(1, l.set.settings.Siblings))
+	case perGateway:
+	default:
+		l.addFault(key+".per", "%q is neither %s nor %s", per, perTier, perGateway)
+	}
+	return 1
+}
+
+// definition returns one share of the limit. A share of a burst or of open requests is at least 1.
+func (e *limitEntry) definition(shares float64) ratelimit.Definition {
+	definition := ratelimit.Definition{
+		Name:   e.Name,
+		Rate:   e.Rate / shares,
+		Burst:  e.Burst,
+		Open:   e.Open,
+		Parent: e.Parent,
+		Keys:   cmp.Or(e.Keys, defaultKeys),
+	}
+	if e.Burst > 0 {
+		definition.Burst = max(1, e.Burst/shares)
+	}
+	if e.Open > 0 {
+		definition.Open = max(1, int(float64(e.Open)/shares))
+	}
+	return definition
+}
--- /dev/null
+++ b/internal/rules/load_rules.go
@@ -0,0 +1,150 @@
+package rules
+
+import (
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"strings"
+
+	"reachpulley/internal/configfile"
+	"reachpulley/internal/rules/expression"
+)
+
+// loadRules compiles the rules and indexes them by stage. A faulty rule is left out.
+func (l *loader) loadRules() {
+	names := map[string]bool{}
+	for stage := range l.set.indexes {
+		l.set.indexes[stage] = newRuleIndex()
+	}
+	for i, entry := range l.file.Rule {
+		key := fmt.Sprintf("rule[%d]", i)
+		before := len(l.faults)
+		r := l.loadRule(key, entry)
+		if names[entry.Name] {
+			l.addFault(key+".name", "%q is already defined", entry.Name)
+		}
+		names[entry.Name] = true
+		if len(l.faults) > before {
+			continue
+		}
+		index := l.set.indexes[r.Stage]
+		if reason := unreachable(r, index); reason != "" {
+			l.addFault(key+".name", "rule %s can never match: %s", r.Name, reason)
+			continue
+		}
+		index.add(r)
+		l.set.rules = append(l.set.rules, r)
+	}
+}
+
+func (l *loader) loadRule(key string, entry ruleEntry) *Rule {
+	r := &Rule{
+		Name:     entry.Name,
+		Path:     entry.Path,
+		Wins:     entry.Wins,
+		Position: l.position(key),
+	}
+	if !isName(strings.NewReplacer("-", "_", " ", "_").Replace(entry.Name)) {
+		l.addFault(key+".name", "%q is not a name of letters, digits, blanks, - and _", entry.Name)
+	}
+	stage := slices.Index(stageNames[:], entry.Stage)
+	if stage < 0 {
+		suggestion := configfile.DidYouMean(entry.Stage, stageNames[:])
+		l.addFault(key+".stage", "%q is none of %s%s", entry.Stage, strings.Join(stageNames[:], ", "), suggestion)
+		return r
+	}
+	r.Stage = Stage(stage)
+	r.SkipOnFault = l.skipsOnFault(key, entry.OnFault)
+	var err error
+	r.pathTemplate, err = parsePathTemplate(entry.Path)
+	if err != nil {
+		l.addFault(key+".path", "%v", err)
+	}
+	scope := l.scope
+	scope.Params = r.pathTemplate.params
+	scope.ClientKnown = r.Stage > Normalise
+	l.compileCondition(key, entry.Condition, scope, r)
+	if len(entry.Set) == 0 {
+		l.addFault(key, "rule %s sets nothing", entry.Name)
+	}
+	for _, name := range slices.Sorted(maps.Keys(entry.Set)) {
+		l.loadAssignment(key+".set."+name, name, entry.Set[name], scope, r)
+	}
+	l.checkReadOnlyClass(key, r)
+	return r
+}
+
+// loadAssignment adds to a rule a field that it sets.
+func (l *loader) loadAssignment(key, name, source string, scope expression.Scope, r *Rule) {
+	field := Field(slices.Index(fieldNames, name))
+	if field < 0 {
+		l.addFault(key, "no rule can set %q%s", name, configfile.DidYouMean(name, fieldNames))
+		return
+	}
+	info := fieldInfos[field]
+	if info.stage != r.Stage {
+		l.addFault(key, "%s is set in the stage %s, not in %s", name, info.stage, r.Stage)
+		return
+	}
+	program := l.compile(key, source, scope, info.types...)
+	if program == nil {
+		return
+	}
+	if value, ok := program.Constant(); ok {
+		if _, fault := l.set.checkValue(field, value); fault != nil {
+			l.addFault(key, "wants %s%s", fault.Wants, l.suggestSetting(field, value))
+			return
+		}
+	}
+	r.assignments = append(r.assignments, assignment{field: field, program: program})
+}
+
+// fieldNames are the names of the fields, in their order.
+var fieldNames = func() []string {
+	var names []string
+	for _, info := range fieldInfos {
+		names = append(names, info.name)
+	}
+	return names
+}()
+
+// suggestSetting names the class or plan that an unknown one may have been meant for.
+func (l *loader) suggestSetting(f Field, value any) string {
+	var known map[string]int
+	switch f {
+	case Class:
+		known = l.set.classes
+	case Plan:
+		known = l.set.plans
+	}
+	word, _ := value.(string)
+	return configfile.DidYouMean(word, slices.Sorted(maps.Keys(known)))
+}
+
+// checkReadOnlyClass rejects a class that only reads for a method that writes: its requests would count as safe to
+// retry. If the rule leaves the method open, each request is checked instead (see Writes).
+func (l *loader) checkReadOnlyClass(key string, r *Rule) {
+	for _, assignment := range r.assignments {
+		name, ok := assignment.program.Constant()
+		if assignment.field != Class || !ok {
+			continue
+		}
+		class := l.set.settings.Classes[l.set.classes[name.(string)]]
+		for _, conjunct := range r.conjuncts {
+			if conjunct.Attribute == "method" && Writes(conjunct.Value) && !class.Writes {
+				const message = "class %q only reads, but the rule matches %s, which writes: a retry would not be safe"
+				l.addFault(key+".set.class", message, name, conjunct.Value)
+			}
+		}
+	}
+}
+
+// Writes reports whether a method changes data: all do that are not known to be safe (RFC 9110, section 9.2.1).
+func Writes(method string) bool {
+	switch method {
+	case http.MethodGet, http.MethodHead, http.MethodOptions:
+		return false
+	}
+	return true
+}
--- /dev/null
+++ b/internal/rules/load_tests.go
@@ -0,0 +1,27 @@
+package rules
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"reachpulley/internal/configfile"
+)
+
+// loadTests checks the file's own tests. Set.Test runs them.
+func (l *loader) loadTests() {
+	for i, entry := range l.file.Test {
+		key := fmt.Sprintf("test[%d]", i)
+		facts, err := ParseRequest(entry.Request)
+		if err != nil {
+			l.addFault(key+".request", "%v", err)
+		}
+		for _, name := range slices.Sorted(maps.Keys(entry.Assigned)) {
+			if !slices.Contains(fieldNames, name) {
+				l.addFault(key+".gives."+name, "no rule can set %q%s", name, configfile.DidYouMean(name, fieldNames))
+			}
+		}
+		l.set.Cases = append(l.set.Cases, Case{Name: entry.Name, Facts: facts})
+	}
+	l.set.tests = l.file.Test
+}
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,30 +1,35 @@
-// Package rules gives requests that do not say it themselves what the decisions need to know: class, plan, volume, key,
-// units, shard, deadline. Operators write the rules; all of them are checked when they load. It does no I/O but for
-// reading the file, and has no clock.
+// Package rules derives from a request what the scheduler needs to know and the request does not say: class, plan,
+// volume, key, units, shard and deadline. Operators write the rules in a file; Load checks all of them.
+//
+// A Set holds the compiled rules of one file. Set.Begin starts the evaluation of a request, which goes through three
+// stages. In each stage the first rule that matches wins; an index finds the rules that may match. After the stages,
+// Evaluation.Claims determines which rate limits count the request.
+//
+// The package does no I/O but for reading the file, and has no clock.
 package rules
 
 import (
-	"time"
+	"sync"
 
 	"reachpulley/internal/ratelimit"
 	"reachpulley/internal/rules/expression"
 	"reachpulley/scheduler"
 )
 
-// Stage is a step of the evaluation. Stages run in their order, and in each the first rule that matches wins. After
-// them the limits are looked at, all of them.
+// Stage is a step of the evaluation. Stages run in their order, and in each the first rule that matches wins.
 type Stage int
 
 // The stages, in their order.
 const (
-	Normalise Stage = iota // who asks
+	Normalise Stage = iota // identifies the client
 	Classify               // class, plan, deadline, units
 	Keying                 // volume, key, shard, hosts, idempotency key
-	stages
+	stageCount
 )
 
-var stageNames = [stages]string{"normalise", "classify", "key"}
+var stageNames = [stageCount]string{"normalise", "classify", "key"}
 
+// String returns the name of the stage in rule files.
 func (s Stage) String() string { return stageNames[s] }
 
 // Field is something that a rule sets.
@@ -42,71 +47,71 @@
 	Shard
 	Hosts
 	Idempotency
-	fields
+	fieldCount
 )
 
-// field tells of a Field: its name in files, the stage that sets it and the types that it takes.
-type field struct {
+// fieldInfo describes a Field: its name in files, the stage that sets it and the types of its values.
+type fieldInfo struct {
 	name  string
 	stage Stage
 	types []expression.Type
 }
 
-var (
-	texts   = []expression.Type{expression.String}
-	wholes  = []expression.Type{expression.Int}
-	numbers = []expression.Type{expression.Int, expression.Number}
-	spans   = []expression.Type{expression.Duration}
-)
-
-var fieldTable = [fields]field{
-	Client: {"who", Normalise, texts}, Class: {"class", Classify, texts}, Plan: {"plan", Classify, texts},
-	Deadline: {"deadline", Classify, spans}, Units: {"units", Classify, numbers}, Volume: {"volume", Keying, texts},
-	Key: {"key", Keying, texts}, Shard: {"shard", Keying, wholes}, Hosts: {"hosts", Keying, wholes},
-	Idempotency: {"idempotency", Keying, texts},
+var fieldInfos = [fieldCount]fieldInfo{
+	Client:      {"who", Normalise, []expression.Type{expression.String}},
+	Class:       {"class", Classify, []expression.Type{expression.String}},
+	Plan:        {"plan", Classify, []expression.Type{expression.String}},
+	Deadline:    {"deadline", Classify, []expression.Type{expression.Duration}},
+	Units:       {"units", Classify, []expression.Type{expression.Int, expression.Number}},
+	Volume:      {"volume", Keying, []expression.Type{expression.String}},
+	Key:         {"key", Keying, []expression.Type{expression.String}},
+	Shard:       {"shard", Keying, []expression.Type{expression.Int}},
+	Hosts:       {"hosts", Keying, []expression.Type{expression.Int}},
+	Idempotency: {"idempotency", Keying, []expression.Type{expression.String}},
 }
 
-func (f Field) String() string { return fieldTable[f].name }
+// String returns the name of the field in rule files.
+func (f Field) String() string { return fieldInfos[f].name }
 
 // Rule is one rule of a file.
 type Rule struct {
-	Name  string
-	Stage Stage
-	Path  string // its template; empty for any
-	Wins  bool   // what it sets goes before the platform's headers
-	Skip  bool   // a fault makes it not apply; otherwise the request is refused
-	Place string // FILE:LINE
-
-	when     *expression.Program   // nil: always
-	needs    []expression.Conjunct // of when
-	sets     []setting
-	template template
-}
-
-// limitRule says which requests a limit counts, and by which key.
-type limitRule struct {
-	Rule // its condition and place
-	def  ratelimit.Definition
-	key  *expression.Program
+	Name        string
+	Stage       Stage
+	Path        string // its path template; empty for any path
+	Wins        bool   // what it sets overrides the platform's headers
+	SkipOnFault bool   // a fault makes it not apply; otherwise the request is rejected
+	Position    string // FILE:LINE
+
+	condition    *expression.Program // nil: always true
+	conjuncts    []expression.Conjunct
+	assignments  []assignment
+	pathTemplate pathTemplate
 }
 
-type setting struct {
+// assignment is a field that a rule sets, and its value.
+type assignment struct {
 	field   Field
 	program *expression.Program
 }
 
-// Set is a file's rules, compiled. It never changes, so that a request keeps the set that it began with.
+// limitRule determines which requests a limit counts, and by which key.
+type limitRule struct {
+	Rule       // its condition and position
+	definition ratelimit.Definition
+	key        *expression.Program
+}
+
+// Set is the compiled rules of a file. It never changes, so a request keeps the set that it began with.
 type Set struct {
 	Hash  string // of the file's text
 	Path  string
 	Sizes expression.Sizes
-	Cost  int // at worst, in reckoned nanoseconds
-
-	Cases []Case // of its own tests
+	Cost  int    // worst case, in estimated nanoseconds
+	Cases []Case // the requests of the file's own tests
 
-	tests    []testEntry
+	tests    []testEntry // one for each of Cases
 	rules    []*Rule
-	tables   [stages]*table
+	indexes  [stageCount]*ruleIndex
 	limits   []*limitRule
 	lets     []*expression.Program
 	letNames []string
@@ -115,53 +120,18 @@
 	settings scheduler.Settings
 	classes  map[string]int
 	plans    map[string]int
-	pool     pool
+
+	evaluators sync.Pool // of *pooledEvaluator
 }
 
-// Len is the number of rules.
+// Len returns the number of rules.
 func (s *Set) Len() int { return len(s.rules) }
 
-// Limits are the definitions of the limits, in the order by which asks number them.
+// Limits returns the definitions of the limits, in the order by which claims number them.
 func (s *Set) Limits() []ratelimit.Definition {
-	defs := make([]ratelimit.Definition, len(s.limits))
-	for i, l := range s.limits {
-		defs[i] = l.def
+	definitions := make([]ratelimit.Definition, len(s.limits))
+	for i, limit := range s.limits {
+		definitions[i] = limit.definition
 	}
-	return defs
-}
-
-// Result is what the rules give for a request.
-type Result struct {
-	Has         [fields]bool
-	By          [fields]*Rule // the rule that set a field
-	Client      string
-	Class       int
-	Plan        int
-	Deadline    time.Duration
-	Units       float64
-	Volume      string
-	Key         string
-	Shard       int
-	Hosts       int
-	Idempotency string
-	Faults      []RuleFault // of rules that were skipped
-	Cost        int         // counted, where somebody asked
-}
-
-// RuleFault is why a rule did not apply.
-type RuleFault struct {
-	Rule  *Rule
-	Field string // whose value was wanted; "when" for the condition
-	Fault *expression.Fault
+	return definitions
 }
-
-// Error tells a client which rule wanted what.
-func (f RuleFault) Error() string {
-	return "rule " + f.Rule.Name + ": " + f.Field + ": wants " + f.Fault.Wants
-}
-
-// wins tells whether what the rules give for a field goes before the platform's header.
-func (r *Result) wins(f Field) bool { return r.Has[f] && r.By[f].Wins }
-
-// Use tells whether the rules' value of a field holds, by whether the platform's header gives one.
-func (r *Result) Use(f Field, given bool) bool { return r.Has[f] && (!given || r.wins(f)) }
--- /dev/null
+++ b/internal/rules/test_cases.go
@@ -0,0 +1,52 @@
+package rules
+
+import (
+	"fmt"
+	"strings"
+
+	"reachpulley/internal/rules/expression"
+)
+
+// Case is a request of a file's own table of tests.
+type Case struct {
+	Name  string
+	Facts *expression.Facts
+}
+
+// Outcome is the result of a test.
+type Outcome struct {
+	Test     string   `json:"test"`
+	Failures []string `json:"failures,omitempty"`
+}
+
+// Test runs the tests of a set's file.
+func (s *Set) Test() []Outcome {
+	var outcomes []Outcome
+	for i, test := range s.tests {
+		explanation := s.Explain(s.Cases[i].Facts)
+		outcomes = append(outcomes, Outcome{Test: test.Name, Failures: test.failures(explanation)})
+	}
+	return outcomes
+}
+
+// failures compares what the rules set for the request of a test with what they must set.
+func (t *testEntry) failures(got Explanation) []string {
+	var failures []string
+	fail := func(format string, args ...any) { failures = append(failures, fmt.Sprintf(format, args...)) }
+	rejected := got.Rejected != ""
+	if rejected != (t.Rejected != "") || !strings.Contains(got.Rejected, t.Rejected) {
+		fail("refused: %q, want %q", got.Rejected, t.Rejected)
+	}
+	for field := range fieldCount {
+		value, _, _ := strings.Cut(got.Assigned[field.String()], " (")
+		if want, ok := t.Assigned[field.String()]; ok && value != want {
+			fail("%s: %q, want %q", field, value, want)
+		}
+	}
+	for name, want := range t.Limits {
+		if key, ok := got.Limits[name]; !ok || key != want {
+			fail("limit %s: key %q, want %q", name, key, want)
+		}
+	}
+	return failures
+}
