--- a/internal/frontend/h2frontend/server.go
+++ b/internal/frontend/h2frontend/server.go
@@ -17,9 +17,9 @@
 
 // Carrier answers a request that was read whole.
 type Carrier interface {
-	Carry(r *http.Request) *http.Response
-	// Who tells who is behind a request; the core is shared fairly among them.
-	Who(r *http.Request) string
+	Handle(r *http.Request) *http.Response
+	// ClientID tells who is behind a request; the core is shared fairly among them.
+	ClientID(r *http.Request) string
 }
 
 // Options are what a Server is made of.
--- a/internal/frontend/h2frontend/server_test.go
+++ b/internal/frontend/h2frontend/server_test.go
@@ -33,7 +33,7 @@
 	left int            // whose client left before the answer
 }
 
-func (c *carrier) Carry(r *http.Request) *http.Response {
+func (c *carrier) Handle(r *http.Request) *http.Response {
 	c.mu.Lock()
 	c.seen[r.URL.Path]++
 	c.mu.Unlock()
@@ -54,7 +54,7 @@
 		Body: io.NopCloser(bytes.NewReader(body))}
 }
 
-func (c *carrier) Who(r *http.Request) string { return r.Header.Get("X-Who") }
+func (c *carrier) ClientID(r *http.Request) string { return r.Header.Get("X-Who") }
 
 // stage is a server within a test's fake time, and ways to reach it.
 type stage struct {
--- a/internal/frontend/h2frontend/stream.go
+++ b/internal/frontend/h2frontend/stream.go
@@ -250,7 +250,7 @@
 	c.coming -= st.kept
 	c.refundLocked()
 	c.mu.Unlock()
-	who := c.server.Carrier.Who(st.request)
+	who := c.server.Carrier.ClientID(st.request)
 	c.mu.Lock()
 	urgency := st.urgency
 	c.mu.Unlock()
@@ -262,7 +262,7 @@
 
 // perform carries a stream's request. Its answer is whole when it comes.
 func (c *conn) perform(st *stream) {
-	resp := c.server.Carrier.Carry(st.request)
+	resp := c.server.Carrier.Handle(st.request)
 	body, _ := io.ReadAll(resp.Body) // it is in memory
 	if st.request.Context().Err() != nil {
 		return // reset: it was forgotten then
--- /dev/null
+++ b/internal/frontend/httpfrontend/conn_state.go
@@ -0,0 +1,29 @@
+package httpfrontend
+
+// connState is the state of a client's connection. It is more detailed than http.ConnState, since the tracker decides
+// by it which connection to evict and which to close at shutdown:
+//
+//	from                        to              event
+//	stateNew, stateIdle         stateReading    the first bytes of a request arrive
+//	stateReading                stateActive     the request is complete and will be served
+//	stateReading, stateActive   stateIdle       the response is written
+//	stateNew ... stateIdle      stateLingering  http.Server closes the connection, or the server stops while it is idle
+//	stateLingering              stateClosed     the client closes its side, or lingerTimeout passes
+//	stateNew ... stateLingering stateClosed     the connection is evicted
+//
+// Readiness checks are answered without stateActive.
+//
+// States are ordered: from stateLingering on, a connection takes no requests any more.
+type connState int
+
+const (
+	stateNew       connState = iota // nothing has been received
+	stateReading                    // a part of a request has been received
+	stateActive                     // a request is being served
+	stateIdle                       // the last request is answered
+	stateLingering                  // nothing more is sent; input is read and discarded until the client closes
+	stateClosed
+)
+
+// closing tells whether the connection takes no requests any more.
+func (s connState) closing() bool { return s >= stateLingering }
--- /dev/null
+++ b/internal/frontend/httpfrontend/conn_tracker.go
@@ -0,0 +1,214 @@
+package httpfrontend
+
+import (
+	"net"
+	"sync"
+	"time"
+)
+
+const (
+	minIdleBeforeEviction    = 2 * time.Second        // for connections whose last request a node served
+	minReadingBeforeEviction = 500 * time.Millisecond // for connections whose request is still arriving
+	maxNewDivisor            = 4                      // at most 1/4 of the connections may be in stateNew
+	keepAliveDivisor         = 3                      // connections are kept alive while 1/3 of the limit is in use
+)
+
+// connTracker is the listener from which http.Server takes its connections. It owns them, bounds their number and
+// closes each of them in releaseLocked.
+//
+// It never stops accepting, since clients that connect and send nothing would then keep everybody else out. At the
+// limit it evicts the connection that is least useful instead.
+//
+// It alone orders closes and requests: a connection is closed either before its next request is begun or after that
+// request is answered. Its lock, mu, is taken before that of a connection's readAhead.
+type connTracker struct {
+	net.Listener
+	maxConns int
+	maxNew   int // connections in stateNew
+
+	mu       sync.Mutex
+	draining bool          // the server is stopping: idle connections are closed
+	drained  chan struct{} // closed once the last connection is closed while draining
+	conns    map[*clientConn]bool
+
+	accepted int64
+	rejected int64 // accepted connections that were closed at once
+	evicted  int64 // connections that were closed in favour of others
+}
+
+func newConnTracker(l net.Listener, maxConns int) *connTracker {
+	return &connTracker{
+		Listener: l,
+		maxConns: maxConns,
+		maxNew:   max(1, maxConns/maxNewDivisor),
+		conns:    map[*clientConn]bool{},
+		drained:  make(chan struct{}),
+	}
+}
+
+// Accept returns the next connection that is admitted. It starts the connection's read-ahead, which ends with the
+// connection.
+func (t *connTracker) Accept() (net.Conn, error) {
+	for {
+		conn, err := t.Listener.Accept()
+		if err != nil {
+			return nil, err
+		}
+		c := newClientConn(t, conn)
+		if t.admit(c) {
+			go c.readInput()
+			return c, nil
+		}
+		conn.Close()
+	}
+}
+
+// admit adds a connection if there is capacity, or if another connection can be evicted for it.
+func (t *connTracker) admit(c *clientConn) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.accepted++
+	if t.countNewLocked() >= t.maxNew {
+		t.evictLocked(t.oldestInLocked(stateNew, 0))
+	}
+	if len(t.conns) >= t.maxConns && !t.evictOneLocked() {
+		t.rejected++
+		return false
+	}
+	t.conns[c] = true
+	return true
+}
+
+func (t *connTracker) countNewLocked() int {
+	n := 0
+	for c := range t.conns {
+		if c.state == stateNew {
+			n++
+		}
+	}
+	return n
+}
+
+// evictOneLocked evicts one connection, if there is one that may be evicted.
+//
+// Idle connections whose last request no node served go before other idle ones: clients that send one readiness check
+// or one invalid request each and stay connected could otherwise take all connections within half a second, and
+// nobody else could send a request until minIdleBeforeEviction has passed.
+func (t *connTracker) evictOneLocked() bool {
+	return t.evictLocked(t.oldestInLocked(stateLingering, 0)) ||
+		t.evictLocked(t.oldestIdleUnservedLocked()) ||
+		t.evictLocked(t.oldestInLocked(stateIdle, minIdleBeforeEviction)) ||
+		t.evictLocked(t.oldestInLocked(stateReading, minReadingBeforeEviction)) ||
+		t.evictLocked(t.oldestInLocked(stateNew, 0))
+}
+
+// oldestInLocked returns the connection that has been in a state for longest, and for at least minAge; nil if there
+// is none.
+func (t *connTracker) oldestInLocked(state connState, minAge time.Duration) *clientConn {
+	return t.oldestLocked(state, minAge, func(*clientConn) bool { return true })
+}
+
+// oldestIdleUnservedLocked returns the longest idle connection whose last request no node served: a readiness check,
+// an invalid request or a rejected one.
+func (t *connTracker) oldestIdleUnservedLocked() *clientConn {
+	return t.oldestLocked(stateIdle, 0, func(c *clientConn) bool { return !c.served })
+}
+
+// oldestLocked returns, of the eligible connections that have been in a state for at least minAge, the one that has
+// been in it for longest.
+func (t *connTracker) oldestLocked(
+	state connState, minAge time.Duration, eligible func(*clientConn) bool,
+) *clientConn {
+	var oldest *clientConn
+	latest := time.Now().Add(-minAge)
+	for c := range t.conns {
+		if c.state != state || !eligible(c) || c.stateSince.After(latest) {
+			continue
+		}
+		if oldest != nil && !c.stateSince.Before(oldest.stateSince) {
+			continue
+		}
+		// A new or idle connection with unread input has a request that http.Server has not looked at yet.
+		if (state == stateNew || state == stateIdle) && c.hasUnreadInput() {
+			continue
+		}
+		oldest = c
+	}
+	return oldest
+}
+
+// evictLocked closes a connection in favour of another one and tells whether there was one to close. The goroutine
+// that serves it sees its read fail, or enterState fail if it has read a request in the same instant.
+func (t *connTracker) evictLocked(c *clientConn) bool {
+	if c == nil {
+		return false
+	}
+	t.evicted++
+	c.input.discard()
+	t.releaseLocked(c)
+	return true
+}
+
+// releaseLocked closes a connection and forgets it.
+func (t *connTracker) releaseLocked(c *clientConn) {
+	if c.state == stateClosed {
+		return
+	}
+	c.state = stateClosed
+	delete(t.conns, c)
+	c.Conn.Close()
+	t.signalDrainedLocked()
+}
+
+// signalDrainedLocked closes drained once the last connection is closed while draining.
+func (t *connTracker) signalDrainedLocked() {
+	if !t.draining || len(t.conns) > 0 {
+		return
+	}
+	select {
+	case <-t.drained:
+	default:
+		close(t.drained)
+	}
+}
+
+// drain closes new and idle connections, now and from now on. Requests in flight are answered first; drained is
+// closed once all connections are.
+func (t *connTracker) drain() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.draining = true
+	for c := range t.conns {
+		if (c.state == stateIdle || c.state == stateNew) && !c.hasUnreadInput() {
+			c.lingerLocked()
+		}
+	}
+	t.signalDrainedLocked()
+}
+
+// recordResponse notes whether a node served the connection's request. It tells whether so many connections are in
+// use, or were a moment ago, that this one should not be kept alive: clients that hold idle connections keep new
+// clients out.
+//
+// Only connections whose last request was served count, so that misbehaving clients do not cost others their
+// connections.
+func (t *connTracker) recordResponse(c *clientConn, served bool) (saturated bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c.served = served
+	inUse := 0
+	for c := range t.conns {
+		if c.served && (c.state != stateIdle || time.Since(c.stateSince) < minIdleBeforeEviction) {
+			inUse++
+		}
+	}
+	return inUse > t.maxConns/keepAliveDivisor
+}
+
+// saturated tells whether so many connections are open that one which only checked readiness should not be kept
+// alive.
+func (t *connTracker) saturated() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.conns) > t.maxConns/keepAliveDivisor
+}
--- /dev/null
+++ b/internal/frontend/httpfrontend/frontend.go
@@ -0,0 +1,286 @@
+package httpfrontend
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"net/http/httputil"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	contracts "reachpulley/internal/contract/registry"
+	"reachpulley/internal/exchange"
+	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/internal/rules/engine"
+	"reachpulley/scheduler"
+)
+
+// Loop is the event loop that decides on exchanges.
+type Loop interface {
+	// Open hands over an exchange; the loop finishes it once its answer is known.
+	Open(*exchange.Exchange)
+}
+
+// Options configure a Frontend.
+type Options struct {
+	Settings scheduler.Settings
+	Loop     Loop
+	Rules    *engine.Engine // nil: no rules
+	NewID    func() string  // makes the ID of a request that has none, where rules or contracts allow that
+	Log      *slog.Logger
+
+	Contracts *contracts.Registry // nil: no contracts
+	Plan      string              // plan of described requests to which nothing else assigns one; empty: rejected
+}
+
+// Frontend is the http.Handler of the gateway. An httputil.ReverseProxy does the HTTP work; its transport turns each
+// request into an exchange of the event loop.
+type Frontend struct {
+	loop     Loop
+	settings scheduler.Settings
+	rules    *engine.Engine
+	newID    func() string
+	proxy    *httputil.ReverseProxy
+	classes  map[string]int // index into settings.Classes by name
+	plans    map[string]int // index into settings.Plans by name
+
+	contracts   *contracts.Registry
+	defaultPlan int // index of Options.Plan; -1: none
+
+	draining  atomic.Bool               // every response is the last one on its connection
+	stoppedAt atomic.Pointer[time.Time] // requests that arrive later are answered 503; nil: the server is not stopping
+
+	// Counters of requests that never reached the event loop.
+	readinessChecks atomic.Int64
+	invalidRequests atomic.Int64
+	rateLimited     atomic.Int64
+}
+
+// New returns a Frontend.
+func New(o Options) *Frontend {
+	f := &Frontend{
+		loop:      o.Loop,
+		settings:  o.Settings,
+		rules:     o.Rules,
+		newID:     o.NewID,
+		classes:   make(map[string]int, len(o.Settings.Classes)),
+		plans:     make(map[string]int, len(o.Settings.Plans)),
+		contracts: o.Contracts,
+	}
+	for i, class := range o.Settings.Classes {
+		f.classes[class.Name] = i
+	}
+	for i, plan := range o.Settings.Plans {
+		f.plans[plan.Name] = i
+	}
+	f.defaultPlan = slices.IndexFunc(o.Settings.Plans, func(p scheduler.Plan) bool { return p.Name == o.Plan })
+	f.proxy = f.newProxy(o.Log)
+	return f
+}
+
+// newProxy returns the reverse proxy whose transport is the event loop.
+func (f *Frontend) newProxy(log *slog.Logger) *httputil.ReverseProxy {
+	return &httputil.ReverseProxy{
+		Rewrite: func(pr *httputil.ProxyRequest) {
+			// ReverseProxy drops query parameters that it cannot parse; nodes need the query as the client sent it.
+			pr.Out.URL.RawQuery = pr.In.URL.RawQuery
+			pr.Out.Host = pr.In.Host
+		},
+		Transport:      (*transport)(f),
+		BufferPool:     &bufferPool{},
+		ModifyResponse: f.closeAfterLastResponse,
+		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+		ErrorHandler: func(w http.ResponseWriter, _ *http.Request, _ error) {
+			w.WriteHeader(http.StatusBadGateway)
+		},
+	}
+}
+
+// closeAfterLastResponse ends the connection of a response when the gateway drains, or when too many connections are
+// in use to keep this one for another request.
+func (f *Frontend) closeAfterLastResponse(resp *http.Response) error {
+	c := connOf(resp.Request)
+	last := c != nil && c.tracker.recordResponse(c, resp.StatusCode == http.StatusOK) || f.draining.Load()
+	// A pipelined request that waits behind this one must still be answered.
+	if last && (c == nil || !c.hasUnreadInput()) {
+		resp.Header.Set("Connection", "close")
+	}
+	return nil
+}
+
+const copyBufferSize = 8 << 10
+
+// bufferPool recycles the buffers with which ReverseProxy copies responses. Without it, ReverseProxy allocates 32 KiB
+// for each response.
+type bufferPool struct{ pool sync.Pool }
+
+// Get returns a buffer.
+func (b *bufferPool) Get() []byte {
+	if buffer, ok := b.pool.Get().(*[copyBufferSize]byte); ok {
+		return buffer[:]
+	}
+	return make([]byte, copyBufferSize)
+}
+
+// Put recycles a buffer.
+func (b *bufferPool) Put(buffer []byte) { b.pool.Put((*[copyBufferSize]byte)(buffer)) }
+
+// BeginDrain makes every response from now on the last one on its connection.
+func (f *Frontend) BeginDrain() { f.draining.Store(true) }
+
+// ServeHTTP serves one request. It reads the request completely before anything is decided. A request that cannot be
+// read is answered with the reason, and its connection is closed because the start of the next request is unknown.
+func (f *Frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path == httpmsg.ReadyPath {
+		f.serveReadiness(w, r)
+		return
+	}
+	invalid := f.checkFraming(r)
+	if invalid == nil {
+		invalid = readBody(r)
+	}
+	if invalid != nil {
+		f.invalidRequests.Add(1)
+		w.Header().Set("Connection", "close")
+		http.Error(w, invalid.Error(), invalid.status)
+		return
+	}
+	// From here the connection is read only to notice that the client disconnects, however late that is.
+	http.NewResponseController(w).SetReadDeadline(time.Time{})
+	if c := connOf(r); c != nil {
+		if !c.enterState(stateActive) {
+			panic(http.ErrAbortHandler) // the connection was closed first, so the request must not have any effect
+		}
+		if stoppedAt := f.stoppedAt.Load(); stoppedAt != nil && c.input.lastArrival().After(*stoppedAt) {
+			w.Header().Set("Connection", "close")
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+	}
+	f.proxy.ServeHTTP(w, r)
+}
+
+// serveReadiness answers a readiness check. It keeps the connection only while few are open.
+func (f *Frontend) serveReadiness(w http.ResponseWriter, r *http.Request) {
+	f.readinessChecks.Add(1)
+	if c := connOf(r); c != nil && c.tracker.saturated() && !c.hasUnreadInput() {
+		w.Header().Set("Connection", "close")
+	}
+	w.WriteHeader(http.StatusOK)
+}
+
+// Handle answers a request that another frontend has read, body included. The request passes the same checks and
+// rules as those of ServeHTTP. Its context ends when its client disconnects.
+func (f *Frontend) Handle(r *http.Request) *http.Response {
+	if r.URL.Path == httpmsg.ReadyPath {
+		return newResponse(r, http.StatusOK, nil, nil)
+	}
+	if invalid := f.checkFraming(r); invalid != nil {
+		return errorResponse(r, invalid.status, invalid)
+	}
+	resp, err := f.roundTrip(r)
+	if err != nil {
+		return newResponse(r, http.StatusBadGateway, nil, nil)
+	}
+	return resp
+}
+
+// errClientDisconnected reports that the client disconnected before its request was answered.
+var errClientDisconnected = errors.New("client disconnected")
+
+// transport is the Frontend as the http.RoundTripper of its proxy.
+type transport Frontend
+
+// RoundTrip carries a request through the event loop.
+func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
+	return (*Frontend)(t).roundTrip(r)
+}
+
+// roundTrip opens an exchange for a request and waits for its answer or for the client to disconnect.
+func (f *Frontend) roundTrip(r *http.Request) (*http.Response, error) {
+	arrival := time.Now()
+	var disconnected <-chan struct{}
+	if c := connOf(r); c != nil {
+		// The request may have waited behind others, and the client may have disconnected in the meantime.
+		arrival = c.input.lastArrival()
+		disconnected = c.input.ended
+		select {
+		case <-disconnected:
+			return nil, errClientDisconnected
+		default:
+		}
+	}
+	header := r.Header.Clone()
+	admitted, err := f.admit(r, header, arrival)
+	defer admitted.release() // once the request is answered or its client has disconnected
+	if err != nil {
+		return f.reject(r, err), nil
+	}
+	var body []byte
+	if r.Body != nil { // already in memory
+		if body, err = io.ReadAll(r.Body); err != nil {
+			return nil, err
+		}
+	}
+	header.Del(httpmsg.DeadlineHeader)
+	payload := &httpmsg.Request{Method: r.Method, URL: r.URL, Host: r.Host, Header: header, Body: body}
+	admitted.addContract(payload, r)
+	x := exchange.New(admitted.request, arrival.Add(admitted.clientTimeout), payload)
+	f.loop.Open(x)
+	select {
+	case <-x.Done():
+		return answerResponse(r, x.Answer()), nil
+	case <-r.Context().Done():
+		x.Disconnect()
+		return nil, context.Cause(r.Context())
+	case <-disconnected:
+		x.Disconnect()
+		return nil, errClientDisconnected
+	}
+}
+
+// ClientID returns who sent a request: the client that the rules identify, otherwise the client's address.
+func (f *Frontend) ClientID(r *http.Request) string {
+	if f.rules != nil && f.rules.InForce() {
+		if client := f.rules.Client(ruleFacts(r, time.Now())); client != "" {
+			return client
+		}
+	}
+	return clientAddress(r)
+}
+
+// checkFraming checks that the end of the request is beyond doubt, and its method and size.
+//
+// The server ignores a Content-Length beside a Transfer-Encoding, so it is not visible here whether other parties
+// would take a part of the body for a second request; under HTTP/1.0 it ignores the Transfer-Encoding.
+func (f *Frontend) checkFraming(r *http.Request) *statusError {
+	switch {
+	case len(r.TransferEncoding) > 0:
+		return newStatusError(http.StatusLengthRequired, "Content-Length is wanted in place of Transfer-Encoding")
+	case !r.ProtoAtLeast(1, 1):
+		return newStatusError(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is wanted")
+	case r.ContentLength > httpmsg.MaxRequestBody:
+		reason := fmt.Sprintf("the body is longer than %d bytes", httpmsg.MaxRequestBody)
+		return newStatusError(http.StatusRequestEntityTooLarge, reason)
+	case !f.allowsMethod(r.Method):
+		return newStatusError(http.StatusMethodNotAllowed, "GET or PUT is wanted")
+	}
+	return nil
+}
+
+// allowsMethod tells whether requests of a method are accepted. Contracts may describe operations of any method of an
+// HTTP API; without contracts, clients read with GET and write with PUT.
+func (f *Frontend) allowsMethod(method string) bool {
+	switch method {
+	case http.MethodGet, http.MethodPut:
+		return true
+	case http.MethodConnect, http.MethodTrace, http.MethodOptions:
+		return false
+	}
+	return f.contracts.InForce()
+}
--- /dev/null
+++ b/internal/frontend/httpfrontend/request.go
@@ -0,0 +1,166 @@
+package httpfrontend
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"time"
+
+	"reachpulley/internal/contract"
+	contracts "reachpulley/internal/contract/registry"
+	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/internal/rules"
+	"reachpulley/internal/rules/engine"
+	"reachpulley/internal/rules/expression"
+	"reachpulley/scheduler"
+)
+
+// frontendName is the name of this frontend in rules.
+const frontendName = "http"
+
+// uniqueHeaders are the headers that decisions depend on. With two of a kind it would be open which one counts.
+var uniqueHeaders = [...]string{
+	httpmsg.IDHeader,
+	httpmsg.ClassHeader,
+	httpmsg.PlanHeader,
+	httpmsg.DeadlineHeader,
+	httpmsg.PlacementHeader,
+	httpmsg.KeyHeader,
+}
+
+// readBody replaces the body of a request by its bytes in memory.
+func readBody(r *http.Request) *statusError {
+	if r.ContentLength <= 0 {
+		r.Body = http.NoBody
+		return nil
+	}
+	body, err := io.ReadAll(r.Body)
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		return newStatusError(http.StatusRequestTimeout, "the body did not come in time")
+	}
+	if err != nil {
+		return &statusError{status: http.StatusBadRequest, err: fmt.Errorf("the body: %w", err)}
+	}
+	r.Body = io.NopCloser(bytes.NewReader(body))
+	return nil
+}
+
+// admission is the outcome of Frontend.admit: the facts of a request, and what it occupies until it is released.
+type admission struct {
+	request       scheduler.Request
+	clientTimeout time.Duration // how long the client waits for the answer
+
+	limits   *engine.Request  // nil: no rules are in force
+	contract *contracts.Match // nil: no contracts are in force
+}
+
+// release gives back what the request occupies. It is called once, when the request is answered or its client has
+// disconnected, also for a request that was not admitted.
+func (a *admission) release() {
+	a.limits.Release()
+	a.contract.Release()
+}
+
+// addContract adds to a request for a node how to interpret the status of the node's response.
+func (a *admission) addContract(to *httpmsg.Request, r *http.Request) {
+	if a.contract == nil {
+		return
+	}
+	to.Statuses = a.contract.Entry
+	to.Client = clientAddress(r)
+}
+
+// admit determines the facts on which a request is decided and acquires the limits that count it. It adds to header,
+// which goes to the node, what rules and contracts contributed. The admission must be released whatever the error.
+func (f *Frontend) admit(r *http.Request, header http.Header, arrival time.Time) (admitted admission, err error) {
+	for _, name := range uniqueHeaders {
+		if len(r.Header[name]) > 1 {
+			return admitted, fmt.Errorf("%s: is there more than once", name)
+		}
+	}
+	b := requestBuilder{frontend: f, http: r, header: header, rules: &noRules, fromPlatform: true}
+	if f.contracts.InForce() {
+		admitted.contract, err = f.contracts.Begin(contractCall(r))
+		if err != nil {
+			return admitted, err
+		}
+		b.contract = admitted.contract
+	}
+	if f.rules != nil && f.rules.InForce() {
+		var result rules.Result
+		admitted.limits, result, err = f.rules.Begin(ruleFacts(r, arrival))
+		if err != nil {
+			return admitted, err
+		}
+		b.rules = &result
+	}
+	if admitted.limits != nil || admitted.contract != nil {
+		b.fromPlatform = hasPlatformHeaders(r.Header)
+	}
+	admitted.clientTimeout, err = b.build(&admitted.request)
+	if err == nil && admitted.limits != nil {
+		request := &admitted.request
+		class, plan := f.settings.Classes[request.Class].Name, f.settings.Plans[request.Plan].Name
+		err = admitted.limits.AcquireLimits(class, plan, request.Volume)
+	}
+	return admitted, err
+}
+
+// contractCall returns the part of a request by which its operation is found.
+func contractCall(r *http.Request) contract.Call {
+	return contract.Call{
+		Method: r.Method,
+		Host:   r.Host,
+		Path:   r.URL.EscapedPath(),
+		Query:  r.URL.RawQuery,
+		Header: r.Header,
+		Body:   r.ContentLength > 0,
+	}
+}
+
+// ruleFacts returns the part of a request that rules evaluate.
+func ruleFacts(r *http.Request, arrival time.Time) *expression.Facts {
+	return &expression.Facts{
+		Method:  r.Method,
+		Path:    r.URL.Path,
+		Query:   r.URL.Query(),
+		Host:    r.Host,
+		Header:  r.Header,
+		Length:  bodyLength(r),
+		Client:  clientAddress(r),
+		Front:   frontendName,
+		Arrival: arrival,
+	}
+}
+
+// bodyLength returns the length of the body, 0 without one.
+func bodyLength(r *http.Request) int { return int(max(0, r.ContentLength)) }
+
+// clientAddress returns the address of the client without its port.
+func clientAddress(r *http.Request) string {
+	host, _, err := net.SplitHostPort(r.RemoteAddr)
+	if err != nil {
+		return r.RemoteAddr
+	}
+	return host
+}
+
+// hasPlatformHeaders tells whether a request has any of the platform's headers. Class and plan of such a request are
+// not filled in when it leaves them out: leaving out a header must not raise anybody's priority.
+func hasPlatformHeaders(h http.Header) bool {
+	for _, name := range [...]string{
+		httpmsg.IDHeader,
+		httpmsg.ClassHeader,
+		httpmsg.PlanHeader,
+		httpmsg.PlacementHeader,
+	} {
+		if h.Get(name) != "" {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/frontend/httpfrontend/request_builder.go
@@ -0,0 +1,312 @@
+package httpfrontend
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"reachpulley/internal/contract"
+	"reachpulley/internal/contract/catalog"
+	contracts "reachpulley/internal/contract/registry"
+	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/internal/rules"
+	"reachpulley/scheduler"
+)
+
+// noRules is the result where no rules are in force.
+var noRules rules.Result
+
+// requestBuilder determines the facts of one request from all sources that may state them. For each fact the first
+// source that states it counts:
+//
+//  1. a rule that wins over the platform's headers;
+//  2. the platform's header;
+//  3. any other rule;
+//  4. the contract of the operation.
+//
+// The retry policy is the exception: it is the strictest that class and contract allow, whoever assigned the class.
+type requestBuilder struct {
+	frontend *Frontend
+	http     *http.Request
+	header   http.Header // goes to the node
+	rules    *rules.Result
+	contract *contracts.Match // nil: no contracts are in force
+
+	// fromPlatform is set for requests that have headers of the platform, and for all requests where neither rules
+	// nor contracts are in force. What such a request leaves out is not filled in by defaults.
+	fromPlatform bool
+}
+
+// build determines all facts of a request, and how long its client waits. The first error tells the client what is
+// missing or wrong.
+func (b *requestBuilder) build(request *scheduler.Request) (clientTimeout time.Duration, err error) {
+	if request.ID, err = b.id(); err != nil {
+		return 0, err
+	}
+	if b.contract != nil {
+		request.Operation = b.contract.Name
+		request.RetryPolicy = b.contract.RetryPolicy
+	}
+	if err = b.setClassAndPlan(request); err != nil {
+		return 0, err
+	}
+	class := &b.frontend.settings.Classes[request.Class]
+	if err = b.checkClassAllowsMethod(class); err != nil {
+		return 0, err
+	}
+	described, err := b.contractPlacement()
+	if err != nil {
+		return 0, err
+	}
+	if err = b.setVolumeAndKey(request, described); err != nil {
+		return 0, err
+	}
+	if clientTimeout, err = b.clientTimeout(class); err != nil {
+		return 0, err
+	}
+	if err = b.setPlacement(request, described); err != nil {
+		return 0, err
+	}
+	if err = b.ensureIdempotencyKey(request, class); err != nil {
+		return 0, err
+	}
+	if !b.fromPlatform {
+		b.addPlatformHeaders(request, class)
+	}
+	return clientTimeout, nil
+}
+
+// id returns the request's ID. Requests that are not from the platform get one if they have none.
+func (b *requestBuilder) id() (string, error) {
+	if id := b.http.Header.Get(httpmsg.IDHeader); id != "" {
+		return id, nil
+	}
+	if b.fromPlatform {
+		return "", fmt.Errorf("%s is missing", httpmsg.IDHeader)
+	}
+	id := b.frontend.newID()
+	b.header.Set(httpmsg.IDHeader, id)
+	return id, nil
+}
+
+// namedFact is a class or plan: a fact that headers state by name and the settings number.
+type namedFact struct {
+	field     rules.Field
+	header    string
+	kind      string         // in error messages
+	index     map[string]int // of all known names
+	ruled     int            // the value that rules give
+	described int            // the value where no other source states one; -1: none
+}
+
+// setClassAndPlan determines the class and the plan.
+func (b *requestBuilder) setClassAndPlan(request *scheduler.Request) (err error) {
+	class := namedFact{
+		field:     rules.Class,
+		header:    httpmsg.ClassHeader,
+		kind:      "class",
+		index:     b.frontend.classes,
+		ruled:     b.rules.Class,
+		described: -1,
+	}
+	plan := namedFact{
+		field:     rules.Plan,
+		header:    httpmsg.PlanHeader,
+		kind:      "plan",
+		index:     b.frontend.plans,
+		ruled:     b.rules.Plan,
+		described: -1,
+	}
+	if b.contract != nil {
+		class.described = b.contract.Class
+		plan.described = b.frontend.defaultPlan
+	}
+	if request.Class, err = b.resolve(class); err != nil {
+		return err
+	}
+	request.Plan, err = b.resolve(plan)
+	return err
+}
+
+// resolve returns the number of a class or plan.
+func (b *requestBuilder) resolve(fact namedFact) (int, error) {
+	given := b.http.Header.Get(fact.header)
+	if b.rules.Use(fact.field, given != "") && (!b.fromPlatform || b.rules.By[fact.field].Wins) {
+		return fact.ruled, nil
+	}
+	number, known := fact.index[given]
+	switch {
+	case known:
+		return number, nil
+	case given == "" && !b.fromPlatform && fact.described >= 0:
+		return fact.described, nil
+	case given == "" && !b.fromPlatform:
+		return 0, fmt.Errorf("nothing tells the %s of this request, and %s is missing", fact.kind, fact.header)
+	}
+	return 0, fmt.Errorf("%s: unknown %s %q", fact.header, fact.kind, given)
+}
+
+// checkClassAllowsMethod rejects a write that a rule assigned to a class of reads: it would be retried freely. Rules
+// may leave the method open, so this can only be checked here.
+func (b *requestBuilder) checkClassAllowsMethod(class *scheduler.Class) error {
+	if b.rules.Has[rules.Class] && rules.Writes(b.http.Method) && !class.Writes {
+		rule := b.rules.By[rules.Class].Name
+		return fmt.Errorf("rule %s: class %q only reads, and %s writes", rule, class.Name, b.http.Method)
+	}
+	return nil
+}
+
+// contractPlacement returns what the contract states of the data's location and the size of the work.
+func (b *requestBuilder) contractPlacement() (catalog.Placement, error) {
+	if b.contract == nil {
+		return catalog.Placement{}, nil
+	}
+	maxUnits := b.frontend.settings.Sizes.MaxUnits
+	return b.contract.Placement(&b.contract.Call, b.contract.Parameters, bodyLength(b.http), maxUnits)
+}
+
+// setVolumeAndKey determines volume and key. The platform's requests have them at the end of their path.
+func (b *requestBuilder) setVolumeAndKey(request *scheduler.Request, described catalog.Placement) error {
+	volume, key, inPath := splitPath(b.http.URL.Path)
+	hasVolume, hasKey := inPath, inPath
+	if b.rules.Use(rules.Volume, inPath) {
+		volume, hasVolume = b.rules.Volume, true
+	}
+	if b.rules.Use(rules.Key, inPath) {
+		key, hasKey = b.rules.Key, true
+	}
+	if !hasVolume && described.Volume != "" {
+		volume, hasVolume = described.Volume, true
+	}
+	if !hasKey && described.Data != "" {
+		key, hasKey = described.Data, true
+	}
+	if !hasVolume || !hasKey {
+		return errors.New("path: want a volume and a piece of data, 16 hex digits each")
+	}
+	request.Volume = volume
+	request.Key = key
+	return nil
+}
+
+// splitPath returns the volume and the key at the end of a path.
+func splitPath(path string) (volume, key string, ok bool) {
+	parts := strings.Split(path, "/")
+	if len(parts) < 3 {
+		return "", "", false
+	}
+	volume, key = parts[len(parts)-2], parts[len(parts)-1]
+	return volume, key, rules.IsID(volume) && rules.IsID(key)
+}
+
+// clientTimeout returns how long the client waits for its answer. The deadlines of class and operation bound it,
+// whatever the client says.
+func (b *requestBuilder) clientTimeout(class *scheduler.Class) (time.Duration, error) {
+	longest := class.Deadline
+	if b.contract != nil && b.contract.Deadline() > 0 {
+		longest = min(longest, b.contract.Deadline())
+	}
+	given := b.http.Header.Get(httpmsg.DeadlineHeader)
+	if b.rules.Use(rules.Deadline, given != "") {
+		return min(b.rules.Deadline, longest), nil
+	}
+	if given == "" && !b.fromPlatform {
+		return longest, nil
+	}
+	timeout, err := httpmsg.ParseDeadline(given)
+	if err != nil {
+		return 0, err
+	}
+	return min(timeout, longest), nil
+}
+
+// setPlacement determines units, shard and hosts. Units and shard cannot be guessed: they say how much work the
+// request is and which nodes hold its data.
+func (b *requestBuilder) setPlacement(request *scheduler.Request, described catalog.Placement) (err error) {
+	header := b.http.Header.Get(httpmsg.PlacementHeader)
+	given := header != ""
+	request.Hosts = 1
+	if given || b.fromPlatform {
+		request.Units, request.Shard, request.Hosts, err = httpmsg.ParsePlacement(header)
+		if err != nil {
+			return err
+		}
+	}
+	hasUnits, hasShard := given, given
+	if b.rules.Use(rules.Units, given) {
+		request.Units, hasUnits = b.rules.Units, true
+	}
+	if b.rules.Use(rules.Shard, given) {
+		request.Shard, hasShard = b.rules.Shard, true
+	}
+	if b.rules.Use(rules.Hosts, given) {
+		request.Hosts = b.rules.Hosts
+	}
+	if !hasUnits && described.Units > 0 {
+		request.Units, hasUnits = described.Units, true
+	}
+	if !hasShard && described.HasShard {
+		request.Shard, hasShard = described.Shard, true
+	}
+	maxUnits := b.frontend.settings.Sizes.MaxUnits
+	switch {
+	case !hasUnits:
+		return fmt.Errorf("nothing tells the units of this request, and %s is missing", httpmsg.PlacementHeader)
+	case !hasShard:
+		return fmt.Errorf("nothing tells the shard of this request, and %s is missing", httpmsg.PlacementHeader)
+	case maxUnits > 0 && request.Units > maxUnits:
+		return fmt.Errorf("%s: %v units are more than the largest request's %v",
+			httpmsg.PlacementHeader, request.Units, maxUnits)
+	}
+	return nil
+}
+
+// ensureIdempotencyKey rejects a request that may be retried only by its key and has none: nodes could not recognise
+// the retry.
+func (b *requestBuilder) ensureIdempotencyKey(request *scheduler.Request, class *scheduler.Class) error {
+	key := b.http.Header.Get(httpmsg.KeyHeader)
+	source := httpmsg.KeyHeader
+	if b.rules.Use(rules.Idempotency, key != "") {
+		key = b.rules.Idempotency
+		b.header.Set(httpmsg.KeyHeader, key)
+	}
+	policy := class.RetryPolicy().NarrowedBy(request.RetryPolicy)
+	if policy.Idempotency != scheduler.IdempotentWithKey {
+		return nil
+	}
+	if operation := b.operationWithKey(); operation != nil {
+		// Nodes recognise retries of this operation by the key that its contract names, and by no other.
+		source = operation.Key.String()
+		if operation.Key.In != "header" || !strings.EqualFold(operation.Key.Name, httpmsg.KeyHeader) {
+			key = b.contract.Key(&b.contract.Call, b.contract.Parameters)
+		}
+	}
+	if key == "" {
+		return fmt.Errorf("%s is missing, which class %q needs", source, class.Name)
+	}
+	return nil
+}
+
+// operationWithKey returns the operation of a request whose contract names the idempotency key; nil for others.
+func (b *requestBuilder) operationWithKey() *contract.Operation {
+	if b.contract == nil || b.contract.Operation == nil {
+		return nil
+	}
+	if b.contract.Operation.Idempotency != contract.IdempotentWithKey {
+		return nil
+	}
+	return b.contract.Operation
+}
+
+// addPlatformHeaders tells the node on what facts the request was decided.
+func (b *requestBuilder) addPlatformHeaders(request *scheduler.Request, class *scheduler.Class) {
+	units := strconv.FormatFloat(request.Units, 'g', -1, 64)
+	shard := strconv.Itoa(request.Shard)
+	hosts := strconv.Itoa(request.Hosts)
+	b.header.Set(httpmsg.ClassHeader, class.Name)
+	b.header.Set(httpmsg.PlanHeader, b.frontend.settings.Plans[request.Plan].Name)
+	b.header.Set(httpmsg.PlacementHeader, "units="+units+",shard="+shard+",hosts="+hosts)
+}
--- a/internal/frontend/httpfrontend/server.go
+++ b/internal/frontend/httpfrontend/server.go
@@ -10,55 +10,68 @@
 )
 
 const (
-	// A request must be in, head and body, this long after its connection was made or, later, after its first byte:
-	// whoever sends none is owed an end within 3 s of connecting.
-	requestTime = 2 * time.Second
-	answerTime  = 30 * time.Second // for an answer to go out, counted from the request's head
-	idleTime    = 5 * time.Minute  // a client's connection is kept idle for so long
+	// requestTimeout bounds how long a request may take to arrive, header and body. It counts from the accept or, for
+	// later requests, from the first byte. The platform expects a connection without a request to end within 3 s.
+	requestTimeout = 2 * time.Second
+	// responseTimeout bounds how long a response may take to be written, counted from the end of the request's
+	// header.
+	responseTimeout = 30 * time.Second
+	// idleTimeout bounds how long a connection is kept alive without a request.
+	idleTimeout = 5 * time.Minute
 
-	// DefaultMaxHeaderBytes bounds a request's head, in bytes, where the operator says nothing else.
+	// DefaultMaxHeaderBytes limits the header of a request where the operator sets no limit.
 	DefaultMaxHeaderBytes = 16 << 10
 )
 
-// Server listens for clients. Their connections are owned by its listener, clients.
+// Server accepts clients' connections and serves them by a Frontend.
 type Server struct {
-	http    *http.Server
-	front   *Frontend
-	clients *clients
+	http     *http.Server
+	frontend *Frontend
+	conns    *connTracker
 }
 
-// NewServer serves front on l with at most sockets connections and heads of so many bytes.
-func NewServer(front *Frontend, l net.Listener, sockets, head int, log *slog.Logger) *Server {
-	return &Server{front: front, clients: newClients(l, sockets), http: &http.Server{
-		Handler: front, ReadTimeout: requestTime, WriteTimeout: answerTime, IdleTimeout: idleTime, MaxHeaderBytes: head,
-		ErrorLog:    slog.NewLogLogger(log.Handler(), slog.LevelDebug),
-		ConnContext: keep,
-		ConnState: func(conn net.Conn, state http.ConnState) {
-			if state == http.StateIdle {
-				conn.(*client).enterStage(idle)
-			}
+// NewServer returns a Server for a listener with at most maxConns connections and maxHeaderBytes in a request's
+// header.
+func NewServer(frontend *Frontend, l net.Listener, maxConns, maxHeaderBytes int, log *slog.Logger) *Server {
+	return &Server{
+		frontend: frontend,
+		conns:    newConnTracker(l, maxConns),
+		http: &http.Server{
+			Handler:        frontend,
+			ReadTimeout:    requestTimeout,
+			WriteTimeout:   responseTimeout,
+			IdleTimeout:    idleTimeout,
+			MaxHeaderBytes: maxHeaderBytes,
+			ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+			ConnContext:    withConn,
+			ConnState: func(conn net.Conn, state http.ConnState) {
+				if state == http.StateIdle {
+					conn.(*clientConn).enterState(stateIdle)
+				}
+			},
 		},
-	}}
+	}
 }
 
-// Serve serves until Shutdown.
+// Serve accepts connections until Shutdown, and then returns nil.
 func (s *Server) Serve() error {
-	err := s.http.Serve(s.clients)
-	if s.front.stopped.Load() != nil {
+	err := s.http.Serve(s.conns)
+	if s.frontend.stoppedAt.Load() != nil {
 		return nil
 	}
 	return err
 }
 
-// Shutdown stops taking connections and requests, and waits until all that was taken is answered, or ctx ends. That of
-// http.Server would close connections over which a request has just come, and drop such requests without an answer.
+// Shutdown stops accepting connections and requests, and waits until every request that has arrived is answered, or
+// ctx ends. http.Server.Shutdown is no substitute: it closes connections on which a request is just arriving, and
+// drops the request without a response.
 func (s *Server) Shutdown(ctx context.Context) error {
 	now := time.Now()
-	s.front.stopped.Store(&now)
-	err := s.clients.Listener.Close()
-	s.clients.drain()
+	s.frontend.stoppedAt.Store(&now)
+	err := s.conns.Listener.Close()
+	s.conns.drain()
 	select {
-	case <-s.clients.empty:
+	case <-s.conns.drained:
 		return err
 	case <-ctx.Done():
 		return errors.Join(ctx.Err(), err, s.http.Close())
