--- /dev/null
+++ b/internal/frontend/h2frontend/read.go
@@ -0,0 +1,245 @@
+package h2frontend
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"time"
+
+	"golang.org/x/net/http2"
+	"golang.org/x/net/http2/hpack"
+
+	"reachpulley/internal/admission"
+)
+
+// minWindowUpdate is the increment, in bytes, below which a WINDOW_UPDATE counts as a violation.
+const minWindowUpdate = 64
+
+// wrongProtocolResponse answers clients that speak HTTP/1 or ask for an upgrade from it.
+var wrongProtocolResponse = func() string {
+	const reason = "This port speaks HTTP/2 with prior knowledge, neither HTTP/1 nor an upgrade from it.\n"
+	return "HTTP/1.1 505 HTTP Version Not Supported\r\n" +
+		"Content-Type: text/plain; charset=utf-8\r\n" +
+		"Connection: close\r\n" +
+		fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(reason), reason)
+}()
+
+// read reads frames until the connection ends. Code and reason are those of the GOAWAY that ends it; ErrCodeNo if
+// none is to be sent.
+func (c *conn) read() (code http2.ErrCode, reason string) {
+	if !c.readPreface() {
+		return http2.ErrCodeNo, ""
+	}
+	c.framer.ReadMetaHeaders = hpack.NewDecoder(headerTableSize, nil)
+	c.framer.MaxHeaderListSize = uint32(c.server.options.MaxHeaderBytes)
+	c.framer.SetMaxReadFrameSize(defaultMaxFrameSize)
+	c.sendSettings()
+	for first := true; ; first = false {
+		// The first frame has to arrive within the time of the preface. Later ones may take any time to begin, but
+		// not to end: otherwise a field section without end would hold the connection.
+		if !first {
+			c.netConn.SetReadDeadline(time.Time{})
+		}
+		if _, err := c.reader.Peek(1); err != nil {
+			return http2.ErrCodeNo, ""
+		}
+		c.netConn.SetReadDeadline(time.Now().Add(requestTimeout))
+		frame, err := c.framer.ReadFrame()
+		if err == nil {
+			err = c.handleFrame(frame, first)
+		}
+		if err == nil {
+			continue
+		}
+		var streamError http2.StreamError
+		if !errors.As(err, &streamError) {
+			return goAwayOf(err)
+		}
+		c.resetByServer(streamError.StreamID, streamError.Code)
+	}
+}
+
+// readPreface reads the client's connection preface and tells whether it is that of HTTP/2. Clients of HTTP/1 are
+// told what is wrong.
+func (c *conn) readPreface() bool {
+	c.netConn.SetReadDeadline(time.Now().Add(requestTimeout))
+	preface := make([]byte, len(http2.ClientPreface))
+	n, err := io.ReadFull(c.reader, preface)
+	if err == nil && string(preface) == http2.ClientPreface {
+		return true
+	}
+	if isHTTP1(preface[:n]) {
+		c.mu.Lock()
+		c.controlFrames = append(c.controlFrames, func() error {
+			_, err := c.writer.WriteString(wrongProtocolResponse)
+			return err
+		})
+		c.mu.Unlock()
+	}
+	return false
+}
+
+// isHTTP1 tells whether a connection begins like one of HTTP/1.
+func isHTTP1(begin []byte) bool {
+	if strings.Contains(string(begin), "HTTP/1") {
+		return true
+	}
+	return len(begin) > 3 && strings.HasPrefix("GET PUT POST", string(begin[:3]))
+}
+
+// sendSettings queues the server's connection preface.
+func (c *conn) sendSettings() {
+	options := &c.server.options
+	settings := []http2.Setting{
+		{ID: http2.SettingMaxConcurrentStreams, Val: uint32(options.Admission.Streams)},
+		{ID: http2.SettingInitialWindowSize, Val: streamReceiveWindow},
+		{ID: http2.SettingMaxHeaderListSize, Val: uint32(options.MaxHeaderBytes)},
+		{ID: http2.SettingEnablePush, Val: 0},
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.settingsSent = true
+	c.queueControlLocked(func() error {
+		err := c.framer.WriteSettings(settings...)
+		return errors.Join(err, c.framer.WriteWindowUpdate(0, connReceiveWindow-initialConnWindow))
+	})
+}
+
+// goAwayOf returns the code and the reason of the GOAWAY for an error of the connection; ErrCodeNo if none is to be
+// sent.
+func goAwayOf(err error) (code http2.ErrCode, reason string) {
+	var own *connError
+	var framing http2.ConnectionError
+	switch {
+	case errors.As(err, &own):
+		return own.code, own.reason
+	case errors.As(err, &framing):
+		return http2.ErrCode(framing), ""
+	case errors.Is(err, http2.ErrFrameTooLarge):
+		return http2.ErrCodeFrameSize, "a frame is longer than SETTINGS allow"
+	}
+	return http2.ErrCodeNo, "" // the connection broke
+}
+
+// handleFrame handles a frame. An http2.StreamError resets its stream; any other error ends the connection.
+func (c *conn) handleFrame(frame http2.Frame, first bool) error {
+	settings, isSettings := frame.(*http2.SettingsFrame)
+	if first && (!isSettings || settings.IsAck()) {
+		return &connError{http2.ErrCodeProtocol, "the first frame is not SETTINGS"}
+	}
+	switch frame := frame.(type) {
+	case *http2.MetaHeadersFrame:
+		return c.handleHeaders(frame)
+	case *http2.DataFrame:
+		return c.handleData(frame)
+	case *http2.SettingsFrame:
+		if !first && !frame.IsAck() {
+			c.recordViolation(admission.SettingsChange)
+		}
+		return c.handleSettings(frame)
+	case *http2.PingFrame:
+		c.handlePing(frame)
+	case *http2.WindowUpdateFrame:
+		return c.handleWindowUpdate(frame)
+	case *http2.RSTStreamFrame:
+		return c.resetByClient(frame.StreamID)
+	case *http2.PriorityFrame:
+		c.recordViolation(admission.PriorityChange)
+	case *http2.PriorityUpdateFrame:
+		c.handlePriorityUpdate(frame)
+	case *http2.PushPromiseFrame:
+		return &connError{http2.ErrCodeProtocol, "clients don't push"}
+	}
+	// After a GOAWAY the client closes the connection by itself. Unknown frames are ignored (RFC 9113, section 5.5).
+	return nil
+}
+
+// handlePing answers a PING.
+func (c *conn) handlePing(frame *http2.PingFrame) {
+	if frame.IsAck() {
+		return
+	}
+	data := frame.Data
+	c.queueControl(func() error { return c.framer.WritePing(true, data) })
+	c.recordViolation(admission.UnsolicitedPing)
+}
+
+// handlePriorityUpdate changes the urgency of a stream (RFC 9218, section 7.1). For a stream that is not open it is
+// ignored.
+func (c *conn) handlePriorityUpdate(frame *http2.PriorityUpdateFrame) {
+	c.recordViolation(admission.PriorityChange)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if st := c.streams[frame.PrioritizedStreamID]; st != nil {
+		st.urgency = parseUrgency(frame.Priority)
+		c.wake.Signal()
+	}
+}
+
+// handleSettings applies the client's settings (RFC 9113, section 6.5).
+func (c *conn) handleSettings(frame *http2.SettingsFrame) error {
+	if frame.IsAck() {
+		return nil
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	err := frame.ForeachSetting(c.applySettingLocked)
+	c.queueControlLocked(func() error { return c.framer.WriteSettingsAck() })
+	return err
+}
+
+func (c *conn) applySettingLocked(setting http2.Setting) error {
+	if err := setting.Valid(); err != nil {
+		return err
+	}
+	switch setting.ID {
+	case http2.SettingInitialWindowSize:
+		change := int64(setting.Val) - c.initialStreamSendWindow
+		c.initialStreamSendWindow = int64(setting.Val)
+		for _, st := range c.streams {
+			st.sendWindow += change
+			if st.sendWindow > maxWindow {
+				return &connError{http2.ErrCodeFlowControl, "a window is too large"}
+			}
+		}
+	case http2.SettingMaxFrameSize:
+		c.maxFrameSize = int(setting.Val)
+	case http2.SettingHeaderTableSize:
+		size := min(setting.Val, headerTableSize)
+		c.controlFrames = append(c.controlFrames, func() error {
+			c.encoder.SetMaxDynamicTableSize(size)
+			return nil
+		})
+	}
+	return nil
+}
+
+// handleWindowUpdate raises the window of a stream or of the connection (RFC 9113, section 6.9).
+func (c *conn) handleWindowUpdate(frame *http2.WindowUpdateFrame) error {
+	if frame.Increment < minWindowUpdate {
+		c.recordViolation(admission.SmallWindowUpdate)
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	defer c.wake.Signal()
+	if frame.StreamID == 0 {
+		c.sendWindow += int64(frame.Increment)
+		if c.sendWindow > maxWindow {
+			return &connError{http2.ErrCodeFlowControl, "the connection's window is too large"}
+		}
+		return nil
+	}
+	st := c.streams[frame.StreamID]
+	if st == nil {
+		if frame.StreamID > c.highestStream {
+			return &connError{http2.ErrCodeProtocol, "WINDOW_UPDATE on an idle stream"}
+		}
+		return nil // the stream has ended in the meantime
+	}
+	st.sendWindow += int64(frame.Increment)
+	if st.sendWindow > maxWindow {
+		return http2.StreamError{StreamID: frame.StreamID, Code: http2.ErrCodeFlowControl}
+	}
+	return nil
+}
--- a/internal/frontend/h2frontend/server.go
+++ b/internal/frontend/h2frontend/server.go
@@ -1,6 +1,3 @@
-// Package h2frontend is a front for clients that speak HTTP/2 without TLS, with prior knowledge (RFC 9113, section 3.3). It
-// owns frames, streams and windows; what a request means and how it is answered is the first front's business, and who
-// is admitted is that of package admission.
 package h2frontend
 
 import (
@@ -15,143 +12,153 @@
 	"reachpulley/internal/admission"
 )
 
-// Carrier answers a request that was read whole.
-type Carrier interface {
+// Handler answers requests.
+type Handler interface {
+	// Handle answers a request whose body is in memory. The request's context ends when its client disconnects.
 	Handle(r *http.Request) *http.Response
-	// ClientID tells who is behind a request; the core is shared fairly among them.
+	// ClientID returns who sent a request. Admission shares capacity fairly among clients.
 	ClientID(r *http.Request) string
 }
 
-// Options are what a Server is made of.
+// Options configure a Server.
 type Options struct {
-	Carrier        Carrier
+	Carrier        Handler
 	Admission      admission.Config
-	Seed           uint64
-	MaxHeaderBytes int // bytes of a request's field section at most (RFC 9113, section 6.5.2)
+	Seed           uint64 // of the admission controller
+	MaxHeaderBytes int    // limit of a request's field section (RFC 9113, section 6.5.2)
 	Log            *slog.Logger
 }
 
 const (
-	requestTime = 2 * time.Second        // for a request to come in, head and body
-	writeTime   = 10 * time.Second       // for what is written to leave the process
-	idleTime    = 5 * time.Minute        // for which a connection may have no stream
-	tickTime    = 250 * time.Millisecond // between two looks at what time brings
-	lastCall    = 500 * time.Millisecond // between the two GOAWAYs: what crossed the first is still taken
-	pause       = 50 * time.Millisecond  // after a connection that could not be taken
+	requestTimeout   = 2 * time.Second        // for a request to arrive, header and body
+	writeTimeout     = 10 * time.Second       // for a frame to be written to the socket
+	idleTimeout      = 5 * time.Minute        // for a connection without streams
+	tickInterval     = 250 * time.Millisecond // between two checks of timeouts
+	goAwayInterval   = 500 * time.Millisecond // between the two GOAWAYs: requests that cross the first are still served
+	acceptRetryDelay = 50 * time.Millisecond  // after a failure to accept a connection
 )
 
-// Server serves connections. It owns them: each is given back where its reading goroutine ends, in conn.serve.
+// Server accepts and serves connections. It owns them: each one is released at the end of conn.serve.
 type Server struct {
-	Options
-	wait sync.WaitGroup
-
-	mu      sync.Mutex // for what is below; it is taken before a connection's
-	control *admission.Controller
-	conns   map[admission.ConnectionID]*conn
-	last    admission.ConnectionID
-	began   time.Time
+	options   Options
+	startedAt time.Time
+	wait      sync.WaitGroup // one for each connection
+
+	mu         sync.Mutex // guards the fields below; taken before that of a connection
+	controller *admission.Controller
+	conns      map[admission.ConnectionID]*conn
+	lastID     admission.ConnectionID
 }
 
-// New makes a Server. Its error names what of the options can't be used.
+// New returns a Server. The error says which option is invalid.
 func New(o Options) (*Server, error) {
-	control, err := admission.New(o.Admission, o.Seed)
+	controller, err := admission.New(o.Admission, o.Seed)
 	if err != nil {
 		return nil, err
 	}
-	return &Server{Options: o, control: control, conns: map[admission.ConnectionID]*conn{}, began: time.Now()}, nil
+	return &Server{
+		options:    o,
+		startedAt:  time.Now(),
+		controller: controller,
+		conns:      map[admission.ConnectionID]*conn{},
+	}, nil
 }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed, and then waits until they have ended.
 func (s *Server) Serve(l net.Listener) {
 	done := make(chan struct{})
-	var ticks sync.WaitGroup
-	ticks.Go(func() { s.tick(done) })
-	defer ticks.Wait()
+	var ticker sync.WaitGroup
+	ticker.Go(func() { s.runTicker(done) })
+	defer ticker.Wait()
 	defer close(done)
 	for {
-		nc, err := l.Accept()
+		netConn, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			s.wait.Wait() // ticks go on until the last connection has ended
+			s.wait.Wait() // timeouts have to be checked until the last connection has ended
 			return
 		}
 		if err != nil {
-			time.Sleep(pause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		if c := s.enter(nc); c != nil {
+		if c := s.addConn(netConn); c != nil {
 			s.wait.Go(c.serve)
 		} else {
-			nc.Close()
+			netConn.Close()
 		}
 	}
 }
 
-func (s *Server) now() time.Duration { return time.Since(s.began) }
+// now returns the time of the admission controller.
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// enter counts a connection; nil where there is no room.
-func (s *Server) enter(nc net.Conn) *conn {
+// addConn registers a connection; nil if it is not admitted.
+func (s *Server) addConn(netConn net.Conn) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last++
-	c := newConn(s, nc, s.last)
-	if !s.control.Connect(s.now(), c.id, c.client) {
+	s.lastID++
+	c := newConn(s, netConn, s.lastID)
+	if !s.controller.Connect(s.now(), c.id, c.client) {
 		return nil
 	}
 	s.conns[c.id] = c
 	return c
 }
 
-// leave forgets a connection.
-func (s *Server) leave(c *conn) {
+// removeConn forgets a connection.
+func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c.id)
-	s.carry(s.control.Disconnect(s.now(), c.id))
+	s.applyLocked(s.controller.Disconnect(s.now(), c.id))
 }
 
-// decide has the admission take an event and carries out what it calls for.
+// decide passes an event to the admission controller and applies the resulting actions.
 func (s *Server) decide(event func(c *admission.Controller, now time.Duration) []admission.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.carry(event(s.control, s.now()))
+	s.applyLocked(event(s.controller, s.now()))
 }
 
-// carry hands actions to their connections, under the lock.
-func (s *Server) carry(actions []admission.Action) {
-	for _, a := range actions {
-		if c := s.conns[a.Connection]; c != nil {
-			if a.Kind == admission.CloseConnection {
-				s.Log.Warn("HTTP/2 connection cut", "client", c.client, "why", a.Reason)
-			}
-			c.act(a)
+// applyLocked passes actions to their connections.
+func (s *Server) applyLocked(actions []admission.Action) {
+	for _, action := range actions {
+		c := s.conns[action.Connection]
+		if c == nil {
+			continue
+		}
+		if action.Kind == admission.CloseConnection {
+			s.options.Log.Warn("HTTP/2 connection closed by admission control",
+				"client", c.client, "reason", action.Reason)
 		}
+		c.apply(action)
 	}
 }
 
-// tick lets time pass for the admission and the connections.
-func (s *Server) tick(done <-chan struct{}) {
-	t := time.NewTicker(tickTime)
-	defer t.Stop()
+// runTicker checks the timeouts of the admission controller and of all connections until done is closed.
+func (s *Server) runTicker(done <-chan struct{}) {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-done:
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 		s.decide((*admission.Controller).Tick)
 		s.mu.Lock()
 		for _, c := range s.conns {
-			c.tick()
+			c.checkTimeouts()
 		}
 		s.mu.Unlock()
 	}
 }
 
-// Drain tells every client to leave: with the first GOAWAY at once, with the second a moment later. The listener is to be
-// closed by then.
+// Drain asks all clients to leave: at once by a GOAWAY that still allows new streams, and after goAwayInterval by one
+// that does not. The listener must be closed before.
 func (s *Server) Drain() { s.decide((*admission.Controller).Drain) }
 
-// Shutdown waits until every connection has ended; those that have not when ctx ends are cut.
+// Shutdown drains and waits until all connections have ended. When ctx ends, it closes those that are left.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.Drain()
 	ended := make(chan struct{})
@@ -164,7 +171,7 @@
 	case <-ctx.Done():
 		s.mu.Lock()
 		for _, c := range s.conns {
-			c.net.Close()
+			c.netConn.Close()
 		}
 		s.mu.Unlock()
 		<-ended
--- /dev/null
+++ b/internal/frontend/h2frontend/write.go
@@ -0,0 +1,232 @@
+package h2frontend
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"golang.org/x/net/http2"
+	"golang.org/x/net/http2/hpack"
+
+	"reachpulley/internal/admission"
+)
+
+// queueControl queues a frame that is not part of a response.
+func (c *conn) queueControl(write func() error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.queueControlLocked(write)
+}
+
+// queueControlLocked queues a frame that is not part of a response. A client that causes more frames than it reads is
+// told so in place of all queued frames, and its connection is closed.
+func (c *conn) queueControlLocked(write func() error) {
+	if c.controlOverflow {
+		return
+	}
+	if len(c.controlFrames) >= maxControlFrames {
+		c.controlOverflow = true
+		c.controlFrames = append(c.controlFrames[:0], c.closingGoAwayLocked("frames that ask for frames"))
+	} else {
+		c.controlFrames = append(c.controlFrames, write)
+	}
+	c.wake.Signal()
+}
+
+// responsePart is what is written of a response at once: its header or a piece of its body.
+type responsePart struct {
+	stream *stream
+	header *http.Response // nil: body
+	body   []byte
+	last   bool // the stream ends with this part
+}
+
+// pendingWrite is what the writing goroutine does next: it writes the control frames, or else the part, or else
+// flushes.
+type pendingWrite struct {
+	controlFrames []func() error
+	part          responsePart // without a stream: none
+	maxFrameSize  int
+	connEnded     bool
+}
+
+// write writes frames until the connection ends.
+func (c *conn) write() {
+	defer c.netConn.Close() // ends the reading goroutine, too
+	for {
+		next := c.awaitWrite()
+		c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		var err error
+		switch {
+		case len(next.controlFrames) > 0:
+			err = writeAll(next.controlFrames)
+		case next.part.stream != nil:
+			err = c.writePart(next.part, next.maxFrameSize)
+		default:
+			err = c.writer.Flush()
+			if next.connEnded {
+				return
+			}
+		}
+		if err != nil {
+			c.writer.Flush()
+			return
+		}
+	}
+}
+
+// awaitWrite waits until there is something to write, to flush, or until the connection has ended. Control frames go
+// first, then responses by their urgency.
+func (c *conn) awaitWrite() (next pendingWrite) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var st *stream
+	for len(c.controlFrames) == 0 {
+		st = c.nextStreamLocked()
+		if st != nil || c.ended || c.writer.Buffered() > 0 {
+			break
+		}
+		c.wake.Wait()
+	}
+	next.controlFrames = c.controlFrames
+	next.connEnded = c.ended
+	next.maxFrameSize = c.maxFrameSize
+	c.controlFrames = nil
+	if len(next.controlFrames) == 0 && st != nil {
+		next.part = c.nextPartLocked(st)
+	}
+	return next
+}
+
+// writeAll writes control frames up to the first error.
+func writeAll(frames []func() error) error {
+	for _, write := range frames {
+		if err := write(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// nextStreamLocked returns the stream whose response is written next: the most urgent, and among equally urgent ones
+// the one that was written to least recently. It tells admission which responses cannot be written.
+func (c *conn) nextStreamLocked() (next *stream) {
+	for _, st := range c.streams {
+		blocked := st.header == nil && len(st.unsent) > 0 && (st.sendWindow <= 0 || c.sendWindow <= 0)
+		if !st.responding || blocked {
+			c.setStalledLocked(st, st.responding)
+			continue
+		}
+		if next == nil || st.goesBefore(next) {
+			next = st
+		}
+	}
+	return next
+}
+
+// goesBefore tells whether a stream's response is written before that of another stream.
+func (st *stream) goesBefore(other *stream) bool {
+	if st.urgency != other.urgency {
+		return st.urgency < other.urgency
+	}
+	if st.lastWritten != other.lastWritten {
+		return st.lastWritten < other.lastWritten
+	}
+	return st.id < other.id
+}
+
+// setStalledLocked notes whether a response waits for a window, and tells admission of a change. It does so from a
+// goroutine of its own, as the server's lock must be taken before the connection's.
+func (c *conn) setStalledLocked(st *stream, stalled bool) {
+	if st.stalled == stalled || !st.registered {
+		return
+	}
+	st.stalled = stalled
+	c.wait.Go(func() {
+		c.server.mu.Lock()
+		defer c.server.mu.Unlock()
+		c.server.controller.Progress(c.server.now(), c.id, admission.StreamID(st.id), !stalled)
+	})
+}
+
+// nextPartLocked takes the next part from a response.
+func (c *conn) nextPartLocked(st *stream) responsePart {
+	c.writeCount++
+	st.lastWritten = c.writeCount
+	if header := st.header; header != nil {
+		st.header = nil
+		return responsePart{stream: st, header: header, last: len(st.unsent) == 0}
+	}
+	c.setStalledLocked(st, false)
+	size := min(int64(len(st.unsent)), int64(c.maxFrameSize), st.sendWindow, c.sendWindow)
+	body := st.unsent[:size]
+	st.unsent = st.unsent[size:]
+	st.sendWindow -= size
+	c.sendWindow -= size
+	return responsePart{stream: st, body: body, last: len(st.unsent) == 0}
+}
+
+// writePart writes a part of a response. The stream ends with the last part.
+func (c *conn) writePart(part responsePart, maxFrameSize int) error {
+	st := part.stream
+	var err error
+	if part.header != nil {
+		err = c.writeHeader(st.id, part.header, part.last, maxFrameSize)
+	} else {
+		err = c.framer.WriteData(st.id, part.last, part.body)
+	}
+	if err != nil || !part.last {
+		return err
+	}
+	c.mu.Lock()
+	requestComplete := st.requestComplete
+	c.mu.Unlock()
+	if !requestComplete { // the rest of the request is not wanted any more (RFC 9113, section 8.1)
+		err = c.framer.WriteRSTStream(st.id, http2.ErrCodeNo)
+	}
+	c.mu.Lock()
+	c.removeLocked(st)
+	c.mu.Unlock()
+	c.reportEnd(st, false)
+	return err
+}
+
+// writeHeader writes the field section of a response, in as many frames as it needs.
+func (c *conn) writeHeader(id uint32, resp *http.Response, endStream bool, maxFrameSize int) error {
+	block := c.encodeHeader(resp)
+	first := block[:min(len(block), maxFrameSize)]
+	block = block[len(first):]
+	err := c.framer.WriteHeaders(http2.HeadersFrameParam{
+		StreamID:      id,
+		BlockFragment: first,
+		EndStream:     endStream,
+		EndHeaders:    len(block) == 0,
+	})
+	for err == nil && len(block) > 0 {
+		fragment := block[:min(len(block), maxFrameSize)]
+		block = block[len(fragment):]
+		err = c.framer.WriteContinuation(id, len(block) == 0, fragment)
+	}
+	return err
+}
+
+// encodeHeader returns the field section of a response. It is valid until the next call.
+func (c *conn) encodeHeader(resp *http.Response) []byte {
+	c.headerBlock.Reset()
+	c.encodeField(":status", strconv.Itoa(resp.StatusCode))
+	c.encodeField("content-length", strconv.FormatInt(resp.ContentLength, 10))
+	for name, values := range resp.Header {
+		if hopByHopFields[name] || name == "Content-Length" {
+			continue
+		}
+		for _, value := range values {
+			c.encodeField(strings.ToLower(name), value)
+		}
+	}
+	return c.headerBlock.Bytes()
+}
+
+func (c *conn) encodeField(name, value string) {
+	c.encoder.WriteField(hpack.HeaderField{Name: name, Value: value})
+}
