--- a/internal/contract/asyncapi.go
+++ b/internal/contract/asyncapi.go
@@ -7,19 +7,19 @@
 	"go.yaml.in/yaml/v4"
 )
 
-// asyncRoot gives the root of a document that calls itself AsyncAPI. The registry holds no reader of it that is well known, and of a description
-// only channels, operations and the vocabulary are wanted here, so they are read from the YAML (or JSON) itself.
-func asyncRoot(text []byte) (*yaml.Node, bool) {
-	var doc yaml.Node
-	if err := yaml.Unmarshal(text, &doc); err != nil || len(doc.Content) != 1 {
-		return nil, false // whoever reads OpenAPI tells what is wrong
+// asyncAPIRoot returns the root of a document that calls itself AsyncAPI. Only channels, operations and the extension
+// of such a document are needed, so they are read from the YAML (or JSON) itself; there is no well-known library.
+func asyncAPIRoot(text []byte) (*yaml.Node, bool) {
+	var document yaml.Node
+	if err := yaml.Unmarshal(text, &document); err != nil || len(document.Content) != 1 {
+		return nil, false // The reader of OpenAPI reports what is wrong.
 	}
-	root := doc.Content[0]
-	return root, value(root, "asyncapi") != nil
+	root := document.Content[0]
+	return root, mappingValue(root, "asyncapi") != nil
 }
 
-// value gives what a mapping has at a key; nil where it has nothing.
-func value(n *yaml.Node, key string) *yaml.Node {
+// mappingValue returns the value of a key in a mapping; nil if there is none.
+func mappingValue(n *yaml.Node, key string) *yaml.Node {
 	if n == nil || n.Kind != yaml.MappingNode {
 		return nil
 	}
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// each calls do with every key and value of a mapping, in their order.
-func each(n *yaml.Node, do func(key *yaml.Node, value *yaml.Node)) {
+// forEachEntry calls do with every key and value of a mapping, in their order.
+func forEachEntry(n *yaml.Node, do func(key, value *yaml.Node)) {
 	if n == nil || n.Kind != yaml.MappingNode {
 		return
 	}
@@ -41,102 +41,124 @@
 	}
 }
 
-func text(n *yaml.Node) string {
+// scalarText returns the text of a scalar; empty for any other node.
+func scalarText(n *yaml.Node) string {
 	if n == nil || n.Kind != yaml.ScalarNode {
 		return ""
 	}
 	return n.Value
 }
 
-// asyncReader reads one AsyncAPI document.
-type asyncReader struct {
-	file   string
-	root   *yaml.Node
-	all    []*Operation
-	faults Faults
+// The actions of an operation, from the view of the described application.
+const (
+	actionSend    = "send"
+	actionReceive = "receive"
+)
+
+// asyncAPIReader reads one AsyncAPI document.
+type asyncAPIReader struct {
+	file       string
+	root       *yaml.Node
+	operations []*Operation
+	faults     Faults
 }
 
-// loadAsync reads AsyncAPI 2.6, where operations stand at their channels, and 3.0, where they stand by themselves.
-func loadAsync(file string, root *yaml.Node) ([]*Operation, Faults) {
-	r := &asyncReader{file: file, root: root}
-	version := value(root, "asyncapi")
+// parseAsyncAPI reads AsyncAPI 2.6, which lists operations at their channels, and 3.0, which lists them on their own.
+func parseAsyncAPI(file string, root *yaml.Node) ([]*Operation, Faults) {
+	r := &asyncAPIReader{file: file, root: root}
+	node := mappingValue(root, "asyncapi")
+	version := scalarText(node)
 	switch {
-	case strings.HasPrefix(text(version), "2."):
-		r.atChannels()
-	case strings.HasPrefix(text(version), "3."):
-		r.byThemselves()
+	case strings.HasPrefix(version, "2."):
+		r.readVersion2()
+	case strings.HasPrefix(version, "3."):
+		r.readVersion3()
 	default:
-		r.fault(version, "/asyncapi", "AsyncAPI of version %q is not read; 2.x and 3.x are", text(version))
+		r.addFault(node, "/asyncapi", "AsyncAPI version %q is not supported; 2.x and 3.x are", version)
 	}
-	return r.all, r.faults
+	return r.operations, r.faults
 }
 
-func (r *asyncReader) place(at *yaml.Node, pointer string) SourcePosition {
+func (r *asyncAPIReader) position(at *yaml.Node, pointer string) SourcePosition {
 	return SourcePosition{File: r.file, Line: at.Line, Pointer: pointer}
 }
 
-func (r *asyncReader) fault(at *yaml.Node, pointer, format string, args ...any) {
-	r.faults = append(r.faults, Fault{r.place(at, pointer), fmt.Sprintf(format, args...)})
+func (r *asyncAPIReader) addFault(at *yaml.Node, pointer, format string, args ...any) {
+	fault := Fault{Position: r.position(at, pointer), Message: fmt.Sprintf(format, args...)}
+	r.faults = append(r.faults, fault)
 }
 
-// escape makes a key part of a pointer (RFC 6901, section 3).
-func escape(key string) string { return strings.NewReplacer("~", "~0", "/", "~1").Replace(key) }
-
-// atChannels reads version 2: what others may publish to the application, it receives; what they may subscribe to, it sends.
-func (r *asyncReader) atChannels() {
-	each(value(r.root, "channels"), func(address, channel *yaml.Node) {
-		for _, one := range []struct{ word, action string }{{"publish", "receive"}, {"subscribe", "send"}} {
-			op := value(channel, one.word)
-			if op == nil {
+// readVersion2 reads the operations of channels. What others publish to the application, it receives; what they
+// subscribe to, it sends.
+func (r *asyncAPIReader) readVersion2() {
+	actions := []struct{ key, action string }{
+		{"publish", actionReceive},
+		{"subscribe", actionSend},
+	}
+	forEachEntry(mappingValue(r.root, "channels"), func(address, channel *yaml.Node) {
+		for _, one := range actions {
+			node := mappingValue(channel, one.key)
+			if node == nil {
 				continue
 			}
-			pointer := "/channels/" + escape(address.Value) + "/" + one.word
-			r.add(&Operation{ID: text(value(op, "operationId")), Action: one.action, Channel: address.Value, Position: r.place(op, pointer)}, op, channel)
+			operation := &Operation{
+				ID:       scalarText(mappingValue(node, "operationId")),
+				Action:   one.action,
+				Channel:  address.Value,
+				Position: r.position(node, "/channels/"+escapePointer(address.Value)+"/"+one.key),
+			}
+			r.add(operation, node, channel)
 		}
 	})
 }
 
-// byThemselves reads version 3.
-func (r *asyncReader) byThemselves() {
-	channels := value(r.root, "channels")
-	each(value(r.root, "operations"), func(id, op *yaml.Node) {
-		pointer := "/operations/" + escape(id.Value)
-		action := text(value(op, "action"))
-		if action != "send" && action != "receive" {
-			r.fault(op, pointer+"/action", "%q is neither send nor receive", action)
+// readVersion3 reads the list of operations.
+func (r *asyncAPIReader) readVersion3() {
+	channels := mappingValue(r.root, "channels")
+	forEachEntry(mappingValue(r.root, "operations"), func(id, node *yaml.Node) {
+		pointer := "/operations/" + escapePointer(id.Value)
+		action := scalarText(mappingValue(node, "action"))
+		if action != actionSend && action != actionReceive {
+			r.addFault(node, pointer+"/action", "%q is neither send nor receive", action)
 			return
 		}
-		ref := text(value(value(op, "channel"), "$ref"))
-		name, ok := strings.CutPrefix(ref, "#/channels/")
-		name = strings.NewReplacer("~1", "/", "~0", "~").Replace(name)
-		channel := value(channels, name)
+		reference := scalarText(mappingValue(mappingValue(node, "channel"), "$ref"))
+		name, ok := strings.CutPrefix(reference, "#/channels/")
+		name = unescapePointer(name)
+		channel := mappingValue(channels, name)
 		if !ok || channel == nil {
-			r.fault(op, pointer+"/channel", "%q is no channel of this document", ref)
+			r.addFault(node, pointer+"/channel", "%q is no channel of this document", reference)
 			return
 		}
-		address := text(value(channel, "address"))
-		if address == "" { // it is given when the channel is used, so its name stands for it
+		address := scalarText(mappingValue(channel, "address"))
+		if address == "" { // It is set when the channel is used, so the name stands for it.
 			address = name
 		}
-		r.add(&Operation{ID: id.Value, Action: action, Channel: address, Position: r.place(op, pointer)}, op, channel)
+		operation := &Operation{
+			ID:       id.Value,
+			Action:   action,
+			Channel:  address,
+			Position: r.position(node, pointer),
+		}
+		r.add(operation, node, channel)
 	})
 }
 
-// add takes an operation with what the vocabulary says of it or, where it says nothing, of its channel.
-func (r *asyncReader) add(o *Operation, op, channel *yaml.Node) {
-	o.Idempotency = NonIdempotent
-	r.all = append(r.all, o)
-	said := value(op, extension)
-	if said == nil {
-		said = value(channel, extension)
+// add adds an operation with its extension or, if it has none, that of its channel.
+func (r *asyncAPIReader) add(operation *Operation, node, channel *yaml.Node) {
+	operation.Idempotency = NonIdempotent
+	r.operations = append(r.operations, operation)
+	extension := mappingValue(node, extensionKey)
+	if extension == nil {
+		extension = mappingValue(channel, extensionKey)
 	}
-	if said == nil {
+	if extension == nil {
 		return
 	}
 	var content any
-	if err := said.Decode(&content); err != nil {
-		r.fault(said, o.Position.Pointer+"/"+extension, "%v", err)
+	if err := extension.Decode(&content); err != nil {
+		r.addFault(extension, operation.Position.Pointer+"/"+extensionKey, "%v", err)
 		return
 	}
-	r.faults = append(r.faults, o.say(content)...)
+	r.faults = append(r.faults, operation.applyExtension(content)...)
 }
--- a/internal/contract/check.go
+++ b/internal/contract/check.go
@@ -2,47 +2,84 @@
 
 import (
 	"fmt"
+	"maps"
+	"net/http"
 	"slices"
 	"strconv"
 	"strings"
 )
 
-// Check gives what is wrong with operations, in the order of their places. Suspicions are of what may be meant, and forbid nothing.
-func Check(all []*Operation) (faults, suspicions Faults) {
+// Check returns what is wrong with operations, sorted by position. Warnings point out what may not be meant; they
+// forbid nothing.
+func Check(operations []*Operation) (faults, warnings Faults) {
 	shapes := map[string][]*Operation{}
-	for _, o := range all {
-		c := checking{o: o, faults: &faults, suspicions: &suspicions}
-		if o.Method != "" {
-			var err error
-			if c.segments, err = parseTemplate(o.Template); err != nil {
-				c.fault("%v", err)
-				continue
-			}
-			shape := o.Method + " " + o.Host + shapeOf(c.segments)
-			for _, other := range shapes[shape] {
-				if alike(o, other) {
-					c.fault("it matches the same requests as %s at %v", other.Signature(), other.Position)
-				}
-			}
-			shapes[shape] = append(shapes[shape], o)
-		}
-		c.repeats()
-		c.places()
-		c.statuses()
-		if o.LatencyObjective > 0 && o.Deadline > 0 && o.Deadline < o.LatencyObjective {
-			c.fault("its deadline, %v, is shorter than its aim, %v", o.Deadline, o.LatencyObjective)
+	for _, operation := range operations {
+		c := operationChecker{operation: operation}
+		c.check(shapes)
+		faults = append(faults, c.faults...)
+		warnings = append(warnings, c.warnings...)
+	}
+	return faults.sorted(), warnings.sorted()
+}
+
+// operationChecker checks one operation.
+type operationChecker struct {
+	operation        *Operation
+	segments         []pathSegment // of its path
+	faults, warnings Faults
+}
+
+func (c *operationChecker) addFault(format string, args ...any) {
+	fault := Fault{Position: c.operation.Position, Message: fmt.Sprintf(format, args...)}
+	c.faults = append(c.faults, fault)
+}
+
+func (c *operationChecker) warn(format string, args ...any) {
+	warning := Fault{Position: c.operation.Position, Message: fmt.Sprintf(format, args...)}
+	c.warnings = append(c.warnings, warning)
+}
+
+// check checks the operation. It adds it to shapes, which hold the operations before it by method, host and shape of
+// their path.
+func (c *operationChecker) check(shapes map[string][]*Operation) {
+	o := c.operation
+	if o.Method != "" {
+		var err error
+		c.segments, err = parsePathTemplate(o.Template)
+		if err != nil {
+			c.addFault("%v", err)
+			return
 		}
-		if o.Deadline > 0 && o.ExpectedDuration > o.Deadline {
-			c.fault("it takes %v, longer than its deadline, %v", o.ExpectedDuration, o.Deadline)
+		shape := o.Method + " " + o.Host + shapeOf(c.segments)
+		for _, other := range shapes[shape] {
+			if ambiguous(o, other) {
+				c.addFault("it matches the same requests as %s at %v", other.Signature(), other.Position)
+			}
 		}
+		shapes[shape] = append(shapes[shape], o)
+	}
+	c.checkIdempotency()
+	c.checkPathLocations()
+	for _, status := range slices.Sorted(maps.Keys(o.Statuses)) {
+		c.checkStatus(status, o.Statuses[status])
+	}
+	if o.LatencyObjective > 0 && o.Deadline > 0 && o.Deadline < o.LatencyObjective {
+		c.addFault("its deadline, %v, is shorter than its aim, %v", o.Deadline, o.LatencyObjective)
+	}
+	if o.Deadline > 0 && o.ExpectedDuration > o.Deadline {
+		c.addFault("it takes %v, longer than its deadline, %v", o.ExpectedDuration, o.Deadline)
 	}
-	return faults.sorted(), suspicions.sorted()
 }
 
-// alike tells whether one request may be of two operations that share method, host and path, and neither goes first by having more
-// conditions.
-func alike(a, b *Operation) bool {
-	if len(a.When) != len(b.When) || len(a.Types) > 0 && len(b.Types) > 0 && !slices.ContainsFunc(a.Types, func(t string) bool { return slices.Contains(b.Types, t) }) {
+// ambiguous reports whether a request can match two operations that share method, host and path, so that neither goes
+// first by having more conditions.
+func ambiguous(a, b *Operation) bool {
+	if len(a.When) != len(b.When) {
+		return false
+	}
+	bothTyped := len(a.Types) > 0 && len(b.Types) > 0
+	inB := func(media string) bool { return slices.Contains(b.Types, media) }
+	if bothTyped && !slices.ContainsFunc(a.Types, inB) {
 		return false
 	}
 	for _, x := range a.When {
@@ -55,84 +92,88 @@
 	return true
 }
 
-// checking looks at one operation.
-type checking struct {
-	o                  *Operation
-	segments           []segment
-	faults, suspicions *Faults
-}
-
-func (c *checking) fault(format string, args ...any) {
-	*c.faults = append(*c.faults, Fault{c.o.Position, fmt.Sprintf(format, args...)})
-}
-
-func (c *checking) suspect(format string, args ...any) {
-	*c.suspicions = append(*c.suspicions, Fault{c.o.Position, fmt.Sprintf(format, args...)})
-}
-
-func (c *checking) repeats() {
-	o := c.o
+func (c *operationChecker) checkIdempotency() {
+	o := c.operation
 	switch o.Idempotency {
 	case Idempotent:
 		if o.Body && o.Creates {
-			c.fault("it is called safe, and takes a body and says that it creates (201)")
+			c.addFault("it is called safe, but takes a body and creates something (201)")
 		}
-		if o.Method == "POST" || o.Method == "PATCH" {
-			c.suspect("it is called safe, and its method is %s", o.Method)
+		if o.Method == http.MethodPost || o.Method == http.MethodPatch {
+			c.warn("it is called safe, but its method is %s", o.Method)
 		}
 	case IdempotentWithKey:
 		if o.Key.Name == "" || o.DedupWindow <= 0 {
-			c.fault("it is called keyed, and does not say where its key stands and for how long it is known")
+			c.addFault("it is called keyed, but does not say where its key is and for how long it is known")
 		}
 	case NonIdempotent:
-		if o.Method == "GET" || o.Method == "HEAD" {
-			c.suspect("its method is %s, and nothing calls it safe: it is not repeated", o.Method)
+		if o.Method == http.MethodGet || o.Method == http.MethodHead {
+			c.warn("its method is %s, but it is not called safe: it is not retried", o.Method)
 		}
 	}
 	if o.Idempotency != Idempotent && o.StableFor > 0 {
-		c.fault("its answers are called the same for %v, and only those of what is safe are", o.StableFor)
+		c.addFault("its answers are called the same for %v, but it is not called safe", o.StableFor)
 	}
 	if o.Idempotency != IdempotentWithKey && o.Key.Name != "" {
-		c.fault("it has a key, and only what is keyed has one")
+		c.addFault("it has a key, but is not called keyed")
 	}
 }
 
-// places checks that what is to stand in the path can stand there.
-func (c *checking) places() {
-	if c.o.Method == "" {
+// checkPathLocations checks that the path has each parameter by which the description locates something.
+func (c *operationChecker) checkPathLocations() {
+	o := c.operation
+	if o.Method == "" {
 		return
 	}
-	for what, where := range map[string]Location{"key": c.o.Key, "volume": c.o.Volume, "data": c.o.Data, "shard": c.o.Shard.Location} {
-		if where.In == "path" && !slices.ContainsFunc(c.segments, func(s segment) bool { return s.template && s.text == where.Name }) {
-			c.fault("its path has no {%s}, where its %s is to stand", where.Name, what)
+	for _, one := range []struct {
+		what string
+		at   Location
+	}{
+		{"key", o.Key},
+		{"volume", o.Volume},
+		{"data", o.Data},
+		{"shard", o.Shard.Location},
+	} {
+		parameter := pathSegment{text: one.at.Name, parameter: true}
+		if one.at.In == inPath && !slices.Contains(c.segments, parameter) {
+			c.addFault("its path has no {%s}, which is to hold its %s", one.at.Name, one.what)
 		}
 	}
 }
 
-// statuses checks what is said of them against what clients take them for: 429 and 503 tell them that trying again is harmless.
-func (c *checking) statuses() {
-	for status, meaning := range c.o.Statuses {
-		inviting := status == "429" || status == "503"
-		covers := inviting || status == "4XX" || status == "5XX"
-		switch {
-		case meaning == Rejected && !covers && strings.HasPrefix(status, "2"):
-			c.fault("status %s is called refused: it tells of success", status)
-		case inviting && (meaning == Served || meaning == Failed):
-			c.fault("status %s is called %s: clients are told by it that trying again is harmless", status, meaning)
-		case meaning == Failed && strings.HasPrefix(status, "2"):
-			c.fault("status %s is called failed: it tells of success", status)
-		case covers && !inviting && (meaning == Served || meaning == Failed):
-			number := map[string]string{"4XX": "429", "5XX": "503"}[status]
-			if _, ok := c.o.Statuses[number]; !ok {
-				c.fault("statuses %s are called %s, and nothing is said of %s, by which clients are told that trying again is harmless", status, meaning, number)
-			}
-		case meaning == Rejected && status == "500":
-			c.suspect("status 500 is called refused: a call that ended so may have run")
-		}
-		if n, err := strconv.Atoi(status); err == nil && c.o.Responses != nil {
-			if _, ok := c.o.Responses[status]; !ok && meaning == Served && n != 200 {
-				c.suspect("status %s is called served, and no answer with it is described", status)
-			}
+// checkStatus checks the meaning of a status against what clients take it for: 429 and 503 tell them that a retry is
+// safe.
+func (c *operationChecker) checkStatus(status string, meaning Meaning) {
+	invitesRetry := status == "429" || status == "503"
+	includesInvitation := status == "4XX" || status == "5XX"
+	success := strings.HasPrefix(status, "2")
+	final := meaning == Served || meaning == Failed
+	switch {
+	case meaning == Rejected && success:
+		c.addFault("status %s is called refused, but reports success", status)
+	case invitesRetry && final:
+		c.addFault("status %s is called %s, but tells clients that a retry is safe", status, meaning)
+	case meaning == Failed && success:
+		c.addFault("status %s is called failed, but reports success", status)
+	case includesInvitation && final:
+		number := map[string]string{"4XX": "429", "5XX": "503"}[status]
+		if _, ok := c.operation.Statuses[number]; !ok {
+			const message = "statuses %s are called %s, which includes %s, and that tells clients that a retry is safe"
+			c.addFault(message, status, meaning, number)
 		}
+	case meaning == Rejected && status == "500":
+		c.warn("status 500 is called refused, but such a call may have run")
+	}
+	c.warnUndescribedAnswer(status, meaning)
+}
+
+// warnUndescribedAnswer warns of a status for the client that has no described response.
+func (c *operationChecker) warnUndescribedAnswer(status string, meaning Meaning) {
+	number, err := strconv.Atoi(status)
+	if err != nil || c.operation.Responses == nil || meaning != Served || number == http.StatusOK {
+		return
+	}
+	if _, ok := c.operation.Responses[status]; !ok {
+		c.warn("status %s is called served, but no response with it is described", status)
 	}
 }
--- /dev/null
+++ b/internal/contract/check_test.go
@@ -0,0 +1,110 @@
+package contract
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// faultyChanges are changes of testdata/sheets.yaml and a part of the fault that each causes.
+var faultyChanges = map[string]struct{ old, new, want string }{
+	"an invalid word": {
+		"repeats: safe, aim",
+		"repeats: sometimes, aim",
+		`/paths/~1sheets~1{id}/get/x-contract/repeats: value must be one of 'safe'`,
+	},
+	"an invalid duration": {
+		"aim: 80ms",
+		"aim: soon",
+		`/x-contract/aim: 'soon' does not match pattern`,
+	},
+	"an unknown key": {
+		"aim: 80ms",
+		"wish: 80ms",
+		"wish",
+	},
+	"a deadline before the objective": {
+		"aim: 80ms, deadline: 500ms",
+		"aim: 800ms, deadline: 500ms",
+		"its deadline, 500ms, is shorter than its aim, 800ms",
+	},
+	"a missing key": {
+		"key: {in: header, name: Idempotency-Key, for: 4s}, ",
+		"",
+		"does not say where its key is",
+	},
+	"a key in a cookie": {
+		"in: header, name: Idempotency-Key",
+		"in: cookie, name: x",
+		`/x-contract/key/in: value must be one of 'header'`,
+	},
+	"a key that is not in the path": {
+		"in: header, name: Idempotency-Key",
+		"in: path, name: x",
+		"its path has no {x}",
+	},
+	"an idempotent operation that creates": {
+		"operationId: pay",
+		"operationId: pay\n      x-contract: {repeats: safe}",
+		"creates something (201)",
+	},
+	"invalid YAML": {
+		"openapi: 3.0.3",
+		"openapi: nonsense: x",
+		"mapping values are not allowed",
+	},
+	"two parameters in a segment": {
+		"/sheets/open:",
+		"/sheets/{x}{y}:",
+		"",
+	},
+}
+
+// Faults are reported all at once, each with its position.
+func TestFaults(t *testing.T) {
+	text, err := os.ReadFile("testdata/sheets.yaml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, test := range faultyChanges {
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "d.yaml")
+			changed := strings.Replace(string(text), test.old, test.new, 1)
+			if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			operations, err := Load(path)
+			if err == nil {
+				if faults, _ := Check(operations); len(faults) > 0 {
+					err = faults
+				}
+			}
+			var faults Faults
+			if !errors.As(err, &faults) {
+				t.Fatalf("%v, want %s", err, test.want)
+			}
+			if !strings.Contains(err.Error(), test.want) || !strings.HasPrefix(err.Error(), path) {
+				t.Errorf("%v, want %s", err, test.want)
+			}
+		})
+	}
+	t.Run("a file that does not exist", func(t *testing.T) {
+		if _, err := Load("testdata/none.yaml"); err == nil {
+			t.Error("it loads")
+		}
+	})
+}
+
+func TestOperationsThatMatchTheSameRequests(t *testing.T) {
+	operations := []*Operation{
+		{Method: "GET", Template: "/a/{x}", Idempotency: Idempotent},
+		{Method: "GET", Template: "/a/{y}", Idempotency: Idempotent},
+		{Method: "GET", Template: "/{z}/b", Idempotency: Idempotent},
+	}
+	faults, _ := Check(operations)
+	if len(faults) != 1 || !strings.Contains(faults[0].Message, "matches the same requests as GET /a/{x}") {
+		t.Error(faults)
+	}
+}
--- a/internal/contract/difference.go
+++ b/internal/contract/difference.go
@@ -8,99 +8,137 @@
 	"strings"
 )
 
-// Change is what differs between two descriptions. A dangerous one lets a gateway do more than it did, or has it look for a key where none is any more: clients and
-// nodes that hold to the old description may then see an effect twice.
+// Change is a difference between two versions of a description. A dangerous one lets a gateway do more than before, or
+// look for a key in another place: clients and nodes that follow the old version may then see an effect twice.
 type Change struct {
 	Dangerous bool
-	Place     SourcePosition // in the new description, or in the old one for what is gone
+	Position  SourcePosition // in the new description; in the old one for what was removed
 	Text      string
 }
 
+// String returns a line for people.
 func (c Change) String() string {
 	word := "harmless"
 	if c.Dangerous {
 		word = "dangerous"
 	}
-	return fmt.Sprintf("%s: %v: %s", word, c.Place, c.Text)
+	return fmt.Sprintf("%s: %v: %s", word, c.Position, c.Text)
 }
 
-// looseness orders what may be done with a call.
-var looseness = map[Idempotency]int{NonIdempotent: 0, IdempotentWithKey: 1, Idempotent: 2}
+// looseness orders idempotency by what may be done with a call.
+var looseness = map[Idempotency]int{
+	NonIdempotent:     0,
+	IdempotentWithKey: 1,
+	Idempotent:        2,
+}
+
+// scopeWidth orders scopes by how many nodes they contain.
+var scopeWidth = map[DedupScope]int{
+	ScopeShard: 0,
+	"":         0,
+	ScopeZone:  1,
+	ScopeAll:   2,
+}
 
-// Diff gives what differs, operations by method and the shape of their path, in that order.
+// Diff returns what differs. Operations are identified by their method and the shape of their path, and sorted by that.
 func Diff(before, after []*Operation) []Change {
-	shaped := func(all []*Operation) map[string]*Operation {
-		out := map[string]*Operation{}
-		for _, o := range all {
-			if o.Method == "" {
-				out[o.Channel+" "+o.Action] = o
-			} else if segments, err := parseTemplate(o.Template); err == nil {
-				out[fmt.Sprint(o.Host, shapeOf(segments), " ", o.Method, o.When, o.Types)] = o
-			}
-		}
-		return out
-	}
-	was, is := shaped(before), shaped(after)
-	var shapes []string
-	for shape := range was {
-		shapes = append(shapes, shape)
-	}
-	for shape := range is {
-		if was[shape] == nil {
-			shapes = append(shapes, shape)
+	oldOperations := byIdentity(before)
+	newOperations := byIdentity(after)
+	identities := slices.Collect(maps.Keys(oldOperations))
+	for identity := range newOperations {
+		if oldOperations[identity] == nil {
+			identities = append(identities, identity)
 		}
 	}
-	slices.Sort(shapes)
-	var out []Change
-	for _, shape := range shapes {
-		a, b := was[shape], is[shape]
+	slices.Sort(identities)
+	var changes []Change
+	for _, identity := range identities {
+		a, b := oldOperations[identity], newOperations[identity]
 		switch {
 		case a == nil:
-			out = append(out, Change{b.Idempotency != NonIdempotent && coveredBefore(before, b), b.Position, fmt.Sprintf("%s is new, %s", b.Signature(), b.Idempotency)})
+			changes = append(changes, Change{
+				Dangerous: b.Idempotency != NonIdempotent && wasStricter(before, b),
+				Position:  b.Position,
+				Text:      fmt.Sprintf("%s is new, %s", b.Signature(), b.Idempotency),
+			})
 		case b == nil:
-			out = append(out, Change{false, a.Position, fmt.Sprintf("%s is gone: it is handled as what nobody described", a.Signature())})
+			changes = append(changes, Change{
+				Position: a.Position,
+				Text:     a.Signature() + " is gone: its requests are handled as undescribed ones",
+			})
 		default:
-			out = append(out, changes(a, b)...)
+			changes = append(changes, operationChanges(a, b)...)
 		}
 	}
-	return out
+	return changes
 }
 
-// coveredBefore tells whether requests of a new operation were those of an old one, whose rule was stricter.
-func coveredBefore(before []*Operation, b *Operation) bool {
-	segments, err := parseTemplate(b.Template)
-	if err != nil { // as all of AsyncAPI, whose addresses are names
+// byIdentity indexes operations by what identifies them in all versions of a description.
+func byIdentity(operations []*Operation) map[string]*Operation {
+	index := map[string]*Operation{}
+	for _, o := range operations {
+		if o.Method == "" {
+			index[o.Channel+" "+o.Action] = o
+			continue
+		}
+		if segments, err := parsePathTemplate(o.Template); err == nil {
+			index[fmt.Sprint(o.Host, shapeOf(segments), " ", o.Method, o.When, o.Types)] = o
+		}
+	}
+	return index
+}
+
+// wasStricter reports whether requests of a new operation were those of an old one that allowed less.
+func wasStricter(before []*Operation, b *Operation) bool {
+	segments, err := parsePathTemplate(b.Template)
+	if err != nil { // as for all of AsyncAPI, whose addresses are names
 		return false
 	}
 	return slices.ContainsFunc(before, func(a *Operation) bool {
-		old, err := parseTemplate(a.Template)
-		if err != nil || a.Method != b.Method || a.Host != "" && b.Host != "" && a.Host != b.Host || len(old) != len(segments) || looseness[b.Idempotency] <= looseness[a.Idempotency] {
+		old, err := parsePathTemplate(a.Template)
+		if err != nil || a.Method != b.Method || looseness[b.Idempotency] <= looseness[a.Idempotency] {
 			return false
 		}
-		for i := range old {
-			if !old[i].template && !segments[i].template && old[i].text != segments[i].text {
-				return false
-			}
-		}
-		return true
+		sameHost := a.Host == "" || b.Host == "" || a.Host == b.Host
+		return sameHost && overlap(old, segments)
 	})
 }
 
-func changes(a, b *Operation) (out []Change) {
+// overlap reports whether a path can match both templates.
+func overlap(a, b []pathSegment) bool {
+	if len(a) != len(b) {
+		return false
+	}
+	for i := range a {
+		if !a[i].parameter && !b[i].parameter && a[i].text != b[i].text {
+			return false
+		}
+	}
+	return true
+}
+
+// operationChanges returns what differs between two versions of an operation.
+func operationChanges(a, b *Operation) []Change {
+	var changes []Change
 	add := func(dangerous bool, format string, args ...any) {
-		out = append(out, Change{dangerous, b.Position, b.Signature() + ": " + fmt.Sprintf(format, args...)})
+		text := b.Signature() + ": " + fmt.Sprintf(format, args...)
+		changes = append(changes, Change{Dangerous: dangerous, Position: b.Position, Text: text})
 	}
-	if a.Idempotency != b.Idempotency {
-		add(looseness[b.Idempotency] > looseness[a.Idempotency], "it was %s and is %s", a.Idempotency, b.Idempotency)
-	} else if a.Idempotency == IdempotentWithKey {
-		if a.Key.In != b.Key.In || !sameKey(a, b) {
-			add(true, "its key stood in %v and stands in %v", a.Key, b.Key)
+	switch {
+	case a.Idempotency != b.Idempotency:
+		dangerous := looseness[b.Idempotency] > looseness[a.Idempotency]
+		add(dangerous, "it was %s and is %s", a.Idempotency, b.Idempotency)
+	case a.Idempotency == IdempotentWithKey:
+		if !sameKey(a, b) {
+			add(true, "its key was in %v and is in %v", a.Key, b.Key)
 		}
 		if a.DedupScope != b.DedupScope {
-			add(width[b.DedupScope] > width[a.DedupScope], "its repeats were discarded by %s and are by %s", a.DedupScope, b.DedupScope)
+			dangerous := scopeWidth[b.DedupScope] > scopeWidth[a.DedupScope]
+			add(dangerous, "its retries were discarded by %s and are by %s", a.DedupScope, b.DedupScope)
 		}
 		if a.DedupWindow != b.DedupWindow {
-			add(b.DedupWindow > a.DedupWindow, "its key was known for %v and is for %v", a.DedupWindow, b.DedupWindow)
+			dangerous := b.DedupWindow > a.DedupWindow
+			add(dangerous, "its key was known for %v and is for %v", a.DedupWindow, b.DedupWindow)
 		}
 	}
 	if a.LatencyObjective != b.LatencyObjective {
@@ -112,15 +150,12 @@
 	if a.Class != b.Class {
 		add(false, "its class was %q and is %q", a.Class, b.Class)
 	}
-	return append(out, meanings(a, b)...)
+	return append(changes, statusChanges(a, b)...)
 }
 
-// width orders groups.
-var width = map[DedupScope]int{ScopeShard: 0, "": 0, ScopeZone: 1, ScopeAll: 2}
-
-// meanings gives the statuses that mean something else. What was said to have run, or may have, and now is called harmless to repeat, may run twice; so
-// may what clients now hear to be a refusal.
-func meanings(a, b *Operation) (out []Change) {
+// statusChanges returns the statuses that mean something else. A change is dangerous if calls that may have run are now
+// called safe to retry, or if clients now take a status for a rejection: such a call may run twice.
+func statusChanges(a, b *Operation) []Change {
 	statuses := slices.Collect(maps.Keys(a.Statuses))
 	for status := range b.Statuses {
 		if _, ok := a.Statuses[status]; !ok {
@@ -129,24 +164,32 @@
 	}
 	slices.Sort(statuses)
 	word := func(m Meaning) string { return cmp.Or(string(m), "not said") }
+	var changes []Change
 	for _, status := range statuses {
-		if was, is := a.Statuses[status], b.Statuses[status]; was != is {
-			out = append(out, Change{is == Rejected || was == MayHaveRun, b.Position,
-				fmt.Sprintf("%s: status %s was %s and is %s", b.Signature(), status, word(was), word(is))})
+		was, is := a.Statuses[status], b.Statuses[status]
+		if was == is {
+			continue
 		}
+		changes = append(changes, Change{
+			Dangerous: is == Rejected || was == MayHaveRun,
+			Position:  b.Position,
+			Text:      fmt.Sprintf("%s: status %s was %s and is %s", b.Signature(), status, word(was), word(is)),
+		})
 	}
-	return out
+	return changes
 }
 
-// sameKey compares the names of keys: those of headers without regard to case (RFC 9110, section 5.1), those of paths by their place.
+// sameKey reports whether the keys are at the same place. The names of headers are compared without regard to case (RFC
+// 9110, section 5.1), those of path parameters by their position.
 func sameKey(a, b *Operation) bool {
+	if a.Key.In != b.Key.In {
+		return false
+	}
 	switch a.Key.In {
-	case "header":
+	case inHeader:
 		return strings.EqualFold(a.Key.Name, b.Key.Name)
-	case "path":
-		return placeOf(a) == placeOf(b)
+	case inPath:
+		return parameterIndex(a.Template, a.Key.Name) == parameterIndex(b.Template, b.Key.Name)
 	}
 	return a.Key.Name == b.Key.Name
 }
-
-func placeOf(o *Operation) int { return parameterOf(o.Template, o.Key.Name) }
--- a/internal/contract/difference_test.go
+++ b/internal/contract/difference_test.go
@@ -6,52 +6,82 @@
 	"time"
 )
 
-func TestDiff(t *testing.T) {
-	keyed := func(in, name string, known time.Duration) *Operation {
-		return &Operation{Method: "PUT", Template: "/a/{x}/{y}", Idempotency: IdempotentWithKey, Key: Location{in, name}, DedupWindow: known}
-	}
-	plain := func(template string, r Idempotency) *Operation {
-		return &Operation{Method: "PUT", Template: template, Idempotency: r}
+// withKey is an operation with a key that is known for some time.
+func withKey(in, name string, window time.Duration) *Operation {
+	return &Operation{
+		Method:      "PUT",
+		Template:    "/a/{x}/{y}",
+		Idempotency: IdempotentWithKey,
+		Key:         Location{in, name},
+		DedupWindow: window,
 	}
-	renamed := keyed("path", "first", time.Second)
+}
+
+func withoutKey(template string, idempotency Idempotency) *Operation {
+	return &Operation{Method: "PUT", Template: template, Idempotency: idempotency}
+}
+
+func TestDiff(t *testing.T) {
+	renamed := withKey("path", "first", time.Second)
 	renamed.Template = "/a/{first}/{second}"
-	sooner := plain("/a", Idempotent)
-	sooner.LatencyObjective, sooner.Deadline = time.Second, time.Minute
-	for name, c := range map[string]struct {
+	sooner := withoutKey("/a", Idempotent)
+	sooner.LatencyObjective = time.Second
+	sooner.Deadline = time.Minute
+	for name, test := range map[string]struct {
 		before, after *Operation
 		dangerous     bool
 		want          string // empty: nothing differs
 	}{
-		"nothing":                  {plain("/a", Idempotent), plain("/a", Idempotent), false, ""},
-		"looser":                   {plain("/a", NonIdempotent), plain("/a", Idempotent), true, "it was unsafe and is safe"},
-		"looser by a key":          {plain("/a/{x}/{y}", NonIdempotent), keyed("query", "k", 1), true, "it was unsafe and is keyed"},
-		"stricter":                 {plain("/a", Idempotent), plain("/a", NonIdempotent), false, "it was safe and is unsafe"},
-		"gone":                     {plain("/a", Idempotent), nil, false, "is gone"},
-		"new":                      {nil, plain("/a", Idempotent), false, "is new, safe"},
-		"new, within an old one":   {plain("/{x}", NonIdempotent), plain("/a", Idempotent), true, "PUT /a is new, safe"},
-		"new, stricter within":     {plain("/{x}", Idempotent), plain("/a", NonIdempotent), false, "PUT /a is new, unsafe"},
-		"another key":              {keyed("header", "K", 1), keyed("header", "L", 1), true, "its key stood in header K"},
-		"a key of another case":    {keyed("header", "Idempotency-Key", 1), keyed("header", "idempotency-key", 1), false, ""},
-		"a parameter is renamed":   {keyed("path", "x", time.Second), renamed, false, ""},
-		"the key is another part":  {keyed("path", "x", 1), keyed("path", "y", 1), true, "its key stood in path x"},
-		"the key is known longer":  {keyed("query", "k", time.Second), keyed("query", "k", time.Minute), true, "was known for 1s and is for 1m0s"},
-		"the key is known shorter": {keyed("query", "k", time.Minute), keyed("query", "k", time.Second), false, "is for 1s"},
-		"other times":              {plain("/a", Idempotent), sooner, false, "its aim was 0s and is 1s"},
+		"nothing": {withoutKey("/a", Idempotent), withoutKey("/a", Idempotent), false, ""},
+		"looser": {
+			withoutKey("/a", NonIdempotent), withoutKey("/a", Idempotent), true, "it was unsafe and is safe",
+		},
+		"looser by a key": {
+			withoutKey("/a/{x}/{y}", NonIdempotent), withKey("query", "k", 1), true, "it was unsafe and is keyed",
+		},
+		"stricter": {
+			withoutKey("/a", Idempotent), withoutKey("/a", NonIdempotent), false, "it was safe and is unsafe",
+		},
+		"removed": {withoutKey("/a", Idempotent), nil, false, "is gone"},
+		"new":     {nil, withoutKey("/a", Idempotent), false, "is new, safe"},
+		"new, within an old one": {
+			withoutKey("/{x}", NonIdempotent), withoutKey("/a", Idempotent), true, "PUT /a is new, safe",
+		},
+		"new, stricter within": {
+			withoutKey("/{x}", Idempotent), withoutKey("/a", NonIdempotent), false, "PUT /a is new, unsafe",
+		},
+		"another key": {withKey("header", "K", 1), withKey("header", "L", 1), true, "its key was in header K"},
+		"a key of another case": {
+			withKey("header", "Idempotency-Key", 1), withKey("header", "idempotency-key", 1), false, "",
+		},
+		"a parameter is renamed":  {withKey("path", "x", time.Second), renamed, false, ""},
+		"the key is another part": {withKey("path", "x", 1), withKey("path", "y", 1), true, "its key was in path x"},
+		"the key is known longer": {
+			withKey("query", "k", time.Second), withKey("query", "k", time.Minute), true,
+			"was known for 1s and is for 1m0s",
+		},
+		"the key is known shorter": {
+			withKey("query", "k", time.Minute), withKey("query", "k", time.Second), false, "is for 1s",
+		},
+		"other times": {withoutKey("/a", Idempotent), sooner, false, "its aim was 0s and is 1s"},
 	} {
-		var before, after []*Operation
-		if c.before != nil {
-			before = append(before, c.before)
-		}
-		if c.after != nil {
-			after = append(after, c.after)
-		}
-		found, dangerous := "", false
-		for _, one := range Diff(before, after) {
-			found += one.String() + "\n"
-			dangerous = dangerous || one.Dangerous
-		}
-		if dangerous != c.dangerous || c.want == "" && found != "" || !strings.Contains(found, c.want) {
-			t.Errorf("%s: %v\n%s", name, dangerous, found)
-		}
+		t.Run(name, func(t *testing.T) {
+			text, dangerous := "", false
+			for _, change := range Diff(listOf(test.before), listOf(test.after)) {
+				text += change.String() + "\n"
+				dangerous = dangerous || change.Dangerous
+			}
+			if dangerous != test.dangerous || test.want == "" && text != "" || !strings.Contains(text, test.want) {
+				t.Errorf("%v\n%s", dangerous, text)
+			}
+		})
+	}
+}
+
+// listOf returns a list of one operation; empty for nil.
+func listOf(o *Operation) []*Operation {
+	if o == nil {
+		return nil
 	}
+	return []*Operation{o}
 }
