--- /dev/null
+++ b/internal/contract/conformance/distrust_file.go
@@ -0,0 +1,122 @@
+package conformance
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"log/slog"
+	"time"
+
+	"reachpulley/internal/filesystem"
+	"reachpulley/internal/trust"
+)
+
+// maxFileBytes bounds the distrust file.
+const maxFileBytes = 8 << 20
+
+// errNoTime reports a distrust file without the time at which it was taken.
+var errNoTime = errors.New("it does not say when it was taken")
+
+// DistrustFile is the content of the distrust file.
+type DistrustFile struct {
+	Taken   time.Time      `json:"taken"`
+	Records []trust.Record `json:"doubts"`
+}
+
+// ReadDistrustFile reads a distrust file.
+func ReadDistrustFile(f filesystem.FS, path string) (DistrustFile, error) {
+	text, err := filesystem.ReadFile(f, path, maxFileBytes)
+	if err != nil {
+		return DistrustFile{}, err
+	}
+	var content DistrustFile
+	err = json.Unmarshal(text, &content)
+	if err == nil && content.Taken.IsZero() {
+		err = errNoTime
+	}
+	if err != nil {
+		return DistrustFile{}, fmt.Errorf("%s: %w", path, err)
+	}
+	return content, nil
+}
+
+// Store saves distrust records in a file. Save never blocks; Run writes, and owns the file.
+type Store struct {
+	fs     filesystem.FS
+	path   string
+	log    *slog.Logger
+	latest chan DistrustFile // has capacity for one, which a newer one replaces
+}
+
+// NewStore returns a Store for a file.
+func NewStore(f filesystem.FS, path string, log *slog.Logger) *Store {
+	return &Store{
+		fs:     f,
+		path:   path,
+		log:    log,
+		latest: make(chan DistrustFile, 1),
+	}
+}
+
+// Load returns the records of the previous incarnation and their age. A file that can't be read is set aside, so that
+// it is neither used nor lost.
+func (s *Store) Load() ([]trust.Record, time.Duration) {
+	content, err := ReadDistrustFile(s.fs, s.path)
+	if err == nil {
+		return content.Records, max(0, time.Since(content.Taken))
+	}
+	if !errors.Is(err, fs.ErrNotExist) {
+		aside := s.path + ".set-aside"
+		s.log.Warn("unusable distrust file set aside", "file", aside, "err", err)
+		if err := s.fs.Rename(s.path, aside); err != nil {
+			s.log.Warn("distrust file not set aside", "err", err)
+		}
+	}
+	return nil, 0
+}
+
+// Save has records written soon. Only one goroutine may call it.
+func (s *Store) Save(records []trust.Record) {
+	content := DistrustFile{Taken: time.Now(), Records: records}
+	select {
+	case <-s.latest:
+	default:
+	}
+	s.latest <- content // It does not block, as nobody else sends.
+}
+
+// Run writes until ctx ends, and then what is left.
+func (s *Store) Run(ctx context.Context) {
+	failing := false
+	for {
+		select {
+		case content := <-s.latest:
+			failing = s.write(content, failing)
+		case <-ctx.Done():
+			select {
+			case content := <-s.latest:
+				s.write(content, failing)
+			default:
+			}
+			return
+		}
+	}
+}
+
+// write replaces the file and reports whether that failed. It logs only a change from the write before.
+func (s *Store) write(content DistrustFile, wasFailing bool) (failing bool) {
+	text, err := json.MarshalIndent(content, "", "  ")
+	if err == nil {
+		err = filesystem.ReplaceFile(s.fs, s.path, append(text, '\n'))
+	}
+	failing = err != nil
+	switch {
+	case failing && !wasFailing:
+		s.log.Warn("distrust file not written", "err", err)
+	case wasFailing && !failing:
+		s.log.Warn("distrust file written again")
+	}
+	return failing
+}
--- /dev/null
+++ b/internal/contract/conformance/event.go
@@ -0,0 +1,52 @@
+package conformance
+
+import "reachpulley/internal/trust"
+
+// Event reports a change of trust in the log. api/asyncapi.yaml describes its form.
+type Event struct {
+	Kind      string         `json:"kind"`
+	Operation string         `json:"operation"`
+	Node      string         `json:"node,omitempty"`
+	Version   string         `json:"version,omitempty"`
+	From      string         `json:"from"`
+	To        string         `json:"to"`
+	Fault     string         `json:"fault"` // whose fault it seems to be
+	Level     string         `json:"level"`
+	Worst     string         `json:"worst"`
+	Counts    map[string]int `json:"counts"`
+	Answers   int            `json:"answers"`
+	Sample    string         `json:"sample,omitempty"`
+}
+
+// eventTrustChanged is the kind of an Event.
+const eventTrustChanged = "trust-changed"
+
+// Whose fault a change seems to be.
+const (
+	faultOfNode        = "node"
+	faultOfDescription = "description"
+)
+
+func newEvent(change trust.Change) Event {
+	event := Event{
+		Kind:      eventTrustChanged,
+		Operation: change.Operation,
+		Node:      change.Node,
+		Version:   change.Version,
+		From:      change.From.String(),
+		To:        change.To.String(),
+		Fault:     faultOfNode,
+		Level:     trust.LevelName(change.Level),
+		Worst:     change.Worst.String(),
+		Counts:    change.Counts,
+		Answers:   change.Answers,
+		Sample:    change.Sample,
+	}
+	if event.Counts == nil {
+		event.Counts = map[string]int{}
+	}
+	if change.DescriptionWrong {
+		event.Fault = faultOfDescription
+	}
+	return event
+}
--- a/internal/contract/conformance/observer.go
+++ b/internal/contract/conformance/observer.go
@@ -13,165 +13,182 @@
 )
 
 const (
-	mostWaiting = 256         // answers that wait to be looked at
-	reportEvery = time.Minute // in which what was seen is logged
-	tickEvery   = time.Second // in which trust looks at the time
-	mostBody    = 64 << 10    // bytes of a body that is held against its schema
-	schemaShare = 0.02        // of the time that schemas may take
-	schemaStart = 20 * time.Millisecond
+	queueCapacity  = 256         // answers that wait for their inspection
+	reportInterval = time.Minute // how often evidence is logged
+	trustInterval  = time.Second // how often trust checks the time
 )
 
-// Options are what an Observer needs.
+// Bounds of the validation of bodies against their schemas.
+const (
+	maxSchemaBytes    = 64 << 10 // of a body that is validated
+	schemaTimeShare   = 0.02     // of the time since the start
+	initialSchemaTime = 20 * time.Millisecond
+)
+
+// Options configure an Observer.
 type Options struct {
-	Sample         float64                     // share of the answers whose bodies are held against their schemas
-	MaxRestriction scheduler.RestrictionLevel  // that distrust may come to
-	Notify         func(scheduler.Restriction) // takes what is to be handled otherwise; it must not block
-	Save           func([]trust.Record)        // takes all doubts whenever one changes; it is called from Run alone. nil: nobody does
-	Clock          func() time.Duration        // nil: the time since the Observer was made
-	Log            *slog.Logger
+	Sample         float64                    // share of the answers whose bodies are validated
+	MaxRestriction scheduler.RestrictionLevel // the strictest one that distrust can lead to
+
+	// Notify receives each change of a restriction. It must not block.
+	Notify func(scheduler.Restriction)
+
+	// Save receives all records whenever one changes; nil: nobody does. It is called by Run and NotifyRestored.
+	Save func([]trust.Record)
+
+	Clock func() time.Duration // nil: the time since New
+	Log   *slog.Logger
 }
 
-// Observer looks at answers beside their way: what it is told waits in a bounded queue, and what finds no room there is counted and
-// forgotten. One goroutine, Run, owns all that is remembered.
+// Observer inspects answers beside the requests. Answers wait in a bounded queue; those that do not fit are counted and
+// dropped. One goroutine, Run, owns all that is remembered.
 type Observer struct {
-	options Options
-	waiting chan Seen
-	looker  *Looker // made with the first answer: without descriptions it would take memory for nothing
-	trust   *trust.Tracker
-	every   uint64 // of so many answers one is held against its schema; 0: none
-	count   atomic.Uint64
-	dropped atomic.Int64
-	spent   time.Duration // on schemas
-	began   time.Duration
-
-	seen map[string]int // evidence by kind since the last report
-
-	recalled []trust.Change // not told yet
+	options     Options
+	started     time.Duration
+	queue       chan Answer
+	sampleEvery uint64 // one of so many answers is validated against its schema; 0: none
+	sampled     atomic.Uint64
+	dropped     atomic.Int64
+
+	// The following fields belong to Run.
+	inspector  *Inspector // made with the first answer: without descriptions it would waste memory
+	trust      *trust.Tracker
+	schemaTime time.Duration  // spent on schemas
+	evidence   map[string]int // by kind, since the last report
+
+	restored []trust.Change // not published yet
 }
 
-// New makes an Observer that has not heard of anything but the doubts of an earlier life, which ended age ago.
-func New(o Options, doubts []trust.Record, age time.Duration) *Observer {
+// New returns an Observer that knows the records of the previous incarnation, which ended age ago.
+func New(o Options, records []trust.Record, age time.Duration) *Observer {
 	if o.Clock == nil {
-		began := time.Now()
-		o.Clock = func() time.Duration { return time.Since(began) }
+		started := time.Now()
+		o.Clock = func() time.Duration { return time.Since(started) }
+	}
+	observer := &Observer{
+		options:  o,
+		started:  o.Clock(),
+		queue:    make(chan Answer, queueCapacity),
+		trust:    trust.New(o.MaxRestriction),
+		evidence: map[string]int{},
 	}
-	ob := &Observer{options: o, waiting: make(chan Seen, mostWaiting), trust: trust.New(o.MaxRestriction), began: o.Clock(), seen: map[string]int{}}
 	if o.Sample > 0 {
-		ob.every = uint64(1/o.Sample + 0.5)
+		observer.sampleEvery = uint64(1/o.Sample + 0.5)
 	}
-	changes, err := ob.trust.Restore(o.Clock(), doubts, age)
+	changes, err := observer.trust.Restore(o.Clock(), records, age)
 	if err != nil {
-		o.Log.Warn("a doubt of an earlier life can't be taken over", "err", err)
+		o.Log.Warn("distrust record not restored", "err", err)
 	}
-	ob.recalled = changes
-	return ob
+	observer.restored = changes
+	return observer
 }
 
-// NotifyRestored tells what an earlier life doubted. It is called once, before the first request is taken.
+// NotifyRestored publishes the restored records. It is called once, before the first request is admitted.
 func (o *Observer) NotifyRestored() {
-	o.tell(o.recalled)
-	o.recalled = nil
+	o.publish(o.restored)
+	o.restored = nil
 }
 
-// Observe takes an answer. It never blocks, and keeps what it is told until it was looked at.
-func (o *Observer) Observe(a httpbackend.Observation) {
-	e, ok := a.Request.Statuses.(*catalog.Entry)
-	if !ok || e.Operation == nil {
+// Observe takes an answer. It never blocks; what it is given must not change after the call.
+func (o *Observer) Observe(observation httpbackend.Observation) {
+	entry, ok := observation.Request.Statuses.(*catalog.Entry)
+	if !ok || entry.Operation == nil {
 		return
 	}
-	s := Seen{Entry: e, Request: a.Request, Volume: a.Exchange.Request.Volume, Node: a.Node, Shard: a.Exchange.Request.Shard, Status: a.Status, Header: a.Header,
-		Body: a.Body, Took: a.Duration}
-	s.Schema = o.every > 0 && len(a.Body) <= mostBody && o.count.Add(1)%o.every == 0
+	answer := Answer{
+		Entry:    entry,
+		Request:  observation.Request,
+		Volume:   observation.Exchange.Request.Volume,
+		Node:     observation.Node,
+		Shard:    observation.Exchange.Request.Shard,
+		Status:   observation.Status,
+		Header:   observation.Header,
+		Body:     observation.Body,
+		Duration: observation.Duration,
+	}
+	if o.sampleEvery > 0 && len(answer.Body) <= maxSchemaBytes {
+		answer.CheckSchema = o.sampled.Add(1)%o.sampleEvery == 0
+	}
 	select {
-	case o.waiting <- s:
+	case o.queue <- answer:
 	default:
 		o.dropped.Add(1)
 	}
 }
 
-// Run looks at answers until ctx ends.
+// Run inspects answers until ctx ends.
 func (o *Observer) Run(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
-	defer tick.Stop()
-	report := time.NewTicker(reportEvery)
-	defer report.Stop()
+	trustTicker := time.NewTicker(trustInterval)
+	defer trustTicker.Stop()
+	reportTicker := time.NewTicker(reportInterval)
+	defer reportTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-report.C:
+		case <-reportTicker.C:
 			o.report()
-		case s := <-o.waiting:
-			o.look(&s)
-		case <-tick.C:
-			o.tell(o.trust.Tick(o.options.Clock()))
+		case answer := <-o.queue:
+			o.inspect(&answer)
+		case <-trustTicker.C:
+			o.publish(o.trust.Tick(o.options.Clock()))
 		}
 	}
 }
 
-// report logs what was seen, where that was more than answers that fit.
-func (o *Observer) report() {
-	if dropped := o.dropped.Swap(0); len(o.seen) > 1 || dropped > 0 || len(o.seen) == 1 && o.seen[trust.Conforms.String()] == 0 {
-		o.options.Log.Info("answers held against descriptions", "evidence", o.seen, "not_looked_at", dropped, "no_room", o.trust.Dropped())
-	}
-	clear(o.seen)
-}
-
-// look weighs one answer. Schemas get their share of the time and no more: a large body with a hard schema must not take the processor from answers.
-func (o *Observer) look(s *Seen) {
-	if o.looker == nil {
-		o.looker = &Looker{}
+// inspect weighs one answer.
+func (o *Observer) inspect(answer *Answer) {
+	if o.inspector == nil {
+		o.inspector = &Inspector{}
 	}
 	began := o.options.Clock()
-	if s.Schema && o.spent > schemaStart+time.Duration(schemaShare*float64(began-o.began)) {
-		s.Schema = false
+	if answer.CheckSchema && o.schemaTime > o.schemaTimeLimit(began) {
+		answer.CheckSchema = false
 	}
-	found := o.looker.Look(began, s)
+	reports := o.inspector.Inspect(began, answer)
 	now := o.options.Clock()
-	if s.Schema {
-		o.spent += now - began
+	if answer.CheckSchema {
+		o.schemaTime += now - began
 	}
-	for _, t := range found {
-		o.seen[t.Evidence.String()]++
-		o.tell(o.trust.Observe(now, t))
+	for _, report := range reports {
+		o.evidence[report.Evidence.String()]++
+		o.publish(o.trust.Observe(now, report))
 	}
 }
 
-// tell gives out what changed: to the decisions, to the log as events in the form of api/asyncapi.yaml, and to whoever keeps the doubts.
-func (o *Observer) tell(changes []trust.Change) {
-	for _, c := range changes {
-		o.options.Notify(scheduler.Restriction{Operation: c.Operation, Node: c.Node, Level: c.Level})
-		o.options.Log.Warn("an operation is trusted otherwise", "event", eventOf(c))
-	}
-	if len(changes) > 0 && o.options.Save != nil {
-		o.options.Save(o.trust.Records(o.options.Clock()))
-	}
+// schemaTimeLimit returns how much time schemas may have taken: a large body with a complex schema must not take the
+// processor from the requests.
+func (o *Observer) schemaTimeLimit(now time.Duration) time.Duration {
+	return initialSchemaTime + time.Duration(schemaTimeShare*float64(now-o.started))
 }
 
-// Event is what is told of trust; its form is in api/asyncapi.yaml.
-type Event struct {
-	Kind      string         `json:"kind"`
-	Operation string         `json:"operation"`
-	Node      string         `json:"node,omitempty"`
-	Version   string         `json:"version,omitempty"`
-	From      string         `json:"from"`
-	To        string         `json:"to"`
-	Fault     string         `json:"fault"` // whose it seems to be: node or description
-	Level     string         `json:"level"`
-	Worst     string         `json:"worst"`
-	Counts    map[string]int `json:"counts"`
-	Answers   int            `json:"answers"`
-	Sample    string         `json:"sample,omitempty"`
+// report logs the evidence of the last interval, unless all answers conform.
+func (o *Observer) report() {
+	dropped := o.dropped.Swap(0)
+	conforming := o.evidence[trust.Conforms.String()]
+	onlyConforming := len(o.evidence) == 0 || len(o.evidence) == 1 && conforming > 0
+	if dropped > 0 || !onlyConforming {
+		o.options.Log.Info("conformance evidence",
+			"evidence", o.evidence,
+			"answers_dropped", dropped,
+			"evidence_dropped", o.trust.Dropped(),
+		)
+	}
+	clear(o.evidence)
 }
 
-func eventOf(c trust.Change) Event {
-	e := Event{Kind: "trust-changed", Operation: c.Operation, Node: c.Node, Version: c.Version, From: c.From.String(), To: c.To.String(), Fault: "node",
-		Level: trust.LevelName(c.Level), Worst: c.Worst.String(), Counts: c.Counts, Answers: c.Answers, Sample: c.Sample}
-	if c.Counts == nil {
-		e.Counts = map[string]int{}
+// publish notifies of changes: the scheduler, the log by events in the form of api/asyncapi.yaml, and who saves the
+// records.
+func (o *Observer) publish(changes []trust.Change) {
+	for _, change := range changes {
+		o.options.Notify(scheduler.Restriction{
+			Operation: change.Operation,
+			Node:      change.Node,
+			Level:     change.Level,
+		})
+		o.options.Log.Warn("trust state changed", "event", newEvent(change))
 	}
-	if c.DescriptionWrong {
-		e.Fault = "description"
+	if len(changes) > 0 && o.options.Save != nil {
+		o.options.Save(o.trust.Records(o.options.Clock()))
 	}
-	return e
 }
