--- a/internal/rules/evaluate.go
+++ b/internal/rules/evaluate.go
@@ -28,7 +28,7 @@
 	facts          *expression.Facts
 	evaluator      *pooledEvaluator
 	findCandidates candidateFinder
-	trace          traceFunc         // nil: nobody listens
+	trace          traceFunc         // nil: no trace
 	fault          *expression.Fault // of the request as a whole
 }
 
--- a/internal/rules/expression/cost.go
+++ b/internal/rules/expression/cost.go
@@ -18,7 +18,7 @@
 	matchCostPerStep      = 5    // a byte and an instruction of a regular expression
 	globCostPerBytePair   = 3    // a byte of the text and a byte of the pattern
 	caseCostPerByte       = 4    // a byte that lower or upper changes
-	matchOverheadBytes    = 8    // what a regular expression takes for an empty text, as bytes of one
+	matchOverheadBytes    = 8    // the cost of matching an empty text, in bytes
 	unknownPatternProgram = 1000 // instructions of a pattern that can't be compiled
 )
 
--- a/internal/rules/expression/evaluator.go
+++ b/internal/rules/expression/evaluator.go
@@ -81,5 +81,5 @@
 	if errors.As(err, &fault) {
 		return nil, fault
 	}
-	return nil, &Fault{Cause: CauseFailed, Wants: "a value: " + err.Error()}
+	return nil, &Fault{Cause: CauseFailed, Requirement: "a value: " + err.Error()}
 }
--- a/internal/rules/expression/explain.go
+++ b/internal/rules/expression/explain.go
@@ -53,7 +53,7 @@
 	}
 	e.env.cost = before
 	if fault != nil {
-		term.Value = "no value: wants " + fault.Wants
+		term.Value = "no value: wants " + fault.Requirement
 		return term
 	}
 	term.Value = fmt.Sprintf("%#v", value)
--- a/internal/rules/expression/fault.go
+++ b/internal/rules/expression/fault.go
@@ -4,8 +4,8 @@
 
 // Fault is the reason why an expression has no value for a request. The file is not at fault.
 type Fault struct {
-	Cause Cause
-	Wants string // what the expression requires, worded for the client
+	Cause       Cause
+	Requirement string // what the expression requires, worded for the client
 }
 
 // Cause classifies faults, so that they can be counted.
@@ -21,18 +21,18 @@
 )
 
 // Error returns what the expression requires.
-func (f *Fault) Error() string { return f.Wants }
+func (f *Fault) Error() string { return f.Requirement }
 
 // errTooLarge is the fault of a request that is larger than declared.
 var errTooLarge = &Fault{
-	Cause: CauseTooLarge,
-	Wants: "headers, path and query within the sizes that the rules declare",
+	Cause:       CauseTooLarge,
+	Requirement: "headers, path and query within the sizes that the rules declare",
 }
 
 // raise ends the evaluation with a fault. The functions of the environment return values only, so a fault leaves them
 // as a panic. The library's machine recovers it, and Evaluator.Run returns it.
 func raise(cause Cause, format string, args ...any) {
-	panic(&Fault{Cause: cause, Wants: fmt.Sprintf(format, args...)})
+	panic(&Fault{Cause: cause, Requirement: fmt.Sprintf(format, args...)})
 }
 
 // recoveredFault converts what was recovered from a panic.
@@ -40,5 +40,5 @@
 	if fault, ok := recovered.(*Fault); ok {
 		return fault
 	}
-	return &Fault{Cause: CauseFailed, Wants: fmt.Sprint(recovered)}
+	return &Fault{Cause: CauseFailed, Requirement: fmt.Sprint(recovered)}
 }
--- a/internal/rules/field_values.go
+++ b/internal/rules/field_values.go
@@ -22,8 +22,8 @@
 // unparsable is the fault of a value that the settings or the platform do not allow.
 func unparsable(format string, args ...any) *expression.Fault {
 	return &expression.Fault{
-		Cause: expression.CauseUnparsable,
-		Wants: fmt.Sprintf(format, args...),
+		Cause:       expression.CauseUnparsable,
+		Requirement: fmt.Sprintf(format, args...),
 	}
 }
 
--- a/internal/rules/file.go
+++ b/internal/rules/file.go
@@ -59,7 +59,7 @@
 
 // What a fault does to a request.
 const (
-	faultRejects = "refuse" // it is rejected with 400, and told which rule requires what
+	faultRejects = "refuse" // it is rejected with 400, which names the rule and what it requires
 	faultSkips   = "skip"   // the rule does not apply, and the next one is tried
 )
 
--- a/internal/rules/load_rules.go
+++ b/internal/rules/load_rules.go
@@ -93,7 +93,7 @@
 	}
 	if value, ok := program.Constant(); ok {
 		if _, fault := l.set.checkValue(field, value); fault != nil {
-			l.addFault(key, "wants %s%s", fault.Wants, l.suggestSetting(field, value))
+			l.addFault(key, "wants %s%s", fault.Requirement, l.suggestSetting(field, value))
 			return
 		}
 	}
--- a/internal/rules/result.go
+++ b/internal/rules/result.go
@@ -33,7 +33,7 @@
 
 // Error tells the client which rule requires what.
 func (f RuleFault) Error() string {
-	return "rule " + f.Rule.Name + ": " + f.Field + ": wants " + f.Fault.Wants
+	return "rule " + f.Rule.Name + ": " + f.Field + ": wants " + f.Fault.Requirement
 }
 
 // Unwrap returns the fault of the expression.
