--- a/internal/frontend/h2frontend/conn.go
+++ b/internal/frontend/h2frontend/conn.go
@@ -126,7 +126,7 @@
 func (e *connError) Error() string { return e.reason }
 
 // errConnClosed is returned by a control frame after which the writing goroutine closes the connection.
-var errConnClosed = errors.New("connection closed by admission control")
+var errConnClosed = errors.New("connection closed by the server")
 
 // recordViolation reports a violation by the client to admission.
 func (c *conn) recordViolation(violation admission.Violation) {
--- a/internal/frontend/httpfrontend/conn_state.go
+++ b/internal/frontend/httpfrontend/conn_state.go
@@ -7,7 +7,7 @@
 //	stateNew, stateIdle         stateReading    the first bytes of a request arrive
 //	stateReading                stateActive     the request is complete and will be served
 //	stateReading, stateActive   stateIdle       the response is written
-//	stateNew ... stateIdle      stateLingering  http.Server closes the connection, or the server stops while it is idle
+//	stateNew ... stateIdle      stateLingering  http.Server closes it, or the server stops while it is idle
 //	stateLingering              stateClosed     the client closes its side, or lingerTimeout passes
 //	stateNew ... stateLingering stateClosed     the connection is evicted
 //
--- a/internal/frontend/httpfrontend/request_builder.go
+++ b/internal/frontend/httpfrontend/request_builder.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"strconv"
 	"strings"
 	"time"
 
@@ -225,15 +224,18 @@
 
 // setPlacement determines units, shard and hosts. Units and shard cannot be guessed: they say how much work the
 // request is and which nodes hold its data.
-func (b *requestBuilder) setPlacement(request *scheduler.Request, described catalog.Placement) (err error) {
+func (b *requestBuilder) setPlacement(request *scheduler.Request, described catalog.Placement) error {
 	header := b.http.Header.Get(httpmsg.PlacementHeader)
 	given := header != ""
 	request.Hosts = 1
 	if given || b.fromPlatform {
-		request.Units, request.Shard, request.Hosts, err = httpmsg.ParsePlacement(header)
+		placement, err := httpmsg.ParsePlacement(header)
 		if err != nil {
 			return err
 		}
+		request.Units = placement.Units
+		request.Shard = placement.Shard
+		request.Hosts = placement.Hosts
 	}
 	hasUnits, hasShard := given, given
 	if b.rules.Use(rules.Units, given) {
@@ -303,10 +305,8 @@
 
 // addPlatformHeaders tells the node on what facts the request was decided.
 func (b *requestBuilder) addPlatformHeaders(request *scheduler.Request, class *scheduler.Class) {
-	units := strconv.FormatFloat(request.Units, 'g', -1, 64)
-	shard := strconv.Itoa(request.Shard)
-	hosts := strconv.Itoa(request.Hosts)
+	placement := httpmsg.Placement{Units: request.Units, Shard: request.Shard, Hosts: request.Hosts}
 	b.header.Set(httpmsg.ClassHeader, class.Name)
 	b.header.Set(httpmsg.PlanHeader, b.frontend.settings.Plans[request.Plan].Name)
-	b.header.Set(httpmsg.PlacementHeader, "units="+units+",shard="+shard+",hosts="+hosts)
+	b.header.Set(httpmsg.PlacementHeader, placement.String())
 }
--- a/internal/frontend/iscsitarget/login.go
+++ b/internal/frontend/iscsitarget/login.go
@@ -39,14 +39,14 @@
 		stage, next := p.Flags()>>2&3, p.Flags()&3
 		transit := p.Has(iscsi.Transit)
 		text = append(text, p.Data...)
-		if p.Has(iscsi.Goes) && len(text) <= mostLoginText {
+		if p.Has(iscsi.Continue) && len(text) <= mostLoginText {
 			s.answerLogin(p, stage<<2, iscsi.LoginOK, nil)
 			continue
 		}
 		status, answers := s.negotiate(p, text, round == 0)
 		text = nil
 		if status == iscsi.LoginOK && (stage > iscsi.OperationalStage || transit && (next <= stage || next == 2)) {
-			status = iscsi.LoginBadRequest
+			status = iscsi.LoginInitiatorError
 		}
 		if status != iscsi.LoginOK {
 			s.answerLogin(p, stage<<2, status, nil)
@@ -78,13 +78,13 @@
 func (s *session) negotiate(p *iscsi.PDU, text []byte, leading bool) (iscsi.LoginStatus, []iscsi.Pair) {
 	switch {
 	case s.refused:
-		return iscsi.LoginOutOfResource, nil
+		return iscsi.LoginOutOfResources, nil
 	case p.Header[3] > 0: // VersionMin
-		return iscsi.LoginBadVersion, nil
+		return iscsi.LoginUnsupportedVersion, nil
 	case leading && binary.BigEndian.Uint16(p.Header[14:]) != 0:
-		return iscsi.LoginNoSession, nil
+		return iscsi.LoginSessionDoesNotExist, nil
 	case len(text) > mostLoginText:
-		return iscsi.LoginBadRequest, nil
+		return iscsi.LoginInitiatorError, nil
 	}
 	pairs, err := iscsi.ParseText(text)
 	var answers []iscsi.Pair
@@ -94,13 +94,13 @@
 	switch {
 	case err != nil:
 		s.target.Log.Debug("iscsi login", "err", err)
-		return iscsi.LoginBadRequest, nil
-	case s.params.InitiatorName == "" || s.params.TargetName == "" && !s.params.DiscoveryCalls:
-		return iscsi.LoginMissing, nil
-	case s.params.DiscoveryCalls:
-		return iscsi.LoginWrongType, nil
+		return iscsi.LoginInitiatorError, nil
+	case s.params.InitiatorName == "" || s.params.TargetName == "" && !s.params.DiscoverySession:
+		return iscsi.LoginMissingParameter, nil
+	case s.params.DiscoverySession:
+		return iscsi.LoginSessionTypeNotSupported, nil
 	case s.params.TargetName != s.target.Name:
-		return iscsi.LoginNoTarget, nil
+		return iscsi.LoginTargetNotFound, nil
 	}
 	if leading {
 		answers = append([]iscsi.Pair{{Key: "TargetPortalGroupTag", Value: "1"}}, answers...)
--- a/internal/frontend/iscsitarget/session.go
+++ b/internal/frontend/iscsitarget/session.go
@@ -117,7 +117,7 @@
 		s.reject(p, iscsi.ProtocolError)
 		return errors.New("a second login on the connection")
 	default:
-		return s.reject(p, iscsi.NotSupported)
+		return s.reject(p, iscsi.CommandNotSupported)
 	}
 	if taken, err := s.inOrder(p); !taken || err != nil {
 		return err
--- a/internal/frontend/iscsitarget/task.go
+++ b/internal/frontend/iscsitarget/task.go
@@ -119,7 +119,7 @@
 		close(t.ready)
 		return nil
 	}
-	t.ttt, t.dataSN, t.burst = s.newTTT(), 0, min(want, have+s.params.MostBurst)
+	t.ttt, t.dataSN, t.burst = s.newTTT(), 0, min(want, have+s.params.MaxBurst)
 	ask := iscsi.New(iscsi.R2T, iscsi.Final).SetLUN(t.lun).Set(iscsi.TaskTag, t.tag).Set(iscsi.TransferTag, t.ttt)
 	return s.send(ask.Set(iscsi.BufferOffset, uint32(have)).Set(iscsi.DesiredLength, uint32(t.burst-have)), false)
 }
@@ -300,14 +300,14 @@
 
 // manage serves task management: a task is aborted by taking its answer away.
 func (s *session) manage(p *iscsi.PDU) error {
-	result := byte(iscsi.TaskNotSupported)
+	result := byte(iscsi.TaskFunctionNotSupported)
 	if p.Flags()&^iscsi.Final == iscsi.AbortTask {
 		s.mu.Lock()
 		t := s.tasks[p.Get(iscsi.RefTag)]
 		s.mu.Unlock()
-		result = iscsi.TaskUnknown
+		result = iscsi.TaskDoesNotExist
 		if t != nil && t.lun == p.LUN() && s.take(t) {
-			result = iscsi.TaskDone
+			result = iscsi.TaskFunctionComplete
 		}
 	}
 	r := iscsi.New(iscsi.TaskResponse, iscsi.Final).Set(iscsi.TaskTag, p.Get(iscsi.TaskTag))
@@ -335,7 +335,7 @@
 		data = binary.BigEndian.AppendUint32(nil, uint32(min(unit.Blocks-1, 1<<32-1)))
 		data = binary.BigEndian.AppendUint32(data, unit.BlockSize)
 		most = len(data)
-	case iscsi.ServiceIn16:
+	case iscsi.ServiceActionIn16:
 		if cdb[1]&0x1f != iscsi.ReadCapacity16 {
 			return s.fail(p, iscsi.InvalidField)
 		}
--- a/internal/proto/httpmsg/httpmsg.go
+++ b/internal/proto/httpmsg/httpmsg.go
@@ -1,9 +1,10 @@
-// Package httpmsg is the vocabulary of the platform's HTTP that its client side and its server side share:
-// what one puts into an exchange as the payload and the other takes out of it.
+// Package httpmsg is the vocabulary of the platform's HTTP, which frontends, backends and nodes share: names of
+// headers and paths, the format of their values, and the payload of exchanges whose nodes speak HTTP.
 package httpmsg
 
 import (
 	"fmt"
+	"math"
 	"net/http"
 	"net/url"
 	"strconv"
@@ -11,125 +12,113 @@
 	"time"
 )
 
-// The names of the platform's headers and paths.
+// Headers of requests.
 const (
 	IDHeader        = "X-Request-Id"
 	ClassHeader     = "X-Class"
 	PlanHeader      = "X-Qos-Policy"
-	DeadlineHeader  = "X-Deadline"
-	PlacementHeader = "X-Placement"
-	RetryHeader     = "X-Retry"
-	NotRunHeader    = "X-Not-Run"
-	UsedHeader      = "X-Iops-Used"
-	OthersHeader    = "X-Rho"
-	LoadHeader      = "X-Load"
+	DeadlineHeader  = "X-Deadline"  // how long the client waits; see ParseDeadline
+	PlacementHeader = "X-Placement" // size and location of the work; see ParsePlacement
+	RetryHeader     = "X-Retry"     // 1: the client sends the request once more
 	KeyHeader       = "Idempotency-Key"
+)
 
-	ReadyPath     = "/ready"
-	LoadPath      = "/status/load"
-	EndpointsPath = "/v1/endpoints"
+// Headers of responses from nodes.
+const (
+	NotRunHeader = "X-Not-Run"   // 1: the node has not run the request
+	UsedHeader   = "X-Iops-Used" // use of the volume through all gateways, in percent of its plan's rate
+	OthersHeader = "X-Rho"       // units of the volume that the node served for other gateways since its last response
+	LoadHeader   = "X-Load"      // load report of the node
+)
+
+// Paths of the platform.
+const (
+	ReadyPath     = "/ready"        // of gateways: readiness check
+	LoadPath      = "/status/load"  // of nodes: load report
+	EndpointsPath = "/v1/endpoints" // of discovery: endpoint list
 )
 
+// Limits of bodies in bytes.
 const (
-	MaxRequestBody  = 64 << 10 // bytes of a request's body
-	MaxResponseBody = 4 << 20  // bytes of an answer's; some nodes send more than the 64 KiB that a request may have
+	// MaxRequestBody is the longest body of a request.
+	MaxRequestBody = 64 << 10
+	// MaxResponseBody is the longest body of a response. Some nodes send more than a request may have.
+	MaxResponseBody = 4 << 20
 )
 
 // Request is the payload of an exchange whose node speaks HTTP.
 type Request struct {
 	Method string
-	URL    *url.URL // path and query as they came
+	URL    *url.URL // path and query as the client sent them
 	Host   string
-	Header http.Header // what is passed on
+	Header http.Header // as it is forwarded
 	Body   []byte
 
-	Client   string            // who asks, as far as the front knows
-	Statuses StatusInterpreter // nil: nothing describes the call
+	Client   string            // who sent the request, as far as the frontend knows
+	Statuses StatusInterpreter // nil: no contract describes the request
 }
 
-// StatusInterpreter tells a back what a node's answers to a call mean.
+// StatusInterpreter tells a backend what the status of a node's response means.
 type StatusInterpreter interface {
+	// StatusMeaning returns what a status means.
 	StatusMeaning(status int) StatusMeaning
 }
 
-// StatusMeaning is what an answer means.
+// StatusMeaning is what the status of a node's response means for the request.
 type StatusMeaning int
 
-// The kinds of Reading.
+// The meanings of a status.
 const (
-	Undescribed StatusMeaning = iota // as the platform has it
-	FinalAnswer                      // the client's answer, whatever its status
-	NeverRan                         // turned away, and harmless to repeat
-	MayHaveRun                       // an error, and nobody knows
+	Undescribed StatusMeaning = iota // what the platform defines
+	FinalAnswer                      // the response is for the client, whatever its status
+	NeverRan                         // the node rejected the request, which may be retried
+	MayHaveRun                       // the request failed and may have had an effect
 )
 
-// Reply is a node's answer, read whole.
+// Reply is a node's response, read completely.
 type Reply struct {
 	Status int // 0: 200
 	Header http.Header
 	Body   []byte
 }
 
-// FormatDeadline writes a time that is left for the X-Deadline header.
+// FormatDeadline returns a remaining time as the value of DeadlineHeader.
 func FormatDeadline(left time.Duration) string {
 	return strconv.FormatInt(max(0, left.Microseconds()), 10) + "u"
 }
 
-// mostDeadline keeps a nonsense figure from overflowing a time.
-const mostDeadline = time.Hour
+// maxDeadline is the longest time that ParseDeadline accepts. It keeps absurd values from overflowing a
+// time.Duration.
+const maxDeadline = time.Hour
 
-// ParseDeadline reads an X-Deadline header: a number and a unit, m or u.
+// ParseDeadline parses the value of DeadlineHeader: a number of milliseconds or microseconds with the unit m or u.
 func ParseDeadline(text string) (time.Duration, error) {
 	unit := time.Millisecond
-	figure, ok := strings.CutSuffix(text, "m")
+	number, ok := strings.CutSuffix(text, "m")
 	if !ok {
 		unit = time.Microsecond
-		figure, ok = strings.CutSuffix(text, "u")
+		number, ok = strings.CutSuffix(text, "u")
 	}
-	x, err := strconv.ParseFloat(figure, 64)
-	if !ok || err != nil || !(x >= 0) || x > float64(mostDeadline/unit) {
+	value, err := strconv.ParseFloat(number, 64)
+	if !ok || err != nil || !(value >= 0) || value > float64(maxDeadline/unit) {
 		return 0, fmt.Errorf("%s: %q is not a time such as 480m or 480000u", DeadlineHeader, text)
 	}
-	return time.Duration(x * float64(unit)), nil
+	return time.Duration(value * float64(unit)), nil
 }
 
-// FormatRetryAfter writes a pause in decimal seconds.
-func FormatRetryAfter(pause time.Duration) string {
-	return strconv.FormatFloat(pause.Seconds(), 'f', 3, 64)
+// FormatRetryAfter returns a time as the value of Retry-After, in seconds with decimals.
+func FormatRetryAfter(after time.Duration) string {
+	return strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
 }
 
-// HeaderNumber reads a header that holds a number; absent stands for what is not there or is none.
-func HeaderNumber(h http.Header, name string, absent float64) float64 {
-	x, err := strconv.ParseFloat(h.Get(name), 64)
-	if err != nil || x != x || x < 0 || x > 1e12 {
-		return absent
-	}
-	return x
-}
+// maxHeaderNumber is the largest number that HeaderNumber accepts.
+const maxHeaderNumber = 1e12
 
-// ParsePlacement reads an X-Placement header: units=2,shard=5,hosts=3.
-func ParsePlacement(text string) (units float64, shard, hosts int, err error) {
-	left := map[string]*float64{"units": new(float64), "shard": new(float64), "hosts": new(float64)}
-	figures := [...]*float64{left["units"], left["shard"], left["hosts"]}
-	for _, pair := range strings.Split(text, ",") {
-		name, figure, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		into := left[name]
-		if into == nil {
-			continue // a later version may tell more
-		}
-		delete(left, name)
-		if *into, err = strconv.ParseFloat(figure, 64); err != nil || !(*into >= -1 && *into <= 1e6) {
-			return 0, 0, 0, fmt.Errorf("%s: %s %q is not a usable number", PlacementHeader, name, figure)
-		}
-	}
-	for _, name := range [...]string{"units", "shard", "hosts"} {
-		if left[name] != nil {
-			return 0, 0, 0, fmt.Errorf("%s: %s is missing", PlacementHeader, name)
-		}
-	}
-	units, shard, hosts = *figures[0], int(*figures[1]), int(*figures[2])
-	if units <= 0 || hosts < 1 || float64(shard) != *figures[1] {
-		return 0, 0, 0, fmt.Errorf("%s: %q makes no sense", PlacementHeader, text)
+// HeaderNumber returns the number in a header, or missing if the header is absent or holds no usable number.
+func HeaderNumber(h http.Header, name string, missing float64) float64 {
+	value, err := strconv.ParseFloat(h.Get(name), 64)
+	if err != nil || math.IsNaN(value) || value < 0 || value > maxHeaderNumber {
+		return missing
 	}
-	return units, shard, hosts, nil
+	return value
 }
--- a/internal/proto/iscsi/iscsi_test.go
+++ b/internal/proto/iscsi/iscsi_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"testing"
 
@@ -11,60 +12,73 @@
 
 func TestPDUComesBackAsWritten(t *testing.T) {
 	for _, data := range []string{"", "a", "abcd", "abcde"} {
-		p := New(SCSICommand, Final|Read).SetImmediate().SetLUN(7).Set(TaskTag, 1<<31).Set(CmdSN, 5)
-		p.Data = []byte(data)
-		b := p.Bytes()
-		if len(b)%4 != 0 {
-			t.Errorf("%d bytes are no whole words", len(b))
-		}
-		got, err := ReadPDU(bytes.NewReader(b), 5)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if diff := cmp.Diff(string(p.Data), string(got.Data)); diff != "" || got.LUN() != 7 || !got.Immediate() || got.Get(TaskTag) != 1<<31 {
-			t.Errorf("got %v: %s", got, diff)
-		}
+		t.Run(fmt.Sprintf("%d bytes of data", len(data)), func(t *testing.T) {
+			p := New(SCSICommand, Final|Read).SetImmediate().SetLUN(7).Set(TaskTag, 1<<31).Set(CmdSN, 5)
+			p.Data = []byte(data)
+			b := p.Bytes()
+			if len(b)%4 != 0 {
+				t.Errorf("%d bytes are not a multiple of 4", len(b))
+			}
+			got, err := ReadPDU(bytes.NewReader(b), 5)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(string(p.Data), string(got.Data)); diff != "" {
+				t.Errorf("data: %s", diff)
+			}
+			if got.LUN() != 7 || !got.Immediate() || got.Get(TaskTag) != 1<<31 {
+				t.Errorf("header: %v", got)
+			}
+		})
 	}
 }
 
-func TestPDUsThatCannotBeRead(t *testing.T) {
-	long, ahs, whole := New(NopOut, Final), New(NopOut, Final), New(NopOut, Final)
-	long.Data, whole.Data = make([]byte, 9), make([]byte, 8)
-	ahs.Header[4] = 1
-	for name, c := range map[string]struct {
-		text []byte
-		want error
+func TestReadPDUErrors(t *testing.T) {
+	withData := func(length int) []byte {
+		p := New(NopOut, Final)
+		p.Data = make([]byte, length)
+		return p.Bytes()
+	}
+	withAHS := New(NopOut, Final)
+	withAHS.Header[4] = 1
+	for _, c := range []struct {
+		name  string
+		input []byte
+		want  error
 	}{
-		"nothing":             {nil, io.EOF},
-		"half a header":       {long.Bytes()[:20], io.ErrUnexpectedEOF},
-		"a header alone":      {whole.Bytes()[:HeaderSize], io.ErrUnexpectedEOF},
-		"half a data segment": {whole.Bytes()[:HeaderSize+3], io.ErrUnexpectedEOF},
-		"a long data segment": {long.Bytes(), ErrTooLong},
-		"additional headers":  {ahs.Bytes(), ErrAHS},
+		{name: "nothing", input: nil, want: io.EOF},
+		{name: "half a header", input: withData(9)[:20], want: io.ErrUnexpectedEOF},
+		{name: "a header alone", input: withData(8)[:HeaderSize], want: io.ErrUnexpectedEOF},
+		{name: "half a data segment", input: withData(8)[:HeaderSize+3], want: io.ErrUnexpectedEOF},
+		{name: "a data segment that is too long", input: withData(9), want: ErrTooLong},
+		{name: "additional header segments", input: withAHS.Bytes(), want: ErrAHS},
 	} {
-		if _, err := ReadPDU(bytes.NewReader(c.text), 8); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if _, err := ReadPDU(bytes.NewReader(c.input), 8); !errors.Is(err, c.want) {
+				t.Errorf("got %v, want %v", err, c.want)
+			}
+		})
 	}
 }
 
+// FuzzReadPDU reads any bytes: what is read must come back when it is written.
 func FuzzReadPDU(f *testing.F) {
 	for op := range opcodeNames {
 		p := New(op, Final).SetLUN(1)
 		p.Data = []byte("InitiatorName=a\x00")
 		f.Add(p.Bytes())
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
-		const most = 1 << 10
-		p, err := ReadPDU(bytes.NewReader(text), most)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		const maxLength = 1 << 10
+		p, err := ReadPDU(bytes.NewReader(input), maxLength)
 		if err != nil {
 			return
 		}
-		if len(p.Data) > most {
+		if len(p.Data) > maxLength {
 			t.Fatalf("%d bytes of data", len(p.Data))
 		}
-		again, err := ReadPDU(bytes.NewReader(p.Bytes()), most)
-		if err != nil || !bytes.Equal(again.Data, p.Data) || again.Op() != p.Op() {
+		reread, err := ReadPDU(bytes.NewReader(p.Bytes()), maxLength)
+		if err != nil || !bytes.Equal(reread.Data, p.Data) || reread.Op() != p.Op() {
 			t.Fatalf("%v does not come back: %v", p, err)
 		}
 		p.CDB().Transfer()
@@ -76,33 +90,80 @@
 	})
 }
 
-func TestCommandsKeepTheirCDB(t *testing.T) {
+func TestCommandsComeBackFromTheirCDB(t *testing.T) {
 	for _, c := range []Command{
-		{LBA: 8, Blocks: 1}, {LBA: 8, Blocks: 1, Write: true}, {LBA: 1 << 32, Blocks: 2}, {LBA: 1<<32 - 1, Blocks: 2, Write: true},
+		{LBA: 8, Blocks: 1},
+		{LBA: 8, Blocks: 1, Write: true},
+		{LBA: 1 << 32, Blocks: 2},
+		{LBA: 1<<32 - 1, Blocks: 2, Write: true},
 		{Blocks: 1 << 16},
 	} {
-		cdb := c.CDB()
-		lba, blocks, write, ok := cdb.Transfer()
-		if got := (Command{LBA: lba, Blocks: blocks, Write: write}); !ok || !cmp.Equal(c, got) {
-			t.Errorf("%+v came back as %+v", c, got)
-		}
+		t.Run(fmt.Sprintf("%d blocks at %d, write %v", c.Blocks, c.LBA, c.Write), func(t *testing.T) {
+			cdb := c.CDB()
+			lba, blocks, write, ok := cdb.Transfer()
+			if got := (Command{LBA: lba, Blocks: blocks, Write: write}); !ok || !cmp.Equal(c, got) {
+				t.Errorf("%+v came back as %+v", c, got)
+			}
+		})
 	}
 }
 
 func TestNegotiation(t *testing.T) {
-	for name, c := range map[string]struct{ offer, want []Pair }{
-		"lengths are cut":    {[]Pair{{"MaxBurstLength", "16776192"}}, []Pair{{"MaxBurstLength", "262144"}}},
-		"one of a list":      {[]Pair{{"DataDigest", "CRC32C,None"}}, []Pair{{"DataDigest", "None"}}},
-		"what is declared":   {[]Pair{{"MaxRecvDataSegmentLength", "4096"}}, nil},
-		"what is not known":  {[]Pair{{"X-strange", "1"}}, []Pair{{"X-strange", "NotUnderstood"}}},
-		"no digest is left":  {[]Pair{{"HeaderDigest", "CRC32C"}}, nil},
-		"a length in words":  {[]Pair{{"FirstBurstLength", "many"}}, nil},
-		"a length too short": {[]Pair{{"MaxRecvDataSegmentLength", "511"}}, nil},
+	for _, c := range []struct {
+		name   string
+		offer  Pair
+		answer []Pair
+		fails  bool
+	}{
+		{
+			name:   "a length beyond the limit is cut",
+			offer:  Pair{"MaxBurstLength", "16776192"},
+			answer: []Pair{{"MaxBurstLength", "262144"}},
+		},
+		{
+			name:   "one value of a list is chosen",
+			offer:  Pair{"DataDigest", "CRC32C,None"},
+			answer: []Pair{{"DataDigest", "None"}},
+		},
+		{
+			name:  "a declared key has no answer",
+			offer: Pair{"MaxRecvDataSegmentLength", "4096"},
+		},
+		{
+			name:   "an unknown key is not understood",
+			offer:  Pair{"X-strange", "1"},
+			answer: []Pair{{"X-strange", "NotUnderstood"}},
+		},
+		{
+			name:   "a boolean without a value is sent back",
+			offer:  Pair{"ImmediateData", ""},
+			answer: []Pair{{"ImmediateData", ""}},
+		},
+		{
+			name:  "no acceptable digest is offered",
+			offer: Pair{"HeaderDigest", "CRC32C"},
+			fails: true,
+		},
+		{
+			name:  "a length that is no number",
+			offer: Pair{"FirstBurstLength", "many"},
+			fails: true,
+		},
+		{
+			name:  "a length that is too short",
+			offer: Pair{"MaxRecvDataSegmentLength", "511"},
+			fails: true,
+		},
 	} {
-		p := DefaultParams()
-		got, err := p.Negotiate(c.offer)
-		if diff := cmp.Diff(c.want, got); diff != "" || (err == nil) != (c.want != nil || name == "what is declared") {
-			t.Errorf("%s: %v: %s", name, err, diff)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			params := DefaultParams()
+			answer, err := params.Negotiate([]Pair{c.offer})
+			if (err != nil) != c.fails {
+				t.Errorf("error %v, want one: %v", err, c.fails)
+			}
+			if diff := cmp.Diff(c.answer, answer); diff != "" {
+				t.Error(diff)
+			}
+		})
 	}
 }
--- a/internal/proto/iscsi/pdu.go
+++ b/internal/proto/iscsi/pdu.go
@@ -1,5 +1,7 @@
-// Package iscsi is the part of RFC 7143 that the gateway speaks, in its terms and layout: the PDU codec, login
-// text and the SCSI commands that target and initiator share.
+// Package iscsi is the part of iSCSI (RFC 7143) that the gateway speaks: the codec of PDUs, login text and its
+// negotiation, and the SCSI commands. Target and initiator share it. It does no I/O but to read PDUs.
+//
+// Names and layouts are those of the RFC; section numbers refer to it.
 package iscsi
 
 import (
@@ -9,34 +11,49 @@
 	"io"
 )
 
-// Opcode is the kind of a PDU.
+// Opcode is the type of a PDU (section 11.2.1.2).
 type Opcode byte
 
 // The opcodes of the subset.
 const (
 	NopOut         Opcode = 0x00
 	SCSICommand    Opcode = 0x01
-	TaskRequest    Opcode = 0x02
+	TaskRequest    Opcode = 0x02 // Task Management Function Request
 	LoginRequest   Opcode = 0x03
 	TextRequest    Opcode = 0x04
 	DataOut        Opcode = 0x05
 	LogoutRequest  Opcode = 0x06
 	NopIn          Opcode = 0x20
 	SCSIResponse   Opcode = 0x21
-	TaskResponse   Opcode = 0x22
+	TaskResponse   Opcode = 0x22 // Task Management Function Response
 	LoginResponse  Opcode = 0x23
 	DataIn         Opcode = 0x25
 	LogoutResponse Opcode = 0x26
-	R2T            Opcode = 0x31
+	R2T            Opcode = 0x31 // Ready To Transfer
 	AsyncMessage   Opcode = 0x32
 	Reject         Opcode = 0x3f
 )
 
-var opcodeNames = map[Opcode]string{NopOut: "nop-out", SCSICommand: "command", TaskRequest: "task-request",
-	LoginRequest: "login", TextRequest: "text", DataOut: "data-out", LogoutRequest: "logout", NopIn: "nop-in",
-	SCSIResponse: "response", TaskResponse: "task-response", LoginResponse: "login-response", DataIn: "data-in",
-	LogoutResponse: "logout-response", R2T: "r2t", AsyncMessage: "async", Reject: "reject"}
+var opcodeNames = map[Opcode]string{
+	NopOut:         "nop-out",
+	SCSICommand:    "command",
+	TaskRequest:    "task-request",
+	LoginRequest:   "login",
+	TextRequest:    "text",
+	DataOut:        "data-out",
+	LogoutRequest:  "logout",
+	NopIn:          "nop-in",
+	SCSIResponse:   "response",
+	TaskResponse:   "task-response",
+	LoginResponse:  "login-response",
+	DataIn:         "data-in",
+	LogoutResponse: "logout-response",
+	R2T:            "r2t",
+	AsyncMessage:   "async",
+	Reject:         "reject",
+}
 
+// String returns a short name.
 func (o Opcode) String() string {
 	if name, ok := opcodeNames[o]; ok {
 		return name
@@ -44,125 +61,136 @@
 	return fmt.Sprintf("opcode-%#02x", byte(o))
 }
 
-// Bits of a PDU's second byte.
+// Flags in the second byte of a PDU.
 const (
 	Final = 0x80 // the last, or only, PDU of its sequence
 
-	Read  = 0x40 // SCSI Command: data comes in
-	Write = 0x20 // SCSI Command: data goes out
+	Read  = 0x40 // SCSI Command: the initiator expects input data
+	Write = 0x20 // SCSI Command: the initiator expects to send output data
 
-	Overflow  = 0x04 // SCSI Response, Data-In: more data than the initiator expects
-	Underflow = 0x02 // less
-	HasStatus = 0x01 // Data-In: it carries the status
+	Overflow  = 0x04 // SCSI Response, Data-In: there is more data than the initiator expects
+	Underflow = 0x02 // SCSI Response, Data-In: there is less data than the initiator expects
+	HasStatus = 0x01 // Data-In: the PDU carries the status of the command
 
-	Transit = 0x80 // Login
-	Goes    = 0x40 // Login: the text continues
+	Transit  = 0x80 // Login: the sender is ready for the next stage
+	Continue = 0x40 // Login: the text continues in the next PDU
 )
 
-// NoTag is the task tag that names no task.
+// NoTag is the reserved task tag, which refers to no task.
 const NoTag = 0xffffffff
 
-// HeaderSize is the length of a basic header segment.
+// HeaderSize is the length of a basic header segment in bytes.
 const HeaderSize = 48
 
-// PDU is one protocol data unit without digests. Fields that only some opcodes have are read by name from the
-// header's bytes.
+const (
+	opcodeMask     = 0x3f
+	immediateFlag  = 0x40     // in the first byte
+	dataLengthMask = 0xffffff // DataSegmentLength has 24 bits
+	lunOffset      = 8
+	cdbOffset      = 32
+	cdbEnd         = 48
+)
+
+// PDU is a protocol data unit without digests.
 type PDU struct {
-	Header [HeaderSize]byte
-	Data   []byte
+	Header [HeaderSize]byte // the basic header segment
+	Data   []byte           // the data segment without padding
 }
 
-// Faults of a stream of PDUs after which its next PDU cannot be found.
+// Errors of ReadPDU that make the start of the next PDU unknown.
 var (
-	ErrTooLong = errors.New("iscsi: a data segment is longer than was agreed")
-	ErrAHS     = errors.New("iscsi: additional header segments are not understood")
+	ErrTooLong = errors.New("iscsi: data segment exceeds the agreed length")
+	ErrAHS     = errors.New("iscsi: additional header segments are not supported")
 )
 
-// New makes a PDU of a kind.
+// New returns a PDU with an opcode and flags.
 func New(op Opcode, flags byte) *PDU {
 	p := &PDU{}
-	p.Header[0], p.Header[1] = byte(op), flags
+	p.Header[0] = byte(op)
+	p.Header[1] = flags
 	return p
 }
 
-// Op is the PDU's opcode.
-func (p *PDU) Op() Opcode { return Opcode(p.Header[0] & 0x3f) }
+// Op returns the opcode.
+func (p *PDU) Op() Opcode { return Opcode(p.Header[0] & opcodeMask) }
 
-// Immediate tells whether the PDU is outside the order of commands.
-func (p *PDU) Immediate() bool { return p.Header[0]&0x40 != 0 }
+// Immediate tells whether the PDU is for immediate delivery: it is outside the order of commands.
+func (p *PDU) Immediate() bool { return p.Header[0]&immediateFlag != 0 }
 
-// SetImmediate puts the PDU outside the order of commands.
-func (p *PDU) SetImmediate() *PDU { p.Header[0] |= 0x40; return p }
+// SetImmediate marks the PDU for immediate delivery.
+func (p *PDU) SetImmediate() *PDU {
+	p.Header[0] |= immediateFlag
+	return p
+}
 
-// Flags are the bits of the second byte.
+// Flags returns the second byte.
 func (p *PDU) Flags() byte { return p.Header[1] }
 
 // Has tells whether all the flags are set.
 func (p *PDU) Has(flags byte) bool { return p.Header[1]&flags == flags }
 
-// Field names a 32-bit field by its place in the header.
+// Field is a 32-bit field of the header, by its offset.
 type Field int
 
-// The 32-bit fields. Some share a place.
+// The 32-bit fields. Some share an offset, since they belong to different opcodes.
 const (
-	TaskTag        Field = 16
-	ExpectedLength Field = 20 // SCSI Command
-	TransferTag    Field = 20 // R2T, Data-Out, NOP
-	RefTag         Field = 20 // Task Management
-	CmdSN          Field = 24 // requests
-	StatSN         Field = 24 // responses
-	ExpStatSN      Field = 28 // requests
-	ExpCmdSN       Field = 28 // responses
-	MaxCmdSN       Field = 32 // responses
-	DataSN         Field = 36
-	R2TSN          Field = 36
-	BufferOffset   Field = 40
-	DesiredLength  Field = 44 // R2T
-	Residual       Field = 44 // SCSI Response, Data-In
+	TaskTag        Field = 16 // Initiator Task Tag
+	ExpectedLength Field = 20 // Expected Data Transfer Length, of SCSI Command
+	TransferTag    Field = 20 // Target Transfer Tag, of R2T, Data-Out, Data-In and NOP
+	RefTag         Field = 20 // Referenced Task Tag, of Task Management Function Request
+	CmdSN          Field = 24 // of requests
+	StatSN         Field = 24 // of responses
+	ExpStatSN      Field = 28 // of requests
+	ExpCmdSN       Field = 28 // of responses
+	MaxCmdSN       Field = 32 // of responses
+	DataSN         Field = 36 // of Data-Out and Data-In
+	BufferOffset   Field = 40 // of Data-Out, Data-In and R2T
+	DesiredLength  Field = 44 // Desired Data Transfer Length, of R2T
+	Residual       Field = 44 // Residual Count, of SCSI Response and Data-In
 )
 
-// Get reads a field.
+// Get returns the value of a field.
 func (p *PDU) Get(f Field) uint32 { return binary.BigEndian.Uint32(p.Header[f:]) }
 
-// Set writes a field.
+// Set sets the value of a field.
 func (p *PDU) Set(f Field, value uint32) *PDU {
 	binary.BigEndian.PutUint32(p.Header[f:], value)
 	return p
 }
 
-// LUN is the logical unit that the PDU is about, in the first level of addressing.
-func (p *PDU) LUN() uint16 { return binary.BigEndian.Uint16(p.Header[8:]) & 0x3fff }
+// LUN returns the logical unit number, of which only the first level of addressing is supported.
+func (p *PDU) LUN() uint16 { return binary.BigEndian.Uint16(p.Header[lunOffset:]) & 0x3fff }
 
-// SetLUN names the logical unit.
+// SetLUN sets the logical unit number.
 func (p *PDU) SetLUN(lun uint16) *PDU {
-	binary.BigEndian.PutUint16(p.Header[8:], lun)
+	binary.BigEndian.PutUint16(p.Header[lunOffset:], lun)
 	return p
 }
 
-// CDB is the command block of a SCSI Command.
-func (p *PDU) CDB() *CDB { return (*CDB)(p.Header[32:48]) }
+// CDB returns the command descriptor block of a SCSI Command.
+func (p *PDU) CDB() *CDB { return (*CDB)(p.Header[cdbOffset:cdbEnd]) }
 
-// pad is the number of bytes that fill a data segment to whole words.
-func pad(n int) int { return -n & 3 }
+// paddingOf returns the number of bytes that pad a data segment to whole 32-bit words.
+func paddingOf(length int) int { return -length & 3 }
 
-// ReadPDU reads one PDU whose data segment is at most most bytes long. Any error but io.EOF, between PDUs,
-// ends the stream: where the next PDU starts is unknown.
-func ReadPDU(r io.Reader, most int) (*PDU, error) {
+// ReadPDU reads a PDU. Its data segment may have up to maxLength bytes. The error is io.EOF between PDUs; after any
+// other error the start of the next PDU is unknown. With ErrTooLong and ErrAHS it returns the header.
+func ReadPDU(r io.Reader, maxLength int) (*PDU, error) {
 	p := &PDU{}
 	if _, err := io.ReadFull(r, p.Header[:]); err != nil {
 		return nil, err
 	}
-	if p.Header[4] != 0 {
+	if p.Header[4] != 0 { // TotalAHSLength
 		return p, ErrAHS
 	}
-	length := int(binary.BigEndian.Uint32(p.Header[4:8]) & 0xffffff)
-	if length > most {
+	length := int(binary.BigEndian.Uint32(p.Header[4:8]) & dataLengthMask)
+	if length > maxLength {
 		return p, ErrTooLong
 	}
 	if length == 0 {
 		return p, nil
 	}
-	p.Data = make([]byte, length+pad(length))
+	p.Data = make([]byte, length+paddingOf(length))
 	if _, err := io.ReadFull(r, p.Data); err != nil {
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
@@ -173,15 +201,17 @@
 	return p, nil
 }
 
-// Bytes is the PDU as it is written.
+// Bytes returns the PDU as it is sent. It takes the length of the data segment from Data.
 func (p *PDU) Bytes() []byte {
-	n := len(p.Data)
-	b := make([]byte, HeaderSize+n+pad(n))
+	length := len(p.Data)
+	b := make([]byte, HeaderSize+length+paddingOf(length))
 	copy(b, p.Header[:])
-	b[5], b[6], b[7] = byte(n>>16), byte(n>>8), byte(n)
+	b[5] = byte(length >> 16)
+	b[6] = byte(length >> 8)
+	b[7] = byte(length)
 	copy(b[HeaderSize:], p.Data)
 	return b
 }
 
-// After tells whether serial number a comes after b; they wrap around.
+// After tells whether serial number a comes after b. Serial numbers wrap around (RFC 1982).
 func After(a, b uint32) bool { return int32(a-b) > 0 }
--- a/internal/proto/iscsi/text.go
+++ b/internal/proto/iscsi/text.go
@@ -8,10 +8,19 @@
 	"strings"
 )
 
-// Pair is one key of a login's text.
-type Pair struct{ Key, Value string }
+// Pair is a key=value pair of a login's text (section 6.1).
+type Pair struct {
+	Key   string
+	Value string
+}
 
-// ParseText reads the key=value pairs of a data segment.
+// Limits of section 6.1, in bytes.
+const (
+	maxKeyLength   = 63
+	maxValueLength = 255
+)
+
+// ParseText returns the pairs of a data segment.
 func ParseText(data []byte) ([]Pair, error) {
 	var pairs []Pair
 	for _, part := range bytes.Split(data, []byte{0}) {
@@ -19,101 +28,140 @@
 			continue
 		}
 		key, value, ok := strings.Cut(string(part), "=")
-		if !ok || key == "" || len(key) > 63 || len(value) > 255 {
-			return nil, fmt.Errorf("iscsi: %.70q is not a key and a value", part)
+		if !ok || key == "" || len(key) > maxKeyLength || len(value) > maxValueLength {
+			return nil, fmt.Errorf("iscsi: %.70q is not a key=value pair", part)
 		}
-		pairs = append(pairs, Pair{key, value})
+		pairs = append(pairs, Pair{Key: key, Value: value})
 	}
 	return pairs, nil
 }
 
-// FormatText writes pairs as a data segment.
+// FormatText returns pairs as a data segment.
 func FormatText(pairs []Pair) []byte {
 	var b []byte
-	for _, p := range pairs {
-		b = append(append(b, p.Key+"="+p.Value...), 0)
+	for _, pair := range pairs {
+		b = append(b, pair.Key...)
+		b = append(b, '=')
+		b = append(b, pair.Value...)
+		b = append(b, 0)
 	}
 	return b
 }
 
-// Params is what both sides of a session have agreed on.
+// Params are the operational parameters of a session, as one side sees them (section 13).
 type Params struct {
-	MostSegment    int // longest data segment that the other side takes
-	FirstBurst     int // unsolicited data of a write
-	MostBurst      int // data that one R2T asks for
-	ImmediateData  bool
-	InitialR2T     bool
-	TargetName     string
-	InitiatorName  string
-	DiscoveryCalls bool // the session is for discovery
+	MostSegment      int  // the other side's MaxRecvDataSegmentLength: the longest data segment to send
+	FirstBurst       int  // FirstBurstLength: unsolicited data of a write
+	MaxBurst         int  // MaxBurstLength: data that one R2T asks for
+	ImmediateData    bool // a write may carry data in its command
+	TargetName       string
+	InitiatorName    string
+	DiscoverySession bool // SessionType is Discovery
 }
 
-// What holds until something else is agreed on.
+// Defaults of section 13, in bytes. The gateway does not agree to longer bursts.
 const (
-	DefaultSegment    = 8192
-	DefaultFirstBurst = 65536
-	DefaultMostBurst  = 262144
+	DefaultSegment    = 8192   // MaxRecvDataSegmentLength
+	DefaultFirstBurst = 65536  // FirstBurstLength
+	DefaultMaxBurst   = 262144 // MaxBurstLength
 )
 
-// DefaultParams hold at the start of a login.
+const (
+	maxSegment = DefaultFirstBurst // longest data segment that the gateway sends
+
+	minParamLength = 512       // range of all lengths in section 13
+	maxParamLength = 1<<24 - 1 // likewise
+)
+
+// DefaultParams returns the parameters that hold at the start of a login.
 func DefaultParams() Params {
-	return Params{MostSegment: DefaultSegment, FirstBurst: DefaultFirstBurst, MostBurst: DefaultMostBurst,
-		ImmediateData: true, InitialR2T: true}
+	return Params{
+		MostSegment:   DefaultSegment,
+		FirstBurst:    DefaultFirstBurst,
+		MaxBurst:      DefaultMaxBurst,
+		ImmediateData: true,
+	}
 }
 
-// ours are the keys that have one outcome here, whatever is offered.
-var ours = map[string]string{
-	"HeaderDigest": "None", "DataDigest": "None", "AuthMethod": "None", "MaxConnections": "1",
-	"ErrorRecoveryLevel": "0", "MaxOutstandingR2T": "1", "DataPDUInOrder": "Yes", "DataSequenceInOrder": "Yes",
-	"DefaultTime2Wait": "0", "DefaultTime2Retain": "0", "InitialR2T": "Yes", "IFMarker": "No", "OFMarker": "No",
+// fixedAnswers are the keys that the gateway answers with one value, whatever is offered.
+var fixedAnswers = map[string]string{
+	"AuthMethod":          "None",
+	"DataDigest":          "None",
+	"DataPDUInOrder":      "Yes",
+	"DataSequenceInOrder": "Yes",
+	"DefaultTime2Retain":  "0",
+	"DefaultTime2Wait":    "0",
+	"ErrorRecoveryLevel":  "0",
+	"HeaderDigest":        "None",
+	"IFMarker":            "No",
+	"InitialR2T":          "Yes",
+	"MaxConnections":      "1",
+	"MaxOutstandingR2T":   "1",
+	"OFMarker":            "No",
 }
 
-// Negotiate takes the other side's pairs into p and gives the answers that are due.
+// Negotiate applies the pairs that the other side sent and returns the answers to them.
 func (p *Params) Negotiate(pairs []Pair) ([]Pair, error) {
 	var answers []Pair
 	for _, pair := range pairs {
-		var err error
-		switch pair.Key {
-		case "InitiatorName":
-			p.InitiatorName = pair.Value
-		case "TargetName":
-			p.TargetName = pair.Value
-		case "SessionType":
-			p.DiscoveryCalls = pair.Value == "Discovery"
-		case "InitiatorAlias", "TargetAlias", "TargetPortalGroupTag":
-		case "MaxRecvDataSegmentLength": // declared, not agreed on
-			p.MostSegment, err = size(pair, DefaultFirstBurst)
-		case "FirstBurstLength":
-			p.FirstBurst, err = size(pair, DefaultFirstBurst)
-			answers = append(answers, Pair{pair.Key, strconv.Itoa(p.FirstBurst)})
-		case "MaxBurstLength":
-			p.MostBurst, err = size(pair, DefaultMostBurst)
-			answers = append(answers, Pair{pair.Key, strconv.Itoa(p.MostBurst)})
-		case "ImmediateData":
-			p.ImmediateData = pair.Value == "Yes"
-			answers = append(answers, pair)
-		default:
-			value, known := ours[pair.Key]
-			if !known {
-				value = "NotUnderstood"
-			}
-			if value == "None" && !slices.Contains(strings.Split(pair.Value, ","), value) {
-				return nil, fmt.Errorf("iscsi: %s: %q leaves out None", pair.Key, pair.Value)
-			}
-			answers = append(answers, Pair{pair.Key, value})
-		}
+		answer, negotiated, err := p.apply(pair)
 		if err != nil {
 			return nil, err
 		}
+		if negotiated {
+			answers = append(answers, Pair{Key: pair.Key, Value: answer})
+		}
 	}
 	return answers, nil
 }
 
-// size reads a length, at most most and within what the RFC allows.
-func size(p Pair, most int) (int, error) {
-	n, err := strconv.Atoi(p.Value)
-	if err != nil || n < 512 || n > 1<<24-1 {
-		return 0, fmt.Errorf("iscsi: %s: %q is not a length from 512 to 16777215", p.Key, p.Value)
+// apply applies a pair and returns the value of the answer. Keys that are declared and not negotiated have no answer.
+func (p *Params) apply(pair Pair) (answer string, negotiated bool, err error) {
+	switch pair.Key {
+	case "InitiatorName":
+		p.InitiatorName = pair.Value
+	case "TargetName":
+		p.TargetName = pair.Value
+	case "SessionType":
+		p.DiscoverySession = pair.Value == "Discovery"
+	case "InitiatorAlias", "TargetAlias", "TargetPortalGroupTag":
+		// Of no use here.
+	case "MaxRecvDataSegmentLength":
+		p.MostSegment, err = parseLength(pair, maxSegment)
+	case "FirstBurstLength":
+		p.FirstBurst, err = parseLength(pair, DefaultFirstBurst)
+		return strconv.Itoa(p.FirstBurst), true, err
+	case "MaxBurstLength":
+		p.MaxBurst, err = parseLength(pair, DefaultMaxBurst)
+		return strconv.Itoa(p.MaxBurst), true, err
+	case "ImmediateData":
+		p.ImmediateData = pair.Value == "Yes"
+		return pair.Value, true, nil
+	default:
+		answer, err = fixedAnswer(pair)
+		return answer, true, err
+	}
+	return "", false, err
+}
+
+// fixedAnswer returns the answer to a key whose value is not up to the other side.
+func fixedAnswer(pair Pair) (string, error) {
+	value, known := fixedAnswers[pair.Key]
+	if !known {
+		return "NotUnderstood", nil
+	}
+	if value == "None" && !slices.Contains(strings.Split(pair.Value, ","), value) {
+		return "", fmt.Errorf("iscsi: %s: %q does not offer None", pair.Key, pair.Value)
+	}
+	return value, nil
+}
+
+// parseLength returns a length, cut to a limit.
+func parseLength(pair Pair, limit int) (int, error) {
+	n, err := strconv.Atoi(pair.Value)
+	if err != nil || n < minParamLength || n > maxParamLength {
+		return 0, fmt.Errorf("iscsi: %s: %q is not a length from %d to %d",
+			pair.Key, pair.Value, minParamLength, maxParamLength)
 	}
-	return min(n, most), nil
+	return min(n, limit), nil
 }
--- a/internal/socketpeek/peek.go
+++ b/internal/socketpeek/peek.go
@@ -1,4 +1,4 @@
-// Package socketpeek looks at what waits unread on a connection, without a wait and without taking it.
+// Package socketpeek tells whether a connection has unread input, without waiting and without reading it.
 package socketpeek
 
 import (
@@ -6,21 +6,22 @@
 	"syscall"
 )
 
-// Ready tells whether a read would return at once: with bytes, an end or an error. Of a connection that is no socket
-// nothing can be told; such a one counts as not ready.
+// Ready tells whether a read would return at once: with data, with the end of the connection or with an error. It
+// returns false for a connection that is not a socket, as nothing is known about it.
 func Ready(c net.Conn) bool {
-	sock, ok := c.(syscall.Conn)
+	socket, ok := c.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := sock.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return true
 	}
 	ready := true
-	err = raw.Control(func(fd uintptr) { // unlike its Read, this does not wait for a read that is under way
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	// Control does not wait for a read that is in progress, as RawConn.Read does.
+	err = raw.Control(func(fd uintptr) {
+		var buffer [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		ready = err != syscall.EAGAIN && err != syscall.EINTR
 	})
 	return ready || err != nil
--- a/internal/socketpeek/peek_test.go
+++ b/internal/socketpeek/peek_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// pair gives both ends of a connection; only a socket has something to look at.
-func pair(t *testing.T) (near, far net.Conn) {
+// socketPair returns both ends of a TCP connection.
+func socketPair(t *testing.T) (near, far net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -19,39 +19,50 @@
 	if far, err = l.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close(); far.Close() })
+	t.Cleanup(func() {
+		near.Close()
+		far.Close()
+	})
 	return near, far
 }
 
 func TestReady(t *testing.T) {
-	for name, act := range map[string]func(far net.Conn){
-		"bytes":  func(far net.Conn) { far.Write([]byte("x")) },
-		"an end": func(far net.Conn) { far.Close() },
+	for _, c := range []struct {
+		name string
+		act  func(far net.Conn)
+	}{
+		{name: "data", act: func(far net.Conn) { far.Write([]byte("x")) }},
+		{name: "end of the connection", act: func(far net.Conn) { far.Close() }},
 	} {
-		near, far := pair(t)
+		t.Run(c.name, func(t *testing.T) {
+			near, far := socketPair(t)
+			if Ready(near) {
+				t.Error("ready before anything was sent")
+			}
+			c.act(far)
+			for end := time.Now().Add(10 * time.Second); !Ready(near); time.Sleep(time.Millisecond) {
+				if time.Now().After(end) {
+					t.Fatal("not ready")
+				}
+			}
+		})
+	}
+	t.Run("during a read", func(t *testing.T) {
+		near, _ := socketPair(t)
+		reading := make(chan bool)
+		go func() {
+			close(reading)
+			near.Read(make([]byte, 1))
+		}()
+		<-reading
+		time.Sleep(10 * time.Millisecond)
 		if Ready(near) {
-			t.Errorf("%s: ready before", name)
+			t.Error("ready without any input")
 		}
-		act(far)
-		for end := time.Now().Add(10 * time.Second); !Ready(near); time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%s: not ready", name)
-			}
+	})
+	t.Run("not a socket", func(t *testing.T) {
+		if pipe, _ := net.Pipe(); Ready(pipe) {
+			t.Error("a pipe is ready")
 		}
-	}
-	// A look must not wait for a read that is under way.
-	near, _ := pair(t)
-	reading := make(chan bool)
-	go func() {
-		close(reading)
-		near.Read(make([]byte, 1))
-	}()
-	<-reading
-	time.Sleep(10 * time.Millisecond)
-	if Ready(near) {
-		t.Error("ready under a read")
-	}
-	if pipe, _ := net.Pipe(); Ready(pipe) {
-		t.Error("a pipe is ready")
-	}
+	})
 }
