--- a/cmd/reachpulley/capture_test.go
+++ b/cmd/reachpulley/capture_test.go
@@ -13,170 +13,261 @@
 	"reachpulley/internal/capture/capturetest"
 )
 
-// aCapture writes a random day into a file, and each of its parts into one.
-func aCapture(t *testing.T) (whole string, parts []string) {
+// captureCases run in order, as some read what others wrote. $DIR is the directory of the files that newCaptureFiles
+// writes, $ID the id of a request that was sent to a node.
+var captureCases = []commandCase{
+	{
+		args: []string{"rooms", "state", "$DIR/whole"},
+		code: exitSuccess,
+		want: []string{
+			"zone  tier  state",
+			"responding  silent of those tried",
+			"may spill over now:",
+			"(this gateway's share of 20.0)",
+		},
+	},
+	{
+		args: []string{"capture", "info", "$DIR/whole"},
+		code: exitSuccess,
+		want: []string{"recorded by test, format 5", "0 gaps", "class", "no connection"},
+	},
+	{
+		args: []string{"capture", "verify", "$DIR/whole"},
+		code: exitSuccess,
+		want: []string{"every block whole, 0 gaps"},
+	},
+	{
+		args: []string{"capture", "verify", "--rules", "$DIR/whole"},
+		code: exitSuccess,
+		want: []string{"drain: checked", "0 violations"},
+	},
+	{
+		args: []string{"replay", "$DIR/other-action"},
+		code: exitFailure,
+		want: []string{"recorded send", "elsewhere", "node ", "volume "},
+	},
+	{
+		args: []string{"capture", "verify", "$DIR/damaged"},
+		code: exitUsage,
+		want: []string{"the capture is damaged"},
+	},
+	{
+		args: []string{"capture", "merge", "$DIR/merged", "$DIR/part-a", "$DIR/part-b"},
+		code: exitSuccess,
+		want: []string{"bytes written"},
+	},
+	{
+		args: []string{"replay", "$DIR/merged"},
+		code: exitSuccess,
+		want: []string{"replayed twice, every action as recorded"},
+	},
+	{
+		args: []string{"capture", "merge", "$DIR/merged", "$DIR/part-a"},
+		code: exitUsage,
+		want: []string{"is there already"},
+	},
+	{
+		args: []string{"capture", "merge", "$DIR/with-gap", "$DIR/part-a", "$DIR/part-c"},
+		code: exitSuccess,
+		want: []string{"bytes written"},
+	},
+	{
+		args: []string{"replay", "$DIR/with-gap"},
+		code: exitUsage,
+		want: []string{"records were lost: 1 gaps"},
+	},
+	{
+		args: []string{"capture", "merge", "$DIR/reversed", "$DIR/part-b", "$DIR/part-a"},
+		code: exitUsage,
+		want: []string{"before the end of the file before it"},
+	},
+	{
+		args: []string{"capture", "cut", "--from", "07:00:05", "--to", "1h0m7s", "$DIR/whole", "$DIR/cut"},
+		code: exitSuccess,
+		want: []string{"bytes written"},
+	},
+	{
+		args: []string{"replay", "$DIR/cut"},
+		code: exitSuccess,
+		want: []string{"every action as recorded"},
+	},
+	{
+		args: []string{"capture", "cut", "--from", "1h9m", "$DIR/whole", "$DIR/last-part"},
+		code: exitSuccess,
+		want: []string{"bytes written"},
+	},
+	{
+		args: []string{"capture", "cut", "--from", "noon", "$DIR/whole", "$DIR/noon"},
+		code: exitUsage,
+		want: []string{`--from: "noon" is neither`},
+	},
+	{
+		args: []string{"capture", "cut", "--from", "7s", "--to", "6s", "$DIR/whole", "$DIR/none"},
+		code: exitUsage,
+		want: []string{"--to: is before --from"},
+	},
+	{
+		args: []string{"capture", "export", "$DIR/whole"},
+		code: exitSuccess,
+		want: []string{`"Kind":"arrived"`, `"Kind":"set-timer"`},
+	},
+	{
+		args: []string{"capture", "hash", "--key", "$DIR/key", "$DIR/whole", "$DIR/hashed"},
+		code: exitSuccess,
+		want: []string{"bytes written"},
+	},
+	{
+		args: []string{"replay", "$DIR/hashed"},
+		code: exitSuccess,
+		want: []string{"every action as recorded"},
+	},
+	{
+		args: []string{"capture", "hash", "--key", "$DIR/short-key", "$DIR/whole", "$DIR/hashed-2"},
+		code: exitUsage,
+		want: []string{"the key has 5 bytes, less than 16"},
+	},
+}
+
+// captureFiles are the files that commands read.
+type captureFiles struct {
+	directory string
+	whole     string // path of the capture of a random workload
+}
+
+// newCaptureFiles writes a capture, each of its parts, variants of it and what else commands read.
+func newCaptureFiles(t *testing.T) captureFiles {
+	t.Helper()
+	files := captureFiles{directory: t.TempDir()}
+	files.whole = files.path("whole")
+	files.writeWorkload(t)
+	damaged := []byte(readFile(t, files.whole))
+	damaged[len(damaged)-9] ^= 1
+	files.write(t, "damaged", damaged, 0o600)
+	files.write(t, "other-action", withOtherAction(t, files.whole), 0o600)
+	files.write(t, "key", []byte("a key of sixteen bytes\n"), 0o600)
+	files.write(t, "short-key", []byte("short"), 0o600)
+	files.write(t, "config.json", examples.Config(), 0o600)
+	return files
+}
+
+func (f captureFiles) path(name string) string { return filepath.Join(f.directory, name) }
+
+func (f captureFiles) write(t *testing.T, name string, content []byte, mode os.FileMode) {
 	t.Helper()
-	w := capturetest.NewWorkload(5)
-	pieces := &split{}
-	r, err := capture.NewRecorder(capturetest.Settings, 5, capture.Options{Program: "test", MaxBytes: 400_000, Sink: pieces, Origin: time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC)}, w)
+	if err := os.WriteFile(f.path(name), content, mode); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// replacer fills in what the cases leave open.
+func (f captureFiles) replacer(t *testing.T) *strings.Replacer {
+	t.Helper()
+	return strings.NewReplacer("$DIR", f.directory, "$ID", sentRequestID(t, f.whole))
+}
+
+// writeWorkload records a random workload and writes it as the file "whole", and its parts as "part-a" and so on.
+func (f captureFiles) writeWorkload(t *testing.T) {
+	t.Helper()
+	workload := capturetest.NewWorkload(5)
+	sink := &partsSink{}
+	recorder, err := capture.NewRecorder(capturetest.Settings, 5, capture.Options{
+		Program:  "test",
+		MaxBytes: 400_000,
+		Sink:     sink,
+		Origin:   time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC),
+	}, workload)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Play(r, 4000)
-	r.Flush(time.Hour)
-	directory := t.TempDir()
-	put := func(name string, content []byte) string {
-		path := filepath.Join(directory, name)
-		if err := os.WriteFile(path, content, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return path
+	workload.Play(recorder, 4000)
+	recorder.Flush(time.Hour)
+	if len(sink.parts) < 4 {
+		t.Fatalf("%d parts", len(sink.parts))
 	}
-	var all []byte
-	for i, part := range pieces.parts {
-		head, err := capture.EncodeHeader(pieces.head)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if i == 0 {
-			all = append(all, head...)
-		}
-		all = capture.AppendBlock(all, part, true)
-		parts = append(parts, put("part-"+string(rune('a'+i)), capture.AppendBlock(head, part, true)))
+	head, err := capture.EncodeHeader(sink.head)
+	if err != nil {
+		t.Fatal(err)
 	}
-	return put("whole", all), parts
+	whole := append([]byte{}, head...)
+	for i, part := range sink.parts {
+		whole = capture.AppendBlock(whole, part, true)
+		name := "part-" + string(rune('a'+i))
+		f.write(t, name, capture.AppendBlock(append([]byte{}, head...), part, true), 0o600)
+	}
+	f.write(t, "whole", whole, 0o600)
 }
 
-// split is a sink that keeps parts apart.
-type split struct {
+// partsSink collects the parts of a capture.
+type partsSink struct {
 	head  *capture.Head
 	parts [][]byte
 }
 
-func (s *split) Offer(p capture.Chunk) bool {
-	s.head = p.Head
-	if p.StartsPart {
+// Offer implements capture.Sink.
+func (s *partsSink) Offer(chunk capture.Chunk) bool {
+	s.head = chunk.Head
+	if chunk.StartsPart {
 		s.parts = append(s.parts, nil)
 	}
 	last := &s.parts[len(s.parts)-1]
-	*last = append(*last, p.Frames...)
+	*last = append(*last, chunk.Frames...)
 	return true
 }
 
-func TestCaptureCommands(t *testing.T) {
-	whole, parts := aCapture(t)
-	if len(parts) < 4 {
-		t.Fatalf("%d parts", len(parts))
-	}
-	at := func(name string) string { return filepath.Join(filepath.Dir(whole), name) }
-	spoilt := at("spoilt")
-	content, err := os.ReadFile(whole)
+// withOtherAction returns a capture in which one request was sent to another node than the scheduler decides.
+func withOtherAction(t *testing.T, path string) []byte {
+	t.Helper()
+	file, reader, err := openCapture(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	content[len(content)-9] ^= 1
-	if err := os.WriteFile(spoilt, content, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	var example struct{ Settings json.RawMessage }
-	if err := json.Unmarshal(examples.Config(), &example); err != nil {
-		t.Fatal(err)
-	}
-	for name, content := range map[string][]byte{"key": []byte("a key of sixteen bytes\n"), "short": []byte("short"), "config.json": examples.Config()} {
-		if err := os.WriteFile(at(name), content, 0o600); err != nil {
+	defer file.Close()
+	var all []capture.Record
+	isChanged := false
+	for record, err := range records(reader) {
+		if err != nil {
 			t.Fatal(err)
 		}
-	}
-	// The other build says what this one does.
-	_, says, _ := call(t, nil, "replay", "--tally", whole)
-	for name, script := range map[string]string{"other": "#!/bin/sh\ncat <<'END'\n" + says + "END\n", "mute": "#!/bin/sh\necho no\n"} {
-		if err := os.WriteFile(at(name), []byte(script), 0o700); err != nil {
-			t.Fatal(err)
+		if record.Kind == capture.KindSend && len(all) > 600 && !isChanged {
+			record.Node = "elsewhere"
+			isChanged = true
 		}
+		all = append(all, *record)
 	}
-	anyID := ""
-	if _, out, _ := call(t, nil, "capture", "export", whole); true {
-		_, after, _ := strings.Cut(out, `"Kind":"send"`)
-		_, after, _ = strings.Cut(after, `"ID":"`)
-		anyID, _, _ = strings.Cut(after, `"`)
+	content, err := capture.Compress(reader.Head, all)
+	if err != nil {
+		t.Fatal(err)
 	}
-	// One action is another than decided.
-	func() {
-		f, c, err := open(whole)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer f.Close()
-		var all []capture.Record
-		changed := false
-		for r, err := c.Next(); err == nil; r, err = c.Next() {
-			if r.Kind == capture.KindSend && len(all) > 600 && !changed {
-				r.Node, changed = "elsewhere", true
-			}
-			all = append(all, *r)
-		}
-		file, err := capture.Compress(c.Head, all)
+	return content
+}
+
+// sentRequestID returns the id of the first request that was sent to a node.
+func sentRequestID(t *testing.T, path string) string {
+	t.Helper()
+	file, reader, err := openCapture(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	for record, err := range records(reader) {
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(at("other-action"), file, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}()
-	for _, c := range []struct {
-		args []string
-		code int
-		out  []string
-	}{
-		{[]string{"rooms", "state", whole}, exitGood, []string{"room  tier  believed", "answer  silent of those asked", "may spill now:", "(this gateway's part of 20.0)"}},
-		{[]string{"capture", "info", whole}, exitGood, []string{"recorded by test, format 5", "0 gaps", "class", "no connection"}},
-		{[]string{"capture", "verify", whole}, exitGood, []string{"every block whole, 0 gaps"}},
-		{[]string{"capture", "verify", "--rules", whole}, exitGood, []string{"drain: asked", "0 breaches"}},
-		{[]string{"replay", at("other-action")}, exitFailed, []string{"recorded send", "elsewhere", "node ", "volume "}},
-		{[]string{"capture", "verify", spoilt}, exitUsage, []string{"the capture is damaged"}},
-		{[]string{"capture", "merge", at("merged"), parts[0], parts[1]}, exitGood, []string{"bytes written"}},
-		{[]string{"replay", at("merged")}, exitGood, []string{"replayed twice, every action as recorded"}},
-		{[]string{"capture", "merge", at("merged"), parts[0]}, exitUsage, []string{"is there already"}},
-		{[]string{"capture", "merge", at("holed"), parts[0], parts[2]}, exitGood, []string{"bytes written"}},
-		{[]string{"replay", at("holed")}, exitUsage, []string{"records were lost: 1 gaps"}},
-		{[]string{"capture", "merge", at("turned"), parts[1], parts[0]}, exitUsage, []string{"before the end of the file before it"}},
-		{[]string{"capture", "cut", "--from", "07:00:05", "--to", "1h0m7s", whole, at("cut")}, exitGood, []string{"bytes written"}},
-		{[]string{"replay", at("cut")}, exitGood, []string{"every action as recorded"}},
-		{[]string{"capture", "cut", "--from", "1h9m", whole, at("none")}, exitGood, []string{"bytes written"}},
-		{[]string{"capture", "cut", "--from", "noon", whole, at("noon")}, exitUsage, []string{`--from: "noon" is neither`}},
-		{[]string{"capture", "cut", "--from", "7s", "--to", "6s", whole, at("none")}, exitUsage, []string{"--to: is before --from"}},
-		{[]string{"capture", "export", whole}, exitGood, []string{`"Kind":"arrived"`, `"Kind":"set-timer"`}},
-		{[]string{"capture", "hash", "--key", at("key"), whole, at("hashed")}, exitGood, []string{"bytes written"}},
-		{[]string{"replay", at("hashed")}, exitGood, []string{"every action as recorded"}},
-		{[]string{"capture", "hash", "--key", at("short"), whole, at("hashed-2")}, exitUsage, []string{"the key has 5 bytes, less than 16"}},
-		{[]string{"replay", "--with", at("config.json"), "--plot", whole}, exitGood, []string{"An open loop", "other settings, open loop", "refused, a second"}},
-		{[]string{"replay", "--against", at("other"), whole}, exitGood, []string{"the other build, open loop"}},
-		{[]string{"replay", "--against", at("mute"), whole}, exitUsage, []string{"mute: its answer is of another form"}},
-		{[]string{"replay", "--tally", whole}, exitGood, []string{`"Classes":[`}},
-		{[]string{"replay", "--with", at("key"), whole}, exitUsage, []string{"key: "}},
-		{[]string{"replay", "--shrink", "--keep", "sent=" + anyID, "--out", at("small.capture"), whole}, exitGood, []string{"small.capture: ", "small_test.go: "}},
-		{[]string{"replay", at("small.capture")}, exitGood, []string{"every action as recorded"}},
-		{[]string{"replay", "--shrink", "--keep", "late", "--out", at("x"), whole}, exitUsage, []string{`--keep: "late" is none of`}},
-		{[]string{"replay", "--shrink", "--keep", "breach", "--out", at("x"), whole}, exitUsage, []string{"does not hold on the whole capture"}},
-		{[]string{"replay", "--at", "07:00:03", whole}, exitGood, []string{"requests are open", "n0", "gold"}},
-		{[]string{"replay", "--at", "later", whole}, exitUsage, []string{`--at: "later" is neither`}},
-		{[]string{"replay", "--why", "absent", whole}, exitUsage, []string{"holds nothing of this request"}},
-		{[]string{"replay", "--why", "1", "--at", "1s", whole}, exitUsage, nil},
-	} {
-		code, out, errs := call(t, nil, c.args...)
-		if code != c.code {
-			t.Errorf("%s: exit %d\n%s\n%s", c.args, code, out, errs)
-		}
-		for _, want := range c.out {
-			if !strings.Contains(out+errs, want) {
-				t.Errorf("%s: %q is missing in\n%.2000s\n%s", c.args, want, out, errs)
-			}
+		if record.Kind == capture.KindSend {
+			return record.ID
 		}
 	}
-	_, out, _ := call(t, nil, "capture", "export", whole)
-	for i, line := range strings.Split(strings.TrimSpace(out), "\n") {
+	t.Fatal("no request was sent")
+	return ""
+}
+
+func TestCaptureCommands(t *testing.T) {
+	files := newCaptureFiles(t)
+	runCommandCases(t, captureCases, files.replacer(t))
+	_, export, _ := runCommand(t, nil, "capture", "export", files.whole)
+	for i, line := range strings.Split(strings.TrimSpace(export), "\n") {
 		if !json.Valid([]byte(line)) {
-			t.Fatalf("line %d: %s", i+1, line)
+			t.Fatalf("line %d of the export: %s", i+1, line)
 		}
 	}
 }
--- /dev/null
+++ b/cmd/reachpulley/errors.go
@@ -0,0 +1,56 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+
+	"reachpulley/internal/configfile"
+)
+
+// Exit codes.
+const (
+	exitSuccess = 0
+	exitFailure = 1 // the command failed, or found what it looks for
+	exitUsage   = 2 // wrong use, faulty configuration or faulty file
+)
+
+// errUsage marks errors that the caller can correct: wrong use, a faulty configuration or a faulty file.
+var errUsage = errors.New("faulty use or configuration")
+
+// errFindings says that a command did its work and found something that is wrong.
+var errFindings = errors.New("found")
+
+func exitCode(err error) int {
+	switch {
+	case err == nil:
+		return exitSuccess
+	case errors.Is(err, errUsage):
+		return exitUsage
+	}
+	return exitFailure
+}
+
+// reportUsageError prints an error, each fault of a file with its line and a caret under its place, and returns the
+// error marked as one that the caller can correct.
+func (e environment) reportUsageError(err error) error {
+	var faults configfile.Faults
+	if !errors.As(err, &faults) {
+		fmt.Fprintln(e.stderr, err)
+	}
+	for _, fault := range faults {
+		fmt.Fprintln(e.stderr, fault.Show())
+	}
+	return errors.Join(errUsage, err)
+}
+
+// logFatalError logs the error that ends the program.
+func logFatalError(log *slog.Logger, err error) {
+	log.Error("fatal error", "err", err)
+}
+
+// logUsageError logs the error that ends the program and returns it marked as one that the caller can correct.
+func logUsageError(log *slog.Logger, err error) error {
+	logFatalError(log, err)
+	return errors.Join(errUsage, err)
+}
--- a/cmd/reachpulley/main.go
+++ b/cmd/reachpulley/main.go
@@ -1,114 +1,110 @@
-// Reachpulley is a gateway before storage nodes. It takes requests of clients, decides by package scheduler which
-// goes to which node and when, and answers each of them once. Without arguments it serves.
+// Reachpulley is a gateway in front of storage nodes. It accepts requests of clients, lets package scheduler decide
+// which node gets each of them and when, and answers each exactly once. Without arguments it serves.
 package main
 
 import (
-	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"os"
-	"runtime/debug"
 
 	"github.com/alecthomas/kong"
 	kongcompletion "github.com/jotaen/kong-completion"
 )
 
-// Exit codes.
-const (
-	exitGood   = 0
-	exitFailed = 1 // at work
-	exitUsage  = 2 // faulty use or configuration
-)
+// commands is the command line. Names of commands and flags follow from the names of the fields unless a tag says
+// otherwise.
+type commands struct {
+	Serve serveCommand `cmd:"" default:"1" help:"Run the gateway (the default), configured by BALANCER_ variables."`
+	Check checkCommand `cmd:"" help:"Check the whole configuration as a start does, and start nothing."`
 
-// errUsage marks what the caller can put right: a faulty configuration or file.
-var errUsage = errors.New("faulty use or configuration")
+	Rules   rulesCommands   `cmd:"" help:"Work with rule files."`
+	Capture captureCommands `cmd:"" help:"Work with captures of the scheduler's events and actions."`
+	API     apiCommands     `cmd:"" name:"api" help:"Work with descriptions of operations."`
+	Zones   zonesCommands   `cmd:"" name:"rooms" help:"Show the state of zones, and simulate their loss and recovery."`
 
-// commands is the command line.
-type commands struct {
-	Serve      serveCommand              `cmd:"" default:"1" help:"Run the gateway (the default). The environment's BALANCER_ variables tell it all."`
-	Check      checkCommand              `cmd:"" help:"Check all configuration as a start would, and start nothing."`
-	Rules      rulesCommands             `cmd:"" help:"Work with rule files."`
-	Capture    captureCommands           `cmd:"" help:"Work with captures of the decisions."`
-	API        apiCommands               `cmd:"" name:"api" help:"Work with descriptions of operations."`
-	Rooms      roomsCommands             `cmd:"" help:"Tell what is believed of rooms, and play their loss and return."`
-	Storm      stormCommand              `cmd:"" help:"Play a storm of failures in simulated time, with and without budgets of further attempts."`
-	Replay     replayCommand             `cmd:"" help:"Play a capture of the decisions again and compare every action."`
-	Demo       demoCommand               `cmd:"" help:"Run a gateway, a discovery and two stand-in nodes on free loopback ports."`
-	Version    versionCommand            `cmd:"" help:"Tell the version."`
-	Completion kongcompletion.Completion `cmd:"" help:"Tell how to complete commands in bash, zsh or fish."`
+	Storm  stormCommand  `cmd:"" help:"Simulate a retry storm with and without retry budgets."`
+	Replay replayCommand `cmd:"" help:"Replay a capture and compare every action with the recorded one."`
+	Demo   demoCommand   `cmd:"" help:"Run a gateway, a discovery and two stand-in nodes on free loopback ports."`
+
+	Version    versionCommand            `cmd:"" help:"Show the version."`
+	Completion kongcompletion.Completion `cmd:"" help:"Show how to complete commands in bash, zsh or fish."`
+}
+
+// helpTexts are help texts that several flags and arguments share, or that are too long for a tag.
+var helpTexts = kong.Vars{
+	"settings_help": "The gateway's configuration, whose settings name classes and plans. " +
+		"By default that of BALANCER_CONFIG.",
+	"descriptions_help": "OpenAPI or AsyncAPI descriptions, JSON or YAML.",
+	"time_help":         "a duration of the recorder's clock, a time, or a time of day (UTC)",
+
+	"request_source_help": "A request, a file with one, or - for standard input: " +
+		"the head of an HTTP/1.1 message or JSON.",
+	"requests_help": "Requests: JSON by lines, or heads with blank lines between them.",
+	"request_help": "A method and a path, as 'PUT /sheets/7', with headers in lines of their own, " +
+		"or JSON as rules take it.",
+
+	"verify_help": "Check that a capture is intact and, with --rules, that it obeys the deployment's rules.",
+	"hash_help": "Write a copy with keyed hashes in place of ids, volumes and keys; " +
+		"it replays as the original does.",
+	"hash_key_help": "A file that holds the key: 16 bytes at least. The same key gives the same hashes.",
+
+	"with_help": "Replay the arrivals on other settings, a file in the platform's form, " +
+		"and compare how they would have ended.",
+	"against_help":  "Have another build of this program replay the arrivals and compare how they would have ended.",
+	"property_help": "breach, breach=RULE, refused=ID, failed=ID, sent=ID, sent=ID@NODE or crash",
 }
 
-// streams are what commands read and write.
-type streams struct {
-	in       io.Reader
-	out, err io.Writer
-	getenv   func(string) string
+// environment is what commands use of their process.
+type environment struct {
+	stdin          io.Reader
+	stdout, stderr io.Writer
+	getenv         func(string) string
+	isTerminal     bool // stderr is one
 }
 
 func main() {
-	terminal := false
-	if info, err := os.Stderr.Stat(); err == nil {
-		terminal = info.Mode()&os.ModeCharDevice != 0
-	}
-	os.Exit(run(os.Args[1:], streams{os.Stdin, os.Stdout, os.Stderr, os.Getenv}, terminal))
+	os.Exit(run(os.Args[1:], environment{
+		stdin:      os.Stdin,
+		stdout:     os.Stdout,
+		stderr:     os.Stderr,
+		getenv:     os.Getenv,
+		isTerminal: isTerminal(os.Stderr),
+	}))
+}
+
+func isTerminal(file *os.File) bool {
+	info, err := file.Stat()
+	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// run carries out a command and gives the exit code.
-func run(args []string, s streams, terminal bool) int {
-	if len(args) == 0 { // a gateway has no use for the commands, and reading them would cost it 1 MB
-		return exitCode(serveCommand{}.Run(s, terminalFlag(terminal)))
+// run executes a command and returns the exit code.
+func run(args []string, env environment) int {
+	if len(args) == 0 { // parsing the command line would cost a gateway 1 MB
+		return exitCode(serveCommand{}.Run(env))
 	}
-	var c commands
-	code := -1
-	parser, err := kong.New(&c, kong.Name("reachpulley"), kong.Description("A protocol-translating gateway before storage nodes."),
-		kong.Writers(s.out, s.err), kong.Exit(func(is int) { code = is }), kong.UsageOnError(), kong.Bind(s, terminalFlag(terminal), &c.Rules))
+	var commandLine commands
+	const notExited = -1
+	code := notExited
+	parser, err := kong.New(&commandLine,
+		kong.Name("reachpulley"),
+		kong.Description("A protocol-translating gateway before storage nodes."),
+		kong.Writers(env.stdout, env.stderr),
+		kong.Exit(func(exitCode int) { code = exitCode }),
+		kong.UsageOnError(),
+		kong.Bind(env, &commandLine.Rules),
+		helpTexts,
+	)
 	if err != nil {
-		panic(err) // the struct above is at fault
+		panic(err) // the tags of commands are wrong, whatever the arguments
 	}
 	kongcompletion.Register(parser)
 	ctx, err := parser.Parse(args)
-	if code >= 0 { // help was asked for
+	if code != notExited { // help was requested
 		return code
 	}
 	if err != nil {
-		fmt.Fprintf(s.err, "reachpulley: %v\n", err)
+		fmt.Fprintf(env.stderr, "reachpulley: %v\n", err)
 		return exitUsage
 	}
 	return exitCode(ctx.Run())
 }
-
-func exitCode(err error) int {
-	switch {
-	case err == nil:
-		return exitGood
-	case errors.Is(err, errUsage):
-		return exitUsage
-	}
-	return exitFailed
-}
-
-type terminalFlag bool
-
-// fail tells an error and marks it as one that the caller can put right.
-func fail(log *slog.Logger, err error) error {
-	log.Error("reachpulley cannot go on", "err", err)
-	return errors.Join(errUsage, err)
-}
-
-type versionCommand struct{}
-
-// Run tells what the build recorded.
-func (versionCommand) Run(s streams) error {
-	info, ok := debug.ReadBuildInfo()
-	if !ok {
-		return errors.New("the build recorded nothing")
-	}
-	fmt.Fprintf(s.out, "reachpulley %s %s\n", info.Main.Version, info.GoVersion)
-	for _, set := range info.Settings {
-		if set.Key == "vcs.revision" || set.Key == "vcs.modified" {
-			fmt.Fprintf(s.out, "%s %s\n", set.Key, set.Value)
-		}
-	}
-	return nil
-}
--- a/cmd/reachpulley/replay.go
+++ b/cmd/reachpulley/replay.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 
 	"reachpulley/internal/capture"
 	"reachpulley/internal/capture/timeline"
@@ -10,133 +11,147 @@
 
 type replayCommand struct {
 	File string `arg:"" type:"existingfile" help:"A capture."`
-	Why  string `xor:"what" placeholder:"REQUEST" help:"Tell the story of a request, by its id."`
-	At   string `xor:"what" placeholder:"TIME" help:"Tell how nodes and volumes stood: at a duration of the recorder's clock, a time, or a time of day (UTC)."`
+	Why  string `xor:"what" placeholder:"REQUEST" help:"Show the timeline of a request, by its id."`
+	At   string `xor:"what" placeholder:"TIME" help:"Show nodes and volumes at that time: ${time_help}."`
 
-	With    string `xor:"what" type:"existingfile" placeholder:"SETTINGS" help:"Play the arrivals on other settings, a file in the platform's form, and compare what would have become of them."`
-	Against string `xor:"what" type:"existingfile" placeholder:"BINARY" help:"Have another build of this program play the arrivals and compare what would have become of them."`
-	Tally   bool   `xor:"what" hidden:"" help:"What --against asks the other build: what would have become of the arrivals, as JSON."`
-	Plot    bool   `help:"With --with or --against: draw what became of them by second, too."`
+	With    string `xor:"what" type:"existingfile" placeholder:"SETTINGS" help:"${with_help}"`
+	Against string `xor:"what" type:"existingfile" placeholder:"BINARY" help:"${against_help}"`
+	Tally   bool   `xor:"what" hidden:"" help:"Print as JSON how the arrivals would have ended; --against runs this."`
+	Plot    bool   `help:"With --with or --against: draw, by second, how they would have ended."`
 
 	Shrink bool   `xor:"what" help:"Write the smallest capture on which --keep still holds, and a Go test with it."`
-	Keep   string `placeholder:"PROPERTY" help:"With --shrink: breach, breach=RULE, refused=ID, failed=ID, sent=ID, sent=ID@NODE or crash."`
-	Out    string `placeholder:"FILE" help:"With --shrink: the capture to write; the test stands beside it."`
-	Tries  int    `default:"20000" help:"With --shrink: plays at most."`
+	Keep   string `placeholder:"PROPERTY" help:"With --shrink: ${property_help}."`
+	Out    string `placeholder:"FILE" help:"With --shrink: the capture to write; the test is written beside it."`
+	Tries  int    `default:"20000" help:"With --shrink: maximum number of replays."`
 }
 
-const timesReplayed = 2 // so that what is not determined shows, too
+// timesReplayed shows also what is not deterministic.
+const timesReplayed = 2
 
-// Run plays a capture on the decisions of this program and compares every action with the recorded one.
-func (a replayCommand) Run(s streams) error {
+// Run replays a capture and compares every action with the recorded one, or does what a flag names instead.
+func (r replayCommand) Run(env environment) error {
 	switch {
-	case a.Why != "":
-		return a.why(s)
-	case a.At != "":
-		return a.at(s)
-	case a.With != "":
-		return a.with(s)
-	case a.Against != "":
-		return a.against(s)
-	case a.Tally:
-		return a.tally(s)
-	case a.Shrink:
-		return a.shrink(s)
-	}
-	for i := range timesReplayed {
-		f, c, err := open(a.File)
-		if err != nil {
-			return show(s, err)
-		}
-		defer f.Close()
-		n, err := capture.Replay(c)
+	case r.Why != "":
+		return r.showTimeline(env)
+	case r.At != "":
+		return r.showState(env)
+	case r.With != "":
+		return r.compareSettings(env)
+	case r.Against != "":
+		return r.compareBuilds(env)
+	case r.Tally:
+		return r.printSummary(env)
+	case r.Shrink:
+		return r.shrinkCapture(env)
+	}
+	return r.replay(env)
+}
+
+func (r replayCommand) replay(env environment) error {
+	events := 0
+	program := ""
+	for range timesReplayed {
+		file, reader, err := openCapture(r.File)
 		if err != nil {
-			return differ(s, a.File, n, err)
+			return env.reportUsageError(err)
 		}
-		if i == timesReplayed-1 {
-			fmt.Fprintf(s.out, "%d events by %s replayed twice, every action as recorded\n", n, c.Head.Program)
+		defer file.Close()
+		program = reader.Head.Program
+		if events, err = capture.Replay(reader); err != nil {
+			return reportReplayError(env, r.File, events, err)
 		}
 	}
+	fmt.Fprintf(env.stdout, "%d events by %s replayed twice, every action as recorded\n", events, program)
 	return nil
 }
 
-// differ tells why a replay ended early: a difference is a finding, anything else the file's fault.
-func differ(s streams, file string, events int, err error) error {
-	var differs *capture.Difference
-	if !errors.As(err, &differs) {
-		fmt.Fprintf(s.out, "%d events replayed\n", events)
-		return show(s, fmt.Errorf("%s: %w", file, err))
+// reportReplayError says why a replay ended early. A difference is a finding; anything else is the file's fault.
+func reportReplayError(env environment, path string, events int, err error) error {
+	var difference *capture.Difference
+	if !errors.As(err, &difference) {
+		fmt.Fprintf(env.stdout, "%d events replayed\n", events)
+		return env.reportUsageError(fmt.Errorf("%s: %w", path, err))
 	}
-	for _, e := range differs.Before {
-		fmt.Fprintf(s.out, "  %v %s %s\n", e.At, e.Kind, e.ID)
+	for _, event := range difference.Before {
+		fmt.Fprintf(env.stdout, "  %v %s %s\n", event.At, event.Kind, event.ID)
 	}
-	fmt.Fprintf(s.out, "%v\n", differs)
-	if err := around(s, file, differs); err != nil {
-		fmt.Fprintf(s.out, "the state before it can't be told: %v\n", err)
+	fmt.Fprintf(env.stdout, "%v\n", difference)
+	if err := showContext(env, path, difference); err != nil {
+		fmt.Fprintf(env.stdout, "the state before it cannot be shown: %v\n", err)
 	}
-	return errFound
+	return errFindings
 }
 
-// around tells the state before a difference, of what it is about: the capture is played up to there.
-func around(s streams, file string, d *capture.Difference) error {
-	f, c, err := open(file)
+// showContext replays the capture up to a difference and prints the state of what the difference is about.
+func showContext(env environment, path string, difference *capture.Difference) error {
+	file, reader, err := openCapture(path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	p := capture.NewPlayer(c)
+	defer file.Close()
+	player := capture.NewPlayer(reader)
 	for {
-		number, err := p.Upcoming()
+		number, err := player.Upcoming()
 		if err != nil {
 			return err
 		}
-		if number >= d.Event {
-			return timeline.WriteContext(p.Scheduler().Snapshot(), timeline.ClockFor(&c.Head), c.Head.Settings, d, s.out)
+		if number >= difference.Event {
+			break
 		}
-		if _, err := p.Next(); err != nil {
+		if _, err := player.Next(); err != nil {
 			return err
 		}
 	}
+	snapshot := player.Scheduler().Snapshot()
+	clock := timeline.ClockFor(&reader.Head)
+	return timeline.WriteContext(snapshot, clock, reader.Head.Settings, difference, env.stdout)
 }
 
-func (a replayCommand) why(s streams) error {
-	f, _, err := open(a.File)
+func (r replayCommand) showTimeline(env environment) error {
+	file, _, err := openCapture(r.File)
 	if err != nil {
-		return show(s, err)
+		return env.reportUsageError(err)
 	}
-	defer f.Close()
-	if _, err := f.Seek(0, 0); err != nil {
+	defer file.Close()
+	if _, err := file.Seek(0, io.SeekStart); err != nil {
 		return err
 	}
-	if err := timeline.WriteRequest(f, a.Why, s.out); err != nil {
-		return differ(s, a.File, 0, err)
+	if err := timeline.WriteRequest(file, r.Why, env.stdout); err != nil {
+		return reportReplayError(env, r.File, 0, err)
 	}
 	return nil
 }
 
-func (a replayCommand) at(s streams) error {
-	f, c, err := open(a.File)
+func (r replayCommand) showState(env environment) error {
+	file, reader, err := openCapture(r.File)
 	if err != nil {
-		return show(s, err)
-	}
-	defer f.Close()
-	clock := timeline.ClockFor(&c.Head)
-	first, err := c.Next()
-	for err == nil && !first.Kind.IsEvent() {
-		first, err = c.Next()
+		return env.reportUsageError(err)
 	}
+	defer file.Close()
+	first, err := firstEvent(reader)
 	if err != nil {
-		return show(s, fmt.Errorf("%s: %w", a.File, err))
+		return env.reportUsageError(fmt.Errorf("%s: %w", r.File, err))
 	}
-	at, err := clock.Parse(a.At, first.At)
+	clock := timeline.ClockFor(&reader.Head)
+	at, err := clock.Parse(r.At, first.At)
 	if err != nil {
-		return show(s, fmt.Errorf("--at: %w", err))
+		return env.reportUsageError(fmt.Errorf("--at: %w", err))
 	}
-	if _, err := f.Seek(0, 0); err != nil {
+	if _, err := file.Seek(0, io.SeekStart); err != nil {
 		return err
 	}
-	state, err := capture.At(f, at)
+	state, err := capture.At(file, at)
 	if err != nil {
-		return differ(s, a.File, 0, err)
+		return reportReplayError(env, r.File, 0, err)
+	}
+	return timeline.WriteState(state, clock, reader.Head.Settings, nil, env.stdout)
+}
+
+func firstEvent(reader *capture.Reader) (*capture.Record, error) {
+	for record, err := range records(reader) {
+		if err != nil || record.Kind.IsEvent() {
+			return record, err
+		}
 	}
-	return timeline.WriteState(state, clock, c.Head.Settings, nil, s.out)
+	return nil, io.EOF
 }
--- a/cmd/reachpulley/storm.go
+++ b/cmd/reachpulley/storm.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"text/tabwriter"
 	"time"
@@ -11,77 +12,142 @@
 	"reachpulley/internal/simulation"
 )
 
-// stormCommand plays a metastable failure in simulated time.
+// stormCommand simulates a metastable failure: one that its retries keep alive after its cause is gone.
 type stormCommand struct {
-	Seed    uint64        `default:"1" help:"Of the first run; the others follow."`
-	Runs    int           `default:"3" help:"How many runs of each kind."`
-	Nodes   bool          `help:"The nodes themselves slow down. By default what all of them share does, whose failures no latency tells of."`
-	Clients int           `help:"Clients that wait for their answers; 0: as the storm has them."`
-	Tries   int           `help:"Tries of a client for one request; 0: as the storm has them."`
-	Length  time.Duration `default:"120s" help:"Of a run, in simulated time."`
-	Share   float64       `default:"0.2" help:"Of the budgets, as in the table [retry]."`
-	Trickle float64       `default:"0.5" help:"Of the budgets, as in the table [retry]."`
+	Seed    uint64        `default:"1" help:"Seed of the first run; those of the others follow."`
+	Runs    int           `default:"3" help:"Runs of each kind."`
+	Nodes   bool          `help:"Slow down the nodes themselves; by default, what all of them share slows down."`
+	Clients int           `help:"Clients that wait for their answers; 0: as many as the storm has by default."`
+	Tries   int           `help:"Tries of a client for one request; 0: as many as the storm has by default."`
+	Length  time.Duration `default:"120s" help:"Length of a run, in simulated time."`
+	Share   float64       `default:"0.2" help:"Share of the retry budgets, as in the table [retry]."`
+	Trickle float64       `default:"0.5" help:"Trickle of the retry budgets, as in the table [retry]."`
 	Plot    bool          `help:"Draw what was served in each second of the first run."`
 }
 
-// Run plays the same storms as a plain proxy, by the decisions alone, and by them with budgets.
-func (c stormCommand) Run(s streams) error {
-	make := simulation.SharedStorm
-	if c.Nodes {
-		make = simulation.NodeStorm
+// Retry budgets of the simulation, apart from what flags set.
+const (
+	stormBudgetBurst = 10
+	stormBudgetCells = 1024
+)
+
+var errStormBounds = errors.New(
+	"--runs is from 1 to 100, --length from 40s to 1h, --clients up to 100000, --tries up to 10")
+
+// stormVariant is a way to send retries.
+type stormVariant struct {
+	name        string
+	passthrough bool
+	retry       retrybudget.Settings
+
+	servedBySecond []float64 // of the first run
+}
+
+// Run simulates the same storms as a plain proxy, by the scheduler alone, and by the scheduler with retry budgets.
+func (c stormCommand) Run(env environment) error {
+	budgets := retrybudget.Settings{
+		Share:   c.Share,
+		Trickle: c.Trickle,
+		Burst:   stormBudgetBurst,
+		Cells:   stormBudgetCells,
 	}
-	kinds := []struct {
-		name  string
-		plain bool
-		retry retrybudget.Settings
-	}{{name: "plain proxy", plain: true}, {name: "no budgets"}, {name: "budgets", retry: retrybudget.Settings{Share: c.Share, Trickle: c.Trickle, Burst: 10, Cells: 1024}}}
-	if key, err := kinds[2].retry.Check(); err != nil {
-		return show(s, fmt.Errorf("--%s: %w", key, err))
+	if key, err := budgets.Check(); err != nil {
+		return env.reportUsageError(fmt.Errorf("--%s: %w", key, err))
 	}
-	if c.Runs < 1 || c.Runs > 100 || c.Length < 40*time.Second || c.Length > time.Hour || c.Clients < 0 || c.Clients > 100_000 || c.Tries < 0 || c.Tries > 10 {
-		return show(s, fmt.Errorf("--runs is from 1 to 100, --length from 40s to 1h, --clients up to 100000, --tries up to 10"))
+	if !c.isWithinBounds() {
+		return env.reportUsageError(errStormBounds)
 	}
-	out := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "seed\t\tserved a second before\tafter it\tattempts a second\trecovered after")
-	var lines [][]float64
+	variants := []*stormVariant{
+		{name: "plain proxy", passthrough: true},
+		{name: "no retry budgets"},
+		{name: "retry budgets", retry: budgets},
+	}
+	table := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "seed\t\tserved a second before\tafter it\tattempts a second\trecovered after")
 	for run := range c.Runs {
-		for _, k := range kinds {
-			storm := make(c.Seed + uint64(run))
-			storm.Passthrough, storm.Retry, storm.Length = k.plain, k.retry, c.Length
-			if c.Clients > 0 {
-				storm.Clients = c.Clients
-			}
-			if c.Tries > 0 {
-				storm.Tries = c.Tries
-			}
-			r, err := storm.Run()
+		for _, variant := range variants {
+			storm := c.storm(c.Seed+uint64(run), variant)
+			result, err := storm.Run()
 			if err != nil {
 				return err
 			}
-			served, sent, line := 0, 0, []float64{}
-			for i, one := range r.Seconds {
-				line = append(line, float64(one.Served))
-				if time.Duration(i)*time.Second >= storm.Begin+storm.Slow {
-					served += one.Served
-					sent += one.Sent
-				}
-			}
+			fmt.Fprintln(table, stormRow(variant.name, storm, result))
 			if run == 0 {
-				lines = append(lines, line)
-			}
-			recovered := "never"
-			if r.Recovered >= 0 {
-				recovered = r.Recovered.String()
+				variant.servedBySecond = servedBySecond(result)
 			}
-			span := (storm.Length - storm.Begin - storm.Slow).Seconds()
-			fmt.Fprintf(out, "%d\t%s\t%.0f\t%.0f\t%.0f\t%s\n", storm.Seed, k.name, r.Before, float64(served)/span, float64(sent)/span, recovered)
 		}
 	}
-	if err := out.Flush(); err != nil || !c.Plot {
+	if err := table.Flush(); err != nil || !c.Plot {
 		return err
 	}
-	_, err := fmt.Fprintf(s.out, "\n%s\n", asciigraph.PlotMany(lines, asciigraph.Height(12), asciigraph.Width(100), asciigraph.LowerBound(0),
-		asciigraph.Caption("served a second; the slow time is from 20 s to 24 s"), asciigraph.SeriesLegends(kinds[0].name, kinds[1].name, kinds[2].name),
+	return plotStorm(env, variants)
+}
+
+func (c stormCommand) isWithinBounds() bool {
+	return c.Runs >= 1 && c.Runs <= 100 &&
+		c.Length >= 40*time.Second && c.Length <= time.Hour &&
+		c.Clients >= 0 && c.Clients <= 100_000 &&
+		c.Tries >= 0 && c.Tries <= 10
+}
+
+func (c stormCommand) storm(seed uint64, variant *stormVariant) simulation.Storm {
+	storm := simulation.SharedStorm(seed)
+	if c.Nodes {
+		storm = simulation.NodeStorm(seed)
+	}
+	storm.Passthrough = variant.passthrough
+	storm.Retry = variant.retry
+	storm.Length = c.Length
+	if c.Clients > 0 {
+		storm.Clients = c.Clients
+	}
+	if c.Tries > 0 {
+		storm.Tries = c.Tries
+	}
+	return storm
+}
+
+// stormRow returns a row of the table. The rates are those of the time after the cause is gone.
+func stormRow(name string, storm simulation.Storm, result simulation.Result) string {
+	end := storm.Begin + storm.Slow
+	served := 0
+	sent := 0
+	for i, second := range result.Seconds {
+		if time.Duration(i)*time.Second >= end {
+			served += second.Served
+			sent += second.Sent
+		}
+	}
+	seconds := (storm.Length - storm.Begin - storm.Slow).Seconds()
+	recovered := "never"
+	if result.Recovered >= 0 {
+		recovered = result.Recovered.String()
+	}
+	return fmt.Sprintf("%d\t%s\t%.0f\t%.0f\t%.0f\t%s",
+		storm.Seed, name, result.Before, float64(served)/seconds, float64(sent)/seconds, recovered)
+}
+
+func servedBySecond(result simulation.Result) []float64 {
+	served := []float64{}
+	for _, second := range result.Seconds {
+		served = append(served, float64(second.Served))
+	}
+	return served
+}
+
+func plotStorm(env environment, variants []*stormVariant) error {
+	var names []string
+	var lines [][]float64
+	for _, variant := range variants {
+		names = append(names, variant.name)
+		lines = append(lines, variant.servedBySecond)
+	}
+	_, err := fmt.Fprintf(env.stdout, "\n%s\n", asciigraph.PlotMany(lines,
+		asciigraph.Height(12),
+		asciigraph.Width(100),
+		asciigraph.LowerBound(0),
+		asciigraph.Caption("served a second; the slow time is from 20 s to 24 s"),
+		asciigraph.SeriesLegends(names...),
 		asciigraph.SeriesColors(asciigraph.Gray, asciigraph.Red, asciigraph.Blue)))
 	return err
 }
--- a/internal/config/zone_failover_test.go
+++ b/internal/config/zone_failover_test.go
@@ -40,13 +40,15 @@
 
 func TestZoneFailoverFaults(t *testing.T) {
 	for text, want := range map[string]string{
-		"[[rooms.work]]\nclass = 'x'\n":                             `rooms.work[0].class: the settings have no "x"`,
-		"[[rooms.work]]\nplan = 'x'\n":                              `rooms.work[0].plan: the settings have no "x"`,
-		"[[rooms.work]]\nforbid = ['x']\n":                          `rooms.work[0].forbid: the settings have no zone "x"`,
+		"[[rooms.work]]\nclass = 'x'\n":    `rooms.work[0].class: the settings have no "x"`,
+		"[[rooms.work]]\nplan = 'x'\n":     `rooms.work[0].plan: the settings have no "x"`,
+		"[[rooms.work]]\nforbid = ['x']\n": `rooms.work[0].forbid: the settings have no zone "x"`,
+
 		"[[rooms.work]]\nforbid = ['room-a', 'room-b', 'room-c']\n": "rooms.work[0].forbid: no zone is left",
-		"gateways = 2\n":                                            "rooms.gateways: 2 is not from 0 to 1",
-		"share = 11.0\n":                                            "rooms.share: 11 is not from 0 to 10",
-		"prefer = [" + strings.Repeat("[], ", 17) + "]\n":           "rooms.prefer: there are 17 tiers",
+
+		"gateways = 2\n": "rooms.gateways: 2 is not from 0 to 1",
+		"share = 11.0\n": "rooms.share: 11 is not from 0 to 10",
+		"prefer = [" + strings.Repeat("[], ", 17) + "]\n": "rooms.prefer: there are 17 tiers",
 	} {
 		t.Run(want, func(t *testing.T) {
 			_, err := loadOperator(t, zoneFailoverTable+text)
