--- a/cmd/reachpulley/api.go
+++ b/cmd/reachpulley/api.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"text/tabwriter"
 	"time"
@@ -33,8 +32,7 @@
 		}
 	}
 	if err != nil {
-		fmt.Fprintln(env.stderr, err)
-		return nil, errors.Join(errUsage, err)
+		return nil, env.reportUsageError(err)
 	}
 	return operations, nil
 }
@@ -55,7 +53,7 @@
 // settingsForDescriptions reads the settings of a configuration. If there is none, the settings have a single class,
 // the strictest there is, for descriptions that name none.
 func settingsForDescriptions(env environment, path string) (scheduler.Settings, error) {
-	if path != "" || env.getenv(envConfig) != "" {
+	if path != "" || env.getenv(config.EnvConfig) != "" {
 		return loadSettings(env, path)
 	}
 	strictest := scheduler.Class{
@@ -80,7 +78,7 @@
 		return err
 	}
 	generatedClasses := 0
-	if a.Settings != "" || env.getenv(envConfig) != "" {
+	if a.Settings != "" || env.getenv(config.EnvConfig) != "" {
 		described, err := loadCatalog(env, a.Settings, a.Files)
 		if err != nil {
 			return err
--- a/cmd/reachpulley/errors.go
+++ b/cmd/reachpulley/errors.go
@@ -11,15 +11,16 @@
 // Exit codes.
 const (
 	exitSuccess = 0
-	exitFailure = 1 // the command failed, or found what it looks for
+	exitFailure = 1 // the command failed, or has findings
 	exitUsage   = 2 // wrong use, faulty configuration or faulty file
 )
 
 // errUsage marks errors that the caller can correct: wrong use, a faulty configuration or a faulty file.
 var errUsage = errors.New("faulty use or configuration")
 
-// errFindings says that a command did its work and found something that is wrong.
-var errFindings = errors.New("found")
+// errFindings says that a command did its work and found something that its caller should know, as a failed test or a
+// dangerous change.
+var errFindings = errors.New("findings")
 
 func exitCode(err error) int {
 	switch {
--- a/cmd/reachpulley/main.go
+++ b/cmd/reachpulley/main.go
@@ -51,6 +51,7 @@
 	"with_help": "Replay the arrivals on other settings, a file in the platform's form, " +
 		"and compare how they would have ended.",
 	"against_help":  "Have another build of this program replay the arrivals and compare how they would have ended.",
+	"tally_help":    "Print as JSON how the arrivals would have ended, as --against of another build reads it.",
 	"property_help": "breach, breach=RULE, refused=ID, failed=ID, sent=ID, sent=ID@NODE or crash",
 }
 
--- a/cmd/reachpulley/replay.go
+++ b/cmd/reachpulley/replay.go
@@ -11,35 +11,36 @@
 
 type replayCommand struct {
 	File string `arg:"" type:"existingfile" help:"A capture."`
-	Why  string `xor:"what" placeholder:"REQUEST" help:"Show the timeline of a request, by its id."`
-	At   string `xor:"what" placeholder:"TIME" help:"Show nodes and volumes at that time: ${time_help}."`
 
-	With    string `xor:"what" type:"existingfile" placeholder:"SETTINGS" help:"${with_help}"`
-	Against string `xor:"what" type:"existingfile" placeholder:"BINARY" help:"${against_help}"`
-	Tally   bool   `xor:"what" hidden:"" help:"Print as JSON how the arrivals would have ended; --against runs this."`
-	Plot    bool   `help:"With --with or --against: draw, by second, how they would have ended."`
+	RequestID string `name:"why" xor:"what" placeholder:"REQUEST" help:"Show the timeline of a request, by its id."`
+	Time      string `name:"at" xor:"what" placeholder:"TIME" help:"Show nodes and volumes at that time: ${time_help}."`
 
-	Shrink bool   `xor:"what" help:"Write the smallest capture on which --keep still holds, and a Go test with it."`
-	Keep   string `placeholder:"PROPERTY" help:"With --shrink: ${property_help}."`
-	Out    string `placeholder:"FILE" help:"With --shrink: the capture to write; the test is written beside it."`
-	Tries  int    `default:"20000" help:"With --shrink: maximum number of replays."`
+	Settings string `name:"with" xor:"what" type:"existingfile" placeholder:"SETTINGS" help:"${with_help}"`
+	Build    string `name:"against" xor:"what" type:"existingfile" placeholder:"BINARY" help:"${against_help}"`
+	Summary  bool   `name:"tally" xor:"what" hidden:"" help:"${tally_help}"`
+	Plot     bool   `help:"With --with or --against: draw, by second, how they would have ended."`
+
+	Shrink     bool   `xor:"what" help:"Write the smallest capture on which --keep still holds, and a Go test with it."`
+	Property   string `name:"keep" placeholder:"PROPERTY" help:"With --shrink: ${property_help}."`
+	Out        string `placeholder:"FILE" help:"With --shrink: the capture to write; the test is written beside it."`
+	MaxReplays int    `name:"tries" default:"20000" help:"With --shrink: maximum number of replays."`
 }
 
-// timesReplayed shows also what is not deterministic.
+// timesReplayed is more than once so that decisions that are not deterministic are noticed.
 const timesReplayed = 2
 
 // Run replays a capture and compares every action with the recorded one, or does what a flag names instead.
 func (r replayCommand) Run(env environment) error {
 	switch {
-	case r.Why != "":
+	case r.RequestID != "":
 		return r.showTimeline(env)
-	case r.At != "":
+	case r.Time != "":
 		return r.showState(env)
-	case r.With != "":
+	case r.Settings != "":
 		return r.compareSettings(env)
-	case r.Against != "":
+	case r.Build != "":
 		return r.compareBuilds(env)
-	case r.Tally:
+	case r.Summary:
 		return r.printSummary(env)
 	case r.Shrink:
 		return r.shrinkCapture(env)
@@ -51,20 +52,29 @@
 	events := 0
 	program := ""
 	for range timesReplayed {
-		file, reader, err := openCapture(r.File)
-		if err != nil {
-			return env.reportUsageError(err)
-		}
-		defer file.Close()
-		program = reader.Head.Program
-		if events, err = capture.Replay(reader); err != nil {
-			return reportReplayError(env, r.File, events, err)
+		var err error
+		if events, program, err = r.replayOnce(env); err != nil {
+			return err
 		}
 	}
 	fmt.Fprintf(env.stdout, "%d events by %s replayed twice, every action as recorded\n", events, program)
 	return nil
 }
 
+// replayOnce returns the number of events and the program that recorded them. It reports errors by itself.
+func (r replayCommand) replayOnce(env environment) (events int, program string, err error) {
+	file, reader, err := openCapture(r.File)
+	if err != nil {
+		return 0, "", env.reportUsageError(err)
+	}
+	defer file.Close()
+	events, err = capture.Replay(reader)
+	if err != nil {
+		return 0, "", reportReplayError(env, r.File, events, err)
+	}
+	return events, reader.Head.Program, nil
+}
+
 // reportReplayError says why a replay ended early. A difference is a finding; anything else is the file's fault.
 func reportReplayError(env environment, path string, events int, err error) error {
 	var difference *capture.Difference
@@ -116,7 +126,7 @@
 	if _, err := file.Seek(0, io.SeekStart); err != nil {
 		return err
 	}
-	if err := timeline.WriteRequest(file, r.Why, env.stdout); err != nil {
+	if err := timeline.WriteRequest(file, r.RequestID, env.stdout); err != nil {
 		return reportReplayError(env, r.File, 0, err)
 	}
 	return nil
@@ -133,7 +143,7 @@
 		return env.reportUsageError(fmt.Errorf("%s: %w", r.File, err))
 	}
 	clock := timeline.ClockFor(&reader.Head)
-	at, err := clock.Parse(r.At, first.At)
+	at, err := clock.Parse(r.Time, first.At)
 	if err != nil {
 		return env.reportUsageError(fmt.Errorf("--at: %w", err))
 	}
--- a/cmd/reachpulley/replay_compare.go
+++ b/cmd/reachpulley/replay_compare.go
@@ -23,13 +23,13 @@
 
 // compareSettings compares what was recorded with what would have happened on other settings.
 func (r replayCommand) compareSettings(env environment) error {
-	text, err := os.ReadFile(r.With)
+	text, err := os.ReadFile(r.Settings)
 	if err != nil {
 		return env.reportUsageError(err)
 	}
 	settings, err := config.ParseSettings(text)
 	if err != nil {
-		return env.reportUsageError(fmt.Errorf("%s: %w", r.With, err))
+		return env.reportUsageError(fmt.Errorf("%s: %w", r.Settings, err))
 	}
 	workload, baseline, err := r.loadWorkload(env)
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 	other, err := workload.Play(settings)
 	if err != nil {
-		return env.reportUsageError(fmt.Errorf("%s: %w", r.With, err))
+		return env.reportUsageError(fmt.Errorf("%s: %w", r.Settings, err))
 	}
 	r.printComparison(env, workload, baseline, summary.Series{
 		Name:    "other settings, open loop",
@@ -52,16 +52,16 @@
 	if err != nil {
 		return err
 	}
-	text, err := runBuild(r.Against, r.File)
+	text, err := runBuild(r.Build, r.File)
 	if err != nil {
-		return env.reportUsageError(fmt.Errorf("%s: %w", r.Against, err))
+		return env.reportUsageError(fmt.Errorf("%s: %w", r.Build, err))
 	}
 	other := summary.New(workload.Head.Settings)
 	if err := json.Unmarshal(text, other); err != nil {
-		return env.reportUsageError(fmt.Errorf("%s: its answer is of another form: %w", r.Against, err))
+		return env.reportUsageError(fmt.Errorf("%s: its answer is of another form: %w", r.Build, err))
 	}
 	if got, want := len(other.Classes), len(workload.Head.Settings.Classes); got != want {
-		return env.reportUsageError(fmt.Errorf("%s: it reports %d classes, the capture %d", r.Against, got, want))
+		return env.reportUsageError(fmt.Errorf("%s: it reports %d classes, the capture %d", r.Build, got, want))
 	}
 	r.printComparison(env, workload, baseline, summary.Series{
 		Name:    "its settings, the other build, open loop",
--- a/cmd/reachpulley/replay_shrink.go
+++ b/cmd/reachpulley/replay_shrink.go
@@ -13,7 +13,7 @@
 // shrinkCapture writes the smallest capture that it finds on which a property still holds, and a Go test that replays
 // it.
 func (r replayCommand) shrinkCapture(env environment) error {
-	property, err := shrink.Parse(r.Keep)
+	property, err := shrink.Parse(r.Property)
 	if err != nil {
 		return env.reportUsageError(fmt.Errorf("--keep: %w", err))
 	}
@@ -46,7 +46,7 @@
 	reportProgress := func(left int) {
 		fmt.Fprintf(env.stderr, "\r%d of %d events ", left, len(original.Events))
 	}
-	smallest, err := original.Shrink(property, r.Tries, reportProgress)
+	smallest, err := original.Shrink(property, r.MaxReplays, reportProgress)
 	fmt.Fprintln(env.stderr)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", r.File, err)
--- a/cmd/reachpulley/rules.go
+++ b/cmd/reachpulley/rules.go
@@ -54,15 +54,13 @@
 	return encoder.Encode(value)
 }
 
-const envConfig = "BALANCER_CONFIG"
-
 // loadSettings reads the settings of the configuration at path or, if it is empty, of the one that the environment
 // names.
 func loadSettings(env environment, path string) (scheduler.Settings, error) {
 	getenv := env.getenv
 	if path != "" {
 		getenv = func(name string) string {
-			if name == envConfig {
+			if name == config.EnvConfig {
 				return path
 			}
 			return env.getenv(name)
--- a/cmd/reachpulley/rules_bench.go
+++ b/cmd/reachpulley/rules_bench.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	benchBatches      = 10  // of which the median counts
-	benchCallsPerRead = 100 // evaluations between two looks at the clock
+	benchBatches       = 10  // of which the median counts
+	benchCallsPerCheck = 100 // evaluations between two checks of the time
 )
 
 type rulesBench struct {
@@ -76,10 +76,10 @@
 func measureBatch(set *rules.Set, facts *expression.Facts, total time.Duration) (calls int, elapsed time.Duration) {
 	start := time.Now()
 	for time.Since(start) < total {
-		for range benchCallsPerRead {
+		for range benchCallsPerCheck {
 			evaluate(set, facts)
 		}
-		calls += benchCallsPerRead
+		calls += benchCallsPerCheck
 	}
 	return calls, time.Since(start)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,12 +17,14 @@
 	"reachpulley/scheduler"
 )
 
-// Environment variables that the platform sets.
+// EnvConfig is the environment variable that names the platform's file.
+const EnvConfig = "BALANCER_CONFIG"
+
+// Environment variables that replace values of the platform's file.
 const (
 	envName      = "BALANCER_NAME"
 	envListen    = "BALANCER_LISTEN"
 	envDiscovery = "BALANCER_DISCOVERY"
-	envConfig    = "BALANCER_CONFIG"
 )
 
 // Defaults for what the platform's file leaves out.
@@ -105,13 +107,13 @@
 }
 
 func read(getenv func(string) string, prefer precedence) (*Config, error) {
-	path := getenv(envConfig)
+	path := getenv(EnvConfig)
 	if path == "" {
-		return nil, &Error{Source: envConfig, Err: errors.New("is not set")}
+		return nil, &Error{Source: EnvConfig, Err: errors.New("is not set")}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &Error{Source: envConfig, Err: err}
+		return nil, &Error{Source: EnvConfig, Err: err}
 	}
 	c, err := parse(text, getenv, prefer)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -51,7 +51,7 @@
 	path := writeFile(t, "config.json", strings.Replace(platformJSON, "127.0.0.1:2", "nowhere", 1))
 	for name, load := range map[string]func(func(string) string) (*Config, error){"Load": Load, "Reload": Reload} {
 		t.Run(name, func(t *testing.T) {
-			_, err := load(environment(map[string]string{envConfig: path}))
+			_, err := load(environment(map[string]string{EnvConfig: path}))
 			if err == nil || !strings.Contains(err.Error(), path+": discovery: ") {
 				t.Errorf("%v", err)
 			}
@@ -82,7 +82,7 @@
 // The environment of a running gateway is that of its start; the file is what was changed.
 func TestReloadPrefersFileToEnvironment(t *testing.T) {
 	getenv := environment(map[string]string{
-		envConfig:    writeFile(t, "config.json", platformJSON),
+		EnvConfig:    writeFile(t, "config.json", platformJSON),
 		envDiscovery: "127.0.0.1:9",
 		envName:      "other",
 	})
--- a/internal/config/log.go
+++ b/internal/config/log.go
@@ -9,7 +9,7 @@
 type Log struct {
 	Format   string        `toml:"format"` // LogJSON or LogText
 	Level    string        `toml:"level"`
-	Repeat   time.Duration `toml:"repeat"` // interval between repeats of a message after logging.MaxRepeats of them; 0: no limit
+	Repeat   time.Duration `toml:"repeat"` // interval between repeats beyond logging.MaxRepeats; 0: no limit
 	MinLevel slog.Level    `toml:"-"`      // that Level or the environment names
 }
 
