--- /dev/null
+++ b/internal/frontend/iscsitarget/command.go
@@ -0,0 +1,134 @@
+package iscsitarget
+
+import (
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+
+	"reachpulley/internal/exchange"
+	"reachpulley/internal/proto/httpmsg"
+	"reachpulley/internal/proto/iscsi"
+	"reachpulley/internal/rules/engine"
+	"reachpulley/internal/rules/expression"
+	"reachpulley/scheduler"
+)
+
+// frontendName is the name of this frontend in rules.
+const frontendName = "iscsi"
+
+// handleCommand handles a SCSI Command: a READ or WRITE becomes a task, others are answered at once.
+func (s *session) handleCommand(p *iscsi.PDU) error {
+	lba, blocks, write, isTransfer := p.CDB().Transfer()
+	allowsData := isTransfer && write && s.params.ImmediateData && len(p.Data) <= s.params.FirstBurst
+	switch {
+	case len(p.Data) > 0 && !allowsData,
+		!p.Has(iscsi.Final): // unsolicited Data-Out would follow, which InitialR2T=Yes rules out
+		return s.reject(p, iscsi.InvalidPDUField)
+	case !isTransfer:
+		return s.handleLocalCommand(p)
+	}
+	unit := s.target.units[p.LUN()]
+	if unit == nil {
+		return s.failCommand(p, iscsi.NoSuchUnit)
+	}
+	t := &task{
+		tag:            p.Get(iscsi.TaskTag),
+		lun:            p.LUN(),
+		unit:           unit,
+		expectedLength: int(p.Get(iscsi.ExpectedLength)),
+		dataComplete:   make(chan struct{}),
+		command: iscsi.Command{
+			LUN:       p.LUN(),
+			LBA:       lba,
+			Blocks:    blocks,
+			BlockSize: unit.BlockSize,
+			Write:     write,
+			Data:      p.Data,
+		},
+	}
+	if sense, ok := t.check(p); !ok {
+		return s.failCommand(p, sense)
+	}
+	if blocks == 0 {
+		return s.send(s.response(t, iscsi.Good, 0), true)
+	}
+	return s.startTask(p, t)
+}
+
+// check checks the range and the lengths of a READ or WRITE. If they are invalid, the sense says why.
+func (t *task) check(p *iscsi.PDU) (sense iscsi.Sense, ok bool) {
+	length := uint64(t.command.Blocks) * uint64(t.unit.BlockSize)
+	switch {
+	case t.command.LBA >= t.unit.Blocks || uint64(t.command.Blocks) > t.unit.Blocks-t.command.LBA:
+		return iscsi.OutOfRange, false
+	case length > httpmsg.MaxRequestBody: // a request to a node holds no more; the block limits page says so
+		return iscsi.InvalidField, false
+	case t.command.Write && (uint64(t.expectedLength) < length || !p.Has(iscsi.Write)):
+		return iscsi.InvalidField, false
+	case !t.command.Write && length > 0 && !p.Has(iscsi.Read):
+		return iscsi.InvalidField, false
+	case uint64(len(p.Data)) > length:
+		return iscsi.InvalidField, false
+	}
+	return iscsi.Sense{}, true
+}
+
+// startTask starts a READ or WRITE whose command is valid.
+func (s *session) startTask(p *iscsi.PDU, t *task) error {
+	options := &s.target.options
+	t.arrival = time.Now()
+	t.deadline = t.arrival.Add(options.Classes[t.unit.class(t.command.Write)].Deadline)
+	if reason, ok := s.addTask(t); !ok {
+		return s.reject(p, reason)
+	}
+	request := t.unit.request(options.NewID(), &t.command)
+	if entry := options.Contracts.Command(int(t.lun), t.command.Write); entry != nil {
+		request.Operation = entry.Name
+		request.RetryPolicy = entry.RetryPolicy
+	}
+	// Limits are acquired before any data is asked for.
+	limits, err := s.acquireLimits(t, request)
+	if err != nil {
+		limits.Release()
+		s.finish(t, exchange.Answer{Verdict: verdictOf(err)})
+		return nil
+	}
+	s.wait.Go(func() {
+		defer limits.Release() // the task is answered or aborted
+		s.execute(t, request)
+	})
+	return s.requestData(t)
+}
+
+// acquireLimits acquires the limits that count a command. It returns nil if no rules are in force. The result must be
+// released whatever the error.
+func (s *session) acquireLimits(t *task, request scheduler.Request) (*engine.Request, error) {
+	options := &s.target.options
+	if options.Rules == nil || !options.Rules.InForce() {
+		return nil, nil
+	}
+	method := http.MethodGet // what rules call a READ
+	if t.command.Write {
+		method = http.MethodPut
+	}
+	facts := &expression.Facts{
+		Method:  method,
+		Path:    "/" + strconv.Itoa(int(t.lun)) + "/" + strconv.FormatUint(t.command.LBA, 10),
+		Length:  len(t.command.Data),
+		Client:  s.params.InitiatorName,
+		Front:   frontendName,
+		Arrival: t.arrival,
+	}
+	class, plan := options.Classes[request.Class].Name, options.Plans[request.Plan].Name
+	return options.Rules.Admit(facts, class, plan, request.Volume)
+}
+
+// verdictOf returns how a command ends whose limits could not be acquired. Over a limit it may be retried; a fault of
+// a rule is a failure.
+func verdictOf(err error) exchange.Verdict {
+	if errors.As(err, new(engine.LimitError)) {
+		return exchange.Rejected
+	}
+	return exchange.Failed
+}
--- /dev/null
+++ b/internal/frontend/iscsitarget/command_window.go
@@ -0,0 +1,57 @@
+package iscsitarget
+
+import (
+	"errors"
+
+	"reachpulley/internal/proto/iscsi"
+)
+
+// acceptCmdSN checks the CmdSN of a request and tells whether the request is to be handled. Requests outside the
+// command window and duplicates are ignored (section 4.2.2.1). A gap is an error: on the only connection of a session
+// it cannot close.
+func (s *session) acceptCmdSN(p *iscsi.PDU) (inOrder bool, err error) {
+	if p.Immediate() {
+		return true, nil
+	}
+	s.mu.Lock()
+	cmdSN, expected, highest := p.Get(iscsi.CmdSN), s.expCmdSN, s.maxCmdSN
+	inOrder = cmdSN == expected && !iscsi.After(cmdSN, highest)
+	if inOrder {
+		s.expCmdSN++
+	}
+	s.mu.Unlock()
+	if inOrder || iscsi.After(cmdSN, highest) || iscsi.After(expected, cmdSN) {
+		return inOrder, nil
+	}
+	s.reject(p, iscsi.ProtocolError)
+	return false, errors.New("gap in the order of commands")
+}
+
+// number sets the sequence numbers of a PDU from the target.
+func (s *session) number(p *iscsi.PDU, hasStatus bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.openWindowLocked()
+	if p.Op() != iscsi.DataIn || hasStatus {
+		p.Set(iscsi.StatSN, s.statSN)
+	}
+	if hasStatus {
+		s.statSN++
+	}
+	p.Set(iscsi.ExpCmdSN, s.expCmdSN)
+	p.Set(iscsi.MaxCmdSN, s.maxCmdSN)
+}
+
+// openWindowLocked opens the command window for as many commands as the session has capacity for. MaxCmdSN never
+// decreases, as clients would ignore that.
+//
+// It runs when the window is sent and not when a command is accepted: an accepted command is not in tasks at once,
+// and its place would be given away twice.
+func (s *session) openWindowLocked() {
+	depth := s.target.options.Depth
+	capacity := depth - min(depth, len(s.tasks))
+	maxCmdSN := s.expCmdSN + uint32(capacity) - 1
+	if iscsi.After(maxCmdSN, s.maxCmdSN) {
+		s.maxCmdSN = maxCmdSN
+	}
+}
--- /dev/null
+++ b/internal/frontend/iscsitarget/data.go
@@ -0,0 +1,88 @@
+package iscsitarget
+
+import "reachpulley/internal/proto/iscsi"
+
+// requestData asks for the next burst of a write's data. Once all data has arrived, it lets the task be executed.
+func (s *session) requestData(t *task) error {
+	received, total := len(t.command.Data), t.command.Length()
+	if !t.command.Write || received == total {
+		close(t.dataComplete)
+		return nil
+	}
+	t.transferTag = s.newTransferTag()
+	t.dataSN = 0
+	t.burstEnd = min(total, received+s.params.MaxBurst)
+	r2t := iscsi.New(iscsi.R2T, iscsi.Final).SetLUN(t.lun)
+	r2t.Set(iscsi.TaskTag, t.tag)
+	r2t.Set(iscsi.TransferTag, t.transferTag)
+	r2t.Set(iscsi.BufferOffset, uint32(received))
+	r2t.Set(iscsi.DesiredLength, uint32(t.burstEnd-received))
+	return s.send(r2t, false)
+}
+
+// handleDataOut adds data that an R2T has asked for.
+func (s *session) handleDataOut(p *iscsi.PDU) error {
+	s.mu.Lock()
+	t := s.tasks[p.Get(iscsi.TaskTag)]
+	s.mu.Unlock()
+	if t == nil {
+		return nil // the task has ended in the meantime
+	}
+	if !t.expects(p) {
+		return s.reject(p, iscsi.InvalidPDUField)
+	}
+	t.dataSN++
+	t.command.Data = append(t.command.Data, p.Data...)
+	if !p.Has(iscsi.Final) {
+		return nil
+	}
+	if len(t.command.Data) < t.burstEnd { // the initiator has ended the burst too early
+		if s.takeTask(t) {
+			return s.send(s.checkCondition(t, iscsi.WrongDataLength), true)
+		}
+		return nil
+	}
+	t.burstEnd = 0
+	return s.requestData(t)
+}
+
+// expects tells whether a Data-Out is the next one of the outstanding R2T.
+func (t *task) expects(p *iscsi.PDU) bool {
+	received := len(t.command.Data)
+	return t.burstEnd != 0 &&
+		p.Get(iscsi.TransferTag) == t.transferTag &&
+		p.Get(iscsi.DataSN) == t.dataSN &&
+		p.Get(iscsi.BufferOffset) == uint32(received) &&
+		received+len(p.Data) <= t.burstEnd
+}
+
+// sendDataIn sends data in segments that the initiator accepts. The last one carries the status.
+func (s *session) sendDataIn(tag uint32, lun uint16, data []byte, expectedLength int) error {
+	residual, residualFlag := uint32(0), byte(0)
+	switch {
+	case len(data) > expectedLength:
+		residual, residualFlag = uint32(len(data)-expectedLength), iscsi.Overflow
+		data = data[:expectedLength]
+	case len(data) < expectedLength:
+		residual, residualFlag = uint32(expectedLength-len(data)), iscsi.Underflow
+	}
+	offset := 0
+	for dataSN := uint32(0); ; dataSN++ {
+		end := min(len(data), offset+s.params.MostSegment)
+		p := iscsi.New(iscsi.DataIn, 0).SetLUN(lun)
+		p.Set(iscsi.TaskTag, tag)
+		p.Set(iscsi.TransferTag, iscsi.NoTag)
+		p.Set(iscsi.DataSN, dataSN)
+		p.Set(iscsi.BufferOffset, uint32(offset))
+		p.Data = data[offset:end]
+		if end == len(data) {
+			p.Header[1] = iscsi.Final | iscsi.HasStatus | residualFlag
+			p.Set(iscsi.Residual, residual)
+			return s.send(p, true)
+		}
+		if err := s.send(p, false); err != nil {
+			return err
+		}
+		offset = end
+	}
+}
--- a/internal/frontend/iscsitarget/event.go
+++ b/internal/frontend/iscsitarget/event.go
@@ -9,66 +9,74 @@
 	"reachpulley/internal/proto/iscsi"
 )
 
-// Event is what the target tells of its sessions. Events go to the log, under the key "event"; their form is
-// in api/asyncapi.yaml.
+// Event reports what happened to a session or command. Events go to the log under the key "event"; api/asyncapi.yaml
+// describes their form.
 type Event struct {
 	Kind      string        `json:"kind"`
-	Session   uint16        `json:"session"`
+	Session   uint16        `json:"session"` // TSIH
 	Initiator string        `json:"initiator"`
-	Reason    string        `json:"reason,omitempty"` // of a session's end
-	TookMs    *int64        `json:"tookMs,omitempty"` // of what has ended
+	Reason    string        `json:"reason,omitempty"` // why a session ended
+	TookMs    *int64        `json:"tookMs,omitempty"` // duration of the session or command that ended
 	Command   *CommandEvent `json:"command,omitempty"`
 }
 
-// CommandEvent is the part of an Event that is about a READ or WRITE.
+// CommandEvent is the part of an Event that describes a READ or WRITE.
 type CommandEvent struct {
 	LUN       uint16 `json:"lun"`
-	Tag       uint32 `json:"tag"`
+	Tag       uint32 `json:"tag"` // Initiator Task Tag
 	Operation string `json:"operation"`
 	Verdict   string `json:"verdict"`
 	Status    string `json:"status"`
 }
 
-// The kinds of Event.
+// The kinds of events.
 const (
 	sessionOpened = "session-opened"
 	sessionClosed = "session-closed"
 	commandEnded  = "command-ended"
 )
 
+// newEvent returns an event of a session.
 func (s *session) newEvent(kind string) Event {
 	return Event{Kind: kind, Session: s.tsih, Initiator: s.params.InitiatorName}
 }
 
-func (s *session) opened() Event { return s.newEvent(sessionOpened) }
-
-func (s *session) closed(err error) Event {
+// closedEvent returns the event of the session's end.
+func (s *session) closedEvent(reason error) Event {
 	e := s.newEvent(sessionClosed)
-	e.Reason, e.TookMs = err.Error(), since(s.began)
+	e.Reason = reason.Error()
+	e.TookMs = millisecondsSince(s.startedAt)
 	return e
 }
 
-func (s *session) ended(t *task, v exchange.Verdict, status iscsi.Status) Event {
+// commandEvent returns the event of a command's end.
+func (s *session) commandEvent(t *task, verdict exchange.Verdict, status iscsi.Status) Event {
 	e := s.newEvent(commandEnded)
 	operation := "read"
 	if t.command.Write {
 		operation = "write"
 	}
-	e.Command = &CommandEvent{LUN: t.lun, Tag: t.tag, Operation: operation, Verdict: v.String(), Status: status.String()}
-	e.TookMs = since(t.took)
+	e.Command = &CommandEvent{
+		LUN:       t.lun,
+		Tag:       t.tag,
+		Operation: operation,
+		Verdict:   verdict.String(),
+		Status:    status.String(),
+	}
+	e.TookMs = millisecondsSince(t.arrival)
 	return e
 }
 
-func since(t time.Time) *int64 {
+func millisecondsSince(t time.Time) *int64 {
 	ms := time.Since(t).Milliseconds()
 	return &ms
 }
 
-// event logs e; commands only where the log is told to be wordy.
-func (t *Target) event(e Event) {
+// logEvent logs an event. Events of commands are logged at debug level only, since there are many.
+func (t *Target) logEvent(e Event) {
 	level := slog.LevelInfo
 	if e.Kind == commandEnded {
 		level = slog.LevelDebug
 	}
-	t.Log.Log(context.Background(), level, "iscsi", "event", e)
+	t.options.Log.Log(context.Background(), level, "iscsi", "event", e)
 }
--- /dev/null
+++ b/internal/frontend/iscsitarget/liveness.go
@@ -0,0 +1,70 @@
+package iscsitarget
+
+import (
+	"time"
+
+	"reachpulley/internal/proto/iscsi"
+)
+
+// noteReceived notes that the client has sent something.
+func (s *session) noteReceived() { s.lastReceived.Store(int64(time.Since(s.startedAt))) }
+
+// silence returns for how long the client has sent nothing.
+func (s *session) silence() time.Duration {
+	return time.Since(s.startedAt) - time.Duration(s.lastReceived.Load())
+}
+
+// watch pings a silent client, and ends the session if it does not answer: its machine may be gone without having
+// closed the connection.
+func (s *session) watch() {
+	ticker := time.NewTicker(pingInterval / 2)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-s.ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		silence := s.silence()
+		switch {
+		case silence >= 2*pingInterval:
+			s.cancel()
+		case silence >= pingInterval:
+			ping := iscsi.New(iscsi.NopIn, iscsi.Final).Set(iscsi.TaskTag, iscsi.NoTag)
+			ping.Set(iscsi.TransferTag, s.newTransferTag())
+			s.send(ping, false)
+		}
+	}
+}
+
+// Fields of an Async Message that requests a logout.
+const (
+	asyncEventOffset   = 36
+	asyncRequestLogout = 1  // the target requests a logout
+	asyncSecondsOffset = 45 // seconds until the target ends the session
+)
+
+// requestLogout asks the client to log out. It ends the session once the client has had logoutTimeout for it and
+// nothing is outstanding.
+func (s *session) requestLogout() {
+	message := iscsi.New(iscsi.AsyncMessage, iscsi.Final).Set(iscsi.TaskTag, iscsi.NoTag)
+	message.Header[asyncEventOffset] = asyncRequestLogout
+	message.Header[asyncSecondsOffset] = byte(logoutTimeout / time.Second)
+	s.send(message, true)
+	ticker := time.NewTicker(logoutTimeout / 4)
+	defer ticker.Stop()
+	for requestedAt := time.Now(); ; {
+		select {
+		case <-s.ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		s.mu.Lock()
+		idle := len(s.tasks) == 0
+		s.mu.Unlock()
+		if idle && time.Since(requestedAt) >= logoutTimeout {
+			s.cancel()
+			return
+		}
+	}
+}
--- a/internal/frontend/iscsitarget/login.go
+++ b/internal/frontend/iscsitarget/login.go
@@ -12,108 +12,169 @@
 )
 
 const (
-	mostLoginText   = 8 << 10
-	mostLoginRounds = 8
+	maxLoginText   = 8 << 10 // bytes of text in a Login Request, over all its PDUs
+	maxLoginRounds = 8       // PDUs of a login
 )
 
-var errLogin = errors.New("the login was refused")
+// Offsets in the headers of Login Requests and Responses (sections 11.12 and 11.13).
+const (
+	versionMinOffset  = 3
+	isidOffset        = 8
+	isidEnd           = 14
+	tsihOffset        = 14
+	loginStatusOffset = 36
+)
+
+// errLoginRejected reports a login that was answered with a status other than success.
+var errLoginRejected = errors.New("login rejected")
+
+// loginRequest is a Login Request with the text of the PDUs that it continues.
+type loginRequest struct {
+	*iscsi.PDU
+	text    []byte
+	stage   byte // current stage (CSG)
+	next    byte // next stage (NSG), if the initiator wants to proceed
+	transit bool // the initiator wants to proceed
+	leading bool // the first PDU of the login
+}
+
+func newLoginRequest(p *iscsi.PDU, leading bool) loginRequest {
+	return loginRequest{
+		PDU:     p,
+		stage:   p.Flags() >> 2 & 3,
+		next:    p.Flags() & 3,
+		transit: p.Has(iscsi.Transit),
+		leading: leading,
+	}
+}
 
-// login leads the session to its full feature phase.
+// login takes the session to its full feature phase.
 func (s *session) login() error {
-	s.conn.SetDeadline(time.Now().Add(loginTime))
+	s.conn.SetDeadline(time.Now().Add(loginTimeout))
 	var text []byte
-	declared := false
-	for round := 0; round < mostLoginRounds; round++ {
-		p, err := iscsi.ReadPDU(s.r, mostLoginText)
+	declared := false // MaxRecvDataSegmentLength has been sent
+	for round := range maxLoginRounds {
+		p, err := iscsi.ReadPDU(s.reader, maxLoginText)
 		if err != nil {
 			return err
 		}
 		if p.Op() != iscsi.LoginRequest {
 			return fmt.Errorf("%v before the login", p.Op())
 		}
-		if round == 0 { // the connection's numbers start where the initiator says
-			s.statSN, s.expCmdSN = p.Get(iscsi.ExpStatSN), p.Get(iscsi.CmdSN)
-			s.maxCmdSN = s.expCmdSN + uint32(s.target.Depth) - 1
-			copy(s.isid[:], p.Header[8:14])
+		request := newLoginRequest(p, round == 0)
+		if request.leading {
+			s.startNumbering(p)
 		}
-		stage, next := p.Flags()>>2&3, p.Flags()&3
-		transit := p.Has(iscsi.Transit)
 		text = append(text, p.Data...)
-		if p.Has(iscsi.Continue) && len(text) <= mostLoginText {
-			s.answerLogin(p, stage<<2, iscsi.LoginOK, nil)
+		if p.Has(iscsi.Continue) && len(text) <= maxLoginText {
+			s.sendLoginResponse(request, request.stage<<2, iscsi.LoginOK, nil)
 			continue
 		}
-		status, answers := s.negotiate(p, text, round == 0)
+		request.text = text
 		text = nil
-		if status == iscsi.LoginOK && (stage > iscsi.OperationalStage || transit && (next <= stage || next == 2)) {
-			status = iscsi.LoginInitiatorError
-		}
+		status, answers := s.negotiate(request)
 		if status != iscsi.LoginOK {
-			s.answerLogin(p, stage<<2, status, nil)
-			return fmt.Errorf("%w: status %#04x", errLogin, uint16(status))
+			s.sendLoginResponse(request, request.stage<<2, status, nil)
+			return fmt.Errorf("%w: status %#04x", errLoginRejected, uint16(status))
 		}
-		if stage == iscsi.OperationalStage && !declared {
+		if request.stage == iscsi.OperationalStage && !declared {
 			declared = true
-			answers = append(answers, iscsi.Pair{Key: "MaxRecvDataSegmentLength", Value: strconv.Itoa(httpmsg.MaxRequestBody)})
-		}
-		flags := stage << 2
-		if transit {
-			flags |= iscsi.Transit | next
+			limit := strconv.Itoa(httpmsg.MaxRequestBody)
+			answers = append(answers, iscsi.Pair{Key: "MaxRecvDataSegmentLength", Value: limit})
 		}
-		if transit && next == iscsi.FullFeature {
-			s.target.open(s)
-		}
-		if err := s.answerLogin(p, flags, iscsi.LoginOK, answers); err != nil {
+		done, err := s.proceed(request, answers)
+		if done || err != nil {
 			return err
 		}
-		if s.tsih != 0 {
-			s.conn.SetDeadline(time.Time{})
-			return nil
-		}
 	}
-	return fmt.Errorf("no end of the login after %d rounds", mostLoginRounds)
+	return fmt.Errorf("login not complete after %d rounds", maxLoginRounds)
+}
+
+// startNumbering sets the sequence numbers of the session. They start where the initiator says.
+func (s *session) startNumbering(p *iscsi.PDU) {
+	s.statSN = p.Get(iscsi.ExpStatSN)
+	s.expCmdSN = p.Get(iscsi.CmdSN)
+	s.maxCmdSN = s.expCmdSN + uint32(s.target.options.Depth) - 1
+	copy(s.isid[:], p.Header[isidOffset:isidEnd])
+}
+
+// proceed answers a successful Login Request and tells whether the login is complete.
+func (s *session) proceed(request loginRequest, answers []iscsi.Pair) (done bool, err error) {
+	flags := request.stage << 2
+	if request.transit {
+		flags |= iscsi.Transit | request.next
+	}
+	if request.transit && request.next == iscsi.FullFeature {
+		s.target.register(s)
+	}
+	if err := s.sendLoginResponse(request, flags, iscsi.LoginOK, answers); err != nil {
+		return false, err
+	}
+	if s.tsih == 0 {
+		return false, nil
+	}
+	s.conn.SetDeadline(time.Time{})
+	return true, nil
 }
 
-// negotiate checks a login request and takes its text.
-func (s *session) negotiate(p *iscsi.PDU, text []byte, leading bool) (iscsi.LoginStatus, []iscsi.Pair) {
+// negotiate checks a Login Request and applies its text. It returns the status and the answers to the text.
+func (s *session) negotiate(request loginRequest) (iscsi.LoginStatus, []iscsi.Pair) {
 	switch {
-	case s.refused:
+	case s.overLimit:
 		return iscsi.LoginOutOfResources, nil
-	case p.Header[3] > 0: // VersionMin
+	case request.Header[versionMinOffset] > 0:
 		return iscsi.LoginUnsupportedVersion, nil
-	case leading && binary.BigEndian.Uint16(p.Header[14:]) != 0:
+	case request.leading && binary.BigEndian.Uint16(request.Header[tsihOffset:]) != 0:
 		return iscsi.LoginSessionDoesNotExist, nil
-	case len(text) > mostLoginText:
+	case len(request.text) > maxLoginText:
 		return iscsi.LoginInitiatorError, nil
 	}
-	pairs, err := iscsi.ParseText(text)
-	var answers []iscsi.Pair
-	if err == nil {
-		answers, err = s.params.Negotiate(pairs)
-	}
+	answers, err := s.negotiateText(request.text)
 	switch {
 	case err != nil:
-		s.target.Log.Debug("iscsi login", "err", err)
+		s.target.options.Log.Debug("iSCSI login text rejected", "err", err)
 		return iscsi.LoginInitiatorError, nil
 	case s.params.InitiatorName == "" || s.params.TargetName == "" && !s.params.DiscoverySession:
 		return iscsi.LoginMissingParameter, nil
 	case s.params.DiscoverySession:
 		return iscsi.LoginSessionTypeNotSupported, nil
-	case s.params.TargetName != s.target.Name:
+	case s.params.TargetName != s.target.options.Name:
 		return iscsi.LoginTargetNotFound, nil
+	case !request.hasValidStages():
+		return iscsi.LoginInitiatorError, nil
 	}
-	if leading {
+	if request.leading {
 		answers = append([]iscsi.Pair{{Key: "TargetPortalGroupTag", Value: "1"}}, answers...)
 	}
 	return iscsi.LoginOK, answers
 }
 
-func (s *session) answerLogin(p *iscsi.PDU, flags byte, status iscsi.LoginStatus, answers []iscsi.Pair) error {
-	a := iscsi.New(iscsi.LoginResponse, flags)
-	copy(a.Header[8:14], s.isid[:])
-	binary.BigEndian.PutUint16(a.Header[14:], s.tsih)
-	a.Set(iscsi.TaskTag, p.Get(iscsi.TaskTag))
-	binary.BigEndian.PutUint16(a.Header[36:], uint16(status))
-	a.Data = iscsi.FormatText(answers)
-	return s.send(a, true)
+// negotiateText applies the text of a Login Request and returns the answers.
+func (s *session) negotiateText(text []byte) ([]iscsi.Pair, error) {
+	pairs, err := iscsi.ParseText(text)
+	if err != nil {
+		return nil, err
+	}
+	return s.params.Negotiate(pairs)
+}
+
+// hasValidStages tells whether the stages of the request exist and go forward.
+func (r loginRequest) hasValidStages() bool {
+	if r.stage > iscsi.OperationalStage {
+		return false
+	}
+	return !r.transit || r.next > r.stage && r.next != 2
+}
+
+// sendLoginResponse sends the Login Response to a request.
+func (s *session) sendLoginResponse(
+	request loginRequest, flags byte, status iscsi.LoginStatus, answers []iscsi.Pair,
+) error {
+	p := iscsi.New(iscsi.LoginResponse, flags)
+	copy(p.Header[isidOffset:isidEnd], s.isid[:])
+	binary.BigEndian.PutUint16(p.Header[tsihOffset:], s.tsih)
+	p.Set(iscsi.TaskTag, request.Get(iscsi.TaskTag))
+	binary.BigEndian.PutUint16(p.Header[loginStatusOffset:], uint16(status))
+	p.Data = iscsi.FormatText(answers)
+	return s.send(p, true)
 }
--- a/internal/frontend/iscsitarget/target.go
+++ b/internal/frontend/iscsitarget/target.go
@@ -1,11 +1,8 @@
-// Package iscsitarget is the gateway's front for clients that speak iSCSI: a target after RFC 7143 whose READs
-// and WRITEs go through the same core as the platform's requests. README.md lists the subset.
 package iscsitarget
 
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net"
 	"sync"
@@ -13,84 +10,67 @@
 
 	contracts "reachpulley/internal/contract/registry"
 	"reachpulley/internal/exchange"
-	"reachpulley/internal/proto/iscsi"
 	"reachpulley/internal/rules/engine"
 	"reachpulley/scheduler"
 )
 
-// Loop decides on exchanges.
-type Core interface {
+// Loop is the event loop that decides on exchanges.
+type Loop interface {
+	// Open hands over an exchange; the loop finishes it once its answer is known.
 	Open(*exchange.Exchange)
 }
 
-// Translator words a command for the nodes and reads what they reply.
-type Translator interface {
-	Request(q scheduler.Request, c *iscsi.Command) (payload any, err error)
-	Data(reply any) ([]byte, error)
-}
-
-// Unit is a logical unit and what the decisions need to know of it.
-type Unit struct {
-	LUN        uint16
-	Volume     string
-	Plan       int
-	ReadClass  int
-	WriteClass int
-	Shard      int
-	Hosts      int
-	BlockSize  uint32
-	Blocks     uint64
-	UnitBytes  int // bytes that count as one unit of size
-}
-
-// Options are what a Target needs.
+// Options configure a Target.
 type Options struct {
-	Name       string // of the target
+	Name       string // iSCSI name of the target
 	Units      []Unit
 	Classes    []scheduler.Class
 	Plans      []scheduler.Plan
 	Rules      *engine.Engine      // nil: no limits
-	Contracts  *contracts.Registry // nil: none
-	Sessions   int                 // most at a time
-	Depth      int                 // most commands outstanding in a session
-	Loop       Core
+	Contracts  *contracts.Registry // nil: no contracts
+	Sessions   int                 // maximum number of sessions
+	Depth      int                 // maximum number of outstanding commands in a session
+	Loop       Loop
 	Translator Translator
-	NewID      func() string // names a request; never twice the same
+	NewID      func() string // makes the ID of a request, each time another one
 	Log        *slog.Logger
 }
 
 const (
-	loginTime = 2500 * time.Millisecond // for a login to be done
-	writeTime = 10 * time.Second        // for a PDU to go out
-	pingAfter = 20 * time.Second        // silence after which a session is pinged; twice it ends one that is half open
-	goodbye   = 2 * time.Second         // for a client to log out when the target stops
-
-	acceptPause = 50 * time.Millisecond // after a connection that could not be taken
+	loginTimeout     = 2500 * time.Millisecond // for a login to complete
+	writeTimeout     = 10 * time.Second        // for a PDU to be written to the socket
+	pingInterval     = 20 * time.Second        // silence until a client is pinged; after twice that its session ends
+	logoutTimeout    = 2 * time.Second         // for a client to log out when the target stops
+	acceptRetryDelay = 50 * time.Millisecond   // after a failure to accept a connection
 )
 
-// Target serves sessions. It owns their connections: each is closed where its session's goroutine ends.
+// Target accepts connections and serves a session on each. It owns the connections: each is closed in session.run.
 type Target struct {
-	Options
-	units map[uint16]*Unit
+	options Options
+	units   map[uint16]*Unit // by LUN
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards the fields below
 	sessions map[*session]bool
 	stopping bool
 	lastTSIH uint16
-	wait     sync.WaitGroup
+	wait     sync.WaitGroup // one for each session that was added
 }
 
-// New makes a Target.
+// New returns a Target.
 func New(o Options) *Target {
-	t := &Target{Options: o, units: map[uint16]*Unit{}, sessions: map[*session]bool{}}
+	t := &Target{
+		options:  o,
+		units:    make(map[uint16]*Unit, len(o.Units)),
+		sessions: map[*session]bool{},
+	}
 	for i := range o.Units {
 		t.units[o.Units[i].LUN] = &o.Units[i]
 	}
 	return t
 }
 
-// Serve takes connections from l until it is closed. Running out of descriptors for a moment must not end the
-// gateway, so it tries again after any other fault.
+// Serve accepts connections until the listener is closed. It retries after any other error, since a lack of
+// descriptors is temporary.
 func (t *Target) Serve(l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -98,125 +78,108 @@
 			return
 		}
 		if err != nil {
-			t.Log.Warn("iscsi connection not taken", "err", err)
-			time.Sleep(acceptPause)
+			t.options.Log.Warn("iSCSI connection not accepted", "err", err)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		s := newSession(t, conn)
-		if !t.enter(s) {
+		if !t.add(s) {
 			conn.Close()
 			continue
 		}
 		go func() {
-			defer t.exit(s)
+			defer t.remove(s)
 			s.run()
 		}()
 	}
 }
 
-// enter counts a session. A few beyond the limit are let in to be told so in the terms of a login. Where those are
-// used up, the one that has been in its login for longest makes room: connections that say nothing shut nobody out.
-func (t *Target) enter(s *session) bool {
+// add adds a session to the table. Up to Options.Sessions sessions beyond the limit are added, so that a Login
+// Response can tell their clients of it. Beyond those, the session that has been in its login for longest is evicted:
+// clients that connect and send nothing must not keep others out.
+func (t *Target) add(s *session) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.stopping {
 		return false
 	}
-	if len(t.sessions) >= 2*t.Sessions {
-		var oldest *session
-		for other := range t.sessions {
-			if other.tsih == 0 && (oldest == nil || other.began.Before(oldest.began)) {
-				oldest = other
-			}
-		}
+	if len(t.sessions) >= 2*t.options.Sessions {
+		oldest := t.oldestLoginLocked()
 		if oldest == nil {
 			return false
 		}
-		oldest.end()
+		oldest.cancel()
 		delete(t.sessions, oldest)
 	}
-	s.refused = len(t.sessions) >= t.Sessions
+	s.overLimit = len(t.sessions) >= t.options.Sessions
 	t.sessions[s] = true
 	t.wait.Add(1)
 	return true
 }
 
-func (t *Target) exit(s *session) {
+// oldestLoginLocked returns the session that has been in its login for longest; nil if there is none.
+func (t *Target) oldestLoginLocked() *session {
+	var oldest *session
+	for s := range t.sessions {
+		if s.tsih == 0 && (oldest == nil || s.startedAt.Before(oldest.startedAt)) {
+			oldest = s
+		}
+	}
+	return oldest
+}
+
+// remove removes a session that has ended.
+func (t *Target) remove(s *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.sessions, s)
 	t.wait.Done()
 }
 
-// open counts a session as logged in. Another that its initiator has left behind, under the same ISID, ends: its
-// connection may be half open, and the initiator has taken its place. Its TSIH is drawn here.
-func (t *Target) open(s *session) {
+// register gives a session that has logged in its TSIH. It ends another session of the same initiator under the same
+// ISID, whose connection may be half open (session reinstatement, section 6.3.5).
+func (t *Target) register(s *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for other := range t.sessions {
-		if other != s && other.tsih != 0 && other.isid == s.isid && other.params.InitiatorName == s.params.InitiatorName {
-			other.end()
+		if other != s && other.tsih != 0 && other.isSameNexus(s) {
+			other.cancel()
 		}
 	}
-	if t.lastTSIH++; t.lastTSIH == 0 { // 0 asks for a new session
+	t.lastTSIH++
+	if t.lastTSIH == 0 { // 0 in a Login Request asks for a new session
 		t.lastTSIH = 1
 	}
 	s.tsih = t.lastTSIH
 }
 
-// Shutdown asks every client to log out and waits until all sessions have ended: at once where nothing is
-// outstanding and, for the rest, when what is outstanding has its answer or ctx ends.
+// Shutdown asks all clients to log out and waits until all sessions have ended. A session ends once nothing is
+// outstanding in it, and at the latest when ctx ends.
 func (t *Target) Shutdown(ctx context.Context) {
 	t.mu.Lock()
 	t.stopping = true
 	for s := range t.sessions {
 		if s.tsih == 0 { // still in its login
-			s.end()
+			s.cancel()
 			continue
 		}
-		go s.askLogout()
+		go s.requestLogout()
 	}
 	t.mu.Unlock()
-	done := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
 		t.wait.Wait()
-		close(done)
+		close(ended)
 	}()
 	select {
-	case <-done:
+	case <-ended:
 		return
 	case <-ctx.Done():
 	}
 	t.mu.Lock()
 	for s := range t.sessions {
-		s.end()
+		s.cancel()
 	}
 	t.mu.Unlock()
-	<-done
-}
-
-// request gives the facts of a command on a unit.
-func (u *Unit) request(id string, c *iscsi.Command) scheduler.Request {
-	class := u.ReadClass
-	if c.Write {
-		class = u.WriteClass
-	}
-	units := max(1, (c.Length()+u.UnitBytes-1)/u.UnitBytes)
-	return scheduler.Request{ID: id, Class: class, Plan: u.Plan, Volume: u.Volume, Key: fmt.Sprintf("%016x", c.LBA),
-		Units: float64(units), Shard: u.Shard, Hosts: u.Hosts}
-}
-
-// Native is the Translator for nodes that speak iSCSI themselves.
-type Native struct{}
-
-// Request passes the command on.
-func (Native) Request(_ scheduler.Request, c *iscsi.Command) (any, error) { return c, nil }
-
-// Data gives what a node read.
-func (Native) Data(reply any) ([]byte, error) {
-	r, ok := reply.(*iscsi.Reply)
-	if !ok {
-		return nil, fmt.Errorf("reply %T is not of a node that speaks iSCSI", reply)
-	}
-	return r.Data, nil
+	<-ended
 }
--- a/internal/frontend/iscsitarget/target_test.go
+++ b/internal/frontend/iscsitarget/target_test.go
@@ -8,25 +8,26 @@
 	"testing/synctest"
 )
 
-// failing is a listener out of descriptors, for a moment.
-type failing struct {
+// exhaustedListener is a listener without descriptors for a number of calls.
+type exhaustedListener struct {
 	net.Listener
-	left int
+	failures int
 }
 
-func (f *failing) Accept() (net.Conn, error) {
-	if f.left--; f.left < 0 {
+func (l *exhaustedListener) Accept() (net.Conn, error) {
+	l.failures--
+	if l.failures < 0 {
 		return nil, net.ErrClosed
 	}
 	return nil, errors.New("too many open files")
 }
 
-func TestServeOutlastsAFaultOfItsListener(t *testing.T) {
+func TestServeOutlastsFailuresOfItsListener(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &failing{left: 3}
+		l := &exhaustedListener{failures: 3}
 		New(Options{Log: slog.New(slog.DiscardHandler)}).Serve(l)
-		if l.left != -1 {
-			t.Errorf("%d faults were left", l.left)
+		if l.failures != -1 {
+			t.Errorf("%d failures were left", l.failures)
 		}
 	})
 }
--- /dev/null
+++ b/internal/frontend/iscsitarget/unit.go
@@ -0,0 +1,68 @@
+package iscsitarget
+
+import (
+	"fmt"
+
+	"reachpulley/internal/proto/iscsi"
+	"reachpulley/scheduler"
+)
+
+// Unit is a logical unit and the facts on which its commands are decided.
+type Unit struct {
+	LUN        uint16
+	Volume     string
+	Plan       int
+	ReadClass  int
+	WriteClass int
+	Shard      int
+	Hosts      int
+	BlockSize  uint32 // bytes
+	Blocks     uint64
+	UnitBytes  int // bytes that count as one unit of work
+}
+
+// class returns the class of a READ or WRITE.
+func (u *Unit) class(write bool) int {
+	if write {
+		return u.WriteClass
+	}
+	return u.ReadClass
+}
+
+// request returns the facts of a command. A command counts as one unit of work at least.
+func (u *Unit) request(id string, c *iscsi.Command) scheduler.Request {
+	units := max(1, (c.Length()+u.UnitBytes-1)/u.UnitBytes)
+	return scheduler.Request{
+		ID:     id,
+		Class:  u.class(c.Write),
+		Plan:   u.Plan,
+		Volume: u.Volume,
+		Key:    fmt.Sprintf("%016x", c.LBA),
+		Units:  float64(units),
+		Shard:  u.Shard,
+		Hosts:  u.Hosts,
+	}
+}
+
+// Translator converts commands to the protocol of the nodes, and their replies back.
+type Translator interface {
+	// Request returns the payload of the exchange for a command.
+	Request(q scheduler.Request, c *iscsi.Command) (payload any, err error)
+	// Data returns the data of a READ from a node's reply.
+	Data(reply any) ([]byte, error)
+}
+
+// Native is the Translator for nodes that speak iSCSI themselves.
+type Native struct{}
+
+// Request returns the command as it is.
+func (Native) Request(_ scheduler.Request, c *iscsi.Command) (any, error) { return c, nil }
+
+// Data returns the data of an iscsi.Reply.
+func (Native) Data(reply any) ([]byte, error) {
+	r, ok := reply.(*iscsi.Reply)
+	if !ok {
+		return nil, fmt.Errorf("reply %T is not from a node that speaks iSCSI", reply)
+	}
+	return r.Data, nil
+}
