--- a/internal/frontend/h2frontend/raw_client_test.go
+++ b/internal/frontend/h2frontend/raw_client_test.go
@@ -128,7 +128,7 @@
 	return ""
 }
 
-// received tells whether there was an event that begins with a text.
+// received reports whether there was an event that begins with a text.
 func (c *rawClient) received(prefix string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/h2frontend/read.go
+++ b/internal/frontend/h2frontend/read.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// readPreface reads the client's connection preface and tells whether it is that of HTTP/2. Clients of HTTP/1 are
+// readPreface reads the client's connection preface and reports whether it is that of HTTP/2. Clients of HTTP/1 are
 // told what is wrong.
 func (c *conn) readPreface() bool {
 	c.netConn.SetReadDeadline(time.Now().Add(requestTimeout))
@@ -80,7 +80,7 @@
 	return false
 }
 
-// isHTTP1 tells whether a connection begins like one of HTTP/1.
+// isHTTP1 reports whether a connection begins like one of HTTP/1.
 func isHTTP1(begin []byte) bool {
 	if strings.Contains(string(begin), "HTTP/1") {
 		return true
--- a/internal/frontend/h2frontend/stream.go
+++ b/internal/frontend/h2frontend/stream.go
@@ -161,7 +161,7 @@
 	c.idleSince = time.Now()
 }
 
-// reportEnd tells admission that a stream has ended, by a reset or by its response.
+// reportEnd notifies admission that a stream has ended, by a reset or by its response.
 func (c *conn) reportEnd(st *stream, reset bool) {
 	if !st.registered {
 		return
--- a/internal/frontend/h2frontend/write.go
+++ b/internal/frontend/h2frontend/write.go
@@ -20,7 +20,7 @@
 }
 
 // queueControlLocked queues a frame that is not part of a response. A client that causes more frames than it reads is
-// told so in place of all queued frames, and its connection is closed.
+// sent a GOAWAY in place of all queued frames, and its connection is closed.
 func (c *conn) queueControlLocked(write func() error) {
 	if c.controlOverflow {
 		return
@@ -110,7 +110,7 @@
 }
 
 // nextStreamLocked returns the stream whose response is written next: the most urgent, and among equally urgent ones
-// the one that was written to least recently. It tells admission which responses cannot be written.
+// the one that was written to least recently. It notifies admission of responses that cannot be written.
 func (c *conn) nextStreamLocked() (next *stream) {
 	for _, st := range c.streams {
 		blocked := st.header == nil && len(st.unsent) > 0 && (st.sendWindow <= 0 || c.sendWindow <= 0)
@@ -125,7 +125,7 @@
 	return next
 }
 
-// goesBefore tells whether a stream's response is written before that of another stream.
+// goesBefore reports whether a stream's response is written before that of another stream.
 func (st *stream) goesBefore(other *stream) bool {
 	if st.urgency != other.urgency {
 		return st.urgency < other.urgency
@@ -136,7 +136,7 @@
 	return st.id < other.id
 }
 
-// setStalledLocked notes whether a response waits for a window, and tells admission of a change. It does so from a
+// setStalledLocked notes whether a response waits for a window, and notifies admission of a change. It does so from a
 // goroutine of its own, as the server's lock must be taken before the connection's.
 func (c *conn) setStalledLocked(st *stream, stalled bool) {
 	if st.stalled == stalled || !st.registered {
--- a/internal/frontend/httpfrontend/client_conn.go
+++ b/internal/frontend/httpfrontend/client_conn.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// hasUnreadInput tells whether anything has been received that http.Server has not read.
+// hasUnreadInput reports whether anything has been received that http.Server has not read.
 func (c *clientConn) hasUnreadInput() bool { return c.input.hasUnread() || socketpeek.Ready(c.Conn) }
 
 // Read reads from the read-ahead. The first bytes of a request change the state to stateReading.
--- a/internal/frontend/httpfrontend/conn_state.go
+++ b/internal/frontend/httpfrontend/conn_state.go
@@ -25,5 +25,5 @@
 	stateClosed
 )
 
-// closing tells whether the connection takes no requests any more.
+// closing reports whether the connection takes no requests any more.
 func (s connState) closing() bool { return s >= stateLingering }
--- a/internal/frontend/httpfrontend/conn_tracker.go
+++ b/internal/frontend/httpfrontend/conn_tracker.go
@@ -128,7 +128,7 @@
 		if oldest != nil && !c.stateSince.Before(oldest.stateSince) {
 			continue
 		}
-		// A new or idle connection with unread input has a request that http.Server has not looked at yet.
+		// A new or idle connection with unread input has a request that http.Server has not read yet.
 		if (state == stateNew || state == stateIdle) && c.hasUnreadInput() {
 			continue
 		}
@@ -137,7 +137,7 @@
 	return oldest
 }
 
-// evictLocked closes a connection in favour of another one and tells whether there was one to close. The goroutine
+// evictLocked closes a connection in favour of another one and reports whether there was one to close. The goroutine
 // that serves it sees its read fail, or enterState fail if it has read a request in the same instant.
 func (t *connTracker) evictLocked(c *clientConn) bool {
 	if c == nil {
@@ -186,7 +186,7 @@
 	t.signalDrainedLocked()
 }
 
-// recordResponse notes whether a node served the connection's request. It tells whether so many connections are in
+// recordResponse notes whether a node served the connection's request. It reports whether so many connections are in
 // use, or were a moment ago, that this one should not be kept alive: clients that hold idle connections keep new
 // clients out.
 //
@@ -205,7 +205,7 @@
 	return inUse > t.maxConns/keepAliveDivisor
 }
 
-// saturated tells whether so many connections are open that one which only checked readiness should not be kept
+// saturated reports whether so many connections are open that one which only checked readiness should not be kept
 // alive.
 func (t *connTracker) saturated() bool {
 	t.mu.Lock()
--- a/internal/frontend/httpfrontend/frontend.go
+++ b/internal/frontend/httpfrontend/frontend.go
@@ -273,8 +273,8 @@
 	return nil
 }
 
-// allowsMethod tells whether requests of a method are accepted. Contracts may describe operations of any method of an
-// HTTP API; without contracts, clients read with GET and write with PUT.
+// allowsMethod reports whether requests of a method are accepted. Contracts may describe operations of any method of
+// an HTTP API; without contracts, clients read with GET and write with PUT.
 func (f *Frontend) allowsMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodPut:
--- a/internal/frontend/httpfrontend/read_ahead.go
+++ b/internal/frontend/httpfrontend/read_ahead.go
@@ -100,7 +100,7 @@
 	a.buffered = 0
 }
 
-// Read returns buffered input, and never that of two requests at once: so hasUnread tells whether a further request
+// Read returns buffered input, and never that of two requests at once: so hasUnread reports whether a further request
 // has arrived.
 func (a *readAhead) Read(p []byte) (int, error) {
 	a.mu.Lock()
@@ -141,7 +141,7 @@
 	return n
 }
 
-// hasUnread tells whether anything has arrived that Read has not returned.
+// hasUnread reports whether anything has arrived that Read has not returned.
 func (a *readAhead) hasUnread() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/frontend/httpfrontend/request.go
+++ b/internal/frontend/httpfrontend/request.go
@@ -58,7 +58,7 @@
 	contract *contracts.Match // nil: no contracts are in force
 }
 
-// release gives back what the request occupies. It is called once, when the request is answered or its client has
+// release releases what the request occupies. It is called once, when the request is answered or its client has
 // disconnected, also for a request that was not admitted.
 func (a *admission) release() {
 	a.limits.Release()
@@ -149,8 +149,8 @@
 	return host
 }
 
-// hasPlatformHeaders tells whether a request has any of the platform's headers. Class and plan of such a request are
-// not filled in when it leaves them out: leaving out a header must not raise anybody's priority.
+// hasPlatformHeaders reports whether a request has any of the platform's headers. Class and plan of such a request
+// are not filled in when it leaves them out: leaving out a header must not raise anybody's priority.
 func hasPlatformHeaders(h http.Header) bool {
 	for _, name := range [...]string{
 		httpmsg.IDHeader,
--- a/internal/frontend/httpfrontend/request_boundary.go
+++ b/internal/frontend/httpfrontend/request_boundary.go
@@ -49,7 +49,7 @@
 	s.line = append(s.line, data[:min(len(data), maxScannedLine-len(s.line))]...)
 }
 
-// endLine evaluates the current header line and starts the next. It tells whether the request ends with this line.
+// endLine evaluates the current header line and starts the next. It reports whether the request ends with this line.
 func (s *boundaryScanner) endLine() (requestEnds bool) {
 	line := bytes.TrimSuffix(s.line, []byte("\r"))
 	s.line = s.line[:0]
--- a/internal/frontend/httpfrontend/server_test.go
+++ b/internal/frontend/httpfrontend/server_test.go
@@ -21,6 +21,9 @@
 	}
 }
 
+// requestLine10 is requestLine in HTTP/1.0.
+var requestLine10 = strings.Replace(requestLine, "1.1", "1.0", 1)
+
 // Requests without a body. A request without headers of the platform is answered 400.
 var (
 	answeredRequest   = requestLine + withHeader("X-Request-Id: r", "X-Request-Id: now") + noBody
@@ -28,7 +31,11 @@
 	invalidRequest    = requestLine + noBody
 )
 
-const noBody = `Content-Length: 0\n\n`
+const (
+	noBody     = `Content-Length: 0\n\n`
+	chunked    = `Content-Length: 4\nTransfer-Encoding: chunked\n\n0\n\n`
+	longHeader = `X-More: 0123456789012345678901234567890123456789\n`
+)
 
 // withHeader returns the platform's headers with one of them replaced.
 func withHeader(old, replacement string) string {
@@ -40,7 +47,7 @@
 	return requestLine + withHeader("X-Request-Id: r", "X-Request-Id: "+id) + noBody
 }
 
-// runServerScripts plays each script against a server with room for four connections, one of them new.
+// runServerScripts plays each script against a server with a limit of four connections, one of them new.
 func runServerScripts(t *testing.T, scripts map[string]string) {
 	for name, script := range scripts {
 		t.Run(name, func(t *testing.T) { scenariotest.Run(t, script, startServer(t)) })
@@ -72,10 +79,8 @@
 	}
 }
 
-// The number of connections is bounded, and clients that waste connections keep nobody else out.
-func TestConnectionLimits(t *testing.T) {
-	runServerScripts(t, map[string]string{
-		"the connection that is idle for longest is evicted": `
+var connectionLimitScripts = map[string]string{
+	"the connection that is idle for longest is evicted": `
 			a send raw ` + answeredRequest + `
 			a expect 200
 			wait 2s
@@ -92,7 +97,7 @@
 			e expect 200
 			a expect end
 			b expect nothing`,
-		"a connection that was active a moment ago stays and the new one is closed": `
+	"a connection that was active a moment ago stays and the new one is closed": `
 			a send raw ` + answeredRequest + `
 			a expect 200
 			b send raw ` + unansweredRequest + `
@@ -105,8 +110,8 @@
 			e expect end
 			a send raw ` + answeredRequest + `
 			a expect 200`,
-		// Clients that send one bad request and stay connected must not keep others out.
-		"a connection that no node served is evicted at once": `
+	// Clients that send one bad request and stay connected must not keep others out.
+	"a connection that no node served is evicted at once": `
 			a send raw ` + invalidRequest + `
 			a expect 400 X-Request-Id is missing
 			wait 1ms
@@ -120,7 +125,7 @@
 			e expect 200
 			a expect end
 			b expect nothing`,
-		"a readiness check closes its connection when saturated": `
+	"a readiness check closes its connection when saturated": `
 			a send GET /ready
 			a expect 200
 			b send GET /ready
@@ -128,8 +133,8 @@
 			b expect end
 			a send raw ` + answeredRequest + `
 			a expect 200`,
-		// Idle connections of clients that were served would keep new clients out, too.
-		"a response closes its connection when saturated": `
+	// Idle connections of clients that were served would keep new clients out, too.
+	"a response closes its connection when saturated": `
 			a send raw ` + answeredRequest + `
 			a expect 200
 			b send raw ` + answeredRequest + `
@@ -137,7 +142,7 @@
 			b expect end
 			a send raw ` + answeredRequest + `
 			a expect 200`,
-		"connections that are idle for long do not count as in use": `
+	"connections that are idle for long do not count as in use": `
 			a send raw ` + answeredRequest + `
 			a expect 200
 			wait 2s
@@ -145,7 +150,7 @@
 			b expect 200
 			b send raw ` + answeredRequest + `
 			b expect 200`,
-		"connections that no node served do not count as in use": `
+	"connections that no node served do not count as in use": `
 			a send raw ` + invalidRequest + `
 			a expect 400 X-Request-Id is missing
 			b send raw ` + invalidRequest + `
@@ -154,7 +159,7 @@
 			c expect 200
 			c send raw ` + answeredRequest + `
 			c expect 200`,
-		"a connection with an open request is never evicted": `
+	"a connection with an open request is never evicted": `
 			a send raw ` + unansweredRequest + `
 			b send raw ` + unansweredRequestWithID("s") + `
 			c send raw ` + unansweredRequestWithID("t") + `
@@ -163,7 +168,7 @@
 			e send nothing
 			e expect end
 			a expect nothing`,
-		"at the limit a request that arrives slowly is evicted": `
+	"at the limit a request that arrives slowly is evicted": `
 			a send raw GET /ready
 			b send raw GET /ready
 			c send raw GET /ready
@@ -171,7 +176,7 @@
 			wait 600ms
 			e send GET /ready
 			e expect 200 Connection=close`,
-		"new connections have a limit of their own": `
+	"new connections have a limit of their own": `
 			a send nothing
 			b send nothing
 			a expect end
@@ -179,76 +184,73 @@
 			c expect 200
 			b expect end
 			within 1ms`,
-		// The platform expects such a connection to end within 3 s.
-		"a connection without a request ends": `
+	// The platform expects such a connection to end within 3 s.
+	"a connection without a request ends": `
 			a send nothing
 			wait 1900ms
 			a expect nothing
 			wait 100ms
 			a expect end`,
-		"a header that arrives slowly ends": `
+	"a header that arrives slowly ends": `
 			a send raw GET /ready HTTP/1.1\nHost:
 			wait 1s
 			a send raw h
 			wait 1s
 			a expect end`,
-		"a body that does not arrive is answered 408": `
+	"a body that does not arrive is answered 408": `
 			a send raw ` + requestLine + platformHeaders + `Content-Length: 5\n\nhel
 			wait 2s
 			a expect 408 Connection=close the body did not come in time
 			a expect end`,
-	})
 }
 
-// A request whose end or meaning is in doubt is rejected with the reason.
-func TestInvalidRequests(t *testing.T) {
-	const (
-		chunked    = `Content-Length: 4\nTransfer-Encoding: chunked\n\n0\n\n`
-		longHeader = `X-More: 0123456789012345678901234567890123456789\n`
-	)
-	requestLine10 := strings.Replace(requestLine, "1.1", "1.0", 1)
-	runServerScripts(t, map[string]string{
-		// net/http ignores the length, so a part of the body could be a request for whoever goes by it.
-		"a length beside a transfer encoding is rejected and nothing after it is read": `
+// The number of connections is bounded, and clients that waste connections keep nobody else out.
+func TestConnectionLimits(t *testing.T) { runServerScripts(t, connectionLimitScripts) }
+
+var invalidRequestScripts = map[string]string{
+	// net/http ignores the length, so a part of the body could be a request for whoever goes by it.
+	"a length beside a transfer encoding is rejected and nothing after it is read": `
 			a send raw ` + requestLine + platformHeaders + chunked + `GET /ready HTTP/1.1\nHost: h\n\n
 			a expect 411 Connection=close Content-Length is wanted in place of Transfer-Encoding
 			a expect end`,
-		// Under HTTP/1.0 net/http ignores the transfer encoding, too.
-		"HTTP/1.0 with a transfer encoding is rejected": `
+	// Under HTTP/1.0 net/http ignores the transfer encoding, too.
+	"HTTP/1.0 with a transfer encoding is rejected": `
 			a send raw ` + requestLine10 + platformHeaders + `Connection: keep-alive\n` + chunked + `
 			a expect 505 Connection=close HTTP/1.1 is wanted
 			a expect end`,
-		"a method other than GET and PUT": `
+	"a method other than GET and PUT": `
 			a send raw ` + strings.Replace(requestLine, "PUT", "POST", 1) + platformHeaders + noBody + `
 			a expect 405 Connection=close GET or PUT is wanted`,
-		"a negative length": `
+	"a negative length": `
 			a send raw ` + requestLine + platformHeaders + `Content-Length: -4\n\n
 			a expect 400 Connection=close 400 Bad Request`,
-		"a body that is too long": `
+	"a body that is too long": `
 			a send raw ` + requestLine + platformHeaders + `Content-Length: 60000000\n\nx
 			a expect 413 Connection=close the body is longer than 65536 bytes
 			a expect end`,
-		"a header that is too long": `
+	"a header that is too long": `
 			a send raw ` + requestLine + platformHeaders + strings.Repeat(longHeader, 500) + `
 			a expect 431 Connection=close 431 Request Header Fields Too Large`,
-		"two IDs": `
+	"two IDs": `
 			a send raw ` + requestLine + platformHeaders + `X-Request-Id: s\nContent-Length: 0\n\n
 			a expect 400 X-Request-Id: is there more than once`,
-		"two deadlines": `
+	"two deadlines": `
 			a send raw ` + requestLine + platformHeaders + `X-Deadline: 9000m\nContent-Length: 0\n\n
 			a expect 400 X-Deadline: is there more than once`,
-		"a deadline of days": `
+	"a deadline of days": `
 			a send raw ` + requestLine + withHeader("9000m", "864000000m") + noBody + `
 			a expect 400 X-Deadline: "864000000m" is not a time such as 480m or 480000u`,
-		"more units than a request may have": `
+	"more units than a request may have": `
 			a send raw ` + requestLine + withHeader("units=1", "units=9") + noBody + `
 			a expect 400 X-Placement: 9 units are more than the largest request's 8`,
-		// Nodes could not recognise a retry.
-		"a class of idempotent requests with key without a key": `
+	// Nodes could not recognise a retry.
+	"a class of idempotent requests with key without a key": `
 			a send raw ` + requestLine + withHeader("X-Class: c", "X-Class: keyed") + noBody + `
 			a expect 400 Idempotency-Key is missing, which class "keyed" needs`,
-		"a negative deadline": `
+	"a negative deadline": `
 			a send raw ` + requestLine + withHeader("9000m", "-9m") + noBody + `
 			a expect 400 X-Deadline: "-9m" is not a time such as 480m or 480000u`,
-	})
 }
+
+// A request whose end or meaning is in doubt is rejected with the reason.
+func TestInvalidRequests(t *testing.T) { runServerScripts(t, invalidRequestScripts) }
--- a/internal/frontend/iscsitarget/command_window.go
+++ b/internal/frontend/iscsitarget/command_window.go
@@ -6,7 +6,7 @@
 	"reachpulley/internal/proto/iscsi"
 )
 
-// acceptCmdSN checks the CmdSN of a request and tells whether the request is to be handled. Requests outside the
+// acceptCmdSN checks the CmdSN of a request and reports whether the request is to be handled. Requests outside the
 // command window and duplicates are ignored (section 4.2.2.1). A gap is an error: on the only connection of a session
 // it cannot close.
 func (s *session) acceptCmdSN(p *iscsi.PDU) (inOrder bool, err error) {
--- a/internal/frontend/iscsitarget/data.go
+++ b/internal/frontend/iscsitarget/data.go
@@ -46,7 +46,7 @@
 	return s.requestData(t)
 }
 
-// expects tells whether a Data-Out is the next one of the outstanding R2T.
+// expects reports whether a Data-Out is the next one of the outstanding R2T.
 func (t *task) expects(p *iscsi.PDU) bool {
 	received := len(t.command.Data)
 	return t.burstEnd != 0 &&
--- a/internal/frontend/iscsitarget/login.go
+++ b/internal/frontend/iscsitarget/login.go
@@ -98,7 +98,7 @@
 	copy(s.isid[:], p.Header[isidOffset:isidEnd])
 }
 
-// proceed answers a successful Login Request and tells whether the login is complete.
+// proceed answers a successful Login Request and reports whether the login is complete.
 func (s *session) proceed(request loginRequest, answers []iscsi.Pair) (done bool, err error) {
 	flags := request.stage << 2
 	if request.transit {
@@ -158,7 +158,7 @@
 	return s.params.Negotiate(pairs)
 }
 
-// hasValidStages tells whether the stages of the request exist and go forward.
+// hasValidStages reports whether the stages of the request exist and go forward.
 func (r loginRequest) hasValidStages() bool {
 	if r.stage > iscsi.OperationalStage {
 		return false
--- a/internal/frontend/iscsitarget/session.go
+++ b/internal/frontend/iscsitarget/session.go
@@ -56,7 +56,7 @@
 	return s
 }
 
-// isSameNexus tells whether two sessions are of the same initiator and the same initiator port.
+// isSameNexus reports whether two sessions are of the same initiator and the same initiator port.
 func (s *session) isSameNexus(other *session) bool {
 	return s.isid == other.isid && s.params.InitiatorName == other.params.InitiatorName
 }
--- a/internal/proto/iscsi/pdu.go
+++ b/internal/proto/iscsi/pdu.go
@@ -114,7 +114,7 @@
 // Op returns the opcode.
 func (p *PDU) Op() Opcode { return Opcode(p.Header[0] & opcodeMask) }
 
-// Immediate tells whether the PDU is for immediate delivery: it is outside the order of commands.
+// Immediate reports whether the PDU is for immediate delivery: it is outside the order of commands.
 func (p *PDU) Immediate() bool { return p.Header[0]&immediateFlag != 0 }
 
 // SetImmediate marks the PDU for immediate delivery.
@@ -126,7 +126,7 @@
 // Flags returns the second byte.
 func (p *PDU) Flags() byte { return p.Header[1] }
 
-// Has tells whether all the flags are set.
+// Has reports whether all the flags are set.
 func (p *PDU) Has(flags byte) bool { return p.Header[1]&flags == flags }
 
 // Field is a 32-bit field of the header, by its offset.
@@ -213,5 +213,5 @@
 	return b
 }
 
-// After tells whether serial number a comes after b. Serial numbers wrap around (RFC 1982).
+// After reports whether serial number a comes after b. Serial numbers wrap around (RFC 1982).
 func After(a, b uint32) bool { return int32(a-b) > 0 }
--- a/internal/socketpeek/peek.go
+++ b/internal/socketpeek/peek.go
@@ -1,4 +1,4 @@
-// Package socketpeek tells whether a connection has unread input, without waiting and without reading it.
+// Package socketpeek reports whether a connection has unread input, without waiting and without reading it.
 package socketpeek
 
 import (
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-// Ready tells whether a read would return at once: with data, with the end of the connection or with an error. It
+// Ready reports whether a read would return at once: with data, with the end of the connection or with an error. It
 // returns false for a connection that is not a socket, as nothing is known about it.
 func Ready(c net.Conn) bool {
 	socket, ok := c.(syscall.Conn)
