--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -21,11 +21,11 @@
 //     operations that violated their description.
 //   - node_health.go holds a node back after failures.
 //
-// These files are the policy: they are listed under "policy" in
-// deploy/balancer.toml, and no other file of the package decides anything about a request. The others keep the
-// books: concurrency_limit.go and latency_estimates.go estimate what the nodes can do, token_bucket.go, volume.go
-// and ordered_keys.go account for what clients are entitled to, and the snapshot_*.go files and restore.go write
-// and read the state.
+// These files are the policy. The key "policy" of deploy/balancer.toml lists them, and no other file of the package
+// decides anything about a request. The other files do the accounting: concurrency_limit.go and
+// latency_estimates.go estimate what the nodes can do, zone_observation.go collects signs of their health,
+// token_bucket.go, volume.go and ordered_keys.go track what clients are entitled to, and the snapshot_*.go files and
+// restore.go write and read the state.
 //
 // docs/design.md says why the policy is what it is.
 package scheduler
--- a/scheduler/node_health.go
+++ b/scheduler/node_health.go
@@ -8,7 +8,7 @@
 	maxBackoff     = 2 * time.Second
 )
 
-// updateHealth updates what is known of a node by the outcome of an attempt.
+// updateHealth updates what is known of a node, and of the volume, by the outcome of an attempt.
 func (s *Scheduler) updateHealth(attempt *attemptState, outcome Outcome) {
 	switch outcome.Result {
 	case Served:
@@ -22,8 +22,8 @@
 	}
 }
 
-// markServing records that the node has served an attempt. If the node was down, it may have restarted just
-// before that and is warming up.
+// markServing records that the node has served an attempt, before those that were sent earlier and are still
+// pending. If the node was down, it may have restarted just before that, so it counts as warming up.
 func (s *Scheduler) markServing(attempt *attemptState) {
 	node := attempt.node
 	for _, other := range node.pending {
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -83,6 +83,7 @@
 	return attempt
 }
 
+// fingerprint is the fingerprint of the request.
 func (r *requestState) fingerprint() requestFingerprint {
 	return requestFingerprint{volume: r.Volume, key: r.Key, class: r.Class, units: r.Units}
 }
--- a/scheduler/restrictions.go
+++ b/scheduler/restrictions.go
@@ -31,6 +31,7 @@
 	s.dispatch()
 }
 
+// setRestriction replaces the restriction of an operation at a node.
 func (s *Scheduler) setRestriction(restriction Restriction) {
 	key := restrictionKey{operation: restriction.Operation, node: restriction.Node}
 	_, known := s.restrictions[key]
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -142,7 +142,7 @@
 
 // cancelLost cancels attempts that will hardly be answered: that take far longer than expected, while others
 // that were sent later have been served. They would hold capacity until their clients give up; somewhat
-// earlier, they stop to hold any. This covers all losses on the way and stuck workers. Its price is that an
+// earlier, they stop holding any. This covers all losses on the way and stuck workers. Its price is that an
 // attempt with far more work than its size says runs twice.
 func (s *Scheduler) cancelLost(node *nodeState) {
 	for _, attempt := range slices.Clone(node.pending) {
@@ -179,6 +179,7 @@
 	}
 }
 
+// retryBudgetKey names the budget of a request's operation at the nodes that hold the same data as the node.
 func retryBudgetKey(request *requestState, node *nodeState) retrybudget.Key {
 	return retrybudget.Key{
 		Operation: request.Operation,
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// ClientDisconnected says that the client of a request is gone.
+// ClientDisconnected says that the client of a request has disconnected.
 func (s *Scheduler) ClientDisconnected(now time.Duration, id string) {
 	s.tick(now)
 	if request := s.requests[id]; request != nil && !request.ended {
--- a/scheduler/snapshot_decode.go
+++ b/scheduler/snapshot_decode.go
@@ -60,6 +60,7 @@
 	return fmt.Errorf("%w: "+format, append([]any{ErrSnapshot}, args...)...)
 }
 
+// checkHeader checks that this program knows the version of the snapshot.
 func (d *snapshotDecoder) checkHeader() error {
 	if d.snapshot.Version != SnapshotVersion {
 		return invalid("its version is %d, this program resumes from %d", d.snapshot.Version, SnapshotVersion)
@@ -67,6 +68,7 @@
 	return nil
 }
 
+// random resumes the random numbers.
 func (d *snapshotDecoder) random() error {
 	source := rand.NewPCG(0, 0)
 	if err := source.UnmarshalBinary(d.snapshot.Random); err != nil {
@@ -77,6 +79,7 @@
 	return nil
 }
 
+// scalars resumes what refers to no other part.
 func (d *snapshotDecoder) scalars() error {
 	s, from := d.scheduler, d.snapshot
 	classes := len(s.settings.Classes)
@@ -102,6 +105,7 @@
 	return nil
 }
 
+// restrictions resumes the restrictions.
 func (d *snapshotDecoder) restrictions() error {
 	s, from := d.scheduler, d.snapshot
 	if len(from.Restrictions) > MaxRestrictions {
@@ -130,7 +134,7 @@
 	return nil
 }
 
-// allNodes makes the nodes without what refers to volumes and requests; see allNodeQueues.
+// allNodes makes the nodes. Their queues follow in allNodeQueues, once there are volumes and requests.
 func (d *snapshotDecoder) allNodes() error {
 	s, from := d.scheduler, d.snapshot
 	if from.Listed < 0 || from.Listed > len(from.Nodes) {
@@ -148,6 +152,7 @@
 	return nil
 }
 
+// newSnapshotNode makes a node without what refers to volumes and requests.
 func newSnapshotNode(from *SnapshotNode) *nodeState {
 	node := &nodeState{
 		Node:             from.Node,
@@ -196,6 +201,7 @@
 	return node
 }
 
+// allVolumes makes the volumes.
 func (d *snapshotDecoder) allVolumes() error {
 	s := d.scheduler
 	for i := range d.snapshot.Volumes {
@@ -223,10 +229,12 @@
 	return nil
 }
 
+// bucket makes a token bucket.
 func (b *SnapshotTokenBucket) bucket() tokenBucket {
 	return tokenBucket{tokens: b.Tokens, rate: b.Rate, burst: b.Burst, refilledAt: b.RefilledAt}
 }
 
+// allRequests makes the requests and their attempts.
 func (d *snapshotDecoder) allRequests() error {
 	s := d.scheduler
 	for i := range d.snapshot.Requests {
@@ -258,6 +266,7 @@
 	return nil
 }
 
+// validRequest says whether what a request refers to exists.
 func (d *snapshotDecoder) validRequest(from *SnapshotRequest) bool {
 	return validIndex(from.Request.Class, len(d.scheduler.settings.Classes)) &&
 		validIndex(from.Volume, len(d.volumes)) &&
@@ -309,6 +318,7 @@
 	return nil
 }
 
+// nodeQueues gives a node its waiting requests, its fair-queueing tags and its pending attempts.
 func (d *snapshotDecoder) nodeQueues(node *nodeState, from *SnapshotNode) error {
 	if from.Failures < 0 {
 		return invalid("%d failures", from.Failures)
@@ -350,6 +360,7 @@
 	return inFlight[i], nil
 }
 
+// requestsAt finds requests by their indexes.
 func (d *snapshotDecoder) requestsAt(indexes []int) ([]*requestState, error) {
 	var requests []*requestState
 	for _, i := range indexes {
@@ -361,12 +372,14 @@
 	return requests, nil
 }
 
+// unassigned resumes the requests that no node may take.
 func (d *snapshotDecoder) unassigned() error {
 	var err error
 	d.scheduler.unassigned, err = d.requestsAt(d.snapshot.Unassigned)
 	return err
 }
 
+// orderedKeys makes the queues of ordered keys.
 func (d *snapshotDecoder) orderedKeys() error {
 	for _, from := range d.snapshot.OrderedKeys {
 		waiters, err := d.requestsAt(from.Waiters)
@@ -394,6 +407,7 @@
 	}
 }
 
+// restored resumes what was restored from the previous incarnation and has not been used yet.
 func (d *snapshotDecoder) restored() {
 	d.scheduler.restoredUntil = d.snapshot.RestoredUntil
 	if d.scheduler.restoredUntil > 0 {
--- a/scheduler/snapshot_encode.go
+++ b/scheduler/snapshot_encode.go
@@ -78,6 +78,7 @@
 	requestIndex map[*requestState]int
 }
 
+// newSnapshotEncoder indexes the parts of a Scheduler.
 func newSnapshotEncoder(s *Scheduler) *snapshotEncoder {
 	e := &snapshotEncoder{
 		scheduler:    s,
@@ -91,6 +92,7 @@
 	return e
 }
 
+// indexRequests indexes the requests in the order of their arrival.
 func (e *snapshotEncoder) indexRequests() {
 	for _, request := range e.scheduler.requests {
 		e.requests = append(e.requests, request)
@@ -135,6 +137,7 @@
 	}
 }
 
+// indexNode indexes a node, if there is one and it has no index yet.
 func (e *snapshotEncoder) indexNode(node *nodeState) {
 	if _, known := e.nodeIndex[node]; !known && node != nil {
 		e.nodeIndex[node] = len(e.nodes)
@@ -150,6 +153,7 @@
 	return -1
 }
 
+// requestIndexes returns the indexes of requests.
 func (e *snapshotEncoder) requestIndexes(requests []*requestState) []int {
 	var indexes []int
 	for _, request := range requests {
@@ -220,7 +224,7 @@
 	}
 }
 
-// finishTags leaves out the tags of volumes that nothing refers to any more.
+// finishTags returns the fair-queueing tags of a node, without those of volumes that nothing refers to any more.
 func (e *snapshotEncoder) finishTags(node *nodeState) [queueTiers][]SnapshotFinishTag {
 	var tags [queueTiers][]SnapshotFinishTag
 	for tier := range node.finishTags {
@@ -234,6 +238,7 @@
 	return tags
 }
 
+// pending returns the attempts at a node. Their requests have the rest of what is known of them.
 func (e *snapshotEncoder) pending(node *nodeState) []SnapshotAttempt {
 	var attempts []SnapshotAttempt
 	for _, attempt := range node.pending {
@@ -242,6 +247,7 @@
 	return attempts
 }
 
+// snapshotSends returns the sent attempts that count in the slow-start window.
 func (n *nodeState) snapshotSends() []SnapshotSend {
 	var sends []SnapshotSend
 	for _, send := range n.recentSends {
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -30,6 +30,7 @@
 	return volume
 }
 
+// newVolume sets up the volume of a request with this host's even part of what its plan entitles it to.
 func (s *Scheduler) newVolume(q Request) *volumeState {
 	plan := &Plan{Weight: 1, Price: 1}
 	if q.Plan >= 0 && q.Plan < len(s.settings.Plans) {
--- a/scheduler/zone_observation.go
+++ b/scheduler/zone_observation.go
@@ -9,11 +9,11 @@
 // Tuned values of the observations; ours.
 const (
 	resetBurstSpan = 50 * time.Millisecond  // connections that break within it break for one reason
-	minUnanswered  = 100 * time.Millisecond // attempts that end earlier say nothing about a silent node
+	minUnanswered  = 100 * time.Millisecond // attempts that end earlier do not show that a node is silent
 )
 
-// recordResponse records, for the zone tracker, whether an outcome is a sign of life of its node. A rejection and
-// a connection that is refused at once are as good as an answer.
+// recordResponse records, for the zone tracker, whether an outcome shows that its node responds. A rejection and a
+// connection that is refused at once show it as well as an answer.
 func (s *Scheduler) recordResponse(attempt *attemptState, outcome Outcome) {
 	if s.zoneTracker == nil {
 		return
@@ -45,8 +45,8 @@
 	}
 }
 
-// markResponding records a sign of life. The attempts that are still in flight may have been sent before it or
-// after it, so they count as unanswered from now on.
+// markResponding records a response. The attempts that are still in flight may have been sent before it or after
+// it, so they count as unanswered from now on.
 func (s *Scheduler) markResponding(node *nodeState) {
 	node.lastResponseAt = s.now
 	node.unansweredSince = 0
@@ -103,7 +103,7 @@
 	node.recoveredAt = 0
 }
 
-// observation is what the zone tracker is told of the node.
+// observation is what the zone tracker needs to know of the node.
 func (s *Scheduler) observation(node *nodeState) zonefailover.Observation {
 	observation := zonefailover.Observation{
 		ID:           node.ID,
