--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -26,20 +26,20 @@
 	answerBy        time.Duration // the final answer is due
 	clientTimeoutAt time.Duration // the client gives up, over all its tries
 
-	node        *nodeState // where it waits; nil: it does not wait for a node
-	tier        int        // of the queue
-	tag         float64
-	spilledOver bool // it goes to another zone than it prefers
+	node *nodeState // where it waits; nil: it does not wait for a node
+	tier int        // of the queue
+	tag  float64
 
 	inFlight []*attemptState // attempts without an outcome
 	attempts int             // attempts sent so far
-	charged  bool            // its units were taken from the volume's limit
 
 	// The first attempt that may have run. Without one, firstNode is nil.
 	firstNode    *nodeState
 	firstSentAt  time.Duration
 	firstAttempt int
 
+	spilledOver   bool // it goes to another zone than it prefers
+	charged       bool // its units were taken from the volume's limit
 	mayStillRun   bool // an attempt ended without an answer
 	streamStarted bool
 	ended         bool
