--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Tuned values of the admission; ours.
+// Tuned values of the admission. Unreserved requests need a queue at the node shorter than unreservedAdmit.
 const (
-	optimisticShare     = 0.6 // share of the expected time at a node that often suffices
-	unreservedAdmit     = 0.6 // share of the shortest objective that the queue at a node may take to admit
-	minRetryAfter       = 100 * time.Millisecond
-	maxRetryAfterSpread = 0.25 // share by which a Retry-After grows at random
+	optimisticShare     = 0.6                    // share of the expected time that often suffices (ours)
+	unreservedAdmit     = 0.6                    // share of the shortest objective that a queue may take
+	minRetryAfter       = 100 * time.Millisecond // shortest Retry-After (ours)
+	maxRetryAfterSpread = 0.25                   // share by which a Retry-After grows at random
 )
 
 // admit takes a request that has arrived, unless it names no class, and puts it into a queue or rejects it at
--- a/scheduler/concurrency_limit.go
+++ b/scheduler/concurrency_limit.go
@@ -14,8 +14,8 @@
 const (
 	maxLimitRequests     = 32                     // highest limit, in mean requests (design)
 	latencyTolerance     = 0.3                    // growth of the latency that the limit accepts (design)
-	minLatencyGain       = 0.1                    // weight of a lower window in the minimum latency (design)
-	maxRateGain          = minLatencyGain / 10    // weight of a window in the maximum rate (design)
+	minLatencyGain       = 0.1                    // weight of a lower window in the minimum latency
+	maxRateGain          = minLatencyGain / 10    // weight of a window in the maximum rate
 	windowDuration       = 500 * time.Millisecond // a window closes after this time (design)
 	maxWindowResponses   = 8                      // or after so many responses (ours)
 	smoothingResponses   = 4                      // weight of all earlier windows, in responses (ours)
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// Tuned values of the slow start; ours.
+// Tuned values of the slow start.
 const (
 	slowStartDrawShare   = 0.3 // share of the part that new objects get by the draw; twice it for others
 	slowStartUsualDemand = 2   // usual demand at a node, in capacities of the warm node
--- a/scheduler/zone_observation.go
+++ b/scheduler/zone_observation.go
@@ -6,7 +6,7 @@
 	"reachpulley/internal/zonefailover"
 )
 
-// Tuned values of the observations; ours.
+// Tuned values of the observations.
 const (
 	resetBurstSpan = 50 * time.Millisecond  // connections that break within it break for one reason
 	minUnanswered  = 100 * time.Millisecond // attempts that end earlier do not show that a node is silent
