--- a/cmd/reachpulley/capture_test.go
+++ b/cmd/reachpulley/capture_test.go
@@ -29,7 +29,7 @@
 	{
 		args: []string{"capture", "info", "$DIR/whole"},
 		code: exitSuccess,
-		want: []string{"recorded by test, format 5", "0 gaps", "class", "no connection"},
+		want: []string{"recorded by test, format 5", "0 gaps", "class", "connect failed"},
 	},
 	{
 		args: []string{"capture", "verify", "$DIR/whole"},
--- a/cmd/reachpulley/replay_test.go
+++ b/cmd/reachpulley/replay_test.go
@@ -8,7 +8,7 @@
 	{
 		args: []string{"replay", "--with", "$DIR/config.json", "--plot", "$DIR/whole"},
 		code: exitSuccess,
-		want: []string{"An open loop", "other settings, open loop", "refused, a second"},
+		want: []string{"An open loop", "other settings, open loop", "rejected per second"},
 	},
 	{
 		args: []string{"replay", "--with", "$DIR/key", "$DIR/whole"},
--- a/cmd/reachpulley/serve_test.go
+++ b/cmd/reachpulley/serve_test.go
@@ -128,11 +128,11 @@
 	g.waitForLine(t, `"msg":"serving"`)
 	configured.writeConfig(t, "here")
 	sendSignal(syscall.SIGHUP)
-	g.waitForLine(t, "not taken", "discovery: ")
+	g.waitForLine(t, "configuration rejected", "discovery: ")
 	configured.writeConfig(t, "127.0.0.1:2")
 	sendSignal(syscall.SIGHUP)
-	g.waitForLine(t, "discovery has moved", `"to":"127.0.0.1:2"`)
-	g.waitForLine(t, "new configuration taken")
+	g.waitForLine(t, "discovery address changed", `"to":"127.0.0.1:2"`)
+	g.waitForLine(t, "configuration reloaded")
 
 	sendSignal(syscall.SIGUSR2)
 	g.waitForLine(t, "capture written")
@@ -149,7 +149,7 @@
 	g.waitForExit(t)
 
 	next := startGateway()
-	next.waitForLine(t, "an earlier life's state was taken over")
+	next.waitForLine(t, "restored state from previous incarnation")
 	next.waitForLine(t, `"msg":"serving"`)
 	sendSignal(syscall.SIGTERM)
 	next.waitForLine(t, `"msg":"stopped"`)
