--- a/cmd/reachpulley/api_classify.go
+++ b/cmd/reachpulley/api_classify.go
@@ -77,10 +77,10 @@
 	return contract.Call{
 		Method: request.Method,
 		Host:   request.Host,
-		Path:   request.Encoded,
+		Path:   request.EncodedPath,
 		Query:  request.Query.Encode(),
 		Header: request.Header,
-		Body:   request.Length > 0,
+		Body:   request.BodyLength > 0,
 	}
 }
 
--- a/cmd/reachpulley/errors.go
+++ b/cmd/reachpulley/errors.go
@@ -40,7 +40,7 @@
 		fmt.Fprintln(e.stderr, err)
 	}
 	for _, fault := range faults {
-		fmt.Fprintln(e.stderr, fault.Show())
+		fmt.Fprintln(e.stderr, fault.Snippet())
 	}
 	return errors.Join(errUsage, err)
 }
--- a/cmd/reachpulley/rules_explain.go
+++ b/cmd/reachpulley/rules_explain.go
@@ -57,7 +57,7 @@
 		case tried.Matched:
 			result = "applies"
 		}
-		fmt.Fprintf(w, "%s %s (%s): %s\n", tried.Stage, tried.Rule, tried.Place, result)
+		fmt.Fprintf(w, "%s %s (%s): %s\n", tried.Stage, tried.Rule, tried.Position, result)
 		for _, term := range tried.Terms {
 			fmt.Fprintf(w, "    %s\t= %s\tcost %d\n", term.Text, term.Value, term.Cost)
 		}
@@ -67,7 +67,7 @@
 	if explanation.Rejected != "" {
 		fmt.Fprintf(w, "rejected: %s\n", explanation.Rejected)
 	}
-	fmt.Fprintf(w, "cost %d, at worst %d\n", explanation.Cost, explanation.Worst)
+	fmt.Fprintf(w, "cost %d, at worst %d\n", explanation.Cost, explanation.WorstCase)
 }
 
 // printSorted prints names with their values, in the order of the names.
--- a/cmd/reachpulley/serve.go
+++ b/cmd/reachpulley/serve.go
@@ -31,7 +31,7 @@
 		return logUsageError(slog.New(slog.NewJSONHandler(env.stderr, nil)), err)
 	}
 	log := logging.New(env.stderr, operator.Log, env.isTerminal)
-	gateway.Bound(platform.Limits)
+	gateway.ApplyRuntimeLimits(platform.Limits)
 	err = serve(gateway.Options{
 		Config:   platform,
 		Operator: operator,
--- a/cmd/reachpulley/storm.go
+++ b/cmd/reachpulley/storm.go
@@ -109,7 +109,7 @@
 
 // stormRow returns a row of the table. The rates are those of the time after the cause is gone.
 func stormRow(name string, storm simulation.Storm, result simulation.StormResult) string {
-	end := storm.Begin + storm.Slow
+	end := storm.SlowdownStart + storm.SlowdownDuration
 	served := 0
 	sent := 0
 	for i, second := range result.Seconds {
@@ -118,13 +118,13 @@
 			sent += second.Sent
 		}
 	}
-	seconds := (storm.Length - storm.Begin - storm.Slow).Seconds()
+	seconds := (storm.Length - storm.SlowdownStart - storm.SlowdownDuration).Seconds()
 	recovered := "never"
 	if result.Recovered >= 0 {
 		recovered = result.Recovered.String()
 	}
 	return fmt.Sprintf("%d\t%s\t%.0f\t%.0f\t%.0f\t%s",
-		storm.Seed, name, result.Before, float64(served)/seconds, float64(sent)/seconds, recovered)
+		storm.Seed, name, result.ServedBefore, float64(served)/seconds, float64(sent)/seconds, recovered)
 }
 
 func servedBySecond(result simulation.StormResult) []float64 {
--- a/internal/backend/httpbackend/backend.go
+++ b/internal/backend/httpbackend/backend.go
@@ -48,13 +48,13 @@
 
 // Options configure a Backend.
 type Options struct {
-	Directory discovery.EndpointLookup
-	Allowed   scheduler.Allowed // for its timeouts
-	Sockets   int               // maximum number of connections to nodes
-	Memory    int64             // bytes that large responses may occupy while they are read; one always may
-	Dial      dialFunc          // nil: the network
-	Observe   func(Observation) // called with each response; must not block. nil: no calls
-	Log       *slog.Logger
+	Directory           discovery.EndpointLookup
+	Allowed             scheduler.Allowed // for its timeouts
+	MaxConnections      int               // maximum number of connections to nodes
+	LargeResponseMemory int64             // bytes that large responses may occupy while they are read; one always may
+	Dial                dialFunc          // nil: the network
+	Observe             func(Observation) // called with each response; must not block. nil: no calls
+	Log                 *slog.Logger
 }
 
 // Observation is a node's response to an attempt. Its receiver must not change any of it.
@@ -81,9 +81,9 @@
 			dial:           dial,
 			connectTimeout: options.Allowed.ConnectTimeout,
 			idleTimeout:    options.Allowed.IdleTimeout / 2,
-			maxConnections: options.Sockets,
+			maxConnections: options.MaxConnections,
 		}),
-		largeResponses: semaphore.NewWeighted(max(options.Memory, httpmsg.MaxResponseBody)),
+		largeResponses: semaphore.NewWeighted(max(options.LargeResponseMemory, httpmsg.MaxResponseBody)),
 		directory:      options.Directory,
 		observe:        options.Observe,
 		log:            options.Log,
--- a/internal/backend/httpbackend/backend_test.go
+++ b/internal/backend/httpbackend/backend_test.go
@@ -37,11 +37,11 @@
 // newTestBackend returns a backend with two sockets that logs nothing.
 func newTestBackend(nodes *directory, dial dialFunc, timeouts scheduler.Allowed) *Backend {
 	return New(Options{
-		Directory: nodes,
-		Allowed:   timeouts,
-		Sockets:   2,
-		Dial:      dial,
-		Log:       slog.New(slog.DiscardHandler),
+		Directory:      nodes,
+		Allowed:        timeouts,
+		MaxConnections: 2,
+		Dial:           dial,
+		Log:            slog.New(slog.DiscardHandler),
 	})
 }
 
@@ -57,7 +57,7 @@
 
 // runScenario runs a script with a backend of two sockets and the nodes n and m. The line "backend send NODE" starts an
 // attempt, "backend send cancel" cancels all. The attempts' results must be those wanted, in this order.
-func runScenario(t *testing.T, script string, prepare func(*scenariotest.Stage, *directory), want ...scheduler.Result) {
+func runScenario(t *testing.T, script string, prepare func(*scenariotest.Scenario, *directory), want ...scheduler.Result) {
 	t.Helper()
 	var mu sync.Mutex
 	var got []scheduler.Result
@@ -66,7 +66,7 @@
 		defer mu.Unlock()
 		got = append(got, report.Result)
 	}
-	scenariotest.Run(t, script, func(s *scenariotest.Stage) func() {
+	scenariotest.Run(t, script, func(s *scenariotest.Scenario) func() {
 		nodes := &directory{}
 		timeouts := scheduler.Allowed{ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 15 * time.Second}
 		b := newTestBackend(nodes, s.Network.Dial, timeouts)
@@ -280,19 +280,19 @@
 	for _, test := range []struct {
 		name    string
 		script  string
-		prepare func(*scenariotest.Stage, *directory)
+		prepare func(*scenariotest.Scenario, *directory)
 	}{
 		{
 			name:    "not listening",
 			script:  `backend send n`,
-			prepare: func(s *scenariotest.Stage, _ *directory) { s.Network.Listen("n:1").Close() },
+			prepare: func(s *scenariotest.Scenario, _ *directory) { s.Network.Listen("n:1").Close() },
 		},
 		{
 			name: "draining",
 			script: `
 				backend send n
 				n expect nothing`,
-			prepare: func(_ *scenariotest.Stage, nodes *directory) { nodes.drain("n") },
+			prepare: func(_ *scenariotest.Scenario, nodes *directory) { nodes.drain("n") },
 		},
 		{
 			// The drain is reported during the dial, and what counts is when the request's first byte is sent.
@@ -303,7 +303,7 @@
 				directory send drain
 				wait 100ms
 				n expect nothing`,
-			prepare: func(s *scenariotest.Stage, nodes *directory) {
+			prepare: func(s *scenariotest.Scenario, nodes *directory) {
 				s.Network.Delay = 100 * time.Millisecond
 				s.Control("directory", "drain", func() { nodes.drain("n") })
 			},
@@ -314,7 +314,7 @@
 				backend send n
 				wait 251ms
 				n expect nothing`,
-			prepare: func(s *scenariotest.Stage, _ *directory) { s.Network.Delay = time.Minute },
+			prepare: func(s *scenariotest.Scenario, _ *directory) { s.Network.Delay = time.Minute },
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -332,7 +332,7 @@
 		wait 50ms
 		n send 200 yes`
 	var got eventloop.Report
-	scenariotest.Run(t, script, func(s *scenariotest.Stage) func() {
+	scenariotest.Run(t, script, func(s *scenariotest.Scenario) func() {
 		s.Network.Delay = 100 * time.Millisecond
 		timeouts := scheduler.Allowed{ConnectTimeout: time.Second, IdleTimeout: time.Second}
 		b := newTestBackend(&directory{}, s.Network.Dial, timeouts)
--- a/internal/backend/iscsiinitiator/initiator.go
+++ b/internal/backend/iscsiinitiator/initiator.go
@@ -53,13 +53,13 @@
 
 // Options configure an Initiator.
 type Options struct {
-	Directory discovery.EndpointLookup
-	Allowed   scheduler.Allowed // for its timeouts
-	Initiator string            // the initiator's name
-	Target    string            // the name of the nodes' target
-	Sockets   int               // maximum number of sessions
-	Dial      dialFunc          // nil: the network
-	Log       *slog.Logger
+	Directory   discovery.EndpointLookup
+	Allowed     scheduler.Allowed // for its timeouts
+	Initiator   string            // the initiator's name
+	Target      string            // the name of the nodes' target
+	MaxSessions int               // maximum number of sessions
+	Dial        dialFunc          // nil: the network
+	Log         *slog.Logger
 }
 
 // New returns an Initiator. Its idle sessions are closed only while Run is running.
@@ -76,7 +76,7 @@
 		name:           options.Initiator,
 		targetName:     options.Target,
 		isid:           rand.Uint32(),
-		maxSessions:    options.Sockets,
+		maxSessions:    options.MaxSessions,
 		log:            options.Log,
 		sessions:       map[string]*session{},
 	}
--- a/internal/backend/iscsiinitiator/initiator_test.go
+++ b/internal/backend/iscsiinitiator/initiator_test.go
@@ -55,9 +55,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				initiator := New(Options{
-					Directory: oneNode{},
-					Allowed:   scheduler.Allowed{ConnectTimeout: time.Second, IdleTimeout: time.Second},
-					Sockets:   1,
+					Directory:   oneNode{},
+					Allowed:     scheduler.Allowed{ConnectTimeout: time.Second, IdleTimeout: time.Second},
+					MaxSessions: 1,
 					Dial: func(context.Context, string, string) (net.Conn, error) {
 						near, far := net.Pipe()
 						return &breakingConn{Conn: near, far: far, writeSucceeds: writeSucceeds}, nil
--- a/internal/backend/iscsiinitiator/send.go
+++ b/internal/backend/iscsiinitiator/send.go
@@ -60,7 +60,7 @@
 	if command.Write {
 		request.Header[1] = iscsi.Final | iscsi.Write
 		if s.params.ImmediateData {
-			request.Data = command.Data[:min(len(command.Data), s.params.MostSegment, s.params.FirstBurst)]
+			request.Data = command.Data[:min(len(command.Data), s.params.MaxSegment, s.params.FirstBurst)]
 		}
 	}
 	request.Set(iscsi.TaskTag, tag).Set(iscsi.ExpectedLength, uint32(command.Length()))
@@ -117,7 +117,7 @@
 	}
 	end := offset + length
 	for dataSN := uint32(0); offset < end; dataSN++ {
-		next := min(end, offset+s.params.MostSegment)
+		next := min(end, offset+s.params.MaxSegment)
 		p := iscsi.New(iscsi.DataOut, 0).SetLUN(t.command.LUN).Set(iscsi.TaskTag, r2t.Get(iscsi.TaskTag))
 		p.Set(iscsi.TransferTag, r2t.Get(iscsi.TransferTag)).Set(iscsi.BufferOffset, uint32(offset))
 		if next == end {
--- a/internal/capture/segment/recovery_test.go
+++ b/internal/capture/segment/recovery_test.go
@@ -29,7 +29,7 @@
 	events, segments := 0, 0
 	for killAt := 0; events < recordedEvents; killAt++ {
 		fs := filesystemtest.New()
-		fs.Kill = killAt
+		fs.PowerLossAfter = killAt
 		writer := newPowerLossWriter(t, fs, limits)
 		for _, chunk := range chunks {
 			writer.write(chunk)
--- a/internal/capture/shrink/gotest.go
+++ b/internal/capture/shrink/gotest.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Test returns the source of a Go test that reads a case from a file beside it and checks that the property does
+// TestSource returns the source of a Go test that reads a case from a file beside it and checks that the property does
 // not hold any more.
-func Test(name, file string, p Property) string {
+func TestSource(name, file string, p Property) string {
 	return fmt.Sprintf(`package scheduler_test
 
 import (
--- a/internal/capture/shrink/shrink_test.go
+++ b/internal/capture/shrink/shrink_test.go
@@ -139,7 +139,7 @@
 }
 
 func TestGeneratedTestIsValidGo(t *testing.T) {
-	source := Test("NobodyIsSentTwice", "testdata/a.capture", parse(t, "sent=7@n1"))
+	source := TestSource("NobodyIsSentTwice", "testdata/a.capture", parse(t, "sent=7@n1"))
 	_, err := parser.ParseFile(token.NewFileSet(), "x_test.go", source, 0)
 	if err != nil || !strings.Contains(source, "func TestNobodyIsSentTwice(") {
 		t.Errorf("%v\n%s", err, source)
--- a/internal/capture/trigger/second_test.go
+++ b/internal/capture/trigger/second_test.go
@@ -24,14 +24,14 @@
 		"refused > 1 and again < ": "",
 	} {
 		t.Run(condition, func(t *testing.T) {
-			_, err := expression.CompileOver[Second](condition)
+			_, err := expression.CompilePredicate[Second](condition)
 			var sourceError *expression.SourceError
 			if !errors.As(err, &sourceError) || !strings.Contains(err.Error(), want) {
 				t.Error(err)
 			}
 		})
 	}
-	condition, err := expression.CompileOver[Second]("refused / arrived > 0.5 and left_out == 0")
+	condition, err := expression.CompilePredicate[Second]("refused / arrived > 0.5 and left_out == 0")
 	if err != nil || !condition.Holds(Second{Arrived: 2, Rejected: 2}) || condition.Holds(Second{}) {
 		t.Error(err)
 	}
--- a/internal/capture/trigger/watcher.go
+++ b/internal/capture/trigger/watcher.go
@@ -13,7 +13,7 @@
 // Rule is a trigger: a condition, and which time around it is kept.
 type Rule struct {
 	Name      string
-	Condition *expression.Over[Second]
+	Condition *expression.Predicate[Second]
 	Before    time.Duration // kept of what came before, as far as the recorder's memory reaches
 	After     time.Duration // kept of what comes after
 	Quiet     time.Duration // minimum time between two recordings of this trigger
--- a/internal/capture/trigger/watcher_test.go
+++ b/internal/capture/trigger/watcher_test.go
@@ -18,7 +18,7 @@
 
 func newRule(t *testing.T, name, condition string) Rule {
 	t.Helper()
-	compiled, err := expression.CompileOver[Second](condition)
+	compiled, err := expression.CompilePredicate[Second](condition)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/capture.go
+++ b/internal/config/capture.go
@@ -11,10 +11,10 @@
 
 // Capture is the table [capture].
 type Capture struct {
-	Memory       int           `toml:"memory_kb"`   // for the events and actions in memory; 0: nothing is recorded
+	MemoryKB     int           `toml:"memory_kb"`   // for the events and actions in memory; 0: nothing is recorded
 	Directory    string        `toml:"directory"`   // where captures are written
-	Disk         int           `toml:"disk_mb"`     // for all segments on disk; 0: none are written
-	Segment      int           `toml:"segment_mb"`  // size at which a segment ends
+	DiskMB       int           `toml:"disk_mb"`     // for all segments on disk; 0: none are written
+	SegmentMB    int           `toml:"segment_mb"`  // size at which a segment ends
 	SegmentAge   time.Duration `toml:"segment_age"` // at which a segment ends
 	MaxTriggered int           `toml:"kept"`        // retained captures of triggers; the oldest are removed first
 	Triggers     []Trigger     `toml:"trigger"`
@@ -28,10 +28,10 @@
 	After  time.Duration `toml:"after"`  // span after the trigger to retain
 	Quiet  time.Duration `toml:"quiet"`  // minimum time between two captures of this trigger
 
-	condition *expression.Over[trigger.Second] // When, compiled
+	condition *expression.Predicate[trigger.Second] // When, compiled
 }
 
-var defaultCapture = Capture{Segment: 8, SegmentAge: 10 * time.Minute, MaxTriggered: 20}
+var defaultCapture = Capture{SegmentMB: 8, SegmentAge: 10 * time.Minute, MaxTriggered: 20}
 
 const (
 	maxCaptureMemoryKB  = 1 << 20
@@ -48,27 +48,27 @@
 var triggerName = regexp.MustCompile(`^[a-z0-9_]{1,32}$`)
 
 func (c *Capture) validate(v tableValidator) {
-	v.requireRange("memory_kb", c.Memory, 0, maxCaptureMemoryKB)
-	v.require(c.Memory == 0 || c.Directory != "", "directory", "is missing")
-	v.requireRange("disk_mb", c.Disk, 0, maxCaptureDiskMB)
+	v.requireRange("memory_kb", c.MemoryKB, 0, maxCaptureMemoryKB)
+	v.require(c.MemoryKB == 0 || c.Directory != "", "directory", "is missing")
+	v.requireRange("disk_mb", c.DiskMB, 0, maxCaptureDiskMB)
 	c.validateTriggers(v)
-	if c.Disk > 0 {
+	if c.DiskMB > 0 {
 		c.validateSegments(v)
 	}
 }
 
 func (c *Capture) validateSegments(v tableValidator) {
-	v.require(c.Memory >= minMemoryWithDiskKB, "memory_kb",
-		"%d is less than %d, which segments on disk need", c.Memory, minMemoryWithDiskKB)
-	v.require(c.Segment >= 1 && c.Segment*minSegmentsOnDisk <= c.Disk, "segment_mb",
-		"%d is not from 1 to a half of disk_mb", c.Segment)
+	v.require(c.MemoryKB >= minMemoryWithDiskKB, "memory_kb",
+		"%d is less than %d, which segments on disk need", c.MemoryKB, minMemoryWithDiskKB)
+	v.require(c.SegmentMB >= 1 && c.SegmentMB*minSegmentsOnDisk <= c.DiskMB, "segment_mb",
+		"%d is not from 1 to a half of disk_mb", c.SegmentMB)
 	v.require(c.SegmentAge >= minSegmentAge, "segment_age", "%v is less than %v", c.SegmentAge, minSegmentAge)
 }
 
 func (c *Capture) validateTriggers(v tableValidator) {
 	v.requireRange("kept", c.MaxTriggered, 1, maxTriggered)
 	v.require(len(c.Triggers) <= maxTriggers, "trigger", "%d are more than %d", len(c.Triggers), maxTriggers)
-	v.require(len(c.Triggers) == 0 || c.Memory > 0, "memory_kb",
+	v.require(len(c.Triggers) == 0 || c.MemoryKB > 0, "memory_kb",
 		"triggers retain what is in memory, and nothing is recorded")
 	for i := range c.Triggers {
 		c.Triggers[i].validate(v.element("trigger", i))
@@ -84,7 +84,7 @@
 	v.require(t.After >= 0 && t.After <= maxTriggerSpan, "after",
 		"%v is not from 0s to %v", t.After, maxTriggerSpan)
 	v.require(t.Quiet >= 0, "quiet", "%v is below 0s", t.Quiet)
-	condition, err := expression.CompileOver[trigger.Second](t.When)
+	condition, err := expression.CompilePredicate[trigger.Second](t.When)
 	if err != nil {
 		v.fail("when", "%v", err)
 	}
@@ -109,8 +109,8 @@
 // Limits returns the limits of segments on disk.
 func (c *Capture) Limits() segment.Limits {
 	return segment.Limits{
-		Size:  int64(c.Segment) << 20,
+		Size:  int64(c.SegmentMB) << 20,
 		Age:   c.SegmentAge,
-		Total: int64(c.Disk) << 20,
+		Total: int64(c.DiskMB) << 20,
 	}
 }
--- a/internal/config/h2c.go
+++ b/internal/config/h2c.go
@@ -16,7 +16,7 @@
 	MaxInFlight      int           `toml:"at_core"`        // requests queued or in flight, over all connections
 	PerConnection    int           `toml:"per_connection"` // requests in flight of one connection
 	PerClient        int           `toml:"per_client"`     // requests in flight of one client address
-	Head             int           `toml:"head"`           // maximum size of a field section, in bytes
+	MaxHeaderBytes   int           `toml:"head"`           // maximum size of a field section, in bytes
 	Memory           int           `toml:"memory_kb"`      // for buffered responses
 	ConnectionMemory int           `toml:"connection_kb"`  // for one connection, in each direction
 	Stall            time.Duration `toml:"stall"`          // after which a response without progress is cancelled
@@ -32,7 +32,7 @@
 	MaxInFlight:      256,
 	PerConnection:    100,
 	PerClient:        128,
-	Head:             16 << 10,
+	MaxHeaderBytes:   16 << 10,
 	Memory:           8 << 10,
 	ConnectionMemory: 1 << 10,
 	Stall:            10 * time.Second,
@@ -57,7 +57,7 @@
 		"%d are more than streams, %d", h.MinStreams, h.Streams)
 	v.require(h.ConnectionMemory <= h.Memory, "connection_kb",
 		"%d is more than memory_kb, %d", h.ConnectionMemory, h.Memory)
-	v.requireRange("head", h.Head, minHeaderBytes, maxHeaderBytes)
+	v.requireRange("head", h.MaxHeaderBytes, minHeaderBytes, maxHeaderBytes)
 	v.require(h.Stall > 0, "stall", "is not above 0s")
 	v.require(h.Requests >= 0, "requests", "%d is below 0", h.Requests)
 }
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -11,15 +11,15 @@
 
 // Rules is the table [rules].
 type Rules struct {
-	File   string `toml:"file"`   // of the rules in force; empty: none
-	Shadow string `toml:"shadow"` // of rules that are only compared with those in force
-	Head   int    `toml:"head"`   // maximum size of a request's header, in bytes
+	File           string `toml:"file"`   // of the rules in force; empty: none
+	Shadow         string `toml:"shadow"` // of rules that are only compared with those in force
+	MaxHeaderBytes int    `toml:"head"`   // maximum size of a request's header, in bytes
 
 	Set       *rules.Set `toml:"-"` // the rules in force; nil: none
 	ShadowSet *rules.Set `toml:"-"`
 }
 
-var defaultRules = Rules{Head: httpfrontend.DefaultMaxHeaderBytes}
+var defaultRules = Rules{MaxHeaderBytes: httpfrontend.DefaultMaxHeaderBytes}
 
 // Bounds of the size of a request's header, in bytes.
 const (
@@ -29,7 +29,7 @@
 
 // validate also loads the rule files.
 func (r *Rules) validate(v tableValidator, settings scheduler.Settings) {
-	v.requireRange("head", r.Head, minHeaderBytes, maxHeaderBytes)
+	v.requireRange("head", r.MaxHeaderBytes, minHeaderBytes, maxHeaderBytes)
 	v.require(r.Shadow == "" || r.File != "", "shadow", "there are no rules in force to compare with")
 	r.Set = loadRules(v, "file", r.File, settings)
 	r.ShadowSet = loadRules(v, "shadow", r.Shadow, settings)
--- a/internal/configfile/document_test.go
+++ b/internal/configfile/document_test.go
@@ -93,9 +93,9 @@
 			if []rune(line)[fault.Column-1] != '@' {
 				t.Errorf("points at %d:%d of %q", fault.Line, fault.Column, text)
 			}
-			shown := strings.Split(fault.Show(), "\n")
+			shown := strings.Split(fault.Snippet(), "\n")
 			if strings.IndexByte(shown[1], '@') != strings.IndexByte(shown[2], '^') {
-				t.Errorf("the caret is misplaced:\n%s", fault.Show())
+				t.Errorf("the caret is misplaced:\n%s", fault.Snippet())
 			}
 		})
 	}
@@ -111,7 +111,7 @@
 		}
 		var decoded sample
 		for _, fault := range document.Decode(&decoded) {
-			_ = fault.Show()
+			_ = fault.Snippet()
 		}
 		for key := range document.spans {
 			if fault := document.FaultWithin(key, offset, "x"); fault.Line < 1 || fault.Column < 1 {
--- a/internal/configfile/fault.go
+++ b/internal/configfile/fault.go
@@ -37,8 +37,8 @@
 // Position returns FILE:LINE.
 func (f Fault) Position() string { return fmt.Sprintf("%s:%d", f.File, f.Line) }
 
-// Show returns the fault, the line in which it stands and a caret that points at its place.
-func (f Fault) Show() string {
+// Snippet returns the fault, the line in which it stands and a caret that points at its place.
+func (f Fault) Snippet() string {
 	if f.Text == "" {
 		return f.Error()
 	}
--- a/internal/contract/call.go
+++ b/internal/contract/call.go
@@ -25,12 +25,12 @@
 	if !c.Body {
 		return true
 	}
-	if len(o.Types) == 0 {
+	if len(o.RequestTypes) == 0 {
 		return o.Body
 	}
 	given, _, _ := strings.Cut(c.Header.Get("Content-Type"), ";")
 	given = strings.TrimSpace(given)
-	for _, described := range o.Types {
+	for _, described := range o.RequestTypes {
 		described, _, _ = strings.Cut(described, ";")
 		if typeMatches(described, given) {
 			return true
--- a/internal/contract/check.go
+++ b/internal/contract/check.go
@@ -77,9 +77,9 @@
 	if len(a.When) != len(b.When) {
 		return false
 	}
-	bothTyped := len(a.Types) > 0 && len(b.Types) > 0
-	inB := func(media string) bool { return slices.Contains(b.Types, media) }
-	if bothTyped && !slices.ContainsFunc(a.Types, inB) {
+	bothTyped := len(a.RequestTypes) > 0 && len(b.RequestTypes) > 0
+	inB := func(media string) bool { return slices.Contains(b.RequestTypes, media) }
+	if bothTyped && !slices.ContainsFunc(a.RequestTypes, inB) {
 		return false
 	}
 	for _, x := range a.When {
--- a/internal/contract/conformance/distrust_file_test.go
+++ b/internal/contract/conformance/distrust_file_test.go
@@ -86,7 +86,7 @@
 	})
 	t.Run("a full disk is reported once", func(t *testing.T) {
 		full := filesystemtest.New()
-		full.Kill = 0
+		full.PowerLossAfter = 0
 		if log := saveRecord(full, path, 1); strings.Count(log, "distrust file not written") != 1 {
 			t.Error(log)
 		}
--- a/internal/contract/difference.go
+++ b/internal/contract/difference.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		if segments, err := parsePathTemplate(o.Template); err == nil {
-			index[fmt.Sprint(o.Host, shapeOf(segments), " ", o.Method, o.When, o.Types)] = o
+			index[fmt.Sprint(o.Host, shapeOf(segments), " ", o.Method, o.When, o.RequestTypes)] = o
 		}
 	}
 	return index
--- a/internal/contract/openapi.go
+++ b/internal/contract/openapi.go
@@ -105,7 +105,7 @@
 		operation.Position.Line = from.Origin.Key.Line
 	}
 	if from.RequestBody != nil && from.RequestBody.Value != nil {
-		operation.Types = slices.Sorted(maps.Keys(from.RequestBody.Value.Content))
+		operation.RequestTypes = slices.Sorted(maps.Keys(from.RequestBody.Value.Content))
 	}
 	if from.Responses != nil {
 		operation.Creates = from.Responses.Value("201") != nil
--- a/internal/contract/operation.go
+++ b/internal/contract/operation.go
@@ -68,11 +68,11 @@
 	Shard            Shard
 	Statuses         map[string]Meaning // by number, or by kind as 4XX
 
-	Body      bool // it has a request body
-	Creates   bool // it describes status 201
-	Types     []string
-	Responses map[string]*Response // by number, by kind as 4XX, or "default"; nil: none are described
-	Position  SourcePosition
+	Body         bool // it has a request body
+	Creates      bool // it describes status 201
+	RequestTypes []string
+	Responses    map[string]*Response // by number, by kind as 4XX, or "default"; nil: none are described
+	Position     SourcePosition
 }
 
 // Location is a place in a call: a header, a parameter of the query or of the path.
--- a/internal/contract/router_test.go
+++ b/internal/contract/router_test.go
@@ -89,7 +89,7 @@
 	if !c.Body {
 		return true
 	}
-	return slices.Contains(o.Types, c.Header.Get("Content-Type")) || o.Body && len(o.Types) == 0
+	return slices.Contains(o.RequestTypes, c.Header.Get("Content-Type")) || o.Body && len(o.RequestTypes) == 0
 }
 
 // goesFirst reports whether a goes before b: by more conditions on the same path, or by the first segment that differs.
@@ -128,7 +128,7 @@
 	o.Host = rapid.SampledFrom([]string{"", "", "a.example"}).Draw(t, "host")
 	if rapid.Bool().Draw(t, "types") {
 		o.Body = true
-		o.Types = []string{rapid.SampledFrom([]string{"a/b", "a/c"}).Draw(t, "type")}
+		o.RequestTypes = []string{rapid.SampledFrom([]string{"a/b", "a/c"}).Draw(t, "type")}
 	}
 	for _, condition := range []Condition{
 		{Location{"query", "q"}, "1"},
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -156,7 +156,7 @@
 
 // play runs the script and returns what the client reported.
 func (s watchScenario) play(t *testing.T) (reported []string) {
-	scenariotest.Run(t, s.script, func(stage *scenariotest.Stage) func() {
+	scenariotest.Run(t, s.script, func(stage *scenariotest.Scenario) func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		client := New(ctx, Options{
 			Address:         "d:1",
@@ -200,7 +200,7 @@
 	script := "client send watch\n" + malformed + malformed + malformed +
 		request + "0\n" + response + upList + "\\n{]\\n\nd expect end\n"
 	var log strings.Builder
-	scenariotest.Run(t, script, func(stage *scenariotest.Stage) func() {
+	scenariotest.Run(t, script, func(stage *scenariotest.Scenario) func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		client := New(ctx, Options{
 			Address:   "d:1",
--- a/internal/filesystem/filesystem_test.go
+++ b/internal/filesystem/filesystem_test.go
@@ -20,7 +20,7 @@
 	for writtenBytes := range len(after) + 2 {
 		disk := filesystemtest.New()
 		disk.Put("d/file", before)
-		disk.Kill = writtenBytes
+		disk.PowerLossAfter = writtenBytes
 		err := filesystem.ReplaceFile(disk, "d/file", after)
 		if lost := writtenBytes <= len(after); errors.Is(err, filesystemtest.ErrPower) != lost {
 			t.Errorf("power lost after %d bytes: %v", writtenBytes, err)
--- a/internal/filesystem/filesystemtest/filesystemtest.go
+++ b/internal/filesystem/filesystemtest/filesystemtest.go
@@ -33,9 +33,9 @@
 	used      int              // bytes
 	powerLost bool
 
-	Capacity int // bytes that fit; 0: any number
-	FailSync int // number of the sync that fails, counted from now; 0: none
-	Kill     int // bytes written from now until the power is lost; -1: it is not
+	Capacity       int // bytes that fit; 0: any number
+	FailSync       int // number of the sync that fails, counted from now; 0: none
+	PowerLossAfter int // bytes written from now until the power is lost; -1: it is not
 }
 
 var _ filesystem.FS = (*FS)(nil)
@@ -43,7 +43,9 @@
 type file struct{ written, synced []byte }
 
 // New makes an empty FS.
-func New() *FS { return &FS{files: map[string]*file{}, durable: map[string]*file{}, Kill: -1} }
+func New() *FS {
+	return &FS{files: map[string]*file{}, durable: map[string]*file{}, PowerLossAfter: -1}
+}
 
 // Restart returns the file system as it is after the power was lost. Of each file's unsynced content, so many bytes
 // have survived.
@@ -227,15 +229,15 @@
 		n = max(0, f.Capacity-f.used)
 		err = syscall.ENOSPC
 	}
-	if f.Kill < 0 {
+	if f.PowerLossAfter < 0 {
 		return n, err
 	}
-	if n >= f.Kill {
-		n = f.Kill
+	if n >= f.PowerLossAfter {
+		n = f.PowerLossAfter
 		err = ErrPower
 		f.powerLost = true
 	}
-	f.Kill -= n
+	f.PowerLossAfter -= n
 	return n, err
 }
 
--- a/internal/frontend/h2frontend/bench_test.go
+++ b/internal/frontend/h2frontend/bench_test.go
@@ -81,7 +81,7 @@
 	listener1, listener2 := listen(b), listen(b)
 	server1 := httpfrontend.NewServer(frontend, listener1, 10_000, httpfrontend.DefaultMaxHeaderBytes, log)
 	server2, err := New(Options{
-		Carrier:        frontend,
+		Handler:        frontend,
 		Admission:      benchAdmission,
 		MaxHeaderBytes: testMaxHeaderBytes,
 		Log:            log,
--- a/internal/frontend/h2frontend/curl_test.go
+++ b/internal/frontend/h2frontend/curl_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	s, err := New(Options{
-		Carrier:        newEchoHandler(),
+		Handler:        newEchoHandler(),
 		Admission:      testAdmission,
 		MaxHeaderBytes: testMaxHeaderBytes,
 		Log:            slog.New(slog.DiscardHandler),
--- a/internal/frontend/h2frontend/helpers_test.go
+++ b/internal/frontend/h2frontend/helpers_test.go
@@ -87,7 +87,7 @@
 		s := &testServer{t: t, handler: newEchoHandler()}
 		var err error
 		s.server, err = New(Options{
-			Carrier:        s.handler,
+			Handler:        s.handler,
 			Admission:      config,
 			Seed:           1,
 			MaxHeaderBytes: testMaxHeaderBytes,
--- a/internal/frontend/h2frontend/request.go
+++ b/internal/frontend/h2frontend/request.go
@@ -278,7 +278,7 @@
 	c.incompleteBytes -= st.incompleteBytes
 	c.returnWindowLocked()
 	c.mu.Unlock()
-	client := c.server.options.Carrier.ClientID(st.request)
+	client := c.server.options.Handler.ClientID(st.request)
 	c.mu.Lock()
 	urgency := st.urgency
 	c.mu.Unlock()
--- a/internal/frontend/h2frontend/server.go
+++ b/internal/frontend/h2frontend/server.go
@@ -22,7 +22,7 @@
 
 // Options configure a Server.
 type Options struct {
-	Carrier        Handler
+	Handler        Handler
 	Admission      admission.Config
 	Seed           uint64 // of the admission controller
 	MaxHeaderBytes int    // limit of a request's field section (RFC 9113, section 6.5.2)
--- a/internal/frontend/h2frontend/stream.go
+++ b/internal/frontend/h2frontend/stream.go
@@ -51,7 +51,7 @@
 
 // handleRequest has the Handler answer a stream's request.
 func (c *conn) handleRequest(st *stream) {
-	resp := c.server.options.Carrier.Handle(st.request)
+	resp := c.server.options.Handler.Handle(st.request)
 	body, _ := io.ReadAll(resp.Body) // already in memory
 	if st.request.Context().Err() != nil {
 		return // the stream was reset, and removed then
--- a/internal/frontend/httpfrontend/frontend.go
+++ b/internal/frontend/httpfrontend/frontend.go
@@ -34,8 +34,8 @@
 	NewID    func() string  // makes the ID of a request that has none, where rules or contracts allow that
 	Log      *slog.Logger
 
-	Contracts *contracts.Registry // nil: no contracts
-	Plan      string              // plan of described requests to which nothing else assigns one; empty: rejected
+	Contracts   *contracts.Registry // nil: no contracts
+	DefaultPlan string              // plan of described requests to which nothing else assigns one; empty: rejected
 }
 
 // Frontend is the http.Handler of the gateway. An httputil.ReverseProxy does the HTTP work; its transport turns each
@@ -78,7 +78,7 @@
 	for i, plan := range o.Settings.Plans {
 		f.plans[plan.Name] = i
 	}
-	f.defaultPlan = slices.IndexFunc(o.Settings.Plans, func(p scheduler.Plan) bool { return p.Name == o.Plan })
+	f.defaultPlan = slices.IndexFunc(o.Settings.Plans, func(p scheduler.Plan) bool { return p.Name == o.DefaultPlan })
 	f.proxy = f.newProxy(o.Log)
 	return f
 }
--- a/internal/frontend/httpfrontend/read_ahead_test.go
+++ b/internal/frontend/httpfrontend/read_ahead_test.go
@@ -50,6 +50,7 @@
 		read += n
 		full()
 	}
+	a.discard() // as the owner of the connections does before it closes one: the reader may wait for space
 	near.Close()
 	<-a.ended
 }
--- a/internal/frontend/httpfrontend/request.go
+++ b/internal/frontend/httpfrontend/request.go
@@ -125,15 +125,15 @@
 // ruleFacts returns the part of a request that rules evaluate.
 func ruleFacts(r *http.Request, arrival time.Time) *expression.Facts {
 	return &expression.Facts{
-		Method:  r.Method,
-		Path:    r.URL.Path,
-		Query:   r.URL.Query(),
-		Host:    r.Host,
-		Header:  r.Header,
-		Length:  bodyLength(r),
-		Client:  clientAddress(r),
-		Front:   frontendName,
-		Arrival: arrival,
+		Method:     r.Method,
+		Path:       r.URL.Path,
+		Query:      r.URL.Query(),
+		Host:       r.Host,
+		Header:     r.Header,
+		BodyLength: bodyLength(r),
+		Client:     clientAddress(r),
+		Frontend:   frontendName,
+		Arrival:    arrival,
 	}
 }
 
--- a/internal/frontend/httpfrontend/request_builder.go
+++ b/internal/frontend/httpfrontend/request_builder.go
@@ -133,7 +133,7 @@
 // resolve returns the number of a class or plan.
 func (b *requestBuilder) resolve(fact namedFact) (int, error) {
 	given := b.http.Header.Get(fact.header)
-	if b.rules.Use(fact.field, given != "") && (!b.fromPlatform || b.rules.By[fact.field].Wins) {
+	if b.rules.Overrides(fact.field, given != "") && (!b.fromPlatform || b.rules.By[fact.field].OverridesHeaders) {
 		return fact.ruled, nil
 	}
 	number, known := fact.index[given]
@@ -171,10 +171,10 @@
 func (b *requestBuilder) setVolumeAndKey(request *scheduler.Request, described catalog.Placement) error {
 	volume, key, inPath := splitPath(b.http.URL.Path)
 	hasVolume, hasKey := inPath, inPath
-	if b.rules.Use(rules.Volume, inPath) {
+	if b.rules.Overrides(rules.Volume, inPath) {
 		volume, hasVolume = b.rules.Volume, true
 	}
-	if b.rules.Use(rules.Key, inPath) {
+	if b.rules.Overrides(rules.Key, inPath) {
 		key, hasKey = b.rules.Key, true
 	}
 	if !hasVolume && described.Volume != "" {
@@ -209,7 +209,7 @@
 		longest = min(longest, b.contract.Deadline())
 	}
 	given := b.http.Header.Get(httpmsg.DeadlineHeader)
-	if b.rules.Use(rules.Deadline, given != "") {
+	if b.rules.Overrides(rules.Deadline, given != "") {
 		return min(b.rules.Deadline, longest), nil
 	}
 	if given == "" && !b.fromPlatform {
@@ -238,13 +238,13 @@
 		request.Hosts = placement.Hosts
 	}
 	hasUnits, hasShard := given, given
-	if b.rules.Use(rules.Units, given) {
+	if b.rules.Overrides(rules.Units, given) {
 		request.Units, hasUnits = b.rules.Units, true
 	}
-	if b.rules.Use(rules.Shard, given) {
+	if b.rules.Overrides(rules.Shard, given) {
 		request.Shard, hasShard = b.rules.Shard, true
 	}
-	if b.rules.Use(rules.Hosts, given) {
+	if b.rules.Overrides(rules.Hosts, given) {
 		request.Hosts = b.rules.Hosts
 	}
 	if !hasUnits && described.Units > 0 {
@@ -271,7 +271,7 @@
 func (b *requestBuilder) ensureIdempotencyKey(request *scheduler.Request, class *scheduler.Class) error {
 	key := b.http.Header.Get(httpmsg.KeyHeader)
 	source := httpmsg.KeyHeader
-	if b.rules.Use(rules.Idempotency, key != "") {
+	if b.rules.Overrides(rules.Idempotency, key != "") {
 		key = b.rules.Idempotency
 		b.header.Set(httpmsg.KeyHeader, key)
 	}
--- a/internal/frontend/httpfrontend/server_test.go
+++ b/internal/frontend/httpfrontend/server_test.go
@@ -55,10 +55,10 @@
 }
 
 // startServer returns how scenariotest starts a server at gate:1 and stops it.
-func startServer(t *testing.T) func(*scenariotest.Stage) func() {
-	return func(s *scenariotest.Stage) func() {
+func startServer(t *testing.T) func(*scenariotest.Scenario) func() {
+	return func(s *scenariotest.Scenario) func() {
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
-			s.Client(name, "gate:1", scenariotest.HTTP{Shows: []string{"Connection"}})
+			s.Client(name, "gate:1", scenariotest.HTTP{VisibleHeaders: []string{"Connection"}})
 		}
 		log := slog.New(slog.DiscardHandler)
 		settings := scheduler.Settings{
--- a/internal/frontend/iscsitarget/command.go
+++ b/internal/frontend/iscsitarget/command.go
@@ -113,12 +113,12 @@
 		method = http.MethodPut
 	}
 	facts := &expression.Facts{
-		Method:  method,
-		Path:    "/" + strconv.Itoa(int(t.lun)) + "/" + strconv.FormatUint(t.command.LBA, 10),
-		Length:  len(t.command.Data),
-		Client:  s.params.InitiatorName,
-		Front:   frontendName,
-		Arrival: t.arrival,
+		Method:     method,
+		Path:       "/" + strconv.Itoa(int(t.lun)) + "/" + strconv.FormatUint(t.command.LBA, 10),
+		BodyLength: len(t.command.Data),
+		Client:     s.params.InitiatorName,
+		Frontend:   frontendName,
+		Arrival:    t.arrival,
 	}
 	class, plan := options.Classes[request.Class].Name, options.Plans[request.Plan].Name
 	return options.Rules.Admit(facts, class, plan, request.Volume)
--- a/internal/frontend/iscsitarget/data.go
+++ b/internal/frontend/iscsitarget/data.go
@@ -68,7 +68,7 @@
 	}
 	offset := 0
 	for dataSN := uint32(0); ; dataSN++ {
-		end := min(len(data), offset+s.params.MostSegment)
+		end := min(len(data), offset+s.params.MaxSegment)
 		p := iscsi.New(iscsi.DataIn, 0).SetLUN(lun)
 		p.Set(iscsi.TaskTag, tag)
 		p.Set(iscsi.TransferTag, iscsi.NoTag)
--- a/internal/frontend/iscsitarget/session.go
+++ b/internal/frontend/iscsitarget/session.go
@@ -137,7 +137,7 @@
 	answer := iscsi.New(iscsi.NopIn, iscsi.Final)
 	answer.Set(iscsi.TaskTag, p.Get(iscsi.TaskTag))
 	answer.Set(iscsi.TransferTag, iscsi.NoTag)
-	answer.Data = p.Data[:min(len(p.Data), s.params.MostSegment)]
+	answer.Data = p.Data[:min(len(p.Data), s.params.MaxSegment)]
 	return s.send(answer, true)
 }
 
--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -29,25 +29,25 @@
 func (g *gateway) newHTTPBackend() *httpbackend.Backend {
 	limits := g.options.Config.Limits
 	return httpbackend.New(httpbackend.Options{
-		Directory: g.discovery.Directory(),
-		Allowed:   g.options.Config.Settings.Allowed,
-		Sockets:   g.sockets.nodes,
-		Memory:    int64(responseShare * float64(limits.MemoryMB) * (1 << 20)),
-		Observe:   g.conformance.Observe,
-		Dial:      g.options.Dial,
-		Log:       g.log,
+		Directory:           g.discovery.Directory(),
+		Allowed:             g.options.Config.Settings.Allowed,
+		MaxConnections:      g.sockets.nodes,
+		LargeResponseMemory: int64(responseShare * float64(limits.MemoryMB) * (1 << 20)),
+		Observe:             g.conformance.Observe,
+		Dial:                g.options.Dial,
+		Log:                 g.log,
 	})
 }
 
 func (g *gateway) newISCSIInitiator(settings *config.ISCSI) *iscsiinitiator.Initiator {
 	return iscsiinitiator.New(iscsiinitiator.Options{
-		Directory: g.discovery.Directory(),
-		Allowed:   g.options.Config.Settings.Allowed,
-		Initiator: settings.Target,
-		Target:    settings.NodeTarget,
-		Sockets:   iscsiNodeSessions,
-		Dial:      g.options.Dial,
-		Log:       g.log,
+		Directory:   g.discovery.Directory(),
+		Allowed:     g.options.Config.Settings.Allowed,
+		Initiator:   settings.Target,
+		Target:      settings.NodeTarget,
+		MaxSessions: iscsiNodeSessions,
+		Dial:        g.options.Dial,
+		Log:         g.log,
 	})
 }
 
--- a/internal/gateway/captures.go
+++ b/internal/gateway/captures.go
@@ -47,7 +47,7 @@
 func (g *gateway) newCaptureFiles() *captureFiles {
 	settings := &g.options.Operator.Capture
 	return &captureFiles{
-		enabled:      settings.Memory > 0,
+		enabled:      settings.MemoryKB > 0,
 		directory:    settings.Directory,
 		gatewayName:  g.options.Config.Name,
 		maxTriggered: settings.MaxTriggered,
--- a/internal/gateway/checkpoint.go
+++ b/internal/gateway/checkpoint.go
@@ -34,7 +34,7 @@
 	return &checkpointer{
 		store: &warmrestart.Store{
 			FS:   filesystem.OS{},
-			Path: warmrestart.Path(settings.Directory, segment.SafeName(g.options.Config.Name)),
+			Path: warmrestart.StatePath(settings.Directory, segment.SafeName(g.options.Config.Name)),
 			Log:  g.log,
 		},
 		head: capture.Head{
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -113,7 +113,7 @@
 }
 
 // factsNode shows the headers by which a node learns what was decided on a request.
-var factsNode = scenariotest.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Qos-Policy"}}
+var factsNode = scenariotest.HTTP{VisibleHeaders: []string{"X-Class", "X-Placement", "X-Qos-Policy"}}
 
 // Calls that sheetContracts describes, and what a node sees of them.
 const (
--- a/internal/gateway/frontends.go
+++ b/internal/gateway/frontends.go
@@ -14,18 +14,18 @@
 
 func (g *gateway) newHTTPFrontend() *httpfrontend.Frontend {
 	return httpfrontend.New(httpfrontend.Options{
-		Settings:  g.options.Config.Settings,
-		Loop:      g.loop,
-		Rules:     g.rules,
-		Contracts: g.contracts,
-		Plan:      g.options.Operator.Contracts.Plan,
-		NewID:     newRequestIDs(),
-		Log:       g.log,
+		Settings:    g.options.Config.Settings,
+		Loop:        g.loop,
+		Rules:       g.rules,
+		Contracts:   g.contracts,
+		DefaultPlan: g.options.Operator.Contracts.Plan,
+		NewID:       newRequestIDs(),
+		Log:         g.log,
 	})
 }
 
 func (g *gateway) newHTTPServer() *httpfrontend.Server {
-	maxHeaderBytes := g.options.Operator.Rules.Head
+	maxHeaderBytes := g.options.Operator.Rules.MaxHeaderBytes
 	return httpfrontend.NewServer(g.httpFrontend, g.options.Listener, g.sockets.clients, maxHeaderBytes, g.log)
 }
 
@@ -36,10 +36,10 @@
 		return nil, nil
 	}
 	server, err := h2frontend.New(h2frontend.Options{
-		Carrier:        g.httpFrontend,
+		Handler:        g.httpFrontend,
 		Admission:      h2c.Admission(),
 		Seed:           g.options.Config.Seed,
-		MaxHeaderBytes: h2c.Head,
+		MaxHeaderBytes: h2c.MaxHeaderBytes,
 		Log:            g.log,
 	})
 	if err != nil {
--- a/internal/gateway/h2c_test.go
+++ b/internal/gateway/h2c_test.go
@@ -104,8 +104,8 @@
 			scenario{
 				script: "tablet send preface\n" + script,
 				node:   httpNode,
-				prepare: func(stage *scenariotest.Stage) {
-					stage.Client("tablet", "h2:1", &scenariotest.H2{Shows: []string{"retry-after"}})
+				prepare: func(stage *scenariotest.Scenario) {
+					stage.Client("tablet", "h2:1", &scenariotest.HTTP2{VisibleFields: []string{"retry-after"}})
 				},
 			}.play(t)
 		})
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -84,7 +84,7 @@
 )
 
 // httpNode shows the headers of requests that most scenarios look at.
-var httpNode = scenariotest.HTTP{Shows: []string{"X-Request-Id", "Idempotency-Key"}}
+var httpNode = scenariotest.HTTP{VisibleHeaders: []string{"X-Request-Id", "Idempotency-Key"}}
 
 // scenario is a script that is played in fake time before a whole gateway with one node, n.
 //
@@ -93,11 +93,11 @@
 // the gateway itself is controlled by messages to gateway.
 type scenario struct {
 	script    string
-	node      scenariotest.Speech
-	iscsi     *config.ISCSI             // nil: the iSCSI frontend is off
-	contracts bool                      // the descriptions of the tests are in force from the start
-	rules     string                    // the rule file that is in force from the start; empty: none
-	prepare   func(*scenariotest.Stage) // adds actors; nil: none
+	node      scenariotest.Codec
+	iscsi     *config.ISCSI                // nil: the iSCSI frontend is off
+	contracts bool                         // the descriptions of the tests are in force from the start
+	rules     string                       // the rule file that is in force from the start; empty: none
+	prepare   func(*scenariotest.Scenario) // adds actors; nil: none
 }
 
 // play runs the scenario, replays what the gateway recorded, and returns the gateway's log.
@@ -105,7 +105,7 @@
 	t.Helper()
 	var logged bytes.Buffer
 	captures := t.TempDir()
-	scenariotest.Run(t, s.script, func(stage *scenariotest.Stage) func() {
+	scenariotest.Run(t, s.script, func(stage *scenariotest.Scenario) func() {
 		s.addActors(stage)
 		options := s.options(t, stage)
 		options.Log = slog.New(slog.NewJSONHandler(&logged, &slog.HandlerOptions{Level: slog.LevelDebug}))
@@ -129,8 +129,8 @@
 	return logged.String()
 }
 
-func (s scenario) addActors(stage *scenariotest.Stage) {
-	client := scenariotest.HTTP{Shows: []string{"X-Request-Id", "Idempotency-Key", "Retry-After", "Connection"}}
+func (s scenario) addActors(stage *scenariotest.Scenario) {
+	client := scenariotest.HTTP{VisibleHeaders: []string{"X-Request-Id", "Idempotency-Key", "Retry-After", "Connection"}}
 	stage.Client("client", "gate:1", client)
 	stage.Client("other", "gate:1", client)
 	for _, name := range []string{"initiator", "second", "other-initiator", "third", "fourth"} {
@@ -145,16 +145,16 @@
 }
 
 // options are those of a gateway that records all of the scenario.
-func (s scenario) options(t *testing.T, stage *scenariotest.Stage) Options {
+func (s scenario) options(t *testing.T, stage *scenariotest.Scenario) Options {
 	configuration := parseConfig(t,
 		`"listen":"gate:1","discovery":"disc:1","seed":"1","known":`+hostList(1, true, "n up"))
 	operator := config.DefaultOperator()
 	operator.ISCSI = s.iscsi
 	operator.H2C.Enabled = true
 	operator.Capture = config.Capture{
-		Memory:       1 << 10,
-		Disk:         8,
-		Segment:      4,
+		MemoryKB:     1 << 10,
+		DiskMB:       8,
+		SegmentMB:    4,
 		SegmentAge:   time.Hour,
 		MaxTriggered: 1,
 	}
@@ -175,7 +175,7 @@
 }
 
 // addReloads lets the script change what a reload reads, and request reloads.
-func addReloads(t *testing.T, stage *scenariotest.Stage, options *Options) {
+func addReloads(t *testing.T, stage *scenariotest.Scenario, options *Options) {
 	next, operator := *options.Config, *options.Operator
 	settings := next.Settings
 	var fault error
--- a/internal/gateway/iscsi_test.go
+++ b/internal/gateway/iscsi_test.go
@@ -245,7 +245,7 @@
 			initiator expect nothing`,
 		iscsi:   iscsiFrontend(config.NodesISCSI),
 		node:    scenariotest.ISCSI{},
-		prepare: func(stage *scenariotest.Stage) { stage.Network.Listen("n:1").Close() },
+		prepare: func(stage *scenariotest.Scenario) { stage.Network.Listen("n:1").Close() },
 	}.play(t)
 }
 
@@ -271,6 +271,6 @@
 			node send 200 short
 			initiator expect response tag=3 status=check-condition sense=b/44/00`,
 		iscsi: iscsiFrontend(config.NodesHTTP),
-		node:  scenariotest.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Qos-Policy"}},
+		node:  scenariotest.HTTP{VisibleHeaders: []string{"X-Class", "X-Placement", "X-Qos-Policy"}},
 	}.play(t)
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -27,8 +27,8 @@
 	clientShare       = 0.6 // of the sockets for HTTP; clients' idle connections count too
 )
 
-// Bound sets what the Go runtime may use, for the whole process.
-func Bound(limits config.Limits) {
+// ApplyRuntimeLimits sets what the Go runtime may use, for the whole process.
+func ApplyRuntimeLimits(limits config.Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(limits.Cores))))
 	debug.SetGCPercent(gcPercent(limits.MemoryMB))
 	debug.SetMemoryLimit(int64(heapShare * float64(limits.MemoryMB) * (1 << 20)))
--- a/internal/gateway/recording.go
+++ b/internal/gateway/recording.go
@@ -22,14 +22,14 @@
 	files := g.newCaptureFiles()
 	options := capture.Options{
 		Program:  programVersion(),
-		MaxBytes: settings.Memory << 10,
+		MaxBytes: settings.MemoryKB << 10,
 		OnCrash:  files.saveCrash,
 	}
 	if len(settings.Triggers) > 0 {
 		options.Triggers = trigger.New(settings.TriggerRules(), g.options.Config.Settings)
 		options.OnTrigger = files.enqueueTriggered
 	}
-	if settings.Memory == 0 || settings.Disk == 0 {
+	if settings.MemoryKB == 0 || settings.DiskMB == 0 {
 		return recording{options: options, files: files}, nil
 	}
 	segments, err := segment.New(segment.Options{
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -87,7 +87,7 @@
 		return err
 	}
 	r.contracts.Swap(newCatalog, rejectsUndescribed(&operator.Contracts))
-	Bound(next.Limits)
+	ApplyRuntimeLimits(next.Limits)
 	r.discovery.MoveTo(next.Discovery)
 	r.loop.Note("configuration reloaded")
 	r.log.Info("configuration reloaded", "discovery", next.Discovery, "limits", next.Limits)
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -240,7 +240,7 @@
 
 // Each request of a legacy client, too, gets one answer.
 func TestRules(t *testing.T) {
-	node := scenariotest.HTTP{Shows: []string{"X-Class", "X-Placement", "X-Project", "X-Qos-Policy"}}
+	node := scenariotest.HTTP{VisibleHeaders: []string{"X-Class", "X-Placement", "X-Project", "X-Qos-Policy"}}
 	for name, script := range ruleScenarios {
 		t.Run(name, func(t *testing.T) { scenario{script: script, rules: "initial", node: node}.play(t) })
 	}
--- a/internal/proto/iscsi/text.go
+++ b/internal/proto/iscsi/text.go
@@ -50,7 +50,7 @@
 
 // Params are the operational parameters of a session, as one side sees them (section 13).
 type Params struct {
-	MostSegment      int  // the other side's MaxRecvDataSegmentLength: the longest data segment to send
+	MaxSegment       int  // the other side's MaxRecvDataSegmentLength: the longest data segment to send
 	FirstBurst       int  // FirstBurstLength: unsolicited data of a write
 	MaxBurst         int  // MaxBurstLength: data that one R2T asks for
 	ImmediateData    bool // a write may carry data in its command
@@ -76,7 +76,7 @@
 // DefaultParams returns the parameters that hold at the start of a login.
 func DefaultParams() Params {
 	return Params{
-		MostSegment:   DefaultSegment,
+		MaxSegment:    DefaultSegment,
 		FirstBurst:    DefaultFirstBurst,
 		MaxBurst:      DefaultMaxBurst,
 		ImmediateData: true,
@@ -127,7 +127,7 @@
 	case "InitiatorAlias", "TargetAlias", "TargetPortalGroupTag":
 		// Of no use here.
 	case "MaxRecvDataSegmentLength":
-		p.MostSegment, err = parseLength(pair, maxSegment)
+		p.MaxSegment, err = parseLength(pair, maxSegment)
 	case "FirstBurstLength":
 		p.FirstBurst, err = parseLength(pair, DefaultFirstBurst)
 		return strconv.Itoa(p.FirstBurst), true, err
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// Live returns the number of keys of a limit that have a slot and are not idle.
-func (l *Limiter) Live(limit int) int { return l.tables[limit].activeKeys(l.now) }
+// ActiveKeys returns the number of keys of a limit that have a slot and are not idle.
+func (l *Limiter) ActiveKeys(limit int) int { return l.tables[limit].activeKeys(l.now) }
 
 // Bytes returns the memory that all tables take.
 func (l *Limiter) Bytes() (sum int) {
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		playRandomRequests(t, l, newReferenceLimit(definition))
-		if n := l.Live(0); definition.Rate == 0 && n != 0 {
+		if n := l.ActiveKeys(0); definition.Rate == 0 && n != 0 {
 			t.Fatalf("%d keys are active with nothing open", n)
 		}
 	})
--- a/internal/rules/engine/engine_test.go
+++ b/internal/rules/engine/engine_test.go
@@ -105,7 +105,7 @@
 			request.Release()
 		}
 	}
-	if n := e.limiter.Live(0); n != 0 {
+	if n := e.limiter.ActiveKeys(0); n != 0 {
 		t.Errorf("%d keys still have open requests", n)
 	}
 	var none *Request
@@ -142,7 +142,7 @@
 	if err := e.Swap(sets[0], nil); err != nil {
 		t.Fatal(err)
 	}
-	if n := e.limiter.Live(0); n != 0 {
+	if n := e.limiter.ActiveKeys(0); n != 0 {
 		t.Errorf("%d keys still have open requests", n)
 	}
 }
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -8,34 +8,34 @@
 
 // Explanation says how a set came to what it sets for a request.
 type Explanation struct {
-	Tried    []TriedRule       `json:"tried"`
-	Assigned map[string]string `json:"gives,omitempty"`
-	Rejected string            `json:"refused,omitempty"`
-	Limits   map[string]string `json:"limits,omitempty"` // the keys by which limits count the request
-	Cost     int               `json:"cost"`
-	Worst    int               `json:"worst"` // the worst case of the set
+	Tried     []TriedRule       `json:"tried"`
+	Assigned  map[string]string `json:"gives,omitempty"`
+	Rejected  string            `json:"refused,omitempty"`
+	Limits    map[string]string `json:"limits,omitempty"` // the keys by which limits count the request
+	Cost      int               `json:"cost"`
+	WorstCase int               `json:"worst"` // the worst case of the set
 }
 
 // TriedRule is a rule that was tried.
 type TriedRule struct {
-	Rule    string            `json:"rule"`
-	Stage   string            `json:"stage"`
-	Place   string            `json:"place"`
-	Matched bool              `json:"matched"`
-	Fault   string            `json:"fault,omitempty"`
-	Terms   []expression.Term `json:"terms,omitempty"`
+	Rule     string            `json:"rule"`
+	Stage    string            `json:"stage"`
+	Position string            `json:"place"`
+	Matched  bool              `json:"matched"`
+	Fault    string            `json:"fault,omitempty"`
+	Terms    []expression.Term `json:"terms,omitempty"`
 }
 
 // Explain evaluates a request as Begin, Apply and Claims do, and records each step.
 func (s *Set) Explain(f *expression.Facts) Explanation {
 	explanation := Explanation{
-		Worst:    s.Cost,
-		Assigned: map[string]string{},
-		Limits:   map[string]string{},
+		WorstCase: s.Cost,
+		Assigned:  map[string]string{},
+		Limits:    map[string]string{},
 	}
 	var evaluation *Evaluation
 	trace := func(stage string, r *Rule, matched bool, fault *RuleFault) {
-		tried := TriedRule{Rule: r.Name, Stage: stage, Place: r.Position, Matched: matched}
+		tried := TriedRule{Rule: r.Name, Stage: stage, Position: r.Position, Matched: matched}
 		if fault != nil {
 			tried.Fault = fault.Error()
 		}
--- a/internal/rules/expression/doc.go
+++ b/internal/rules/expression/doc.go
@@ -13,5 +13,5 @@
 //   - an expression that depends on no request is evaluated once and replaced by its value.
 //
 // An Evaluator runs compiled programs for one request after another. Predicate conditions over other Go structs,
-// such as the trigger conditions of captures, are compiled by CompileOver.
+// such as the trigger conditions of captures, are compiled by CompilePredicate.
 package expression
--- a/internal/rules/expression/environment.go
+++ b/internal/rules/expression/environment.go
@@ -111,8 +111,8 @@
 	e.Path = f.Path
 	e.Host = f.Host
 	e.Client = f.Client
-	e.Front = f.Front
-	e.Length = f.Length
+	e.Front = f.Frontend
+	e.Length = f.BodyLength
 	e.Arrival = f.Arrival
 	e.setPath(f.Path)
 }
--- a/internal/rules/expression/expression_test.go
+++ b/internal/rules/expression/expression_test.go
@@ -14,20 +14,20 @@
 
 func testFacts() *Facts {
 	return &Facts{
-		Method: "GET",
-		Path:   "/api/bridge/7",
-		Query:  url.Values{"rows": {"12"}},
-		Host:   "h",
-		Client: "127.0.0.1",
-		Front:  "http",
+		Method:   "GET",
+		Path:     "/api/bridge/7",
+		Query:    url.Values{"rows": {"12"}},
+		Host:     "h",
+		Client:   "127.0.0.1",
+		Frontend: "http",
 		Header: http.Header{
 			"X-A":      {"one", "two"},
 			"X-Spaced": {"  Padded  "},
 			"X-When":   {"2026-03-29 01:30"},
 			"X-List":   {"a,b,c"},
 		},
-		Arrival: time.Date(2026, 3, 29, 0, 30, 0, 0, time.UTC),
-		Length:  5,
+		Arrival:    time.Date(2026, 3, 29, 0, 30, 0, 0, time.UTC),
+		BodyLength: 5,
 	}
 }
 
@@ -250,7 +250,7 @@
 			return
 		}
 		evaluator := NewEvaluator(nil, 1, 1<<40)
-		facts := &Facts{Method: "GET", Path: path, Header: http.Header{"X-A": {header}}, Length: length}
+		facts := &Facts{Method: "GET", Path: path, Header: http.Header{"X-A": {header}}, BodyLength: length}
 		if evaluator.Begin(facts, sizes) != nil {
 			return
 		}
--- a/internal/rules/expression/facts.go
+++ b/internal/rules/expression/facts.go
@@ -34,14 +34,14 @@
 type Facts struct {
 	Method      string
 	Path        string
-	Encoded     string // the path as it was received; only the lookup of described operations needs it
+	EncodedPath string // the path as it was received; only the lookup of described operations needs it
 	Query       url.Values
 	Host        string
 	Header      http.Header
 	HeaderBytes int // bytes of all headers, if the frontend bounds them; 0: they are counted
-	Length      int // of the body, in bytes
+	BodyLength  int // of the body, in bytes
 	Client      string
-	Front       string
+	Frontend    string
 	Arrival     time.Time // given by the caller, so that a replay gets the same results
 }
 
--- a/internal/rules/expression/predicate.go
+++ b/internal/rules/expression/predicate.go
@@ -8,15 +8,15 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// Over is a condition over values of T in the language of the rules: with the same operators, types and faults, but
+// Predicate is a condition over values of T in the language of the rules: with the same operators, types and faults, but
 // without loops and functions, so that the length of its text bounds its cost.
-type Over[T any] struct {
+type Predicate[T any] struct {
 	Source string
 	code   *vm.Program
 }
 
-// CompileOver compiles a condition. T is a struct whose fields are named by `expr` tags. The error is a *SourceError.
-func CompileOver[T any](source string) (*Over[T], error) {
+// CompilePredicate compiles a condition. T is a struct whose fields are named by `expr` tags. The error is a *SourceError.
+func CompilePredicate[T any](source string) (*Predicate[T], error) {
 	if err := checkSource(source); err != nil {
 		return nil, err
 	}
@@ -37,11 +37,11 @@
 	if checker.err != nil {
 		return nil, checker.err.in(source)
 	}
-	return &Over[T]{Source: source, code: code}, nil
+	return &Predicate[T]{Source: source, code: code}, nil
 }
 
 // Holds evaluates the condition. A condition that fails, for instance by a division by zero, does not hold.
-func (o *Over[T]) Holds(value T) bool {
+func (o *Predicate[T]) Holds(value T) bool {
 	result, err := expr.Run(o.code, value)
 	holds, ok := result.(bool)
 	return err == nil && ok && holds
--- a/internal/rules/index_test.go
+++ b/internal/rules/index_test.go
@@ -72,7 +72,7 @@
 					f.Header.Set(header, value)
 				}
 			}
-			f.Length = rapid.IntRange(0, 10).Draw(t, "length")
+			f.BodyLength = rapid.IntRange(0, 10).Draw(t, "length")
 			got, err := set.evaluateBy(indexCandidates, f)
 			want, wantErr := set.evaluateBy(allCandidates, f)
 			if fmt.Sprint(err) != fmt.Sprint(wantErr) || got.Hosts != want.Hosts || got.By[Hosts] != want.By[Hosts] {
--- a/internal/rules/load_rules.go
+++ b/internal/rules/load_rules.go
@@ -40,10 +40,10 @@
 
 func (l *loader) loadRule(key string, entry ruleEntry) *Rule {
 	r := &Rule{
-		Name:     entry.Name,
-		Path:     entry.Path,
-		Wins:     entry.Wins,
-		Position: l.position(key),
+		Name:             entry.Name,
+		Path:             entry.Path,
+		OverridesHeaders: entry.Wins,
+		Position:         l.position(key),
 	}
 	if !isName(strings.NewReplacer("-", "_", " ", "_").Replace(entry.Name)) {
 		l.addFault(key+".name", "%q is not a name of letters, digits, blanks, - and _", entry.Name)
--- a/internal/rules/load_test.go
+++ b/internal/rules/load_test.go
@@ -190,7 +190,7 @@
 `
 	var got strings.Builder
 	for _, fault := range faults {
-		got.WriteString(fault.Show() + "\n")
+		got.WriteString(fault.Snippet() + "\n")
 	}
 	if diff := cmp.Diff(want, got.String()); diff != "" {
 		t.Error(diff)
--- a/internal/rules/parse_request.go
+++ b/internal/rules/parse_request.go
@@ -102,16 +102,16 @@
 		return nil, fmt.Errorf("request: target: %w", err)
 	}
 	facts := &expression.Facts{
-		Method:  r.Method,
-		Path:    target.Path,
-		Encoded: target.EscapedPath(),
-		Query:   target.Query(),
-		Host:    r.Host,
-		Header:  http.Header{},
-		Length:  r.Length,
-		Client:  r.Client,
-		Front:   r.Front,
-		Arrival: r.Arrival,
+		Method:      r.Method,
+		Path:        target.Path,
+		EncodedPath: target.EscapedPath(),
+		Query:       target.Query(),
+		Host:        r.Host,
+		Header:      http.Header{},
+		BodyLength:  r.Length,
+		Client:      r.Client,
+		Frontend:    r.Front,
+		Arrival:     r.Arrival,
 	}
 	for name, values := range r.Headers {
 		for _, value := range values {
@@ -121,8 +121,8 @@
 	if facts.Method == "" {
 		facts.Method = defaultMethod
 	}
-	if facts.Front == "" {
-		facts.Front = defaultFront
+	if facts.Frontend == "" {
+		facts.Frontend = defaultFront
 	}
 	if facts.Client == "" {
 		facts.Client = defaultClient
--- a/internal/rules/result.go
+++ b/internal/rules/result.go
@@ -40,11 +40,11 @@
 func (f RuleFault) Unwrap() error { return f.Fault }
 
 // wins reports whether the value of a field overrides the platform's header.
-func (r *Result) wins(f Field) bool { return r.Has[f] && r.By[f].Wins }
+func (r *Result) wins(f Field) bool { return r.Has[f] && r.By[f].OverridesHeaders }
 
-// Use reports whether the value that the rules set for a field applies. The argument given says whether the request has
+// Overrides reports whether the value that the rules set for a field applies. The argument given says whether the request has
 // a platform header for the field.
-func (r *Result) Use(f Field, given bool) bool { return r.Has[f] && (!given || r.wins(f)) }
+func (r *Result) Overrides(f Field, given bool) bool { return r.Has[f] && (!given || r.wins(f)) }
 
 // set stores the value of a field, which checkValue has returned.
 func (r *Result) set(f Field, value any, by *Rule) {
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -75,12 +75,12 @@
 
 // Rule is one rule of a file.
 type Rule struct {
-	Name        string
-	Stage       Stage
-	Path        string // its path template; empty for any path
-	Wins        bool   // what it sets overrides the platform's headers
-	SkipOnFault bool   // a fault makes it not apply; otherwise the request is rejected
-	Position    string // FILE:LINE
+	Name             string
+	Stage            Stage
+	Path             string // its path template; empty for any path
+	OverridesHeaders bool   // what it sets overrides the platform's headers
+	SkipOnFault      bool   // a fault makes it not apply; otherwise the request is rejected
+	Position         string // FILE:LINE
 
 	condition    *expression.Program // nil: always true
 	conjuncts    []expression.Conjunct
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -59,13 +59,13 @@
 		panic(err)
 	}
 	f := &expression.Facts{
-		Method:  method,
-		Path:    u.Path,
-		Query:   u.Query(),
-		Header:  http.Header{},
-		Client:  "127.0.0.1",
-		Front:   "http",
-		Arrival: time.Date(2026, 12, 1, 23, 30, 0, 0, time.UTC),
+		Method:   method,
+		Path:     u.Path,
+		Query:    u.Query(),
+		Header:   http.Header{},
+		Client:   "127.0.0.1",
+		Frontend: "http",
+		Arrival:  time.Date(2026, 12, 1, 23, 30, 0, 0, time.UTC),
 	}
 	for i := 0; i+1 < len(headers); i += 2 {
 		f.Header.Add(headers[i], headers[i+1])
--- a/internal/scenariotest/actor.go
+++ b/internal/scenariotest/actor.go
@@ -30,8 +30,8 @@
 
 // actor is a client or a stand-in for a server. It receives the messages of all its connections in one order.
 type actor struct {
-	stage    *Stage
-	speech   Speech
+	stage    *Scenario
+	speech   Codec
 	address  string       // a client's: to which it connects when it first sends
 	listener net.Listener // a server's
 	received chan message
@@ -47,7 +47,7 @@
 	words string
 }
 
-func newActor(stage *Stage, address string, speech Speech) *actor {
+func newActor(stage *Scenario, address string, speech Codec) *actor {
 	return &actor{
 		stage:    stage,
 		speech:   speech,
--- a/internal/scenariotest/h2.go
+++ b/internal/scenariotest/h2.go
@@ -13,7 +13,7 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// H2 is the Speech of HTTP/2. A message is a frame, so that a script can violate the protocol, too:
+// HTTP2 is the Speech of HTTP/2. A message is a frame, so that a script can violate the protocol, too:
 //
 //	preface                            the client's, with its SETTINGS
 //	headers 1 end GET /path name=value HEADERS; without end, more frames follow on the stream
@@ -27,8 +27,8 @@
 // A frame that is received has the same words. SETTINGS, WINDOW_UPDATE and acknowledgements are skipped. Of a
 // response's fields, it has the status and those in Shows. H2 is used by pointer, as it keeps the HPACK state of each
 // connection.
-type H2 struct {
-	Shows []string // names of fields, in lower case
+type HTTP2 struct {
+	VisibleFields []string // names of fields, in lower case
 
 	mu      sync.Mutex
 	framers map[*bufio.Reader]*http2.Framer
@@ -75,7 +75,7 @@
 }
 
 // Write sends a frame.
-func (h *H2) Write(w io.Writer, words string) error {
+func (h *HTTP2) Write(w io.Writer, words string) error {
 	f := parseFrame(words)
 	framer := http2.NewFramer(w, nil)
 	framer.AllowIllegalWrites = true
@@ -149,7 +149,7 @@
 }
 
 // Read receives a frame.
-func (h *H2) Read(r *bufio.Reader) (string, error) {
+func (h *HTTP2) Read(r *bufio.Reader) (string, error) {
 	framer := h.framer(r)
 	for {
 		received, err := framer.ReadFrame()
@@ -176,7 +176,7 @@
 }
 
 // framer returns the framer of a connection, which has its HPACK state.
-func (h *H2) framer(r *bufio.Reader) *http2.Framer {
+func (h *HTTP2) framer(r *bufio.Reader) *http2.Framer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if framer := h.framers[r]; framer != nil {
@@ -191,13 +191,13 @@
 	return framer
 }
 
-func (h *H2) headerWords(f *http2.MetaHeadersFrame) string {
+func (h *HTTP2) headerWords(f *http2.MetaHeadersFrame) string {
 	words := []string{"headers", fmt.Sprint(f.StreamID)}
 	if f.StreamEnded() {
 		words = append(words, end)
 	}
 	words = append(words, f.PseudoValue("status"))
-	for _, name := range h.Shows {
+	for _, name := range h.VisibleFields {
 		for _, field := range f.RegularFields() {
 			if field.Name == name {
 				words = append(words, name+"="+field.Value)
--- a/internal/scenariotest/http.go
+++ b/internal/scenariotest/http.go
@@ -19,7 +19,7 @@
 //
 // A message that is received has the headers in Shows and no others.
 type HTTP struct {
-	Shows []string
+	VisibleHeaders []string
 }
 
 // Write sends a request or a response.
@@ -92,7 +92,7 @@
 
 // words adds the headers that are shown and the body to a message's words.
 func (h HTTP) words(words []string, header http.Header, body io.Reader) (string, error) {
-	for _, name := range h.Shows {
+	for _, name := range h.VisibleHeaders {
 		if value := header.Get(name); value != "" {
 			words = append(words, name+"="+value)
 		}
--- a/internal/scenariotest/scenario.go
+++ b/internal/scenariotest/scenario.go
@@ -26,14 +26,14 @@
 	"time"
 )
 
-// Speech translates between the words of a script and the messages of a protocol.
-type Speech interface {
+// Codec translates between the words of a script and the messages of a protocol.
+type Codec interface {
 	Write(w io.Writer, words string) error
 	Read(r *bufio.Reader) (words string, err error)
 }
 
-// Stage holds the actors of a test and their network.
-type Stage struct {
+// Scenario holds the actors of a test and their network.
+type Scenario struct {
 	t        *testing.T
 	began    time.Time
 	Network  Network
@@ -44,10 +44,10 @@
 
 // Run runs a script in fake time. Prepare adds the actors and starts the parts under test; the function that it returns
 // must stop them.
-func Run(t *testing.T, script string, prepare func(*Stage) (stop func())) {
+func Run(t *testing.T, script string, prepare func(*Scenario) (stop func())) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &Stage{
+		s := &Scenario{
 			t:        t,
 			began:    time.Now(),
 			actors:   map[string]*actor{},
@@ -62,12 +62,12 @@
 }
 
 // Client adds an actor that connects to an address when it first sends.
-func (s *Stage) Client(name, address string, speech Speech) {
+func (s *Scenario) Client(name, address string, speech Codec) {
 	s.actors[name] = newActor(s, address, speech)
 }
 
 // Server adds an actor that listens at an address.
-func (s *Stage) Server(name, address string, speech Speech) {
+func (s *Scenario) Server(name, address string, speech Codec) {
 	a := newActor(s, "", speech)
 	a.listener = s.Network.Listen(address)
 	s.actors[name] = a
@@ -75,10 +75,10 @@
 }
 
 // Control sets the function that the line "name send words" calls.
-func (s *Stage) Control(name, words string, do func()) { s.controls[name+" send "+words] = do }
+func (s *Scenario) Control(name, words string, do func()) { s.controls[name+" send "+words] = do }
 
 // play runs a script line by line, up to the first that fails.
-func (s *Stage) play(script string) {
+func (s *Scenario) play(script string) {
 	s.t.Helper()
 	for line := range strings.Lines(script) {
 		line = strings.TrimSpace(line)
@@ -92,7 +92,7 @@
 	}
 }
 
-func (s *Stage) runLine(line string) error {
+func (s *Scenario) runLine(line string) error {
 	name, action, _ := strings.Cut(line, " ")
 	switch name {
 	case "wait":
@@ -128,7 +128,7 @@
 	return err
 }
 
-func (s *Stage) checkWithin(limit string) error {
+func (s *Scenario) checkWithin(limit string) error {
 	d, err := time.ParseDuration(limit)
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 }
 
 // close closes all listeners and connections of the actors.
-func (s *Stage) close() {
+func (s *Scenario) close() {
 	for _, a := range s.actors {
 		a.closeAll()
 	}
--- a/internal/simulation/retry_storm.go
+++ b/internal/simulation/retry_storm.go
@@ -11,34 +11,34 @@
 // 2021): the nodes slow down for a short time, and then the retries of what failed meanwhile, by gateways and by
 // clients, are load enough to keep requests failing.
 type Storm struct {
-	Seed        uint64
-	Gateways    int
-	Nodes       int
-	Clients     int           // each waits for an answer before its next request
-	Think       time.Duration // mean time between an answer and the client's next request
-	Tries       int           // of a client for one request
-	Begin       time.Duration // when the slowdown begins
-	Slow        time.Duration // duration of the slowdown
-	Speed       float64       // share of the full speed during the slowdown
-	Length      time.Duration
-	Retry       retrybudget.Settings
-	SharedRate  float64 // calls per second of a resource that all nodes share; 0: they share none
-	Passthrough bool    // gateways retry at once, up to the settings' limit, without package scheduler
+	Seed             uint64
+	Gateways         int
+	Nodes            int
+	Clients          int           // each waits for an answer before its next request
+	Think            time.Duration // mean time between an answer and the client's next request
+	Tries            int           // of a client for one request
+	SlowdownStart    time.Duration // when the slowdown begins
+	SlowdownDuration time.Duration // duration of the slowdown
+	Speed            float64       // share of the full speed during the slowdown
+	Length           time.Duration
+	Retry            retrybudget.Settings
+	SharedRate       float64 // calls per second of a resource that all nodes share; 0: they share none
+	Passthrough      bool    // gateways retry at once, up to the settings' limit, without package scheduler
 }
 
 // NodeStorm is a storm of nodes that slow down themselves, under two thirds of the load that they can take.
 func NodeStorm(seed uint64) Storm {
 	return Storm{
-		Seed:     seed,
-		Gateways: 3,
-		Nodes:    8,
-		Clients:  300,
-		Think:    time.Second,
-		Tries:    3,
-		Begin:    20 * time.Second,
-		Slow:     4 * time.Second,
-		Speed:    0.15,
-		Length:   120 * time.Second,
+		Seed:             seed,
+		Gateways:         3,
+		Nodes:            8,
+		Clients:          300,
+		Think:            time.Second,
+		Tries:            3,
+		SlowdownStart:    20 * time.Second,
+		SlowdownDuration: 4 * time.Second,
+		Speed:            0.15,
+		Length:           120 * time.Second,
 	}
 }
 
@@ -60,9 +60,9 @@
 
 // StormResult is the outcome of a storm.
 type StormResult struct {
-	Seconds   []StormSecond
-	Before    float64       // served per second before the slowdown
-	Recovered time.Duration // from the slowdown's end until about as many were served as before; -1: never
+	Seconds      []StormSecond
+	ServedBefore float64       // served per second before the slowdown
+	Recovered    time.Duration // from the slowdown's end until about as many were served as before; -1: never
 }
 
 // A storm has recovered when recoveredShare of what was served before the slowdown is served in each of
@@ -117,11 +117,11 @@
 		c := &stormClient{run: run, gateway: run.gateways[i%len(run.gateways)]}
 		run.simulation.After(time.Duration(run.simulation.Random.Float64()*float64(s.Think)), c.try)
 	}
-	run.simulation.After(s.Begin, func() { run.setSpeed(s.Speed) })
-	run.simulation.After(s.Begin+s.Slow, func() { run.setSpeed(1) })
+	run.simulation.After(s.SlowdownStart, func() { run.setSpeed(s.Speed) })
+	run.simulation.After(s.SlowdownStart+s.SlowdownDuration, func() { run.setSpeed(1) })
 	run.play(seconds)
 	run.result.Seconds = run.result.Seconds[:seconds]
-	run.result.Before = run.servedBefore()
+	run.result.ServedBefore = run.servedBefore()
 	run.result.Recovered = run.recovered()
 	return run.result, nil
 }
@@ -202,7 +202,7 @@
 
 // servedBefore returns how many tries were served per second in the second half of the time before the slowdown.
 func (r *stormRun) servedBefore() float64 {
-	begin := int(r.storm.Begin / time.Second)
+	begin := int(r.storm.SlowdownStart / time.Second)
 	mean := 0.0
 	for _, second := range r.result.Seconds[begin/2 : begin] {
 		mean += float64(second.Served) / float64(begin-begin/2)
@@ -212,11 +212,11 @@
 
 // recovered returns the time from the end of the slowdown until the storm has recovered, or -1.
 func (r *stormRun) recovered() time.Duration {
-	end := int((r.storm.Begin + r.storm.Slow) / time.Second)
+	end := int((r.storm.SlowdownStart + r.storm.SlowdownDuration) / time.Second)
 	inRow := 0
 	for i := end; i < len(r.result.Seconds); i++ {
 		inRow++
-		if float64(r.result.Seconds[i].Served) < recoveredShare*r.result.Before {
+		if float64(r.result.Seconds[i].Served) < recoveredShare*r.result.ServedBefore {
 			inRow = 0
 		}
 		if inRow == recoveredSeconds {
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -30,9 +30,9 @@
 		s.Retry = testRetryBudget
 		with := runStorm(t, s)
 		recovered := with.Recovered >= 0 && with.Recovered <= 15*time.Second
-		if without.Recovered >= 0 || !recovered || without.Before < 150 {
+		if without.Recovered >= 0 || !recovered || without.ServedBefore < 150 {
 			t.Errorf("seed %d: recovered after %v with budgets, %v without; %.0f served a second before",
-				seed, with.Recovered, without.Recovered, without.Before)
+				seed, with.Recovered, without.Recovered, without.ServedBefore)
 		}
 	}
 }
--- a/internal/simulation/zone_scenario.go
+++ b/internal/simulation/zone_scenario.go
@@ -55,7 +55,7 @@
 	WorstSpillover float64        // highest excess of the spillover from a zone over its limit; 0: none
 }
 
-// Slow start of nodes, which the gateways' settings match.
+// SlowdownDuration start of nodes, which the gateways' settings match.
 const (
 	slowStartShare    = 0.18
 	slowStartDuration = 17 * time.Second
--- a/internal/warmrestart/store.go
+++ b/internal/warmrestart/store.go
@@ -42,8 +42,8 @@
 	Log  *slog.Logger
 }
 
-// Path returns the path of a gateway's state in a directory.
-func Path(directory, gateway string) string {
+// StatePath returns the path of a gateway's state in a directory.
+func StatePath(directory, gateway string) string {
 	return filepath.Join(directory, "state-"+gateway+".capture")
 }
 
--- a/internal/warmrestart/store_test.go
+++ b/internal/warmrestart/store_test.go
@@ -16,7 +16,7 @@
 // newStore makes a Store on a file system and returns the buffer that it logs to.
 func newStore(f *filesystemtest.FS) (*Store, *bytes.Buffer) {
 	var log bytes.Buffer
-	return &Store{FS: f, Path: Path("d", "gate"), Log: slog.New(slog.NewTextHandler(&log, nil))}, &log
+	return &Store{FS: f, Path: StatePath("d", "gate"), Log: slog.New(slog.NewTextHandler(&log, nil))}, &log
 }
 
 var testHead = capture.Head{
@@ -42,7 +42,7 @@
 		if err := before.Save(testHead, first); err != nil {
 			t.Fatal(err)
 		}
-		disk.Kill = writtenBytes
+		disk.PowerLossAfter = writtenBytes
 		err := before.Save(testHead, second)
 		for _, unsyncedBytes := range []int{0, 5, 1 << 20} {
 			after, log := newStore(disk.Restart(unsyncedBytes))
--- a/tools/doccheck/check.go
+++ b/tools/doccheck/check.go
@@ -91,7 +91,8 @@
 
 func (c *checker) report(name *ast.Ident) {
 	position := c.fileSet.Position(name.Pos())
-	c.findings = append(c.findings, fmt.Sprintf("%s:%d: %s has no doc comment", c.relative(position.Filename), position.Line, name.Name))
+	finding := fmt.Sprintf("%s:%d: %s has no doc comment", c.relative(position.Filename), position.Line, name.Name)
+	c.findings = append(c.findings, finding)
 }
 
 func (c *checker) undocumentedPackages() []string {
