--- a/scheduler/node_health.go
+++ b/scheduler/node_health.go
@@ -48,6 +48,6 @@
 	}
 	if result == ConnectFailed && node.failures > 1 {
 		node.down = true
-		s.logf("node %s cannot be reached: held for %v", node.ID, node.backoffUntil-s.now)
+		s.logf("node unreachable: node=%s backoff=%v", node.ID, node.backoffUntil-s.now)
 	}
 }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -154,7 +154,7 @@
 		lost := attempt.overtaken > 0 && age > lostFactor*expected
 		if lost && s.settings.Allowed.Cancel && !attempt.canceled && !attempt.request.streamStarted {
 			attempt.canceled = true
-			s.logf("node %s: no answer for %.0f ms, %d later ones served: withdrawn",
+			s.logf("lost attempt canceled: node=%s age=%.0fms overtaken=%d",
 				node.ID, age*1000, attempt.overtaken)
 			s.actions.Cancel(attempt.request.ID, attempt.number)
 		}
@@ -167,7 +167,7 @@
 	if s.retryBudget == nil || s.retryBudget.Take(s.now, retryBudgetKey(request, node)) {
 		return true
 	}
-	s.logf("further attempts of class %s at node %s are not earned", request.class.Name, node.ID)
+	s.logf("retry denied by the budget: class=%s node=%s", request.class.Name, node.ID)
 	return false
 }
 
--- a/scheduler/zone_failover.go
+++ b/scheduler/zone_failover.go
@@ -138,8 +138,8 @@
 	s.spillover.Refill(s.now, spareRates)
 	for _, change := range s.zoneTracker.Update(s.now, observations) {
 		if change.Node == "" {
-			s.logf("room %d: %v, it was %v; %.0f%% of what was asked is silent",
-				change.Zone, change.To, change.From, 100*change.SilentShare)
+			s.logf("zone state changed: zone=%d from=%v to=%v silent=%.0f%%",
+				change.Zone, change.From, change.To, 100*change.SilentShare)
 			continue
 		}
 		if node := s.nodes[change.Node]; node != nil && change.To == zonefailover.Unavailable {
