--- a/internal/capture/timeline/request.go
+++ b/internal/capture/timeline/request.go
@@ -273,7 +273,7 @@
 			roundMS(c.ServiceTime),
 			c.InFlight,
 			c.Waiting,
-			c.Cap,
+			c.ConcurrencyLimit,
 			strings.TrimSpace(c.BlockedBy))
 	}
 	table.Flush()
--- a/internal/capture/timeline/state.go
+++ b/internal/capture/timeline/state.go
@@ -66,7 +66,7 @@
 		node.Node.ID,
 		phaseNames[min(int(node.Node.Phase), len(phaseNames)-1)],
 		node.Node.Shard,
-		node.Cap,
+		node.ConcurrencyLimit,
 		node.UnitsInFlight,
 		node.AttemptsInFlight,
 		waitingUnits,
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -53,26 +53,26 @@
 	Started      bool          `json:"Met"` // it has been used
 }
 
-// Budgets holds the budgets of all keys. Their number is fixed, so that new operations and groups take no memory.
-type Budgets struct {
+// Table holds the budgets of all keys. Their number is fixed, so that new operations and groups take no memory.
+type Table struct {
 	settings Settings
 	cells    []Budget // by hash of the key
 }
 
-// New makes Budgets, or returns nil if the settings ask for none.
-func New(settings Settings) *Budgets {
+// New makes a Table, or returns nil if the settings ask for none.
+func New(settings Settings) *Table {
 	if settings.Share <= 0 {
 		return nil
 	}
-	return &Budgets{settings: settings, cells: make([]Budget, settings.Cells)}
+	return &Table{settings: settings, cells: make([]Budget, settings.Cells)}
 }
 
 // refilled returns a key's budget, refilled up to now.
-func (b *Budgets) refilled(now time.Duration, key Key) *Budget {
-	budget := &b.cells[key.hash()%uint64(len(b.cells))]
+func (t *Table) refilled(now time.Duration, key Key) *Budget {
+	budget := &t.cells[key.hash()%uint64(len(t.cells))]
 	if !budget.Started {
 		*budget = Budget{
-			Tokens:       b.settings.Burst,
+			Tokens:       t.settings.Burst,
 			SuccessShare: neutralSuccessShare,
 			At:           now,
 			Started:      true,
@@ -80,7 +80,7 @@
 	}
 	if elapsed := now - budget.At; elapsed > 0 {
 		budget.At = now
-		budget.Tokens = min(b.settings.Burst, budget.Tokens+b.settings.Trickle*elapsed.Seconds())
+		budget.Tokens = min(t.settings.Burst, budget.Tokens+t.settings.Trickle*elapsed.Seconds())
 		decay := 1 - math.Exp(-elapsed.Seconds()/successShareDecay.Seconds())
 		budget.SuccessShare += (neutralSuccessShare - budget.SuccessShare) * decay
 	}
@@ -89,8 +89,8 @@
 
 // Take spends a token for a retry. It reports false if there is none. The token is spent whether the retry is sent or
 // not.
-func (b *Budgets) Take(now time.Duration, key Key) bool {
-	budget := b.refilled(now, key)
+func (t *Table) Take(now time.Duration, key Key) bool {
+	budget := t.refilled(now, key)
 	if budget.Tokens < 1 {
 		return false
 	}
@@ -100,8 +100,8 @@
 
 // AttemptEnded records the result of an attempt. A served first attempt earns the share that is due to the success of
 // retries. One that was not served earns nothing, so that failures do not pay for retries.
-func (b *Budgets) AttemptEnded(now time.Duration, key Key, retry, served bool) {
-	budget := b.refilled(now, key)
+func (t *Table) AttemptEnded(now time.Duration, key Key, retry, served bool) {
+	budget := t.refilled(now, key)
 	switch {
 	case retry:
 		result := 0.0
@@ -110,29 +110,29 @@
 		}
 		budget.SuccessShare += successShareGain * (result - budget.SuccessShare)
 	case served:
-		earnable := b.settings.Share - b.settings.MinShare
+		earnable := t.settings.Share - t.settings.MinShare
 		// The order of the sum is part of the behaviour: a replay compares the tokens to the last bit.
-		tokens := budget.Tokens + b.settings.MinShare + earnable*budget.SuccessShare
-		budget.Tokens = min(b.settings.Burst, tokens)
+		tokens := budget.Tokens + t.settings.MinShare + earnable*budget.SuccessShare
+		budget.Tokens = min(t.settings.Burst, tokens)
 	}
 }
 
 // Snapshot returns the state. It is nil if there are no budgets.
-func (b *Budgets) Snapshot() []Budget {
-	if b == nil {
+func (t *Table) Snapshot() []Budget {
+	if t == nil {
 		return nil
 	}
-	return slices.Clone(b.cells)
+	return slices.Clone(t.cells)
 }
 
 // Resume continues from a state. It fails with ErrSettingsChanged if that has another number of budgets.
-func (b *Budgets) Resume(cells []Budget) error {
-	if b == nil && len(cells) == 0 {
+func (t *Table) Resume(cells []Budget) error {
+	if t == nil && len(cells) == 0 {
 		return nil
 	}
-	if b == nil || len(cells) != len(b.cells) {
+	if t == nil || len(cells) != len(t.cells) {
 		return ErrSettingsChanged
 	}
-	copy(b.cells, cells)
+	copy(t.cells, cells)
 	return nil
 }
--- a/internal/rules/expression/predicate.go
+++ b/internal/rules/expression/predicate.go
@@ -8,14 +8,15 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// Predicate is a condition over values of T in the language of the rules: with the same operators, types and faults, but
-// without loops and functions, so that the length of its text bounds its cost.
+// Predicate is a condition over values of T in the language of the rules: with the same operators, types and faults,
+// but without loops and functions, so that the length of its text bounds its cost.
 type Predicate[T any] struct {
 	Source string
 	code   *vm.Program
 }
 
-// CompilePredicate compiles a condition. T is a struct whose fields are named by `expr` tags. The error is a *SourceError.
+// CompilePredicate compiles a condition. T is a struct whose fields are named by `expr` tags. The error is a
+// *SourceError.
 func CompilePredicate[T any](source string) (*Predicate[T], error) {
 	if err := checkSource(source); err != nil {
 		return nil, err
--- a/internal/rules/result.go
+++ b/internal/rules/result.go
@@ -42,8 +42,8 @@
 // wins reports whether the value of a field overrides the platform's header.
 func (r *Result) wins(f Field) bool { return r.Has[f] && r.By[f].OverridesHeaders }
 
-// Overrides reports whether the value that the rules set for a field applies. The argument given says whether the request has
-// a platform header for the field.
+// Overrides reports whether the value that the rules set for a field applies. The argument given says whether the
+// request has a platform header for the field.
 func (r *Result) Overrides(f Field, given bool) bool { return r.Has[f] && (!given || r.wins(f)) }
 
 // set stores the value of a field, which checkValue has returned.
--- a/internal/warmrestart/assess.go
+++ b/internal/warmrestart/assess.go
@@ -120,14 +120,14 @@
 // hasEstimates reports whether the estimates of a node are to be restored.
 func (a *assessor) hasEstimates(node *scheduler.SnapshotNode) bool {
 	return a.confidence > minConfidence && node.MinLatency > 0 &&
-		plausible(node.Cap, node.MaxRate, node.Latency, node.MinLatency, node.Queue, node.QueueConfidence)
+		plausible(node.ConcurrencyLimit, node.MaxRate, node.Latency, node.MinLatency, node.Queue, node.QueueConfidence)
 }
 
 // restoreEstimates moves the estimates of a node by the confidence from the values of an unknown node to the previous
 // ones.
 func (a *assessor) restoreEstimates(restored *scheduler.LearnedNode, node *scheduler.SnapshotNode) {
 	unknown := initialCap(a.settings)
-	restored.Cap = unknown + a.confidence*(node.Cap-unknown)
+	restored.ConcurrencyLimit = unknown + a.confidence*(node.ConcurrencyLimit-unknown)
 	restored.MaxRate = a.confidence * node.MaxRate
 	restored.MinLatency = node.MinLatency
 	restored.Latency = node.MinLatency + a.confidence*(node.Latency-node.MinLatency)
--- a/internal/warmrestart/assess_test.go
+++ b/internal/warmrestart/assess_test.go
@@ -62,7 +62,7 @@
 			len(got.RecentSends) < len(base.RecentSends) {
 			t.Fatalf("%+v\n%+v", got, base)
 		}
-		if got.Cap < 0 || math.IsNaN(got.Cap) || got.LastServedAt > startOfNext {
+		if got.ConcurrencyLimit < 0 || math.IsNaN(got.ConcurrencyLimit) || got.LastServedAt > startOfNext {
 			t.Fatalf("%+v", got)
 		}
 	}
@@ -186,7 +186,7 @@
 		node.Node.Phase = scheduler.Up
 		node.Node.StartedAt = 0
 		node.WarmingSince = 0
-		node.Cap = 40
+		node.ConcurrencyLimit = 40
 		node.MinLatency = 0.01
 		node.Latency = 0.011
 		node.MaxRate = 2000
@@ -198,10 +198,10 @@
 		Nodes: []scheduler.Node{{ID: "n0"}, {ID: "n1", StartedAt: restartedAt}},
 	})
 	got := s.Snapshot()
-	if n := got.Nodes[0]; n.WarmingSince != 0 || n.Cap < 35 || n.MinLatency == 0 {
+	if n := got.Nodes[0]; n.WarmingSince != 0 || n.ConcurrencyLimit < 35 || n.MinLatency == 0 {
 		t.Errorf("the same incarnation of the node: %+v", n)
 	}
-	if n := got.Nodes[1]; n.WarmingSince != restartedAt || n.Cap != 16 || n.MinLatency != 0 {
+	if n := got.Nodes[1]; n.WarmingSince != restartedAt || n.ConcurrencyLimit != 16 || n.MinLatency != 0 {
 		t.Errorf("another incarnation of the node: %+v", n)
 	}
 }
@@ -212,7 +212,7 @@
 	for i := range previous.Nodes {
 		node := &previous.Nodes[i]
 		node.Node.Phase = scheduler.Up
-		node.Cap = 60
+		node.ConcurrencyLimit = 60
 		node.MinLatency = 0.01
 		node.Latency = 0.02
 		node.MaxRate = 3000
@@ -223,7 +223,7 @@
 	}
 	for _, age := range ages {
 		got := Assess(previous, capturetest.Settings, time.Hour, age, 0)
-		restoredCap := got.Learned.Nodes[0].Cap
+		restoredCap := got.Learned.Nodes[0].ConcurrencyLimit
 		if restoredCap > lastCap || restoredCap < 0 ||
 			age > maxEstimateAge && (got.KnownNodes > 0 || len(got.Learned.ClassWork) > 0) {
 			t.Errorf("%v: cap %v after %v, %d nodes", age, restoredCap, lastCap, got.KnownNodes)
@@ -233,11 +233,11 @@
 	if got := Assess(previous, capturetest.Settings, time.Hour, -time.Minute, 0); got.KnownNodes > 0 {
 		t.Error("estimates of a state of the future are restored")
 	}
-	previous.Nodes[0].Cap = math.NaN()
+	previous.Nodes[0].ConcurrencyLimit = math.NaN()
 	previous.Nodes[1].Latency = math.Inf(1)
 	previous.ClassWork[0] = math.NaN()
 	got := Assess(previous, capturetest.Settings, time.Hour, 0, 0)
-	if got.Learned.Nodes[0].Cap != 0 || got.Learned.Nodes[1].Cap != 0 || len(got.Learned.ClassWork) > 0 {
+	if got.Learned.Nodes[0].ConcurrencyLimit != 0 || got.Learned.Nodes[1].ConcurrencyLimit != 0 || len(got.Learned.ClassWork) > 0 {
 		t.Errorf("%+v", got.Learned)
 	}
 }
--- a/internal/warmrestart/learning_test.go
+++ b/internal/warmrestart/learning_test.go
@@ -63,7 +63,7 @@
 		if requests%20 == 0 {
 			s.TimerFired(node.now, 0)
 		}
-		caps = append(caps, s.Snapshot().Nodes[0].Cap)
+		caps = append(caps, s.Snapshot().Nodes[0].ConcurrencyLimit)
 	}
 	for i, c := range caps {
 		if c >= 0.9*caps[len(caps)-1] {
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -7,17 +7,17 @@
 
 // Candidate says how a node stood before a request, in the terms by which nodes are selected.
 type Candidate struct {
-	Node        string
-	Phase       Phase
-	Expected    time.Duration // until the node would have served the request
-	Queue       time.Duration // that its queue takes
-	ServiceTime time.Duration // that the request takes there without a queue
-	InFlight    float64       // units
-	Waiting     float64       // units
-	Cap         float64       // concurrency limit, in units
-	Backoff     time.Duration // left of its pause
-	WarmingUp   bool
-	BlockedBy   string // what keeps the request from being sent there now; empty: nothing does
+	Node             string
+	Phase            Phase
+	Expected         time.Duration // until the node would have served the request
+	Queue            time.Duration // that its queue takes
+	ServiceTime      time.Duration // that the request takes there without a queue
+	InFlight         float64       // units
+	Waiting          float64       // units
+	ConcurrencyLimit float64       // concurrency limit, in units
+	Backoff          time.Duration // left of its pause
+	WarmingUp        bool
+	BlockedBy        string // what keeps the request from being sent there now; empty: nothing does
 }
 
 // BlockedByMissingData is the BlockedBy of a node that does not hold the data of the request.
@@ -36,17 +36,17 @@
 	var candidates []Candidate
 	for _, node := range s.listed {
 		candidates = append(candidates, Candidate{
-			Node:        node.ID,
-			Phase:       node.Phase,
-			Expected:    toDuration(s.expectedWait(request, node)),
-			Queue:       toDuration(s.estimatedQueueTime(node)),
-			ServiceTime: toDuration(s.serviceTime(request, node)),
-			InFlight:    node.unitsInFlight,
-			Waiting:     node.waitingUnits(),
-			Cap:         node.concurrencyLimit,
-			Backoff:     max(0, node.backoffUntil-s.now),
-			WarmingUp:   s.warmingUp(node),
-			BlockedBy:   s.blockedBy(request, node),
+			Node:             node.ID,
+			Phase:            node.Phase,
+			Expected:         toDuration(s.expectedWait(request, node)),
+			Queue:            toDuration(s.estimatedQueueTime(node)),
+			ServiceTime:      toDuration(s.serviceTime(request, node)),
+			InFlight:         node.unitsInFlight,
+			Waiting:          node.waitingUnits(),
+			ConcurrencyLimit: node.concurrencyLimit,
+			Backoff:          max(0, node.backoffUntil-s.now),
+			WarmingUp:        s.warmingUp(node),
+			BlockedBy:        s.blockedBy(request, node),
 		})
 	}
 	return candidates
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -41,13 +41,13 @@
 	StartedAt time.Duration
 
 	// The estimates; a Cap of 0 says that they are unknown.
-	Cap             float64
-	MaxRate         float64
-	Latency         float64
-	MinLatency      float64
-	Queue           float64
-	QueueConfidence float64       `json:"Known"`
-	LastServedAt    time.Duration `json:"HeardAt"`
+	ConcurrencyLimit float64 `json:"Cap"`
+	MaxRate          float64
+	Latency          float64
+	MinLatency       float64
+	Queue            float64
+	QueueConfidence  float64       `json:"Known"`
+	LastServedAt     time.Duration `json:"HeardAt"`
 
 	// What the guards need.
 	WarmingSince time.Duration `json:"ColdSince"` // 0: warm
@@ -114,10 +114,10 @@
 		node.recentSends = append(node.recentSends, recentSend{at: send.At, units: send.Units})
 		node.sentAt = max(node.sentAt, send.At)
 	}
-	if entry.StartedAt > learned.StartedAt+startTimeTolerance || learned.Cap <= 0 {
+	if entry.StartedAt > learned.StartedAt+startTimeTolerance || learned.ConcurrencyLimit <= 0 {
 		return
 	}
-	node.concurrencyLimit = learned.Cap
+	node.concurrencyLimit = learned.ConcurrencyLimit
 	node.maxRate = learned.MaxRate
 	node.latency = learned.Latency
 	node.minLatency = learned.MinLatency
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -53,9 +53,9 @@
 	fleetQueue          float64   // median queue of the nodes that answered recently, in seconds
 	minLatencyMedian    float64   // median of their minimum latencies, in seconds
 
-	arrivedAt   []time.Duration      // requests within the window of the rules' retry budget
-	retriedAt   []time.Duration      // retries within it
-	retryBudget *retrybudget.Budgets // nil: retries need no tokens
+	arrivedAt   []time.Duration    // requests within the window of the rules' retry budget
+	retriedAt   []time.Duration    // retries within it
+	retryBudget *retrybudget.Table // nil: retries need no tokens
 
 	restrictions        map[restrictionKey]RestrictionLevel
 	overflowRestriction RestrictionLevel // of all operations, for restrictions that found no place
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -67,7 +67,7 @@
 	LastServedAt     time.Duration `json:"HeardAt"`
 	Queue            float64       // seconds
 	QueueConfidence  float64       `json:"Known"` // responses that Queue is worth
-	Cap              float64       // concurrency limit, in units
+	ConcurrencyLimit float64       `json:"Cap"`   // concurrency limit, in units
 
 	WindowOpenedAt  time.Duration `json:"Opened"`
 	WindowUnits     float64       `json:"Served"`
@@ -80,7 +80,7 @@
 	LearnedAt       time.Duration
 	RetestAt        time.Duration
 	CutDrainedAt    time.Duration `json:"Drained"`
-	CutCap          float64
+	CutLimit        float64       `json:"CutCap"`
 
 	VirtualTime [queueTiers]float64             `json:"Virtual"`
 	FinishTags  [queueTiers][]SnapshotFinishTag `json:"Finish"`
--- a/scheduler/snapshot_decode.go
+++ b/scheduler/snapshot_decode.go
@@ -160,7 +160,7 @@
 		attemptsInFlight: from.AttemptsInFlight,
 		sentAt:           from.SentAt,
 
-		concurrencyLimit: from.Cap,
+		concurrencyLimit: from.ConcurrencyLimit,
 		window: latencyWindow{
 			openedAt:  from.WindowOpenedAt,
 			units:     from.WindowUnits,
@@ -174,7 +174,7 @@
 		learnedAt:    from.LearnedAt,
 		retestAt:     from.RetestAt,
 		cutDrainedAt: from.CutDrainedAt,
-		cutLimit:     from.CutCap,
+		cutLimit:     from.CutLimit,
 		queueTime:    from.Queue,
 		queueWeight:  from.QueueConfidence,
 		lastServedAt: from.LastServedAt,
--- a/scheduler/snapshot_encode.go
+++ b/scheduler/snapshot_encode.go
@@ -188,7 +188,7 @@
 		LastServedAt:     node.lastServedAt,
 		Queue:            node.queueTime,
 		QueueConfidence:  node.queueWeight,
-		Cap:              node.concurrencyLimit,
+		ConcurrencyLimit: node.concurrencyLimit,
 
 		WindowOpenedAt:  node.window.openedAt,
 		WindowUnits:     node.window.units,
@@ -201,7 +201,7 @@
 		LearnedAt:       node.learnedAt,
 		RetestAt:        node.retestAt,
 		CutDrainedAt:    node.cutDrainedAt,
-		CutCap:          node.cutLimit,
+		CutLimit:        node.cutLimit,
 
 		VirtualTime: node.virtualTime,
 		FinishTags:  e.finishTags(node),
