--- a/internal/eventloop/actions.go
+++ b/internal/eventloop/actions.go
@@ -9,18 +9,19 @@
 	"reachpulley/scheduler"
 )
 
-// actions carries out what the scheduler calls for; it implements [scheduler.Actions]. Its methods run within the loop.
+// actions carries out the scheduler's actions and implements [scheduler.Actions]. The loop's goroutine calls its
+// methods.
 type actions struct{ loop *Loop }
 
 // Send starts an attempt.
 //
-// Reports are posted rather than handled at once, also the one on an attempt that is not sent: the scheduler has not
-// returned from the event that called for Send.
+// Every report is posted to the mailbox, even that on an attempt which is not sent. It cannot be handled at once, as
+// the scheduler is still handling the event in which it called Send.
 func (a actions) Send(id, node string, timeout time.Duration) {
 	l := a.loop
 	p := l.pending[id]
 	if p == nil {
-		l.log.Error("scheduler sent an unknown request", "id", id)
+		l.log.Error("scheduler sent a request that is not pending", "id", id)
 		return
 	}
 	now := time.Now()
@@ -45,7 +46,7 @@
 	l.backend.Start(ctx, attempt, report)
 }
 
-// Cancel ends an attempt. Its backend still reports on it.
+// Cancel cancels the context of an attempt in flight. The backend still reports on the attempt.
 func (a actions) Cancel(id string, number int) {
 	p := a.loop.pending[id]
 	if p == nil {
@@ -56,12 +57,12 @@
 	}
 }
 
-// Reject ends a request that its client may safely retry.
+// Reject answers a request as rejected: its client may safely retry it.
 func (a actions) Reject(id string, retryAfter time.Duration) {
 	a.loop.finish(a.loop.pending[id], exchange.Answer{Verdict: exchange.Rejected, RetryAfter: retryAfter})
 }
 
-// Fail ends a request of which nothing is promised.
+// Fail answers a request as failed: it may or may not have run.
 func (a actions) Fail(id string) {
 	a.loop.finish(a.loop.pending[id], exchange.Answer{Verdict: exchange.Failed})
 }
@@ -74,7 +75,7 @@
 	})
 }
 
-// SetTimer has the scheduler called with key after a time.
+// SetTimer sets a timer that calls the scheduler with key after the given time.
 func (a actions) SetTimer(after time.Duration, key uint64) {
 	heap.Push(&a.loop.timers, timer{at: a.loop.clock.Now() + after, key: key})
 }
@@ -82,5 +83,5 @@
 // Watch subscribes to the list of nodes.
 func (a actions) Watch() { a.loop.membership.Watch() }
 
-// Log writes a line of the scheduler to the log.
+// Log writes a message of the scheduler to the log.
 func (a actions) Log(text string) { a.loop.log.Info(text) }
--- a/internal/eventloop/crash_test.go
+++ b/internal/eventloop/crash_test.go
@@ -12,13 +12,14 @@
 	"reachpulley/scheduler"
 )
 
-// panickingBackend panics within the loop at the first attempt.
+// panickingBackend panics on the loop's goroutine at the first attempt.
 type panickingBackend struct{ fakeBackend }
 
 func (*panickingBackend) Start(context.Context, Attempt, func(Report)) { panic("broken") }
 
-// What was recorded outlasts a panic of the loop, up to the event that caused it, and the panic goes on.
-func TestRecordingOutlastsACrash(t *testing.T) {
+// When the loop panics, the recording is passed to OnCrash, with everything up to the action that panicked, and the
+// panic reaches the caller of Run.
+func TestRecordingSurvivesPanic(t *testing.T) {
 	var recordings []capture.Recording
 	loop, err := New(Options{
 		Settings:   testSettings,
@@ -40,21 +41,21 @@
 	loop.Open(exchange.New(request, time.Now().Add(time.Minute), nil))
 	func() {
 		defer func() {
-			if recover() != "broken" {
-				t.Error("the panic was hidden")
+			if failure := recover(); failure != "broken" {
+				t.Errorf("Run panicked with %v, want the backend's panic %q", failure, "broken")
 			}
 		}()
 		loop.Run(t.Context())
 	}()
 	if len(recordings) != 1 {
-		t.Fatalf("%d captures", len(recordings))
+		t.Fatalf("OnCrash was called %d times, want once", len(recordings))
 	}
 	if !recordsSend(t, recordings[0], "last") {
-		t.Error("the capture lacks the action at which the loop panicked")
+		t.Error("the recording lacks the Send in which the loop panicked")
 	}
 }
 
-// recordsSend reports whether a recording holds a Send of a request.
+// recordsSend reports whether a recording holds a Send of the request with the given ID.
 func recordsSend(t *testing.T, recording capture.Recording, id string) bool {
 	t.Helper()
 	file, err := recording.File()
--- a/internal/eventloop/load_test.go
+++ b/internal/eventloop/load_test.go
@@ -11,12 +11,13 @@
 	"reachpulley/scheduler"
 )
 
-// Plans of the settings under load, by index.
+// Indexes of the plans of loadSettings.
 const (
 	surgingPlan = iota
 	calmPlan
 )
 
+// loadSettings returns settings with two plans and a slow start, for tests under load.
 func loadSettings() scheduler.Settings {
 	settings := testSettings
 	settings.Plans = []scheduler.Plan{
@@ -34,14 +35,14 @@
 	return settings
 }
 
-// answerer reports that attempts were served, in the order in which they were started.
+// answerer reports the attempts of a backend as served, in the order in which they were started.
 type answerer struct {
 	backend  *fakeBackend
-	answered int
+	answered int // number of attempts that were reported
 }
 
-// answerAllBut answers all attempts but the latest few. The list is copied first: as soon as an attempt is
-// answered, the loop may start another.
+// answerAllBut answers all attempts except the given number of latest ones. It copies the list first: as soon as an
+// attempt is answered, the loop may start another.
 func (a *answerer) answerAllBut(latest int) {
 	a.backend.mu.Lock()
 	until := max(a.answered, len(a.backend.reports)-latest)
@@ -53,8 +54,9 @@
 	a.answered = until
 }
 
-// surge submits 400 requests within 0.8 s to a node that serves three at a time. One of eight is of the surging
-// plan, and in the second half seven of eight are.
+// surge submits 400 requests within 0.8 s to a node that serves three at a time. In the first half one request of eight
+// has the surging plan, in the second half seven of eight. It checks that at least 30 attempts are answered and that no
+// exchange stays pending.
 func surge(t *testing.T, l *Loop, b *fakeBackend) {
 	node := answerer{backend: b}
 	for i := range 400 {
@@ -75,19 +77,20 @@
 		synctest.Wait()
 		node.answerAllBut(3)
 	}
-	for range 300 { // until all that is still sent has been answered too
+	for range 300 { // 3 s, until every attempt that is still sent has been answered too
 		node.answerAllBut(0)
 		time.Sleep(10 * time.Millisecond)
 		synctest.Wait()
 	}
 	if node.answered < 30 || len(l.pending) > 0 {
-		t.Errorf("%d were answered, %d are pending", node.answered, len(l.pending))
+		t.Errorf("%d attempts were answered, want at least 30; %d exchanges are pending, want none",
+			node.answered, len(l.pending))
 	}
 }
 
-// Failures of the past, each recorded and replayed by withLoop: a surge of one plan beside another, and a node that
-// warms up under load.
-func TestPastFailures(t *testing.T) {
+// The gateway failed under these loads in the past: one plan surges beside another, and a node warms up during such a
+// surge. withLoop records and replays each.
+func TestSurgeIsServedAndReplayed(t *testing.T) {
 	t.Run("surge", func(t *testing.T) {
 		withLoop(t, loadSettings(), func(l *Loop, b *fakeBackend) { surge(t, l, b) })
 	})
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,12 +1,12 @@
 // Package eventloop runs the scheduler in real time.
 //
-// The scheduler is a state machine without I/O: it takes events and calls for actions. A [Loop] connects it to the rest
-// of the gateway. Frontends open exchanges, backends report on attempts, discovery reports the membership; each of them
-// posts an event to the loop's mailbox and returns. One goroutine, [Loop.Run], takes the events in order, fires timers
-// and carries out actions, so that nothing of the scheduler needs a lock. The package knows no protocol.
+// The scheduler is a state machine without I/O: it receives events and requests actions. A [Loop] connects it to the
+// rest of the gateway. Frontends open exchanges, backends report on attempts, discovery reports the membership; each of
+// them posts an event to the loop's mailbox and returns. One goroutine, which runs [Loop.Run], handles the events in
+// order, fires timers and carries out actions, so the scheduler needs no locks. The package depends on no protocol.
 //
-// Files: loop.go holds the Loop and its events, pending.go the exchanges in flight, actions.go what the
-// scheduler calls for, timers.go its timers, backend.go what a backend implements and reports.
+// The file loop.go holds the Loop and its events, pending.go the pending exchanges, actions.go the actions that the
+// scheduler requests, timers.go the scheduler's timers, and backend.go what a backend implements and reports.
 package eventloop
 
 import (
@@ -21,7 +21,7 @@
 
 // MembershipWatcher subscribes to the list of nodes.
 type MembershipWatcher interface {
-	// Watch must not block. What it brings is passed to [Loop.MembershipChanged].
+	// Watch subscribes and must not block. Each list or change that arrives is passed to [Loop.MembershipChanged].
 	Watch()
 }
 
@@ -32,14 +32,14 @@
 	RetryWindowLeft(id string) (within time.Duration, bound bool)
 }
 
-// Options are what a [Loop] is made from.
+// Options configure a [Loop].
 type Options struct {
 	Settings   scheduler.Settings
 	Seed       uint64 // of the scheduler's random draws
 	Clock      Clock
 	Backend    Backend
 	Membership MembershipWatcher
-	Capture    capture.Options // nothing is recorded where MaxBytes is 0
+	Capture    capture.Options // if MaxBytes is 0, nothing is recorded
 	Log        *slog.Logger
 }
 
@@ -49,17 +49,17 @@
 	log         *slog.Logger
 	backend     Backend
 	membership  MembershipWatcher
-	maxAttempts int // that a request may have; 0: unlimited
+	maxAttempts int // maximum number of attempts per request; 0: unlimited
 	mailbox     *mailbox
 
 	scheduler stateMachine
-	recorder  *capture.Recorder       // nil: nothing is recorded
-	onCrash   func(capture.Recording) // nil: nothing is done with the recording when the loop panics
+	recorder  *capture.Recorder       // the same object as scheduler; nil: nothing is recorded
+	onCrash   func(capture.Recording) // called with the recording when the loop panics; may be nil
 	timers    timerHeap
 	pending   map[string]*pendingExchange // by request ID
 }
 
-// New makes a Loop. Call Run to start it.
+// New returns a Loop, which handles no event until Run is called.
 func New(options Options) (*Loop, error) {
 	l := &Loop{
 		clock:       options.Clock,
@@ -78,57 +78,57 @@
 		l.scheduler = machine
 		return l, nil
 	}
-	record := options.Capture
-	record.Origin = options.Clock.Origin()
-	recorder, err := capture.NewRecorder(options.Settings, options.Seed, record, actions{l})
+	captureOptions := options.Capture
+	captureOptions.Origin = options.Clock.Origin()
+	recorder, err := capture.NewRecorder(options.Settings, options.Seed, captureOptions, actions{l})
 	if err != nil {
 		return nil, err
 	}
 	l.scheduler = recorder
 	l.recorder = recorder
-	l.onCrash = record.OnCrash
+	l.onCrash = captureOptions.OnCrash
 	return l, nil
 }
 
-// Open accepts a request: the exchange receives its final answer before its deadline.
+// Open passes a request to the scheduler. Its exchange receives the final answer before its deadline.
 func (l *Loop) Open(x *exchange.Exchange) {
 	l.mailbox.post(func() { l.requestArrived(x) })
 	x.OnDisconnect(func() { l.mailbox.post(func() { l.clientDisconnected(x) }) })
 }
 
-// MembershipChanged reports a change of the list of nodes.
+// MembershipChanged passes a change of the list of nodes to the scheduler.
 func (l *Loop) MembershipChanged(m scheduler.Membership) {
 	l.mailbox.post(func() { l.scheduler.MembershipChanged(l.clock.Now(), m) })
 }
 
-// Restrict sets how an operation is to be handled at a node.
+// Restrict tells the scheduler how to handle an operation at a node.
 func (l *Loop) Restrict(r scheduler.Restriction) {
 	l.mailbox.post(func() { l.scheduler.Restrict(l.clock.Now(), r) })
 }
 
-// Restore hands the scheduler what a previous incarnation had learned. It has to be the first event.
+// Restore passes to the scheduler what it had learned before the gateway restarted. It must be the loop's first event.
 func (l *Loop) Restore(learned scheduler.LearnedState) {
 	l.mailbox.post(func() { l.scheduler.Restore(l.clock.Now(), learned) })
 }
 
-// Snapshot calls done with the state, within the loop: done must not block. The loop stands still while the state is
-// copied.
+// Snapshot calls done with a copy of the scheduler's state. The loop handles no event while it copies the state and
+// runs done, so done must not block.
 func (l *Loop) Snapshot(done func(*scheduler.Snapshot)) {
 	l.mailbox.post(func() { done(l.scheduler.Snapshot()) })
 }
 
-// State returns the state after Run has ended.
+// State returns a copy of the scheduler's state. It may be called only after Run has returned.
 func (l *Loop) State() *scheduler.Snapshot { return l.scheduler.Snapshot() }
 
-// Capture calls done with what was recorded so far, within the loop: done must not block. It is not called where
-// nothing is recorded.
+// Capture calls done with what was recorded so far. The loop handles no event while it runs done, so done must not
+// block. If nothing is recorded, done is not called.
 func (l *Loop) Capture(done func(capture.Recording)) {
 	if l.recorder != nil {
 		l.mailbox.post(func() { done(l.recorder.Recording()) })
 	}
 }
 
-// Note adds a line of text to what is recorded.
+// Note adds a line of text to the recording, if there is one.
 func (l *Loop) Note(text string) {
 	if l.recorder != nil {
 		l.mailbox.post(func() { l.recorder.Note(l.clock.Now(), text) })
@@ -138,8 +138,8 @@
 // Run handles events until ctx ends, then fails the exchanges that are still pending.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.flushRecorder()
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	nextTimer := time.NewTimer(0)
+	defer nextTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -147,10 +147,10 @@
 			l.failPending()
 			return
 		case <-l.mailbox.wake:
-		case <-alarm.C:
+		case <-nextTimer.C:
 		}
 		l.handleEvents()
-		alarm.Reset(l.fireTimers())
+		nextTimer.Reset(l.fireTimers())
 	}
 }
 
@@ -161,8 +161,8 @@
 	}
 }
 
-// flushRecorder passes on what was recorded last when the loop ends, also when it panics. It does not stop the panic.
-// It has to be deferred itself, as recover has no effect further down.
+// flushRecorder has the recorder hand over its last records when the loop ends, by a return or by a panic. A panic goes
+// on after it. It must be deferred directly: recover has no effect in a function that a deferred function calls.
 func (l *Loop) flushRecorder() {
 	if l.recorder == nil {
 		return
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -57,9 +57,9 @@
 
 // fakeBackend records the attempts that are started; a test reports on them.
 type fakeBackend struct {
-	mu       sync.Mutex // for tests that look while a timer may still have something sent
-	reports  []func(Report)
-	contexts []context.Context
+	mu       sync.Mutex        // for tests that read reports while a timer may still cause an attempt
+	reports  []func(Report)    // by attempt, in the order of Start
+	contexts []context.Context // likewise
 }
 
 func (b *fakeBackend) Start(ctx context.Context, _ Attempt, report func(Report)) {
@@ -75,7 +75,7 @@
 
 func (fakeMembership) Watch() {}
 
-// withLoop runs a test on a loop with one node in fake time, and replays what was recorded meanwhile.
+// withLoop runs a test in fake time on a loop with one node, then replays the recording twice and checks the replays.
 func withLoop(t *testing.T, settings scheduler.Settings, test func(l *Loop, b *fakeBackend)) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &fakeBackend{}
@@ -129,7 +129,7 @@
 	}
 }
 
-// answerTests state the answer to a request whose attempts end with the given results.
+// answerTests hold the expected answer to a request whose attempts end with the given results.
 var answerTests = []struct {
 	name     string
 	class    int
@@ -145,14 +145,14 @@
 		attempts: 1,
 	},
 	{
-		name:     "never ran, then served",
+		name:     "did not run, then served",
 		class:    nonIdempotentClass,
 		reports:  []scheduler.Result{scheduler.Overloaded, scheduler.Served},
 		want:     "served yes",
 		attempts: 2,
 	},
 	{
-		name:     "may have run",
+		name:     "may have run, not idempotent",
 		class:    nonIdempotentClass,
 		reports:  []scheduler.Result{scheduler.ConnectionReset},
 		want:     "failed <nil>",
@@ -166,14 +166,14 @@
 		attempts: 2,
 	},
 	{
-		name:     "no attempt is left",
+		name:     "may have run, idempotent, attempts used up",
 		class:    idempotentClass,
 		reports:  []scheduler.Result{scheduler.ConnectionReset, scheduler.ConnectionReset},
 		want:     "refused <nil>",
 		attempts: 2,
 	},
 	{
-		name:     "the node cannot be reached at all",
+		name:     "connect failed, attempts used up",
 		class:    nonIdempotentClass,
 		reports:  []scheduler.Result{scheduler.ConnectFailed, scheduler.ConnectFailed},
 		want:     "refused <nil>",
@@ -188,26 +188,27 @@
 				x := submit(l, "r", test.class)
 				for i, result := range test.reports {
 					if len(b.reports) <= i {
-						t.Fatalf("%d attempts", len(b.reports))
+						t.Fatalf("%d attempts were started, want %d", len(b.reports), test.attempts)
 					}
 					b.reports[i](Report{Result: result, Reply: "yes", VolumeUse: -1})
 					time.Sleep(100 * time.Millisecond)
 					synctest.Wait()
 				}
 				if diff := cmp.Diff(test.want, answerOf(x)); diff != "" || len(b.reports) != test.attempts {
-					t.Errorf("%d attempts: %s", len(b.reports), diff)
+					t.Errorf("%d attempts were started, want %d; answer (-want +got): %s",
+						len(b.reports), test.attempts, diff)
 				}
 			})
 		})
 	}
 }
 
-func TestAnAttemptEndsWithItsRequest(t *testing.T) {
+func TestAttemptEndsWithItsRequest(t *testing.T) {
 	withLoop(t, testSettings, func(l *Loop, b *fakeBackend) {
 		disconnected := submit(l, "disconnected", idempotentClass)
 		late := submit(l, "late", nonIdempotentClass)
 		if deadline, _ := b.contexts[1].Deadline(); time.Until(deadline) != time.Second {
-			t.Errorf("the attempt has %v", time.Until(deadline))
+			t.Errorf("the attempt's deadline is in %v, want 1s", time.Until(deadline))
 		}
 		disconnected.Disconnect()
 		synctest.Wait()
@@ -218,27 +219,29 @@
 			t.Error(diff)
 		}
 		if b.contexts[0].Err() == nil || b.contexts[1].Err() == nil {
-			t.Error("an attempt goes on")
+			t.Errorf("attempts' contexts have the errors %v and %v, want both ended",
+				b.contexts[0].Err(), b.contexts[1].Err())
 		}
-		// A reply that comes too late changes nothing.
+		// A reply after the answer changes nothing; the other exchange stays pending until its attempt is reported.
 		b.reports[1](Report{Result: scheduler.Served, Reply: "yes"})
 		if answerOf(late) != "failed <nil>" || len(l.pending) != 1 {
-			t.Errorf("%s, %d exchanges are pending", answerOf(late), len(l.pending))
+			t.Errorf("answer %q, want %q; %d exchanges are pending, want 1",
+				answerOf(late), "failed <nil>", len(l.pending))
 		}
 		b.reports[0](Report{Result: scheduler.Canceled})
 		synctest.Wait()
 		if len(l.pending) != 0 {
-			t.Error("an exchange is still pending")
+			t.Errorf("%d exchanges are pending, want none", len(l.pending))
 		}
 	})
 }
 
 func TestLatencyIsTheServiceTimeWhereKnown(t *testing.T) {
 	if latency := (Report{}).latency(9); latency != 9 {
-		t.Errorf("%v of 9 without a service time", latency)
+		t.Errorf("latency 9ns after the attempt was sent, without a service time: %v, want 9ns", latency)
 	}
 	if latency := (Report{ServiceTime: 5}).latency(9); latency != 5 {
-		t.Errorf("%v of 9 with a service time of 5", latency)
+		t.Errorf("latency 9ns after the attempt was sent, with a service time of 5ns: %v, want 5ns", latency)
 	}
 }
 
--- a/internal/eventloop/mailbox.go
+++ b/internal/eventloop/mailbox.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// mailbox carries events into the loop. Posting never blocks. The number of events is bounded all the same: frontends
-// hold a bounded number of exchanges, each with a bounded number of attempts.
+// mailbox is the queue of events for the loop. Posting never blocks. The number of events is bounded nevertheless, as
+// frontends hold a bounded number of exchanges, each with a bounded number of attempts.
 //
-// An event is a function that the loop calls. It carries its own arguments, so that each kind of event is handled
-// in one place, beside the method that posts it.
+// An event is a function that the loop calls. It carries its own arguments, so that the method that posts a kind of
+// event also says how it is handled.
 type mailbox struct {
 	mu     sync.Mutex
 	events []func()
-	wake   chan struct{}
+	wake   chan struct{} // receives a value when there are new events
 }
 
 func newMailbox() *mailbox { return &mailbox{wake: make(chan struct{}, 1)} }
@@ -26,7 +26,7 @@
 	}
 }
 
-// take empties the mailbox.
+// take removes and returns all events.
 func (m *mailbox) take() []func() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/eventloop/pending.go
+++ b/internal/eventloop/pending.go
@@ -11,21 +11,21 @@
 // pendingExchange is an exchange from its arrival until it has an answer and all its attempts have ended.
 type pendingExchange struct {
 	exchange *exchange.Exchange
-	attempts int // started so far
+	attempts int // number of attempts that the scheduler has sent so far
 	inFlight map[int]inFlightAttempt
 	finished bool // answered, or its client has disconnected
 }
 
-// inFlightAttempt is an attempt on which the backend has not reported yet. Its context is canceled at the latest when
-// the report is handled, in attemptEnded.
+// inFlightAttempt is an attempt on which the backend has not reported yet. Its context is canceled when the report is
+// handled, in attemptEnded, if not before.
 type inFlightAttempt struct {
 	cancel context.CancelFunc
-	sentAt time.Duration
+	sentAt time.Duration // on the loop's clock
 	node   string
 }
 
-// requestArrived begins an exchange. Request IDs are unique; a second request with the ID of a pending one fails,
-// as the scheduler could not tell the two apart.
+// requestArrived passes a new exchange to the scheduler. Request IDs are unique: a request with the ID of a pending one
+// fails, as the scheduler could not tell the two apart.
 func (l *Loop) requestArrived(x *exchange.Exchange) {
 	if l.pending[x.Request.ID] != nil {
 		x.Finish(exchange.Answer{Verdict: exchange.Failed})
@@ -36,7 +36,7 @@
 	l.scheduler.RequestArrived(l.clock.Now(), x.Request)
 }
 
-// clientDisconnected ends an exchange that has no answer yet.
+// clientDisconnected ends an exchange whose client has disconnected, unless it has been answered.
 func (l *Loop) clientDisconnected(x *exchange.Exchange) {
 	p := l.pending[x.Request.ID]
 	if p == nil || p.exchange != x || p.finished {
@@ -44,14 +44,14 @@
 	}
 	l.finish(p, exchange.Answer{Verdict: exchange.Failed})
 	l.scheduler.ClientDisconnected(l.clock.Now(), x.Request.ID)
-	// Nobody waits for these attempts any more, whether or not the scheduler has canceled them. It is harmless to
-	// cancel them twice.
+	// Nobody waits for these attempts any more. The scheduler may have canceled some already; canceling them again has
+	// no effect.
 	for _, attempt := range p.inFlight {
 		attempt.cancel()
 	}
 }
 
-// finish gives an exchange its final answer. It does nothing where the exchange has one, or is not pending (p is nil).
+// finish gives an exchange its final answer. It does nothing if the exchange has one or is not pending (p is nil).
 func (l *Loop) finish(p *pendingExchange, answer exchange.Answer) {
 	if p == nil || p.finished {
 		return
@@ -61,14 +61,14 @@
 	l.removeIfDone(p)
 }
 
-// removeIfDone forgets an exchange that is finished and has no attempt in flight.
+// removeIfDone removes an exchange from the pending ones once it is finished and has no attempt in flight.
 func (l *Loop) removeIfDone(p *pendingExchange) {
 	if p.finished && len(p.inFlight) == 0 {
 		delete(l.pending, p.exchange.Request.ID)
 	}
 }
 
-// attemptEnded handles the report on an attempt. The first one that was served answers the request.
+// attemptEnded handles the report on an attempt. The first attempt that is served answers the request.
 func (l *Loop) attemptEnded(p *pendingExchange, number int, report Report) {
 	attempt := p.inFlight[number]
 	attempt.cancel()
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// idleWait is how long the loop sleeps while no timer is set.
+// idleWait is how long the loop waits for an event while no timer is set.
 const idleWait = time.Hour
 
-// timer is a time at which the scheduler wants to be called with a key.
+// timer is a time on the loop's clock at which the scheduler is to be called with a key.
 type timer struct {
 	at  time.Duration
 	key uint64
 }
 
-// fireTimers fires the timers that are due and returns how long it is until the next one.
+// fireTimers fires the timers that are due and returns the time until the next one.
 func (l *Loop) fireTimers() time.Duration {
 	for len(l.timers) > 0 {
 		if wait := l.timers[0].at - l.clock.Now(); wait > 0 {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,8 +1,8 @@
 // Package exchange holds the object through which the client side and the server side of a gateway handle one request.
 //
 // A frontend opens an [Exchange] for each request that it accepts, the event loop schedules it, and a backend sends
-// its payload and delivers the reply. The Exchange knows no protocol: only frontend and backend interpret payload
-// and reply.
+// its payload and delivers the reply. The package depends on no protocol: only the frontend and the backend interpret
+// payload and reply.
 package exchange
 
 import (
@@ -16,11 +16,11 @@
 // Verdict is how a request ended for its client.
 type Verdict int
 
-// The kinds of Verdict.
+// The verdicts.
 const (
 	Served   Verdict = iota // a node replied
-	Rejected                // not served, and retrying is harmless
-	Failed                  // nothing is promised: the request may or may not have run
+	Rejected                // not served, and the client may safely retry
+	Failed                  // not served; the request may or may not have run
 )
 
 // String returns the name of the verdict as api/asyncapi.yaml spells it.
@@ -29,14 +29,14 @@
 // Answer is the final answer to a request.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter time.Duration // for Rejected: when the client should retry; 0: no Retry-After is sent
+	RetryAfter time.Duration // for Rejected: after how long the client should retry; 0: no Retry-After is sent
 	Reply      any           // for Served: what the backend received
 }
 
 // Exchange is one request from the moment it is accepted until it is answered or its client has disconnected. The
 // frontend that makes it owns it; nothing in it needs to be released.
 type Exchange struct {
-	Request  scheduler.Request // what the scheduler decides on; the event loop sets its ClientTimeout
+	Request  scheduler.Request // what the scheduler knows of the request; the event loop sets its ClientTimeout
 	Deadline time.Time         // when the client stops waiting
 	Payload  any               // what a backend sends; it must not be changed
 
@@ -48,7 +48,7 @@
 	cancelClient  context.CancelFunc
 }
 
-// New makes an Exchange.
+// New returns an Exchange that has no answer yet.
 func New(request scheduler.Request, deadline time.Time, payload any) *Exchange {
 	x := &Exchange{
 		Request:  request,
@@ -60,7 +60,7 @@
 	return x
 }
 
-// Disconnect records that the client has disconnected: no answer reaches it any more.
+// Disconnect records that the client has disconnected and can receive no answer any more.
 func (x *Exchange) Disconnect() { x.cancelClient() }
 
 // Disconnected reports whether the client has disconnected.
@@ -69,7 +69,7 @@
 // OnDisconnect arranges for f to be called, in its own goroutine, once the client has disconnected.
 func (x *Exchange) OnDisconnect(f func()) { context.AfterFunc(x.clientContext, f) }
 
-// Finish sets the final answer. Only the first call counts; first reports whether this was that call.
+// Finish sets the final answer. Only the first call has an effect; first reports whether this call was the first.
 func (x *Exchange) Finish(answer Answer) (first bool) {
 	x.once.Do(func() {
 		x.answer = answer
