--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,18 +14,18 @@
 	"reachpulley/scheduler"
 )
 
-// A change of the list counts as announced 6 s after a watch fell silent, and 6 s after discovery became reachable:
-// from then on the gateway is held to it. Within this time the broken watch has to be noticed, the scheduler's
-// backoff has to pass, and the next call has to be answered.
+// The gateway must follow a change of the list from 6 s after a watch fell silent or discovery became reachable. Within
+// this time it must notice that the watch is broken, wait for the scheduler's backoff, and get a response to the next
+// call.
 const (
 	watchIdleTimeout = 2500 * time.Millisecond // discovery writes a line at least every 2 s
-	// Discovery works through its calls one by one.
+	// defaultResponseTimeout is this long because discovery handles its calls one after another.
 	defaultResponseTimeout = 2500 * time.Millisecond
 	dialTimeout            = time.Second
 )
 
-// Client watches discovery and passes on what it receives. It owns the watch's connection, which ends with the watch,
-// with the context given to [New], or when discovery moves to another address.
+// Client watches discovery and reports the lists that it receives. It owns the connection of the watch, which is closed
+// when the watch ends, when the context given to [New] ends, or when discovery moves to another address.
 type Client struct {
 	ctx        context.Context
 	zones      []string
@@ -37,40 +37,40 @@
 
 	mu             sync.Mutex // held while a list is applied, so that lists reach the event loop in order
 	source         source
-	seq            int64 // version of the list that is held
+	seq            int64 // version of the current list, from which a watch continues; 0: none
 	watchRequested bool  // Watch has been called at least once
 	watching       bool
-	loggedFault    string // the last fault that was logged since the last list
+	loggedFault    string // text of the last fault that was logged as a warning; empty again after a list
 }
 
-// source is an address of discovery. The calls to it end with its context: what they still bring after that, a list or
-// an error, is ignored.
+// source is an address of discovery. The calls to it end with its context. A list or an error that a call returns after
+// that is ignored.
 type source struct {
 	address string
 	ctx     context.Context
 	cancel  context.CancelFunc
 }
 
-// Options are what a [Client] needs.
+// Options configure a [Client].
 type Options struct {
-	Address string   // of discovery
-	Zones   []string // names, in the order of the settings
+	Address string   // host and port of discovery
+	Zones   []string // the zones' names, in the order of the settings
 
-	// ResponseTimeout bounds the wait for the head of a response. 0: long enough for a discovery that works through its
-	// calls one by one.
+	// ResponseTimeout bounds the wait for the head of a response. 0: defaultResponseTimeout, which is long enough for a
+	// discovery that handles its calls one after another.
 	ResponseTimeout time.Duration
 
-	// ClockTime converts a time of the wall clock to the event loop's clock.
+	// ClockTime converts a Unix time in milliseconds to the event loop's clock.
 	ClockTime func(unixMilli int64) time.Duration
 
-	// Notify receives each change of the membership. It must not block.
+	// Notify receives each change of the membership, and the failure of a watch. It must not block.
 	Notify func(scheduler.Membership)
 
-	Dial func(ctx context.Context, network, address string) (net.Conn, error) // nil: the network
+	Dial func(ctx context.Context, network, address string) (net.Conn, error) // nil: a net.Dialer's
 	Log  *slog.Logger
 }
 
-// New makes a Client whose calls end with ctx.
+// New returns a Client whose calls end with ctx.
 func New(ctx context.Context, options Options) *Client {
 	dial := options.Dial
 	if dial == nil {
@@ -78,7 +78,7 @@
 	}
 	transport := &http.Transport{
 		DialContext: dial,
-		// Every call has its own connection: http.Transport would silently retry a call on a reused one that breaks.
+		// Every call has its own connection: when a reused one breaks, http.Transport silently repeats the call.
 		DisableKeepAlives:     true,
 		DisableCompression:    true,
 		ResponseHeaderTimeout: cmp.Or(options.ResponseTimeout, defaultResponseTimeout),
@@ -95,8 +95,8 @@
 	return c
 }
 
-// setSource makes address the one that is watched. It forgets the version that is held, as each discovery counts its
-// own. Except in New it is called with mu held.
+// setSource sets the address to watch. It resets the version of the current list, as each discovery counts its own
+// versions. The caller holds mu, except in New.
 func (c *Client) setSource(address string) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	c.source = source{address: address, ctx: ctx, cancel: cancel}
@@ -106,11 +106,11 @@
 // Directory returns the directory of node addresses, which the Client keeps up to date.
 func (c *Client) Directory() *Directory { return &c.directory }
 
-// Seed applies the list that the configuration holds from a previous incarnation of the gateway.
+// Seed applies the list of nodes that the configuration keeps from before a restart of the gateway.
 func (c *Client) Seed(list *List) { c.apply(c.ctx, list, scheduler.CachedList, 0) }
 
-// MoveTo switches to another address of discovery: the old watch ends, and the new address is watched at once. The list
-// that is held stays in force until a new one arrives.
+// MoveTo switches to another address of discovery: it ends the old watch and, if Watch has been called before, watches
+// the new address at once. The current list stays in force until a new one arrives.
 func (c *Client) MoveTo(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// Watch subscribes to changes of the list. It does nothing while a subscription lasts, and does not block.
+// Watch subscribes to the list and its changes, unless a subscription is active. It does not block.
 func (c *Client) Watch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// subscribe starts a watch of the current source. It is called with mu held.
+// subscribe starts a watch of the current source. The caller holds mu.
 func (c *Client) subscribe() {
 	c.watching = true
 	from, seq := c.source, c.seq
@@ -145,11 +145,11 @@
 	}()
 }
 
-// watchEnded reports the end of a watch, unless the Client itself has ended it. The scheduler decides when Watch is
-// called next.
+// watchEnded reports the end of a watch, unless the Client itself ended it. The scheduler decides when to call Watch
+// again.
 func (c *Client) watchEnded(from source, err error) {
 	c.mu.Lock()
-	if from.ctx.Err() == nil { // otherwise another watch may have begun
+	if from.ctx.Err() == nil { // otherwise a watch of the next source may have begun
 		c.watching = false
 	}
 	c.mu.Unlock()
@@ -160,7 +160,7 @@
 }
 
 // faultLevel returns the level at which to log a fault. The same fault may recur with every call until discovery or its
-// list is repaired, so it is a warning only once.
+// list is repaired, so only its first occurrence is a warning.
 func (c *Client) faultLevel(fault error) slog.Level {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,12 +171,12 @@
 	return slog.LevelWarn
 }
 
-// apply takes over a list that the call brought and reports it. requestedFrom is the version from which the call asked
-// for changes.
+// apply updates the directory with a list that a call received and reports the list. requestedFrom is the version from
+// which the call requested changes; call is the call's context.
 //
-// A list older than the one held is dropped, as it would bring back nodes that have been removed. The exception is a
-// whole list older than requestedFrom: it comes from a discovery that has restarted its count, and if it were dropped,
-// no later one would be accepted either. A list from an address that the Client has left is dropped too.
+// A list older than the current one is dropped, as it would bring back nodes that have been removed. The exception is a
+// whole list older than requestedFrom: discovery has restarted its count of versions, and if this list were dropped, no
+// later one would be accepted either. A list from an address that is no longer watched is dropped too.
 func (c *Client) apply(call context.Context, list *List, kind scheduler.MembershipKind, requestedFrom int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -6,33 +6,33 @@
 	"reachpulley/scheduler"
 )
 
-// EndpointLookup finds where a node is.
+// EndpointLookup returns a node's address and whether the node accepts new attempts.
 type EndpointLookup interface {
 	Lookup(node string) Endpoint
 }
 
-// Endpoint is what the [Directory] holds about a node.
+// Endpoint is a node's entry in the [Directory].
 type Endpoint struct {
-	Address string
-	Up      bool // new attempts may go there
+	Address string // host and port
+	Up      bool   // new attempts may be sent to the node
 }
 
-// Directory holds the address of each node and whether new attempts may go there. The [Client] updates it before the
-// event loop learns of a change, so that a backend can still stop an attempt before its first byte.
+// Directory holds the address of each node and whether new attempts may be sent to it. The [Client] updates it before
+// it reports a change to the event loop, so that a backend can still stop an attempt before sending its first byte.
 type Directory struct {
 	mu    sync.RWMutex
 	nodes map[string]Endpoint
 }
 
-// Lookup returns a node's endpoint. A node that is not listed is not up.
+// Lookup returns a node's endpoint, or the zero Endpoint if the node is not listed.
 func (d *Directory) Lookup(node string) Endpoint {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.nodes[node]
 }
 
-// update applies a list. Nodes that were removed are deleted: node IDs are never reused, so the map would grow for
-// ever.
+// update applies a list. It deletes the nodes that were removed: node IDs are never reused, so the map would otherwise
+// grow without bound.
 func (d *Directory) update(list *List) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Node IDs are never reused: the directory holds only the nodes that are listed.
+// Node IDs are never reused, so a directory that kept removed nodes would grow without bound.
 func TestDirectoryForgetsRemovedNodes(t *testing.T) {
 	var directory Directory
 	for i := range 1000 {
@@ -15,6 +15,7 @@
 		}})
 	}
 	if len(directory.nodes) != 1 || !directory.Lookup("999").Up {
-		t.Errorf("%d nodes are held", len(directory.nodes))
+		t.Errorf("directory holds %d nodes, want 1; node 999 is up: %v, want true",
+			len(directory.nodes), directory.Lookup("999").Up)
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,10 +10,10 @@
 	"reachpulley/scheduler"
 )
 
-// List is a version of the list of nodes, or a change to it, as discovery writes it.
+// List is a version of the list of nodes, or a change to the previous version, as discovery sends it.
 type List struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"` // it replaces the list that is held; otherwise it changes it
+	Seq   int64  `json:"seq"`   // the version
+	Whole bool   `json:"whole"` // true: all nodes; false: only those that changed
 	Hosts []host `json:"hosts"`
 }
 
@@ -28,14 +28,14 @@
 	StartedAtMs int64   `json:"born_ms"` // Unix time; 0: long ago
 }
 
-// phases maps the values of a host's health to the scheduler's terms.
+// phases maps the values of a host's health to the scheduler's phases.
 var phases = map[string]scheduler.Phase{
 	"up":       scheduler.Up,
 	"draining": scheduler.Draining,
 	"removed":  scheduler.Removed,
 }
 
-// ParseList reads a list. Its errors name the faulty key.
+// ParseList parses and checks a list in JSON. An error of the check names the key and the node.
 func ParseList(text []byte) (*List, error) {
 	var list List
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -43,21 +43,21 @@
 	}
 	for i, host := range list.Hosts {
 		if host.ID == "" {
-			return nil, fmt.Errorf("hosts[%d].host is missing", i)
+			return nil, fmt.Errorf("hosts[%d].host: is missing", i)
 		}
 		phase, ok := phases[host.Health]
 		if !ok {
-			return nil, fmt.Errorf("hosts[%d].health: unknown state %q", i, host.Health)
+			return nil, fmt.Errorf("hosts[%d].health: unknown state %q of node %q", i, host.Health, host.ID)
 		}
 		if _, _, err := net.SplitHostPort(host.Address); err != nil && phase != scheduler.Removed {
-			return nil, fmt.Errorf("hosts[%d].dial: %w", i, err)
+			return nil, fmt.Errorf("hosts[%d].dial: node %q: %w", i, host.ID, err)
 		}
 	}
 	return &list, nil
 }
 
-// nodes converts a list to the scheduler's terms. This is the only place where a node's start is converted to the event
-// loop's clock.
+// nodes converts a list to the scheduler's nodes. This is the only place where a node's start time is converted to the
+// event loop's clock.
 func (l *List) nodes(zones []string, clockTime func(unixMilli int64) time.Duration) []scheduler.Node {
 	nodes := make([]scheduler.Node, 0, len(l.Hosts))
 	for _, host := range l.Hosts {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -15,13 +15,13 @@
 	"reachpulley/scheduler"
 )
 
-// maxListBytes bounds one list of a watch.
+// maxListBytes is the maximum size of one list of a watch, in bytes.
 const maxListBytes = 1 << 20
 
-// errWatchIdle is how a watch ends that has received nothing for watchIdleTimeout.
-var errWatchIdle = errors.New("watch timed out: no data received for " + watchIdleTimeout.String())
+// errWatchIdle ends a watch that has received nothing for watchIdleTimeout.
+var errWatchIdle = errors.New("discovery watch: no data received for " + watchIdleTimeout.String())
 
-// watch follows the list from a version on, until the response ends or falls silent.
+// watch receives the changes since version seq until the response ends or falls silent.
 func (c *Client) watch(from source, seq int64) error {
 	ctx, cancel := context.WithCancelCause(from.ctx)
 	defer cancel(nil)
@@ -30,11 +30,11 @@
 		return err
 	}
 	defer body.Close()
-	// A machine that is cut off leaves the connection open and sends nothing.
+	// A machine that loses its network leaves the connection open and sends nothing.
 	idleTimer := time.AfterFunc(watchIdleTimeout, func() { cancel(errWatchIdle) })
 	defer idleTimer.Stop()
 	reader := &idleTimeoutReader{Reader: body, timer: idleTimer}
-	lists := json.NewDecoder(reader) // a list may span several lines
+	lists := json.NewDecoder(reader) // a list may span several lines, so they cannot be read line by line
 	for {
 		reader.remaining = maxListBytes
 		var text json.RawMessage
@@ -53,7 +53,7 @@
 	}
 }
 
-// openWatch sends the request of a watch; the caller closes the body.
+// openWatch sends the request of a watch and returns the response's body, which the caller closes.
 func (c *Client) openWatch(ctx context.Context, address string, seq int64) (io.ReadCloser, error) {
 	url := "http://" + address + httpmsg.EndpointsPath + "?stream=1&index=" + strconv.FormatInt(seq, 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -66,17 +66,17 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		response.Body.Close()
-		return nil, fmt.Errorf("unexpected status %d", response.StatusCode)
+		return nil, fmt.Errorf("discovery at %q: unexpected status %d", address, response.StatusCode)
 	}
 	return response.Body, nil
 }
 
-// idleTimeoutReader postpones a timer with every byte it reads: an empty line or a part of a list shows that the watch
-// is alive. It fails once a list is too long.
+// idleTimeoutReader restarts the idle timer with every read that returns data: even an empty line or a part of a list
+// shows that the watch is alive. It fails once a list is too long.
 type idleTimeoutReader struct {
 	io.Reader
 	timer     *time.Timer
-	remaining int // bytes that the present list may still take
+	remaining int // number of bytes that may still be read for the current list
 }
 
 func (r *idleTimeoutReader) Read(p []byte) (int, error) {
@@ -86,7 +86,7 @@
 	}
 	r.remaining -= n
 	if r.remaining < 0 {
-		return 0, fmt.Errorf("list is longer than %d bytes", maxListBytes)
+		return 0, fmt.Errorf("discovery watch: list is longer than %d bytes", maxListBytes)
 	}
 	return n, err
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -14,7 +14,7 @@
 	"reachpulley/scheduler"
 )
 
-// Parts of the scripts. The discovery of the scenarios is d; e is where it moves to.
+// Parts of the scripts. The server d is discovery at its first address, e is discovery at the address it moves to.
 const (
 	request     = "d expect GET /v1/endpoints?stream=1&index="
 	requestToE  = "e expect GET /v1/endpoints?stream=1&index="
@@ -29,16 +29,16 @@
 	upList       = `{"seq":5,"whole":true,"hosts":[{"host":"n","dial":"n:1","health":"up"}]}`
 	drainingList = `{"seq":6,"whole":false,"hosts":[{"host":"n","dial":"n:1","health":"draining"}]}`
 
-	// What the client reports: the kind of the change, then each node with its phase.
+	// What the client reports, as describe formats it: the kind of the change, then each node with its phase.
 	upReported       = "1 n:0"
 	drainingReported = "2 n:1"
 	failureReported  = "3"
 )
 
-// indented spreads a list over several lines of a script's raw text.
+// indented splits a list into several lines of a script's raw text.
 func indented(list string) string { return strings.ReplaceAll(list, ",", `,\n  `) }
 
-// watchScenario plays discovery against a client and states what the client reports.
+// watchScenario is a script of discovery and a client, with the reports that are expected of the client.
 type watchScenario struct {
 	name            string
 	script          string
@@ -48,12 +48,12 @@
 
 var watchScenarios = []watchScenario{
 	{
-		name:   "a watch brings the list and its changes",
+		name:   "a watch reports the list and its changes",
 		script: watchStarts + response + upList + "\\n\nd send raw " + drainingList + "\\n",
 		want:   []string{upReported, drainingReported},
 	},
 	{
-		name:   "a second call changes nothing while the watch lasts",
+		name:   "a second call of Watch sends no request while the watch lasts",
 		script: watchStarts + "client send watch\nd expect nothing",
 	},
 	{
@@ -62,21 +62,21 @@
 			"wait 2s\nd send raw \\n\nwait 2s\nd send raw \\n\nwait 2s",
 		want: []string{upReported},
 	},
-	{ // A machine that is cut off leaves the connection open and sends nothing.
-		name: "a silent watch has ended",
+	{ // A machine that loses its network leaves the connection open and sends nothing.
+		name: "a silent watch is ended and reported",
 		script: watchStarts + response + upList + "\\n\nwait 2500ms\n" +
 			"client send watch\nd expect end\n" + request + "5",
 		want: []string{upReported, failureReported},
 	},
 	{
-		name: "a list may span lines and arrive in pieces",
+		name: "a list may span several lines and arrive in pieces",
 		script: watchStarts + response + indented(upList) + "\\n\n" +
 			"d send raw " + indented(drainingList)[:20] + "\nwait 2s\n" +
 			"d send raw " + indented(drainingList)[20:] + "\\n\\n\nwait 2s\nd send raw \\n\nwait 2s",
 		want: []string{upReported, drainingReported},
 	},
 	{
-		name: "half a list is no list",
+		name: "an incomplete list is not applied",
 		script: watchStarts + response + upList + "\\n\n" +
 			"d send raw " + drainingList[:30] + "\nwait 3s\nd expect end",
 		want: []string{upReported, failureReported},
@@ -93,20 +93,20 @@
 		want:   []string{upReported, failureReported},
 	},
 	{
-		name: "a discovery that restarts its count is accepted",
+		name: "an older whole list from a discovery that restarted its count is accepted",
 		script: "client send apply\nclient send watch\n" + request + "6\n" +
 			response + upList + "\\n\n",
 		want: []string{drainingReported, upReported},
 	},
-	{ // The old discovery goes on for a while; neither its lists, its errors nor its count matter any more.
-		name: "a discovery that moves is watched at its new address at once",
+	{ // The old address may respond for a while. Its lists, its errors and its count of versions are ignored.
+		name: "after a move the new address is watched at once, from version 0",
 		script: watchStarts + response + drainingList + "\\n\nclient send move\nd expect end\n" +
 			requestToE + "0\n" + responseOfE + upList + "\\n\n" +
 			"client send watch\nclient send move\ne expect nothing",
 		want: []string{drainingReported, upReported},
 	},
 	{
-		name: "what a discovery still sends after it has moved is dropped",
+		name: "a move before the first response ends the call to the old address",
 		script: watchStarts + "client send move\nd expect end\n" +
 			requestToE + "0\n" + responseOfE + upList + "\\n",
 		want: []string{upReported},
@@ -127,23 +127,23 @@
 		want:   []string{failureReported},
 	},
 	{
-		name:            "the silence of an agent is reported sooner",
+		name:            "a missing response is reported after a shorter response timeout",
 		script:          watchStarts + "wait 125ms\nd expect end\nclient send watch\n" + request + "0\nwithin 126ms",
 		responseTimeout: 125 * time.Millisecond,
 		want:            []string{failureReported},
 	},
-	{ // An older list would bring a draining node back.
+	{ // An older list would make a draining node count as up again.
 		name:   "an older list is dropped",
 		script: watchStarts + "client send apply\n" + response + upList + "\\n",
 		want:   []string{drainingReported},
 	},
 }
 
-func TestDiscovery(t *testing.T) {
+func TestWatch(t *testing.T) {
 	for _, scenario := range watchScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
 			got := scenario.play(t)
-			// The watch that the end of the test breaks off is reported too.
+			// The watch that is broken off at the end of the test is reported too.
 			if len(got) > len(scenario.want) {
 				got = got[:len(scenario.want)]
 			}
@@ -185,7 +185,7 @@
 	return reported
 }
 
-// describe formats a report as its kind and each node with its phase.
+// describe formats a report as the number of its kind, and each node with the number of its phase.
 func describe(m scheduler.Membership) string {
 	text := fmt.Sprint(int(m.Kind))
 	for _, node := range m.Nodes {
@@ -194,8 +194,8 @@
 	return text
 }
 
-// A list that cannot be read recurs with every call: it is a warning once, until a list has been read.
-func TestFaultIsLoggedOnce(t *testing.T) {
+// A malformed list recurs with every call. It is logged as a warning once, and again only after a valid list.
+func TestRepeatedFaultIsOneWarning(t *testing.T) {
 	malformed := request + "0\n" + response + "{]\\n\nd expect end\nclient send watch\n"
 	script := "client send watch\n" + malformed + malformed + malformed +
 		request + "0\n" + response + upList + "\\n{]\\n\nd expect end\n"
@@ -214,6 +214,6 @@
 		return cancel
 	})
 	if got := strings.Count(log.String(), "level=WARN"); got != 2 {
-		t.Errorf("%d warnings, want one before the list that was read and one after it:\n%s", got, log.String())
+		t.Errorf("%d warnings, want one before the valid list and one after it:\n%s", got, log.String())
 	}
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -12,7 +12,7 @@
 	"reachpulley/internal/config"
 )
 
-// New returns a logger that writes to w.
+// New returns a logger that writes to w. The text format uses colors if w is a terminal.
 func New(w io.Writer, settings config.Log, isTerminal bool) *slog.Logger {
 	handler := newHandler(w, settings, isTerminal)
 	if settings.Repeat > 0 {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -22,13 +22,13 @@
 		time.Sleep(time.Second)
 		log.Info("same")
 		if n := strings.Count(out.String(), `"same"`); n != MaxRepeats+1 {
-			t.Errorf("%d lines", n)
+			t.Errorf("%d lines with the repeated message, want %d", n, MaxRepeats+1)
 		}
 		if n := strings.Count(out.String(), `"fault"`); n != 100 {
-			t.Errorf("%d errors", n)
+			t.Errorf("%d lines with the error, want 100", n)
 		}
 		if !strings.Contains(out.String(), `"suppressed":90}`) {
-			t.Error("the number of suppressed records is missing")
+			t.Error("no line says that 90 records were suppressed")
 		}
 	})
 }
@@ -39,7 +39,7 @@
 		messages.count(fmt.Sprint(i))
 	}
 	if len(messages.counts) != maxMessages {
-		t.Errorf("%d messages are counted", len(messages.counts))
+		t.Errorf("%d messages are counted, want %d", len(messages.counts), maxMessages)
 	}
 }
 
@@ -47,6 +47,6 @@
 	var out bytes.Buffer
 	New(&out, config.Log{Format: config.LogText}, false).Info("serving", "name", "n")
 	if !strings.HasSuffix(out.String(), "INF serving name=n\n") {
-		t.Errorf("%q", out.String())
+		t.Errorf("log output %q, want the suffix %q", out.String(), "INF serving name=n\n")
 	}
 }
--- a/internal/logging/repeat_limiter.go
+++ b/internal/logging/repeat_limiter.go
@@ -12,8 +12,8 @@
 // MaxRepeats is how many records with the same message are written before their rate is limited.
 const MaxRepeats = 10
 
-// maxMessages bounds how many different messages are counted. Messages are constants of the program, so there are few;
-// any beyond the bound are written without a limit.
+// maxMessages is the maximum number of different messages that are counted. Messages are constants of the program, so
+// there are few. Records with any further message are always written.
 const maxMessages = 1024
 
 // suppressedKey is the attribute that says how many records with the same message were suppressed before this one.
@@ -52,13 +52,14 @@
 	return &repeatLimiter{Handler: l.Handler.WithGroup(name), messages: l.messages}
 }
 
-// messageCounts counts records by their messages.
+// messageCounts counts records by message.
 type messageCounts struct {
-	interval time.Duration
+	interval time.Duration // between written records with the same message, beyond the first MaxRepeats
 	mu       sync.Mutex
 	counts   map[string]*messageCount
 }
 
+// messageCount counts the records with one message.
 type messageCount struct {
 	limiter    rate.Sometimes
 	suppressed int // since the last record that was written
@@ -68,7 +69,8 @@
 	return &messageCounts{interval: interval, counts: map[string]*messageCount{}}
 }
 
-// count counts a record. It returns whether to write it and, if so, how many were suppressed since the last one.
+// count counts a record. It returns whether to write it and, if so, how many records with the same message were
+// suppressed since the last written one.
 func (m *messageCounts) count(message string) (write bool, suppressed int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
