--- a/internal/backend/httpbackend/attempt.go
+++ b/internal/backend/httpbackend/attempt.go
@@ -15,17 +15,17 @@
 	"reachpulley/scheduler"
 )
 
-// attempt sends an attempt's request and reports how it ended. An error comes with a report that says what it means
-// for the attempt.
+// attempt sends an attempt's request and reports how the attempt ended. The error is the cause of a failure and is only
+// logged; the report is valid in any case.
 func (b *Backend) attempt(ctx context.Context, attempt eventloop.Attempt) (eventloop.Report, error) {
 	payload, ok := attempt.Exchange.Payload.(*httpmsg.Request)
 	if !ok {
-		err := fmt.Errorf("a %T cannot be sent to a node that speaks HTTP", attempt.Exchange.Payload)
+		err := fmt.Errorf("payload of type %T cannot be sent to an HTTP node", attempt.Exchange.Payload)
 		return failure(scheduler.ConnectFailed), err
 	}
 	c, err := b.connect(ctx, attempt.Node)
 	if err != nil {
-		if errors.Is(err, errSocketBudget) || ctx.Err() != nil { // says nothing about the node
+		if errors.Is(err, errNoConnection) || ctx.Err() != nil { // not a fault of the node
 			return failure(scheduler.NotSent), err
 		}
 		return failure(scheduler.ConnectFailed), err
@@ -38,7 +38,8 @@
 	request := newRequest(payload, c.address, attempt.Deadline.Sub(began))
 	received, written, err := b.roundTrip(ctx, c, request)
 	if err != nil {
-		// A node does not begin to process a request before its last byte. After that, it may or may not have.
+		// A node does not begin to process a request before it has received the last byte. Once that is sent, the
+		// request may have run.
 		result := scheduler.ConnectionReset
 		if !written {
 			result = scheduler.ConnectFailed
@@ -63,12 +64,12 @@
 	return report, nil
 }
 
-// failure is the report on an attempt that got no response.
+// failure returns the report on an attempt that received no response.
 func failure(result scheduler.Result) eventloop.Report {
 	return eventloop.Report{Result: result, VolumeUse: -1}
 }
 
-// newRequest returns the request that is sent to a node for a client's request, with the time that is left for it.
+// newRequest returns the request to send to a node for a client's request, with the time that is left as its deadline.
 func newRequest(payload *httpmsg.Request, address string, timeLeft time.Duration) *http.Request {
 	header := payload.Header.Clone()
 	header.Set(httpmsg.DeadlineHeader, httpmsg.FormatDeadline(timeLeft))
@@ -92,7 +93,7 @@
 	return request
 }
 
-// probe requests a node's load report. The load is nil if the node responds without a valid one.
+// probe requests a node's load report. The load is nil without an error if the node responds without a valid report.
 func (b *Backend) probe(ctx context.Context, node string) (*scheduler.Load, error) {
 	c, err := b.connect(ctx, node)
 	if err != nil {
@@ -112,14 +113,14 @@
 		return nil, err
 	}
 	if received.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("probe of node %s: status %d", node, received.StatusCode)
+		return nil, fmt.Errorf("probe of node %q: unexpected status %d", node, received.StatusCode)
 	}
 	return parseLoadReport(received.content), nil
 }
 
 // roundTrip sends a request, reads the response in full and returns the connection to the pool. If ctx ends first, the
-// connection is closed, which also signals the node that the response is no longer wanted. Written reports whether the
-// request's last byte was sent.
+// connection is closed, which also signals to the node that the response is no longer wanted. The result written
+// reports whether the request's last byte was sent.
 func (b *Backend) roundTrip(ctx context.Context, c *conn, request *http.Request) (
 	received response, written bool, err error) {
 	stopClosing := context.AfterFunc(ctx, func() { c.Close() })
--- a/internal/backend/httpbackend/backend.go
+++ b/internal/backend/httpbackend/backend.go
@@ -1,9 +1,9 @@
 // Package httpbackend sends attempts and probes to storage nodes that speak the platform's HTTP/1.1.
 //
 // A Backend runs each attempt in a goroutine of its own, which takes a connection from the pool, writes one request,
-// reads the response in full and returns or closes the connection. The package never resends a request on its own:
-// whether an attempt is retried is the scheduler's decision. Responses are read with strict bounds on size and time,
-// and a connection is reused only if it is known to the byte that nothing follows the response on it.
+// reads the response in full, and then returns the connection to the pool or closes it. The package never resends a
+// request on its own, as only the scheduler decides on retries. Responses are read with strict bounds on size and time,
+// and a connection is reused only if not a single byte followed the last response on it.
 package httpbackend
 
 import (
@@ -25,24 +25,24 @@
 )
 
 const (
-	sweepInterval = time.Second            // between two searches for connections that were idle for too long
-	probeTimeout  = 250 * time.Millisecond // for a whole probe, the connect included
+	sweepInterval = time.Second            // between two sweeps of the pool for connections that were idle for too long
+	probeTimeout  = 250 * time.Millisecond // for a whole probe, including the connect
 )
 
-// errNodeUnavailable means that discovery lists the node as one that accepts no new work.
-var errNodeUnavailable = errors.New("not accepting new work")
+// errNodeUnavailable means that discovery does not list the node as up.
+var errNodeUnavailable = errors.New("accepts no new work")
 
 // errAttemptExpired means that an attempt must not be sent any more: its client disconnected, its deadline passed, or
-// the window is over in which nodes deduplicate retries.
-var errAttemptExpired = errors.New("attempt may no longer begin")
+// the time is over within which nodes deduplicate retries.
+var errAttemptExpired = errors.New("attempt expired before its request was sent")
 
-// Backend is an eventloop.Backend. Each attempt is one goroutine that owns its connection from pool.get until pool.put
+// Backend implements [eventloop.Backend]. The goroutine of an attempt owns its connection from pool.get until pool.put
 // or pool.discard.
 type Backend struct {
 	pool           *pool
-	largeResponses *semaphore.Weighted // bytes of large responses that are being read
+	largeResponses *semaphore.Weighted // memory, in bytes, for the large responses that are being read
 	directory      discovery.EndpointLookup
-	observe        func(Observation)
+	observe        func(Observation) // nil: responses are not observed
 	log            *slog.Logger
 }
 
@@ -51,23 +51,23 @@
 	Directory           discovery.EndpointLookup
 	Allowed             scheduler.Allowed // for its timeouts
 	MaxConnections      int               // maximum number of connections to nodes
-	LargeResponseMemory int64             // bytes that large responses may occupy while they are read; one always may
-	Dial                dialFunc          // nil: the network
+	LargeResponseMemory int64             // in bytes, for large responses while they are read; at least one always fits
+	Dial                dialFunc          // nil: a net.Dialer's
 	Observe             func(Observation) // called with each response; must not block. nil: no calls
 	Log                 *slog.Logger
 }
 
-// Observation is a node's response to an attempt. Its receiver must not change any of it.
+// Observation is a node's response to an attempt. The receiver must not modify anything that it refers to.
 type Observation struct {
 	Exchange *exchange.Exchange
 	Request  *httpmsg.Request
 	Node     string
-	Number   int // of the attempt
+	Number   int // of the attempt within its request; the first is 0
 	Result   scheduler.Result
 	Status   int
 	Header   http.Header
 	Body     []byte
-	Duration time.Duration
+	Duration time.Duration // from before the request was sent until the response was read
 }
 
 // New returns a Backend. Its idle connections are closed only while Run is running.
@@ -133,12 +133,13 @@
 	}()
 }
 
-// connect returns a connection to a node that accepts new work. The directory is consulted again once the connection
-// is up: the node may have begun to drain during a slow dial, and what counts is when the request's first byte is sent.
+// connect returns a connection to a node that accepts new work. It looks the node up again once the connection is
+// established: the node may have begun to drain during a slow dial, and it must not receive a request that begins after
+// that.
 func (b *Backend) connect(ctx context.Context, node string) (*conn, error) {
 	endpoint := b.directory.Lookup(node)
 	if !endpoint.Up {
-		return nil, fmt.Errorf("node %s: %w", node, errNodeUnavailable)
+		return nil, fmt.Errorf("node %q: %w", node, errNodeUnavailable)
 	}
 	c, err := b.pool.get(ctx, node, endpoint.Address)
 	if err != nil {
@@ -146,7 +147,7 @@
 	}
 	if !b.directory.Lookup(node).Up {
 		b.pool.put(c)
-		return nil, fmt.Errorf("node %s: %w since its connection was requested", node, errNodeUnavailable)
+		return nil, fmt.Errorf("node %q: %w since the connection was requested", node, errNodeUnavailable)
 	}
 	return c, nil
 }
--- a/internal/backend/httpbackend/backend_test.go
+++ b/internal/backend/httpbackend/backend_test.go
@@ -34,7 +34,7 @@
 
 func (d *directory) drain(node string) { d.draining.Store(node, true) }
 
-// newTestBackend returns a backend with two sockets that logs nothing.
+// newTestBackend returns a backend that may have two connections and logs nothing.
 func newTestBackend(nodes *directory, dial dialFunc, timeouts scheduler.Allowed) *Backend {
 	return New(Options{
 		Directory:      nodes,
@@ -45,7 +45,7 @@
 	})
 }
 
-// newAttempt returns an attempt at a node with a request of its own.
+// newAttempt returns an attempt to send a request to a node, as the only attempt of a new exchange.
 func newAttempt(node string, timeLeft time.Duration, request *httpmsg.Request) eventloop.Attempt {
 	x := exchange.New(scheduler.Request{ID: "r"}, time.Now().Add(timeLeft), request)
 	return eventloop.Attempt{Exchange: x, Node: node, Deadline: x.Deadline}
@@ -55,9 +55,11 @@
 	return &httpmsg.Request{Method: "GET", URL: &url.URL{Path: "/x"}, Header: http.Header{}}
 }
 
-// runScenario runs a script with a backend of two sockets and the nodes n and m. The line "backend send NODE" starts an
-// attempt, "backend send cancel" cancels all. The attempts' results must be those wanted, in this order.
-func runScenario(t *testing.T, script string, prepare func(*scenariotest.Scenario, *directory), want ...scheduler.Result) {
+// runScenario runs a script with a backend that may have two connections and the nodes n and m. The line "backend send
+// NODE" starts an attempt, "backend send cancel" cancels all attempts. The test fails unless the attempts end with the
+// wanted results, in this order.
+func runScenario(t *testing.T, script string, prepare func(*scenariotest.Scenario, *directory),
+	want ...scheduler.Result) {
 	t.Helper()
 	var mu sync.Mutex
 	var got []scheduler.Result
@@ -105,12 +107,12 @@
 		script string // what follows the request
 		want   scheduler.Result
 	}{
-		{"served", `n send 200 yes`, scheduler.Served},
-		{"error", `n send 500`, scheduler.Errored},
-		{"rejected and not run", `n send 503 X-Not-Run=1`, scheduler.Overloaded},
-		{"timed out and not run", `n send 504 X-Not-Run=1`, scheduler.Overloaded},
-		{"rejected, may have run", `n send 503`, scheduler.Errored},
-		{"unexpected status", `n send 404 X-Not-Run=1`, scheduler.Errored},
+		{"200", `n send 200 yes`, scheduler.Served},
+		{"500", `n send 500`, scheduler.Errored},
+		{"503, not run", `n send 503 X-Not-Run=1`, scheduler.Overloaded},
+		{"504, not run", `n send 504 X-Not-Run=1`, scheduler.Overloaded},
+		{"503, may have run", `n send 503`, scheduler.Errored},
+		{"404, claims that it did not run", `n send 404 X-Not-Run=1`, scheduler.Errored},
 		{"connection closed", `n close`, scheduler.ConnectionReset},
 		{
 			"connection closed within content",
@@ -120,7 +122,7 @@
 		},
 		{"not HTTP", `n send raw hello\n\n`, scheduler.ConnectionReset},
 		{
-			"half a MB of content",
+			"500 kB of content",
 			`n send raw HTTP/1.1 200 OK\nContent-Length: 500000\n\n` + strings.Repeat("x", 500000),
 			scheduler.Served,
 		},
@@ -152,36 +154,36 @@
 	}
 }
 
-// No part of a malformed response is served, and its connection is closed, though the node would keep it open.
+// No part of a malformed response is served, and the backend closes the connection, though the node would keep it open.
 func TestMalformedResponses(t *testing.T) {
 	for _, test := range []struct{ name, script string }{
 		{
-			"interim responses without end",
+			"more than maxHeads interim responses",
 			`n send raw ` + strings.Repeat(`HTTP/1.1 103 Early\n\n`, 9) + `
 			n expect end`,
 		},
 		{
-			"head without end",
+			"head larger than maxHeadSize",
 			`n send raw HTTP/1.1 200 OK\nX: ` + strings.Repeat("x", maxHeadSize) + `
 			n expect end`,
 		},
 		{
-			"negative length",
+			"negative Content-Length",
 			`n send raw HTTP/1.1 200 OK\nContent-Length: -1\n\n
 			n expect end`,
 		},
 		{
-			"two lengths",
+			"two different Content-Length fields",
 			`n send raw HTTP/1.1 200 OK\nContent-Length: 1\nContent-Length: 2\n\nxx
 			n expect end`,
 		},
 		{
-			"length and chunked",
+			"Content-Length and chunked",
 			`n send raw HTTP/1.1 200 OK\nContent-Length: 1\nTransfer-Encoding: chunked\n\n0\n\n
 			n expect end`,
 		},
 		{
-			"length of 3 GB",
+			"Content-Length of 3 GB",
 			`n send raw HTTP/1.1 200 OK\nContent-Length: 3000000000\n\nxx
 			n expect end
 			within 1ms`,
@@ -192,13 +194,13 @@
 			n expect end`,
 		},
 		{
-			"less content than its length",
+			"less content than Content-Length",
 			`n send raw HTTP/1.1 200 OK\nContent-Length: 9\n\nhalf
 			wait 101ms
 			n expect end`,
 		},
 		{
-			"half a head",
+			"incomplete head",
 			`n send raw HTTP/1.1 200
 			wait 101ms
 			n expect end`,
@@ -216,11 +218,11 @@
 	}
 }
 
-// An attempt's connection comes up, but the attempt may no longer begin: not a byte of it may be sent.
+// If an attempt may no longer begin once its connection is established, not a byte of it is sent.
 func TestExpiredAttemptIsNotSent(t *testing.T) {
 	for name, expire := range map[string]func(*eventloop.Attempt){
 		"client disconnected":  func(a *eventloop.Attempt) { a.Exchange.Disconnect() },
-		"dedup window is over": func(a *eventloop.Attempt) { a.BeginBefore = time.Now() },
+		"retry window is over": func(a *eventloop.Attempt) { a.BeginBefore = time.Now() },
 		"deadline passed":      func(a *eventloop.Attempt) { a.Deadline = time.Now() },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -232,7 +234,7 @@
 			}
 			b.pool.close()
 			if n, _ := c.Read(make([]byte, 1)); n > 0 {
-				t.Error("something was sent")
+				t.Errorf("the node received %d bytes, want none", n)
 			}
 		})
 	}
@@ -243,12 +245,13 @@
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		if report := <-reported; report.Result != scheduler.Served {
-			t.Error(report.Result)
+			t.Errorf("result %v, want %v", report.Result, scheduler.Served)
 		}
 	})
 }
 
-// startOverTCP starts an attempt over a real socket and returns the node's end of the connection.
+// startOverTCP starts an attempt over a TCP connection and returns the backend, the node's end of the connection, and
+// the channel that receives the report.
 func startOverTCP(t *testing.T, attempt eventloop.Attempt) (*Backend, net.Conn, <-chan eventloop.Report) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -295,8 +298,8 @@
 			prepare: func(_ *scenariotest.Scenario, nodes *directory) { nodes.drain("n") },
 		},
 		{
-			// The drain is reported during the dial, and what counts is when the request's first byte is sent.
-			name: "draining since the connect began",
+			// Discovery reports the drain during the dial, before the first byte of the request is sent.
+			name: "draining since the dial began",
 			script: `
 				backend send n
 				wait 50ms
@@ -348,8 +351,8 @@
 	}
 }
 
-// The connection breaks after a request's last byte was sent and before the write of it returns. The request may have
-// run, though the sender cannot know yet that all of it was sent.
+// The connection breaks after a request's last byte was sent and before the call of Write returns. The request may have
+// run, although the backend does not know yet that all of it was sent.
 func TestConnectionBreaksAfterLastByte(t *testing.T) {
 	for name, body := range map[string]string{
 		"no body":    "",
@@ -379,7 +382,8 @@
 	}
 }
 
-// breakingConn is a connection whose node takes a whole request and closes before the write of its last byte returns.
+// breakingConn is a connection whose node receives a whole request and closes before the write of its last byte
+// returns.
 type breakingConn struct {
 	net.Conn
 	far      net.Conn
--- a/internal/backend/httpbackend/connection.go
+++ b/internal/backend/httpbackend/connection.go
@@ -8,14 +8,14 @@
 	"reachpulley/internal/socketpeek"
 )
 
-// stallTimeout is the longest pause within a response. A response that pauses for longer counts as malformed.
+// stallTimeout is the longest allowed pause within a response. A response that pauses for longer counts as malformed.
 const stallTimeout = 100 * time.Millisecond
 
 // aLongTimeAgo is a read deadline that ends a pending read at once.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// conn is one connection to a node. Whoever got it from the pool owns it until pool.put or pool.discard. Everything
-// that is read from it passes through its reader, so that it is known to the byte whether something follows a response.
+// conn is one connection to a node. The caller of pool.get owns it until pool.put or pool.discard. All data is read
+// through its reader, so that even a single byte that follows a response is noticed.
 type conn struct {
 	net.Conn
 	reader     *bufio.Reader
@@ -23,10 +23,10 @@
 	node       string
 	address    string
 	idleSince  time.Time
-	idleWatch  chan bool // while idle: gets one value from pool.watch, whether the connection was silent
+	idleWatch  chan bool // while idle: pool.watch sends one value, whether the connection was silent
 }
 
-// Read reads from the network. Within a response, the next bytes must arrive before stallTimeout has passed.
+// Read reads from the network. Within a response it fails if no byte arrives within stallTimeout.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.inResponse {
 		c.SetReadDeadline(time.Now().Add(stallTimeout))
@@ -34,8 +34,8 @@
 	return c.Conn.Read(p)
 }
 
-// endIdleWatch ends pool.watch on an idle connection and reports whether nothing was received on it until now: what was
-// received would be taken for the response to the next request.
+// endIdleWatch ends pool.watch on an idle connection and reports whether nothing was received on it since the last
+// response. Anything received would be taken for the response to the next request.
 func (c *conn) endIdleWatch() (silent bool) {
 	c.SetReadDeadline(aLongTimeAgo)
 	silent = <-c.idleWatch
--- a/internal/backend/httpbackend/fuzz_test.go
+++ b/internal/backend/httpbackend/fuzz_test.go
@@ -13,7 +13,7 @@
 	"reachpulley/internal/proto/httpmsg"
 )
 
-// receivingConn is a connection on which a text was received.
+// receivingConn is a connection from which the bytes of its Reader are read.
 type receivingConn struct {
 	net.Conn
 	bytes.Reader
@@ -22,7 +22,8 @@
 func (c *receivingConn) Read(p []byte) (int, error)      { return c.Reader.Read(p) }
 func (c *receivingConn) SetReadDeadline(time.Time) error { return nil }
 
-// Whatever a node sends, a response that is accepted is within bounds, and what follows it was not consumed.
+// Whatever a node sends, a response that is accepted is final and within its maximum size, and nothing that follows it
+// has been consumed.
 func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyesHTTP/1.1 200 OK\r\n"))
 	f.Add([]byte("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\ny\r\n0\r\n\r\n"))
@@ -38,13 +39,14 @@
 			return
 		}
 		if len(received.content) > httpmsg.MaxResponseBody || received.StatusCode < 200 {
-			t.Fatalf("status %d, %d bytes", received.StatusCode, len(received.content))
+			t.Fatalf("accepted a response with status %d and %d bytes of content",
+				received.StatusCode, len(received.content))
 		}
 		buffered := make([]byte, c.reader.Buffered(), len(text))
 		c.reader.Read(buffered)
 		unread := text[len(text)-network.Len():]
 		if left := append(buffered, unread...); !bytes.HasSuffix(text, left) {
-			t.Fatalf("%q is left of %q", left, text)
+			t.Fatalf("%q is left after the response, which is no suffix of %q", left, text)
 		}
 	})
 }
--- a/internal/backend/httpbackend/load_report.go
+++ b/internal/backend/httpbackend/load_report.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	maxLoadFigure = 1e9 // maximum plausible value of any figure in a load report
-	notReported   = -1  // stands for a figure that a load report leaves out
+	maxLoadValue = 1e9 // largest plausible value in a load report
+	notReported  = -1  // stands for a value that a load report leaves out
 )
 
-// parseLoadReport parses a node's load report. It returns nil for an empty, malformed or implausible one: if one figure
-// makes no sense, the others cannot be trusted either.
+// parseLoadReport parses a node's load report. It returns nil for an empty, malformed or implausible one: if one value
+// is implausible, the others cannot be trusted either.
 func parseLoadReport(text []byte) *scheduler.Load {
 	var report struct {
 		InFlight *float64 `json:"inflight"`
@@ -22,21 +22,22 @@
 	if len(text) == 0 || json.Unmarshal(text, &report) != nil {
 		return nil
 	}
-	for _, figure := range []*float64{report.InFlight, report.Queue, report.Util} {
-		if figure != nil && !(*figure >= 0 && *figure <= maxLoadFigure) {
+	for _, value := range []*float64{report.InFlight, report.Queue, report.Util} {
+		if value != nil && !(*value >= 0 && *value <= maxLoadValue) {
 			return nil
 		}
 	}
 	return &scheduler.Load{
-		InFlight: figureOr(report.InFlight, notReported),
-		Queued:   figureOr(report.Queue, notReported),
-		Busy:     figureOr(report.Util, notReported),
+		InFlight: valueOr(report.InFlight, notReported),
+		Queued:   valueOr(report.Queue, notReported),
+		Busy:     valueOr(report.Util, notReported),
 	}
 }
 
-func figureOr(figure *float64, missing float64) float64 {
-	if figure == nil {
+// valueOr returns the value, or missing if it is nil.
+func valueOr(value *float64, missing float64) float64 {
+	if value == nil {
 		return missing
 	}
-	return *figure
+	return *value
 }
--- a/internal/backend/httpbackend/pool.go
+++ b/internal/backend/httpbackend/pool.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"errors"
+	"fmt"
 	"maps"
 	"net"
 	"os"
@@ -12,16 +13,17 @@
 )
 
 const (
-	// reuseDelay is the time after a response until the next request is sent on the same connection. A node may write a
-	// second response some milliseconds after its first, which would be taken for that of the next request.
+	// reuseDelay is the least time between a response and the next request on the same connection. A node may write a
+	// second response some milliseconds after the first, which would be taken for the response to the next request.
 	reuseDelay = 5 * time.Millisecond
-	// reuseBanTime is the time for which no connection to a node is reused after the node sent unsolicited data: the
-	// next such data may arrive later than reuseDelay.
+	// reuseBanTime is how long no connection to a node is reused after the node sent unsolicited data: the next such
+	// data may arrive later than reuseDelay.
 	reuseBanTime = time.Minute
 )
 
-// errSocketBudget means that the gateway holds as many connections to nodes as it may.
-var errSocketBudget = errors.New("no socket left in the budget")
+// errNoConnection means that no connection could be used in time: the socket budget was used up, or the idle
+// connections to the node were within their reuse delay. It is not a fault of the node.
+var errNoConnection = errors.New("no connection became available in time")
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
@@ -29,24 +31,25 @@
 type poolOptions struct {
 	dial           dialFunc
 	connectTimeout time.Duration
-	idleTimeout    time.Duration // maximum age of an idle connection
-	maxConnections int           // the socket budget
+	idleTimeout    time.Duration // how long a connection may be idle
+	maxConnections int           // the socket budget: maximum number of connections to all nodes
 }
 
-// waiter is notified once when the socket budget may have capacity again. It holds one notification.
+// waiter is a channel that receives one notification when the socket budget may have capacity again. Its buffer holds
+// one.
 type waiter chan struct{}
 
-// pool owns every connection to the nodes and counts them against the socket budget. closeLocked is the only place that
-// returns a connection to the budget.
+// pool owns all connections to nodes and counts them against the socket budget. Only closeLocked returns a connection
+// to the budget.
 type pool struct {
 	poolOptions
 
 	mu            sync.Mutex
-	connections   int                  // all that exist or are being dialed
-	closed        bool                 // nothing is put back any more
-	idle          map[string][]*conn   // by node; the one that was idle for longest comes first
+	connections   int                  // number of those that are open or being dialed
+	closed        bool                 // connections that are put back are closed
+	idle          map[string][]*conn   // by node; the connection that has been idle for longest comes first
 	unsolicitedAt map[string]time.Time // by node: when it last sent unsolicited data
-	waiters       []waiter             // for capacity in the budget, first come first served
+	waiters       []waiter             // for capacity in the budget; the first is notified first
 }
 
 func newPool(options poolOptions) *pool {
@@ -58,7 +61,7 @@
 }
 
 // get returns the most recently used idle connection to a node, or a new one. If the budget has no capacity for a new
-// one, it waits for capacity for as long as a connect may take.
+// one, get waits for capacity for up to the connect timeout.
 func (p *pool) get(ctx context.Context, node, address string) (*conn, error) {
 	c, err := p.reuseOrReserve(ctx, node, address)
 	if c != nil || err != nil {
@@ -79,29 +82,29 @@
 			}
 			p.discard(c)
 		}
-		if reusableIn > 0 { // sooner than a new connection would be up
+		if reusableIn > 0 { // a connection is reusable sooner than a new one would be established
 			select {
 			case <-time.After(reusableIn):
 				continue
 			case <-ctx.Done():
-				return nil, errSocketBudget
+				return nil, fmt.Errorf("node %q: %w", node, errNoConnection)
 			}
 		}
-		capacity := p.reserve()
-		if capacity == nil {
+		capacityFreed := p.reserve()
+		if capacityFreed == nil {
 			return nil, nil
 		}
 		select {
-		case <-capacity:
+		case <-capacityFreed:
 		case <-ctx.Done():
-			p.abandon(capacity)
-			return nil, errSocketBudget
+			p.removeWaiter(capacityFreed)
+			return nil, fmt.Errorf("node %q: %w", node, errNoConnection)
 		}
 	}
 }
 
-// dialReserved opens a connection for which capacity was reserved. It has the full connect timeout: the wait for
-// capacity was not the node's fault.
+// dialReserved opens a connection for which capacity was reserved. The dial has the full connect timeout, as the node
+// is not responsible for the wait for capacity.
 func (p *pool) dialReserved(ctx context.Context, node, address string) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
@@ -115,8 +118,8 @@
 	return c, nil
 }
 
-// takeIdle removes and returns the most recently used connection to a node whose reuse delay has passed. If there is
-// none, it returns the time until the next one may be reused, or 0 if nothing is idle.
+// takeIdle removes and returns the most recently used of the idle connections to a node whose reuse delay has passed.
+// If there is none, it returns the time until the first may be reused, or 0 if no connection to the node is idle.
 func (p *pool) takeIdle(node string) (c *conn, reusableIn time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,8 +134,9 @@
 	return nil, reusableIn
 }
 
-// watch waits for what must not arrive on an idle connection: a second response, noise, or the connection's end. It
-// then closes the connection at once, unless somebody has just taken it, who learns of it from conn.endIdleWatch.
+// watch waits for anything to arrive on an idle connection: unsolicited data or the connection's end. It then closes
+// the connection at once. If the connection was taken in the same moment, the taker learns of it from conn.endIdleWatch
+// instead.
 func (p *pool) watch(c *conn) {
 	_, err := c.reader.Peek(1)
 	silent := errors.Is(err, os.ErrDeadlineExceeded)
@@ -154,17 +158,17 @@
 	}
 }
 
-// reserve counts a new connection against the budget. If the budget is used up, it closes the connection that was idle
-// for longest; if none is idle, it reserves nothing and returns a waiter for capacity.
+// reserve counts a new connection against the budget and returns nil. If the budget is used up, it closes the
+// connection that has been idle for longest. If none is idle, it reserves nothing and returns a waiter for capacity.
 func (p *pool) reserve() waiter {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.connections >= p.maxConnections {
 		node, found := p.oldestIdleLocked()
 		if !found {
-			capacity := make(waiter, 1)
-			p.waiters = append(p.waiters, capacity)
-			return capacity
+			capacityFreed := make(waiter, 1)
+			p.waiters = append(p.waiters, capacityFreed)
+			return capacityFreed
 		}
 		c := p.idle[node][0]
 		p.idle[node] = p.idle[node][1:]
@@ -174,7 +178,7 @@
 	return nil
 }
 
-// oldestIdleLocked returns the node with the connection that was idle for longest.
+// oldestIdleLocked returns the node with the connection that has been idle for longest.
 func (p *pool) oldestIdleLocked() (node string, found bool) {
 	for candidate, idle := range p.idle {
 		if len(idle) > 0 && (!found || idle[0].idleSince.Before(p.idle[node][0].idleSince)) {
@@ -185,7 +189,7 @@
 	return node, found
 }
 
-// notifyWaiterLocked has the first waiter look for capacity again.
+// notifyWaiterLocked notifies the first waiter, which then tries to reserve capacity again.
 func (p *pool) notifyWaiterLocked() {
 	if len(p.waiters) > 0 {
 		p.waiters[0] <- struct{}{} // never blocks
@@ -193,12 +197,13 @@
 	}
 }
 
-// abandon ends a wait for capacity. A waiter that was notified in the same moment passes the notification on.
-func (p *pool) abandon(capacity waiter) {
+// removeWaiter ends a wait for capacity. If the waiter has been notified in the same moment, the next one is notified
+// instead.
+func (p *pool) removeWaiter(w waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, other := range p.waiters {
-		if other == capacity {
+		if other == w {
 			p.waiters = append(p.waiters[:i:i], p.waiters[i+1:]...)
 			return
 		}
@@ -206,8 +211,8 @@
 	p.notifyWaiterLocked()
 }
 
-// put returns a connection to the pool whose last response was read in full, or on which no request was sent. The
-// connection is closed if something follows the response.
+// put returns a connection to the pool. Either its last response was read in full or no request was sent on it. If data
+// followed the response, the connection is closed.
 func (p *pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,7 +230,7 @@
 	p.notifyWaiterLocked()
 }
 
-// discard closes a connection and returns it to the budget.
+// discard closes a connection and returns its place in the budget.
 func (p *pool) discard(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -238,14 +243,14 @@
 }
 
 func (p *pool) closeLocked(c *conn) {
-	if c.Conn != nil { // else the dial failed
+	if c.Conn != nil { // nil after a failed dial
 		c.Close()
 	}
 	p.connections--
 }
 
-// sweep closes connections that were idle for too long, well before the nodes would: a request that crosses the node's
-// close on the network would end as a connection reset. It also ends reuse bans whose time has passed.
+// sweep closes connections that were idle for too long, well before the nodes would close them: a request that is sent
+// while the node closes the connection would end as a connection reset. It also ends the bans on reuse that are over.
 func (p *pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -262,7 +267,7 @@
 	maps.DeleteFunc(p.unsolicitedAt, func(_ string, at time.Time) bool { return time.Since(at) >= reuseBanTime })
 }
 
-// close closes the idle connections, and from now on every connection that is put back.
+// close closes all idle connections now, and each other connection when it is put back.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/backend/httpbackend/pool_test.go
+++ b/internal/backend/httpbackend/pool_test.go
@@ -12,7 +12,8 @@
 	"reachpulley/scheduler"
 )
 
-// What a node sends beyond a response must not be taken for the response to the next request, whenever it arrives.
+// Data that a node sends after a response must never be taken for the response to the next request, however late it
+// arrives.
 func TestUnsolicitedDataIsNotAResponse(t *testing.T) {
 	for _, test := range []struct{ name, script string }{
 		{
@@ -21,7 +22,7 @@
 			n expect end`,
 		},
 		{
-			"noise at once",
+			"other data at once",
 			`n send raw HTTP/1.1 200 OK\nContent-Length: 3\n\none%&/
 			n expect end`,
 		},
@@ -40,9 +41,9 @@
 			runScenario(t, script, nil, scheduler.Served, scheduler.Served)
 		})
 	}
-	// The next request waits already when the second response arrives, some milliseconds late. From then on, every
-	// connection to the node is used for one request.
-	t.Run("second response before the next request", func(t *testing.T) {
+	// A second response arrives some milliseconds late, while the next request waits for the reuse delay. From then on,
+	// each connection to the node is used for only one request.
+	t.Run("second response during the reuse delay", func(t *testing.T) {
 		runScenario(t, `
 			backend send n
 			n expect GET /x
@@ -59,10 +60,11 @@
 	})
 }
 
-// When the sockets are used up, idle connections to other nodes are closed, and attempts wait for capacity in order. An
-// attempt that gets no socket says nothing about its node.
+// When the socket budget is used up, idle connections to other nodes are closed, and attempts wait for capacity in
+// order. An attempt that gets no connection ends as NotSent, which does not count against its node.
 func TestSocketBudget(t *testing.T) {
-	// Both sockets are used for m: one was taken from n, which was idle. An attempt at n waits.
+	// Both connections are in use for m: for the second one, the idle connection to n was closed. An attempt at n
+	// waits.
 	const bothInUse = `
 		backend send n
 		n expect GET /x
@@ -82,12 +84,12 @@
 		want   []scheduler.Result
 	}{
 		{
-			"waits in vain",
+			"waits until the connect timeout",
 			`wait 2ms`,
 			[]scheduler.Result{scheduler.Served, scheduler.NotSent, scheduler.Canceled, scheduler.Canceled},
 		},
 		{
-			"gets the socket of a connection that becomes idle",
+			"gets the place of a connection that becomes idle",
 			`m send 200 one
 			m expect end
 			n expect GET /x
@@ -95,7 +97,7 @@
 			[]scheduler.Result{scheduler.Served, scheduler.Served, scheduler.Served, scheduler.Canceled},
 		},
 		{
-			"leaves its place to the next when it stops waiting",
+			"stops waiting, and the next attempt gets the place",
 			`backend send n
 			wait 2ms
 			n expect nothing
@@ -113,7 +115,7 @@
 	}
 }
 
-// Nodes come and go with ever new ids: the pool must retain nothing of those that are no longer used.
+// Nodes come and go, always with new IDs: the pool must keep nothing of those that are no longer used.
 func TestPoolReleasesUnusedNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dial := func(context.Context, string, string) (net.Conn, error) {
@@ -137,7 +139,8 @@
 		time.Sleep(time.Second)
 		p.sweep()
 		if len(p.idle) != 0 || p.connections != 0 || len(p.waiters) != 0 {
-			t.Errorf("%d nodes, %d connections, %d waiters", len(p.idle), p.connections, len(p.waiters))
+			t.Errorf("pool holds %d nodes, %d connections and %d waiters, want none",
+				len(p.idle), p.connections, len(p.waiters))
 		}
 	})
 }
--- a/internal/backend/httpbackend/report.go
+++ b/internal/backend/httpbackend/report.go
@@ -8,8 +8,8 @@
 	"reachpulley/scheduler"
 )
 
-// report interprets a response by its operation's description, and by the platform's rules for a status that the
-// description leaves out. Statuses is nil for an operation without a description.
+// report interprets a response by its operation's description, or by the platform's rules if the description leaves its
+// status out. The parameter statuses is nil for an operation without a description.
 func (r response) report(statuses httpmsg.StatusInterpreter) eventloop.Report {
 	report := eventloop.Report{
 		Result:     scheduler.Errored,
@@ -37,7 +37,7 @@
 		report.Result = scheduler.Served
 		report.Reply = &httpmsg.Reply{Header: r.Header, Body: r.content}
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if r.Header.Get(httpmsg.NotRunHeader) == "1" { // without it the node may have begun to process the request
+		if r.Header.Get(httpmsg.NotRunHeader) == "1" { // without this header the request may have run
 			report.Result = scheduler.Overloaded
 		}
 	}
--- a/internal/backend/httpbackend/report_test.go
+++ b/internal/backend/httpbackend/report_test.go
@@ -30,7 +30,7 @@
 
 	bare := response{Response: &http.Response{StatusCode: 500, Header: http.Header{}}}.report(nil)
 	if bare.VolumeUse >= 0 || bare.Load != nil {
-		t.Errorf("%+v from a response without figures", bare)
+		t.Errorf("report %+v on a response without load headers, want VolumeUse below 0 and no Load", bare)
 	}
 }
 
@@ -44,16 +44,16 @@
 		`{"inflight":7`:               nil,
 	} {
 		if diff := cmp.Diff(want, parseLoadReport([]byte(text))); diff != "" {
-			t.Errorf("%s: %s", text, diff)
+			t.Errorf("load report %s (-want +got): %s", text, diff)
 		}
 	}
 }
 
-func TestMalformedFiguresInHeaders(t *testing.T) {
-	for _, figure := range []string{"NaN", "-Inf", "Inf", "1e400", "-5", "5 percent", ""} {
-		header := http.Header{httpmsg.UsedHeader: {figure}}
+func TestMalformedNumbersInHeaders(t *testing.T) {
+	for _, number := range []string{"NaN", "-Inf", "Inf", "1e400", "-5", "5 percent", ""} {
+		header := http.Header{httpmsg.UsedHeader: {number}}
 		if got := httpmsg.HeaderNumber(header, httpmsg.UsedHeader, -1); got != -1 {
-			t.Errorf("%q is read as %v", figure, got)
+			t.Errorf("header %q is parsed as %v, want the default -1", number, got)
 		}
 	}
 }
--- a/internal/backend/httpbackend/response.go
+++ b/internal/backend/httpbackend/response.go
@@ -20,35 +20,35 @@
 	maxHeadSize = 8 << 10
 	// maxHeads is the maximum number of heads read for one request: those of interim (1xx) responses and the final one.
 	maxHeads = 8
-	// smallContent is the content, in bytes, that is read without a reservation in the memory for large responses.
+	// smallContent is the size of content, in bytes, up to which no memory for large responses is reserved.
 	smallContent = httpmsg.MaxRequestBody
 )
 
-// Errors of a malformed or unacceptable response. Any of them fails the attempt, which the node may have processed, and
+// Errors of a malformed or unacceptable response. Each of them fails the attempt, whose request may have run, and
 // closes the connection.
 var (
 	errHeadTooLarge    = fmt.Errorf("response head is larger than %d bytes", maxHeadSize)
 	errAmbiguousLength = errors.New("response has both Content-Length and Transfer-Encoding")
-	errTooManyInterim  = fmt.Errorf("no final response within %d responses", maxHeads)
-	errProtocolSwitch  = errors.New("node switches to another protocol")
+	errTooManyInterim  = fmt.Errorf("no final response among the first %d responses", maxHeads)
+	errProtocolSwitch  = errors.New("response switches to another protocol")
 	errContentTooLarge = fmt.Errorf("response content is larger than %d bytes", httpmsg.MaxResponseBody)
 )
 
-// headTerminators end a head: an empty line, with or without a carriage return.
+// headTerminators are the ends of a head: an empty line, with or without a carriage return.
 var headTerminators = [...][]byte{[]byte("\n\r\n"), []byte("\n\n")}
 
-// contentLengthField begins the field line of Content-Length in a head in lower case.
+// contentLengthField is the start of the Content-Length field in a head that was converted to lower case.
 var contentLengthField = []byte("\ncontent-length")
 
 // response is a final response that was read in full.
 type response struct {
-	*http.Response        // its Body is used up
-	content        []byte // of the message
+	*http.Response        // its Body has been read
+	content        []byte // what was read from Body
 }
 
-// readResponse reads the final response to a request in full, and not a byte beyond it. However large a response claims
-// to be, at most the reader's buffer and httpmsg.MaxResponseBody bytes of it are held in memory; attempts share the
-// memory for large ones.
+// readResponse reads the final response to a request in full and consumes no byte beyond it. However large a response
+// claims to be, at most the reader's buffer and httpmsg.MaxResponseBody bytes of it are held in memory. All attempts
+// share the memory for large responses.
 func (c *conn) readResponse(ctx context.Context, request *http.Request, largeResponses *semaphore.Weighted) (
 	response, error) {
 	if _, err := c.reader.Peek(1); err != nil {
@@ -73,7 +73,8 @@
 	return response{}, errTooManyInterim
 }
 
-// readHead reads one response's head, interim or final, and rejects a final one whose content must not be read.
+// readHead reads the head of one interim or final response. It also fails for a final one whose content is too large or
+// of ambiguous length.
 func (c *conn) readHead(request *http.Request) (*http.Response, error) {
 	head, err := peekHead(c.reader)
 	if err != nil {
@@ -96,8 +97,8 @@
 	return resp, nil
 }
 
-// peekHead waits until the reader's buffer, which limits its size, holds a complete head, and returns the head without
-// consuming it.
+// peekHead waits until the reader's buffer holds a complete head and returns the head without consuming it. It fails if
+// the head does not fit into the buffer.
 func peekHead(reader *bufio.Reader) ([]byte, error) {
 	for {
 		buffered, _ := reader.Peek(reader.Buffered())
@@ -115,11 +116,11 @@
 	}
 }
 
-// readContent reads a response's content. For a large one it reserves memory, but only while it reads: how long the
-// content is held after that depends on the client's connection and not on the node.
+// readContent reads a response's content. For large content it reserves memory, but releases it once the content is
+// read: how long the content is held after that depends on the client's connection and not on the node.
 func readContent(ctx context.Context, resp *http.Response, largeResponses *semaphore.Weighted) ([]byte, error) {
 	limit := resp.ContentLength
-	if limit < 0 { // unknown: chunked, or until the connection ends
+	if limit < 0 { // the length is unknown: chunked, or until the connection ends
 		limit = httpmsg.MaxResponseBody
 	}
 	var content bytes.Buffer
