--- a/internal/backend/iscsiinitiator/initiator.go
+++ b/internal/backend/iscsiinitiator/initiator.go
@@ -1,9 +1,9 @@
 // Package iscsiinitiator sends attempts to storage nodes that speak iSCSI. It is an initiator as of RFC 7143 with one
 // session per node and one connection per session, on which many commands are outstanding at a time.
 //
-// An Initiator owns the sessions, and each session's run goroutine owns its connection. A command that was sent is a
-// task in its session's table; whoever removes it from the table reports how it ended, so that each attempt is reported
-// exactly once.
+// An Initiator owns the sessions, and the goroutine that runs a session owns its connection. A command that was sent is
+// a task in its session's table. The goroutine that removes the task from the table reports how it ended, so that each
+// attempt is reported exactly once.
 package iscsiinitiator
 
 import (
@@ -22,31 +22,31 @@
 	"reachpulley/scheduler"
 )
 
-// sweepInterval is the time between two searches for sessions that were idle for too long.
+// sweepInterval is the time between two sweeps for sessions that were idle for too long.
 const sweepInterval = time.Second
 
 // Reasons why a command is not sent.
 var (
-	errNodeUnavailable = errors.New("node accepts no new work")
-	errSocketBudget    = errors.New("no socket left in the budget")
+	errNodeUnavailable = errors.New("accepts no new work")
+	errSessionLimit    = errors.New("session limit reached")
 	errSessionEnding   = errors.New("session is ending")
-	errWindowFull      = errors.New("node's command window is full")
+	errWindowFull      = errors.New("command window is full")
 )
 
-// Initiator is an eventloop.Backend. It owns the sessions; each closes its connection at the end of its run.
+// Initiator implements [eventloop.Backend]. It owns the sessions, each of which closes its own connection when it ends.
 type Initiator struct {
 	directory      discovery.EndpointLookup
 	dial           dialFunc
 	connectTimeout time.Duration
 	idleTimeout    time.Duration // of a session without outstanding commands
-	name           string
-	targetName     string
-	isid           uint32 // qualifier of the initiator session id
+	name           string        // the iSCSI name of the initiator
+	targetName     string        // the iSCSI name of the nodes' target
+	isid           uint32        // the random part of the initiator session ID (ISID)
 	maxSessions    int
 	log            *slog.Logger
 
 	mu       sync.Mutex
-	sessions map[string]*session // by node; those on which commands may start
+	sessions map[string]*session // by node; only those on which commands may start
 }
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
@@ -55,10 +55,10 @@
 type Options struct {
 	Directory   discovery.EndpointLookup
 	Allowed     scheduler.Allowed // for its timeouts
-	Initiator   string            // the initiator's name
-	Target      string            // the name of the nodes' target
+	Initiator   string            // the iSCSI name of the initiator
+	Target      string            // the iSCSI name of the nodes' target
 	MaxSessions int               // maximum number of sessions
-	Dial        dialFunc          // nil: the network
+	Dial        dialFunc          // nil: a net.Dialer's
 	Log         *slog.Logger
 }
 
@@ -102,7 +102,7 @@
 	go func() { report(i.attempt(ctx, attempt)) }()
 }
 
-// Probe reports that the node did not respond: the protocol subset in use has no load reports.
+// Probe reports at once that the node did not respond: the subset of iSCSI that is in use has no load reports.
 func (i *Initiator) Probe(node string, report func(scheduler.ProbeResult)) {
 	report(scheduler.ProbeResult{Node: node})
 }
@@ -111,7 +111,7 @@
 func (i *Initiator) attempt(ctx context.Context, attempt eventloop.Attempt) eventloop.Report {
 	command, ok := attempt.Exchange.Payload.(*iscsi.Command)
 	if !ok {
-		err := fmt.Errorf("a %T cannot be sent to a node that speaks iSCSI", attempt.Exchange.Payload)
+		err := fmt.Errorf("payload of type %T cannot be sent to an iSCSI node", attempt.Exchange.Payload)
 		return i.reportUnsent(ctx, attempt, err)
 	}
 	s, err := i.session(ctx, attempt.Node)
@@ -131,40 +131,41 @@
 		return report
 	case <-ctx.Done():
 	}
-	if !s.abort(tag) { // it ended in the same moment
+	if !s.abort(tag) { // the task ended in the same moment
 		return <-t.done
 	}
 	return failure(eventloop.ResultAfterCancel(ctx, scheduler.Canceled))
 }
 
-// reportUnsent logs why nothing of an attempt was sent and returns the report on it.
+// reportUnsent logs why nothing of an attempt was sent and returns the report on the attempt.
 func (i *Initiator) reportUnsent(ctx context.Context, attempt eventloop.Attempt, err error) eventloop.Report {
 	i.log.Debug("attempt failed", "id", attempt.Exchange.Request.ID, "attempt", attempt.Number,
 		"node", attempt.Node, "err", err)
 	result := scheduler.ConnectFailed
-	if errors.Is(err, errWindowFull) || errors.Is(err, errSocketBudget) { // the node works
+	if errors.Is(err, errWindowFull) || errors.Is(err, errSessionLimit) { // not a fault of the node
 		result = scheduler.Overloaded
 	}
 	return failure(eventloop.ResultAfterCancel(ctx, result))
 }
 
-// failure is the report on an attempt that was not served.
+// failure returns the report on an attempt that was not served.
 func failure(result scheduler.Result) eventloop.Report {
 	return eventloop.Report{Result: result, VolumeUse: -1}
 }
 
-// session returns the session with a node once its login has succeeded; the first caller opens it.
+// session returns the session with a node once its login has succeeded. If there is none with the node's current
+// address, it opens one.
 func (i *Initiator) session(ctx context.Context, node string) (*session, error) {
 	endpoint := i.directory.Lookup(node)
 	if !endpoint.Up {
-		return nil, errNodeUnavailable
+		return nil, fmt.Errorf("node %q: %w", node, errNodeUnavailable)
 	}
 	i.mu.Lock()
 	s := i.sessions[node]
 	if s == nil || s.address != endpoint.Address {
 		if len(i.sessions) >= i.maxSessions {
 			i.mu.Unlock()
-			return nil, errSocketBudget
+			return nil, fmt.Errorf("node %q: %w: %d sessions are open", node, errSessionLimit, i.maxSessions)
 		}
 		s = newSession(i, node, endpoint.Address)
 		i.sessions[node] = s
@@ -187,7 +188,7 @@
 		select {
 		case <-s.opened:
 		default:
-			continue // its login has a timeout of its own
+			continue // the session is still being opened, which has timeouts of its own
 		}
 		if s.endIfIdle(idleTimeout) {
 			delete(i.sessions, node)
@@ -198,8 +199,8 @@
 	}
 }
 
-// forget removes a session on which no command may start any more.
-func (i *Initiator) forget(s *session) {
+// removeSession removes a session on which no command may start any more.
+func (i *Initiator) removeSession(s *session) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.sessions[s.node] == s {
--- a/internal/backend/iscsiinitiator/initiator_test.go
+++ b/internal/backend/iscsiinitiator/initiator_test.go
@@ -23,8 +23,8 @@
 	return discovery.Endpoint{Address: "n:1", Up: true}
 }
 
-// breakingConn is a connection whose node accepts the login and closes before the write of a command returns. The write
-// succeeds or fails.
+// breakingConn is a connection whose node accepts the login and closes before the write of a command returns.
+// writeSucceeds says how that write ends.
 type breakingConn struct {
 	net.Conn
 	far           net.Conn
@@ -40,7 +40,7 @@
 		go b.far.Write(response.Bytes())
 	case iscsi.SCSICommand:
 		b.far.Close()
-		time.Sleep(time.Second) // the session observes the end of the connection first
+		time.Sleep(time.Second) // the session notices the end of the connection before the write returns
 		if !b.writeSucceeds {
 			return 0, net.ErrClosed
 		}
@@ -48,8 +48,9 @@
 	return len(p), nil
 }
 
-// The connection breaks while a command is written. Once all of it is sent it may have run, though the writer cannot
-// know yet. A failed write is no proof that nothing ran, as the session may have ended before the write failed.
+// The connection breaks while a command is written. Once all of it is sent, the command may have run, although the call
+// of Write has not returned. A failed write does not prove that the command did not run either: the session may end,
+// and report on the command, before the write fails.
 func TestConnectionBreaksDuringCommandWrite(t *testing.T) {
 	for name, writeSucceeds := range map[string]bool{"write succeeds": true, "write fails": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/backend/iscsiinitiator/login.go
+++ b/internal/backend/iscsiinitiator/login.go
@@ -10,18 +10,18 @@
 	"reachpulley/internal/proto/iscsi"
 )
 
-// Places in the header of login PDUs (RFC 7143, sections 11.12 and 11.13).
+// Offsets in the header of login PDUs, in bytes, and a value there (RFC 7143, sections 11.12 and 11.13).
 const (
 	isidTypeByte    = 8
-	isidTypeRandom  = 0x80
+	isidTypeRandom  = 0x80 // value at isidTypeByte: the ISID is random
 	isidQualifier   = 9
 	loginStatusWord = 36
 )
 
-// maxDataSegment is the length, in bytes, of the largest data segment that is sent or accepted.
+// maxDataSegment is the maximum length, in bytes, of a data segment that is sent or accepted.
 const maxDataSegment = httpmsg.MaxRequestBody
 
-// login requests the full feature phase in one step and takes over the parameters and numbers of the response.
+// login requests the full feature phase in one step and adopts the parameters and sequence numbers of the response.
 func (s *session) login() error {
 	s.conn.SetDeadline(time.Now().Add(loginTimeout))
 	defer s.conn.SetDeadline(time.Time{})
@@ -35,7 +35,7 @@
 	const fullFeature = iscsi.Transit | iscsi.FullFeature
 	status := binary.BigEndian.Uint16(response.Header[loginStatusWord:])
 	if response.Op() != iscsi.LoginResponse || status != 0 || response.Flags()&fullFeature != fullFeature {
-		return fmt.Errorf("login at node %s: %v with status %#04x", s.node, response.Op(), status)
+		return fmt.Errorf("login at node %q: unexpected response %v with status %#04x", s.node, response.Op(), status)
 	}
 	pairs, err := iscsi.ParseText(response.Data)
 	if err != nil {
@@ -54,6 +54,7 @@
 	return nil
 }
 
+// loginRequest returns the only login request of a session, which asks for the full feature phase.
 func (s *session) loginRequest() *iscsi.PDU {
 	request := iscsi.New(iscsi.LoginRequest, iscsi.Transit|iscsi.OperationalStage<<2|iscsi.FullFeature)
 	request.SetImmediate()
--- a/internal/backend/iscsiinitiator/receive.go
+++ b/internal/backend/iscsiinitiator/receive.go
@@ -10,14 +10,14 @@
 	"reachpulley/scheduler"
 )
 
-// Protocol errors of a node. Any of them ends the session.
+// Protocol errors of a node. Each of them ends the session.
 var (
 	errUnexpectedPDU = errors.New("unexpected PDU")
-	errDataOrder     = errors.New("data out of order or beyond the command's length")
-	errDataRequest   = errors.New("request for data that the command does not have")
+	errDataOrder     = errors.New("data is out of order or beyond the command's length")
+	errDataRequest   = errors.New("R2T requests data that the command does not have")
 )
 
-// receive handles the node's PDUs until the connection or the session ends.
+// receive handles the PDUs that the node sends until the connection or the session ends.
 func (s *session) receive() error {
 	for {
 		p, err := iscsi.ReadPDU(s.reader, maxDataSegment)
@@ -30,9 +30,9 @@
 	}
 }
 
-// handle handles one PDU of the node. An error ends the session.
+// handle handles one PDU from the node. An error ends the session.
 func (s *session) handle(p *iscsi.PDU) error {
-	t := s.track(p)
+	t := s.applyNumbers(p)
 	switch p.Op() {
 	case iscsi.DataIn:
 		return s.receiveData(t, p)
@@ -41,27 +41,28 @@
 	case iscsi.R2T:
 		return s.sendData(t, p)
 	case iscsi.Reject:
-		if len(p.Data) >= iscsi.HeaderSize { // holds the rejected PDU's header; the command may have run all the same
+		if len(p.Data) >= iscsi.HeaderSize { // the rejected PDU's header; its command may have run nevertheless
 			rejectedTag := binary.BigEndian.Uint32(p.Data[iscsi.TaskTag:])
 			s.finish(rejectedTag, 0, false)
 		}
 	case iscsi.NopIn:
 		if p.Get(iscsi.TransferTag) != iscsi.NoTag {
-			pong := iscsi.New(iscsi.NopOut, iscsi.Final).SetImmediate().Set(iscsi.TaskTag, iscsi.NoTag)
-			return s.sendImmediate(pong.Set(iscsi.TransferTag, p.Get(iscsi.TransferTag)))
+			reply := iscsi.New(iscsi.NopOut, iscsi.Final).SetImmediate().Set(iscsi.TaskTag, iscsi.NoTag)
+			return s.sendImmediate(reply.Set(iscsi.TransferTag, p.Get(iscsi.TransferTag)))
 		}
 	case iscsi.AsyncMessage: // whatever its event, the session is about to end; outstanding commands may still complete
-		s.beginEnd()
-		s.initiator.forget(s)
+		s.stopStarting()
+		s.initiator.removeSession(s)
 	case iscsi.TaskResponse, iscsi.LogoutResponse:
 	default:
-		return fmt.Errorf("node %s: %w: %v", s.node, errUnexpectedPDU, p.Op())
+		return fmt.Errorf("node %q: %w: %v", s.node, errUnexpectedPDU, p.Op())
 	}
 	return nil
 }
 
-// track takes over a PDU's numbers and returns the task that it belongs to; nil if that was aborted or there is none.
-func (s *session) track(p *iscsi.PDU) *task {
+// applyNumbers updates the session's sequence numbers from a PDU and returns the task that the PDU belongs to, or nil
+// if the task was aborted or there is none.
+func (s *session) applyNumbers(p *iscsi.PDU) *task {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastReceived = time.Now()
@@ -75,13 +76,14 @@
 	return s.tasks[p.Get(iscsi.TaskTag)]
 }
 
-// receiveData appends a part of a read's data to its task.
+// receiveData appends the data of a Data-In PDU to the read that it belongs to.
 func (s *session) receiveData(t *task, p *iscsi.PDU) error {
 	if t == nil {
 		return nil // aborted
 	}
 	if int(p.Get(iscsi.BufferOffset)) != len(t.data) || len(t.data)+len(p.Data) > t.command.Length() {
-		return fmt.Errorf("node %s: %w", s.node, errDataOrder)
+		return fmt.Errorf("node %q: %w: %d bytes at offset %d, after %d of %d bytes", s.node, errDataOrder,
+			len(p.Data), p.Get(iscsi.BufferOffset), len(t.data), t.command.Length())
 	}
 	t.data = append(t.data, p.Data...)
 	if p.Has(iscsi.HasStatus) {
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// finish reports how a task ended. The status is valid only for a command that was completed at the target.
+// finish removes a task and reports how it ended. The status is valid only if the command was completed at the target.
 func (s *session) finish(tag uint32, status iscsi.Status, completed bool) {
 	t := s.remove(tag)
 	if t == nil {
@@ -102,14 +104,14 @@
 	case status == iscsi.Good && (t.command.Write || len(t.data) == t.command.Length()):
 		report.Result = scheduler.Served
 		report.Reply = &iscsi.Reply{Data: t.data}
-	case status == iscsi.Busy || status == iscsi.TaskSetFull: // the node has not begun
+	case status == iscsi.Busy || status == iscsi.TaskSetFull: // the command has not run
 		report.Result = scheduler.Overloaded
 	}
 	t.done <- report
 }
 
-// scsiStatus returns the status of a SCSI Response or of a Data-In PDU that has one.
+// scsiStatus returns the SCSI status in a SCSI Response, or in a Data-In PDU that carries one.
 func scsiStatus(p *iscsi.PDU) iscsi.Status { return iscsi.Status(p.Header[3]) }
 
-// completedAtTarget reports whether a SCSI Response says that the command was completed.
+// completedAtTarget reports whether the response code of a SCSI Response is "command completed at target".
 func completedAtTarget(p *iscsi.PDU) bool { return p.Header[2] == 0 }
--- a/internal/backend/iscsiinitiator/send.go
+++ b/internal/backend/iscsiinitiator/send.go
@@ -8,13 +8,13 @@
 	"reachpulley/internal/proto/iscsi"
 )
 
-// start sends a task's command and returns the task's tag. Whether the node accepts new work is looked up last, when
-// nothing is left to wait for but the write itself: what counts is when the first byte is sent.
+// start sends a task's command and returns the task's tag. It checks whether the node accepts new work right before the
+// write, because a node that has begun to drain must not receive the first byte of a new command.
 func (s *session) start(ctx context.Context, t *task) (uint32, error) {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
 	s.mu.Lock()
-	if err := s.mayStartLocked(ctx); err != nil {
+	if err := s.startErrorLocked(ctx); err != nil {
 		s.mu.Unlock()
 		return 0, err
 	}
@@ -27,7 +27,7 @@
 	s.cmdSN++
 	t.sentAt = time.Now()
 	s.tasks[tag] = t
-	// The node may have the whole command, and the session may end, before the write returns.
+	// The node may receive the whole command, and the session may end, before the write returns.
 	t.written = true
 	s.mu.Unlock()
 	if err := s.write(request); err != nil { // run reports on the task
@@ -39,22 +39,23 @@
 	return tag, nil
 }
 
-// mayStartLocked returns why no command may start now, if so.
-func (s *session) mayStartLocked(ctx context.Context) error {
+// startErrorLocked returns the reason why no command may start now, or nil if one may.
+func (s *session) startErrorLocked(ctx context.Context) error {
 	switch {
 	case ctx.Err() != nil:
 		return ctx.Err()
 	case !s.initiator.directory.Lookup(s.node).Up:
-		return errNodeUnavailable
+		return fmt.Errorf("node %q: %w", s.node, errNodeUnavailable)
 	case s.ending:
-		return errSessionEnding
+		return fmt.Errorf("node %q: %w", s.node, errSessionEnding)
 	case iscsi.After(s.cmdSN, s.maxCmdSN):
-		return errWindowFull
+		return fmt.Errorf("node %q: %w", s.node, errWindowFull)
 	}
 	return nil
 }
 
-// commandLocked returns the PDU of a command with the session's next number, and with the immediate data of a write.
+// commandLocked returns the PDU of a command with the session's next command number. The PDU of a write also carries
+// the immediate data that the node accepts.
 func (s *session) commandLocked(command *iscsi.Command, tag uint32) *iscsi.PDU {
 	request := iscsi.New(iscsi.SCSICommand, iscsi.Final|iscsi.Read).SetLUN(command.LUN)
 	if command.Write {
@@ -69,8 +70,8 @@
 	return request
 }
 
-// abort gives a task up and requests the node to abort it; whatever the node still sends for it is ignored. It reports
-// whether the task was still outstanding.
+// abort removes a task and requests the node to abort it. Anything that the node still sends for the task is ignored.
+// abort reports whether the task was still outstanding.
 func (s *session) abort(tag uint32) bool {
 	t := s.remove(tag)
 	if t == nil {
@@ -81,8 +82,8 @@
 	s.lastTag++
 	abortTag := s.lastTag
 	s.mu.Unlock()
-	if lost { // the node may be gone without closing the connection: the next command gets a new one
-		s.beginEnd()
+	if lost { // the node may be gone without closing the connection: the next command opens a new session
+		s.stopStarting()
 		s.closeConn()
 		return true
 	}
@@ -92,7 +93,7 @@
 	return true
 }
 
-// sendImmediate sends a PDU for immediate delivery, which takes no command number. An error ends the session.
+// sendImmediate sends a PDU for immediate delivery, which does not use up a command number. An error ends the session.
 func (s *session) sendImmediate(p *iscsi.PDU) error {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
@@ -113,7 +114,8 @@
 	}
 	offset, length := int(r2t.Get(iscsi.BufferOffset)), int(r2t.Get(iscsi.DesiredLength))
 	if offset+length > len(t.command.Data) || length == 0 {
-		return fmt.Errorf("node %s: %w", s.node, errDataRequest)
+		return fmt.Errorf("node %q: %w: %d bytes at offset %d of %d bytes", s.node, errDataRequest,
+			length, offset, len(t.command.Data))
 	}
 	end := offset + length
 	for dataSN := uint32(0); offset < end; dataSN++ {
@@ -138,8 +140,8 @@
 	return nil
 }
 
-// write writes a PDU. The caller holds writeMu and must end the session on an error, after which part of the PDU may
-// have been sent.
+// write writes a PDU. The caller holds writeMu. It must end the session on an error, as part of the PDU may have been
+// sent.
 func (s *session) write(p *iscsi.PDU) error {
 	s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := s.conn.Write(p.Bytes())
--- a/internal/backend/iscsiinitiator/session.go
+++ b/internal/backend/iscsiinitiator/session.go
@@ -13,42 +13,44 @@
 )
 
 const (
-	writeTimeout    = time.Second // for one PDU; a node that does not take it by then is lost
-	loginTimeout    = time.Second // for the login on an open connection
-	responseTimeout = time.Second // after which a node that has sent nothing is lost when a command is aborted
+	writeTimeout = time.Second // for the write of one PDU; the session with a slower node ends
+	loginTimeout = time.Second // for the login on an open connection
+	// If a node has sent nothing for responseTimeout after a command, aborting the command ends the session.
+	responseTimeout = time.Second
 )
 
-// session is the one session with a node. Its run goroutine reads from the connection, owns it and closes it.
+// session is a session with a node. The goroutine of its run method owns the connection, reads from it and closes it.
 type session struct {
 	initiator *Initiator
 	node      string
 	address   string
-	opened    chan struct{} // closed after the login, which has failed with openErr or succeeded
-	openErr   error
+	opened    chan struct{} // closed once the login has succeeded or failed
+	openErr   error         // valid after opened is closed; nil: the login succeeded
 
 	conn    net.Conn
 	reader  *bufio.Reader
 	params  iscsi.Params
-	writeMu sync.Mutex // held while a command is numbered and written: commands are sent in the order of their numbers
+	writeMu sync.Mutex // held while a command is numbered and written, so that commands are sent in order
 
 	mu           sync.Mutex
-	cmdSN        uint32 // of the next command
-	maxCmdSN     uint32 // the last that the node accepts
-	statSN       uint32 // expected next from the node
-	tasks        map[uint32]*task
-	lastTag      uint32
-	lastReceived time.Time
-	idleSince    time.Time
-	ending       bool // no command may start
+	cmdSN        uint32           // of the next command
+	maxCmdSN     uint32           // the last command number that the node accepts
+	statSN       uint32           // the status number that is expected next from the node
+	tasks        map[uint32]*task // by tag
+	lastTag      uint32           // the task tag that was assigned last
+	lastReceived time.Time        // when the node last sent a PDU
+	idleSince    time.Time        // when the last outstanding command or the login ended
+	ending       bool             // no command may start any more
 }
 
-// task is an outstanding command. Whoever removes it from the session's table sends the one report on it to done.
+// task is an outstanding command. The goroutine that removes it from the session's table sends the report to done, or
+// returns the report itself after an abort.
 type task struct {
 	command *iscsi.Command
 	sentAt  time.Time
-	written bool // false once the write of its PDU has failed; else the node may have run it
+	written bool // false once the write of its PDU has failed; otherwise the command may have run
 	data    []byte
-	done    chan eventloop.Report // holds one
+	done    chan eventloop.Report // has room for one report
 }
 
 func newSession(initiator *Initiator, node, address string) *session {
@@ -67,17 +69,17 @@
 	err := s.open()
 	if err != nil {
 		s.openErr = err
-		s.beginEnd()
+		s.stopStarting()
 	}
 	close(s.opened)
 	if err == nil {
 		err = s.receive()
 	}
-	s.beginEnd()
+	s.stopStarting()
 	if s.conn != nil {
 		s.conn.Close()
 	}
-	s.initiator.forget(s)
+	s.initiator.removeSession(s)
 	s.failTasks(err)
 }
 
@@ -94,7 +96,7 @@
 	return s.login()
 }
 
-// failTasks reports on all tasks after the connection has ended.
+// failTasks reports all outstanding tasks as failed after the connection has ended.
 func (s *session) failTasks(cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,17 +113,17 @@
 	s.tasks = nil
 }
 
-// closeConn ends run, which then fails the outstanding tasks.
+// closeConn closes the connection, whereupon run ends and fails the outstanding tasks.
 func (s *session) closeConn() { s.conn.Close() }
 
-// beginEnd lets no further command start.
-func (s *session) beginEnd() {
+// stopStarting makes the session start no further command. Outstanding ones may still complete.
+func (s *session) stopStarting() {
 	s.mu.Lock()
 	s.ending = true
 	s.mu.Unlock()
 }
 
-// endIfIdle lets no further command start if none has been outstanding for idleTimeout, and reports whether that is so.
+// endIfIdle reports whether no command has been outstanding for idleTimeout. If so, no further command may start.
 func (s *session) endIfIdle(idleTimeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,8 +132,8 @@
 	return idle
 }
 
-// remove removes a task from the table and returns it, or nil if it has ended already. It closes the connection of an
-// ending session after its last task.
+// remove removes a task from the table and returns it, or nil if it has ended already. After the last task of an ending
+// session it closes the connection.
 func (s *session) remove(tag uint32) *task {
 	s.mu.Lock()
 	defer s.mu.Unlock()
