--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -5,16 +5,21 @@
 	"time"
 )
 
-// Tuned values of the admission. Unreserved requests need a queue at the node shorter than unreservedAdmit.
 const (
-	optimisticShare     = 0.6                    // share of the expected time that often suffices (ours)
-	unreservedAdmit     = 0.6                    // share of the shortest objective that a queue may take
-	minRetryAfter       = 100 * time.Millisecond // shortest Retry-After (ours)
-	maxRetryAfterSpread = 0.25                   // share by which a Retry-After grows at random
+	// optimisticFactor is the factor on the expected time at the node. Many requests need less than the
+	// expected time, so one that is expected to be slightly late is still admitted.
+	optimisticFactor = 0.6
+	// unreservedAdmitShare is the share of the shortest objective that the queue at a node may take for an
+	// unreserved request to be admitted there.
+	unreservedAdmitShare = 0.6
+	// minRetryAfter is the shortest Retry-After, before the random part is added.
+	minRetryAfter = 100 * time.Millisecond
+	// maxRetryAfterSpread is the largest random part of a Retry-After, as a share of the time without it.
+	maxRetryAfterSpread = 0.25
 )
 
-// admit takes a request that has arrived, unless it names no class, and puts it into a queue or rejects it at
-// once.
+// admit puts an arriving request into a queue, or rejects it if its final answer is already due. It fails a
+// request whose class the settings do not have, and returns false for that one only.
 func (s *Scheduler) admit(arrived Request) (admitted bool) {
 	if arrived.Class < 0 || arrived.Class >= len(s.settings.Classes) {
 		s.actions.Fail(arrived.ID)
@@ -29,15 +34,16 @@
 	return true
 }
 
-// rejectLate walks the node's queue in the order in which it will be sent and rejects what cannot be answered
-// within its objective. What exceeds the share of a volume is last, so that the least weight is lost.
+// rejectLate goes through the node's queue in sending order and rejects the requests that probably cannot be
+// answered within their objective. Requests beyond their volume's share are last in that order, so the
+// rejections lose as little priority weight as possible.
 func (s *Scheduler) rejectLate(node *nodeState) {
 	if len(node.waiting) == 0 {
 		return
 	}
 	s.sortQueue(node)
 	unitsAhead := node.unitsInFlight
-	limitedAhead := map[*volumeState]float64{} // units that the limits of the volumes still have to grant
+	limitedAhead := map[*volumeState]float64{} // units ahead that the volume's limit has not yet let through
 	var late []*requestState
 	for _, request := range node.waiting {
 		wait := waitForCapacity(request, node, unitsAhead)
@@ -46,9 +52,9 @@
 		}
 		limited := !request.charged && request.volume.plan.Limit > 0
 		if limited {
-			wait = max(wait, s.waitForLimit(request, limitedAhead[request.volume]))
+			wait = max(wait, s.waitForVolumeLimit(request, limitedAhead[request.volume]))
 		}
-		if s.tooLate(request, node, wait) || s.exhausted(request) {
+		if s.tooLate(request, node, wait) || s.noMoreAttempts(request) {
 			late = append(late, request)
 			continue
 		}
@@ -63,7 +69,7 @@
 }
 
 // waitForCapacity is the time, in seconds, until the node's concurrency limit lets a request be sent that has
-// so many units ahead of it. The first one for an idle node is sent at once.
+// unitsAhead units ahead of it. The first request for an idle node is sent at once.
 func waitForCapacity(request *requestState, node *nodeState, unitsAhead float64) float64 {
 	if node.attemptsInFlight == 0 && unitsAhead == node.unitsInFlight {
 		return 0
@@ -71,30 +77,32 @@
 	return max(0, unitsAhead+request.Units-node.concurrencyLimit) / node.drainRate()
 }
 
-// waitForLimit is the time, in seconds, until the limit of the request's volume lets it be sent after so many
-// units; below 0 if it does so now.
-func (s *Scheduler) waitForLimit(request *requestState, unitsAhead float64) float64 {
+// waitForVolumeLimit is the time, in seconds, until the limit of the request's volume lets the request be
+// sent after unitsAhead other units of the volume. It is negative if there are more tokens than needed.
+func (s *Scheduler) waitForVolumeLimit(request *requestState, unitsAhead float64) float64 {
 	limit := &request.volume.limit
 	missing := unitsAhead + min(request.Units, limit.burst) - limit.refill(s.now)
 	return missing / limit.rate
 }
 
-// tooLate says whether a request that has to wait so many seconds would probably miss its objective, or
-// saturates the node.
+// tooLate says whether a request has to be rejected now: because it would probably miss its objective after
+// waiting for the given number of seconds, or because the node is saturated for it.
 func (s *Scheduler) tooLate(request *requestState, node *nodeState, wait float64) bool {
 	left := (request.objectiveAt - s.now).Seconds()
 	atNode := s.estimatedQueueTime(node) + s.serviceTime(request, node)
-	return wait+optimisticShare*atNode > left || s.saturated(request, node, unreservedAdmit)
+	return wait+optimisticFactor*atNode > left || s.saturated(request, node, unreservedAdmitShare)
 }
 
-// saturated says whether the request is unreserved and the queue at the node takes more than a share of the
-// shortest objective, which the reserved requests of others need there. Heavy requests may use more of it.
+// saturated says whether the request is unreserved and the queue at the node takes more than the given share
+// of the shortest objective. The rest of that time is left to the reserved requests of other volumes. A
+// request with more weight for its work may use a larger share.
 func (s *Scheduler) saturated(request *requestState, node *nodeState, share float64) bool {
 	return request.tier != reservedTier &&
 		s.estimatedQueueTime(node) > share*s.shortestObjective()*s.relativeWeight(request)
 }
 
-// shortestObjective is the shortest time, in seconds, in which clients want an answer.
+// shortestObjective is the shortest time, in seconds, within which the clients of any class want an answer:
+// the latency objective, or the time after which many clients of a class disconnect.
 func (s *Scheduler) shortestObjective() float64 {
 	shortest := s.minClassObjective.Seconds()
 	for class, share := range s.disconnectShare {
@@ -105,7 +113,8 @@
 	return shortest
 }
 
-// relativeWeight compares the request's weight per work with that of the class that has the highest, damped.
+// relativeWeight is the square root of the ratio of the request's weight per work to the highest weight per
+// work of any class. The root dampens the differences between classes.
 func (s *Scheduler) relativeWeight(request *requestState) float64 {
 	highest := 0.0
 	for i := range s.settings.Classes {
@@ -114,15 +123,15 @@
 	return math.Sqrt(s.weightPerWork(request) / highest)
 }
 
-// expire ends a request whose final answer is due, unless its stream has started.
+// expire rejects or fails a request whose final answer is due, unless its stream has started.
 func (s *Scheduler) expire(request *requestState) {
 	if !request.ended && !request.streamStarted {
 		s.rejectOrFail(request, s.retryAfter(request.node))
 	}
 }
 
-// retryAfter is the Retry-After of a rejection: the time in which the node's queue will drain, if there is a
-// node, with a random part so that clients do not come back together.
+// retryAfter is the Retry-After of a rejection: the time until the node's queue has drained, or the minimum
+// if node is nil. A random part keeps clients from all coming back at the same time.
 func (s *Scheduler) retryAfter(node *nodeState) time.Duration {
 	if !s.settings.Allowed.RetryAfter {
 		return 0
@@ -135,8 +144,8 @@
 	return min(time.Duration(wait), s.settings.Allowed.MaxRetryAfter)
 }
 
-// rejectOrFail ends a request at once: by a rejection if the client may safely send it again, else by a
-// failure.
+// rejectOrFail ends a request at once: with a rejection if the client may safely send it again, otherwise
+// with a failure. It also cancels the attempts that are in flight.
 func (s *Scheduler) rejectOrFail(request *requestState, retryAfter time.Duration) {
 	s.rejected[request.fingerprint()] = request
 	rejectable := s.safeToReject(request)
--- a/scheduler/concurrency_limit.go
+++ b/scheduler/concurrency_limit.go
@@ -78,7 +78,7 @@
 		node.minLatency = min(mean, maxRetestRaise*node.minLatency)
 		node.cutDrainedAt = 0
 	default:
-		earlier := smoothingResponses * math.Exp(-(s.now-node.learnedAt).Seconds()/nodeDecay.Seconds())
+		earlier := smoothingResponses * math.Exp(-(s.now-node.learnedAt).Seconds()/estimateDecayTime.Seconds())
 		node.latency += float64(responses) / (float64(responses) + earlier) * (mean - node.latency)
 		node.minLatency += minLatencyGain * min(0, node.latency-node.minLatency)
 	}
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// unreservedSend is the share of the shortest objective that the queue at a node may take for an unreserved
-// request to be sent there; ours.
-const unreservedSend = 0.1
+// unreservedSendShare is the share of the shortest objective that the queue at a node may take for an
+// unreserved request to be sent there.
+const unreservedSendShare = 0.1
 
-// dispatch sends every waiting request that may be sent now.
+// dispatch sends every waiting request that may be sent now. A request that a guard holds back does not delay
+// those behind it, but one that only lacks capacity does.
 func (s *Scheduler) dispatch() {
 	for _, node := range s.listed {
 		for i := 0; i < len(node.waiting); {
 			request := node.waiting[i]
 			if !s.hasCapacity(request, node) && s.permitted(request, node) {
-				break // it waits for capacity, and requests behind it may not overtake it
+				break // only capacity is missing, and requests behind this one may not overtake it
 			}
 			if s.send(request, node) {
 				node.waiting = slices.Delete(node.waiting, i, i+1)
@@ -24,19 +25,21 @@
 	}
 }
 
-// hasCapacity says whether the node's concurrency limit has capacity for the request. An idle node may always
-// get one. Unreserved requests wait here until the queue at the node is short, because they would delay
-// reserved ones there.
+// hasCapacity says whether the node's concurrency limit leaves capacity for the request. An idle node always
+// has capacity for one request, and a node that failed gets no more than one until it has served a request.
+// Unreserved requests wait at this host until the queue at the node is short, because they would delay
+// reserved requests there.
 func (s *Scheduler) hasCapacity(request *requestState, node *nodeState) bool {
 	if node.attemptsInFlight == 0 {
 		return true
 	}
 	return node.failures == 0 &&
 		node.unitsInFlight+request.Units <= node.concurrencyLimit &&
-		!s.saturated(request, node, unreservedSend)
+		!s.saturated(request, node, unreservedSendShare)
 }
 
-// send sends the request to the node if all guards permit it. Nothing else sends requests.
+// send sends the request to the node if all guards permit it, and says whether it did. No other function
+// sends requests.
 func (s *Scheduler) send(request *requestState, node *nodeState) bool {
 	if !s.permitted(request, node) {
 		return false
@@ -56,8 +59,8 @@
 	return true
 }
 
-// charge accounts for an attempt that is being sent: the first one takes its units from the volume's limit,
-// the others count against the retry budget.
+// charge accounts for an attempt that is about to be sent. The first attempt of a request takes its units
+// from the volume's limit; each later attempt counts against the retry budget of the rules.
 func (s *Scheduler) charge(request *requestState) {
 	if !request.charged && request.volume.plan.Limit > 0 {
 		request.volume.limit.tokens -= request.Units
@@ -68,7 +71,8 @@
 	}
 }
 
-// cancelInFlight cancels the attempts of an ended request, unless its stream has started.
+// cancelInFlight cancels the attempts of an ended request, if canceling is allowed and its stream has not
+// started.
 func (s *Scheduler) cancelInFlight(request *requestState) {
 	if !s.settings.Allowed.Cancel || request.streamStarted {
 		return
--- a/scheduler/guards.go
+++ b/scheduler/guards.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// permitted says whether all guards let the request be sent to the node. Each guard keeps one rule.
+// permitted says whether all guards let the request be sent to the node. Each guard enforces one rule and
+// returns true if the request complies with it.
 func (s *Scheduler) permitted(request *requestState, node *nodeState) bool {
 	return s.guardEnded(request) &&
 		s.guardDraining(node) &&
@@ -17,23 +18,26 @@
 		s.guardRetryBudget(request)
 }
 
-// guardEnded keeps requests back that have ended or whose final answer is due.
+// guardEnded holds back requests that have ended or whose final answer is due.
 func (s *Scheduler) guardEnded(request *requestState) bool {
 	return !request.ended && s.now < request.answerBy
 }
 
-// guardDraining keeps requests from nodes that are known to drain or to have been removed.
+// guardDraining holds requests back from nodes that are draining or removed in the endpoint list.
 func (s *Scheduler) guardDraining(node *nodeState) bool { return node.Phase == Up }
 
-// guardBackoff keeps requests from nodes that rejected requests or could not be reached.
+// guardBackoff holds requests back from a node while it is in backoff, after it rejected a request or could
+// not be reached.
 func (s *Scheduler) guardBackoff(node *nodeState) bool { return s.now >= node.backoffUntil }
 
-// guardRetry keeps a request from having its effect twice.
+// guardRetry keeps a request from taking effect twice: it allows one attempt at a time, no more than the
+// maximum number of attempts, and retries only where they are safe.
 func (s *Scheduler) guardRetry(request *requestState, node *nodeState) bool {
-	return len(request.inFlight) == 0 && !s.attemptsUsedUp(request) && s.safeToRetry(request, node)
+	return len(request.inFlight) == 0 && !s.maxAttemptsReached(request) && s.safeToRetry(request, node)
 }
 
-// guardOrderedKey lets the requests of an ordered key run one at a time, in the order of their arrival.
+// guardOrderedKey lets the requests of an ordered key run one at a time, in the order of their arrival, and
+// holds them back during the key's quiet period.
 func (s *Scheduler) guardOrderedKey(request *requestState) bool {
 	queue := s.orderedKeyQueue(request)
 	if queue == nil || len(queue.waiters) == 0 {
@@ -42,7 +46,8 @@
 	return queue.waiters[0] == request && (queue.quietExempt == request || s.now >= queue.quietUntil)
 }
 
-// guardVolumeLimit keeps the first attempts of a volume within this host's part of its limit.
+// guardVolumeLimit keeps the first attempts of a volume within this host's part of the volume's limit. A
+// request that is larger than the token bucket is sent once the bucket is full.
 func (s *Scheduler) guardVolumeLimit(request *requestState) bool {
 	limit := &request.volume.limit
 	return request.charged ||
@@ -50,7 +55,7 @@
 		limit.refill(s.now) >= min(request.Units, limit.burst)
 }
 
-// guardRetryBudget keeps the retries of this host within the budget of the rules.
+// guardRetryBudget keeps the retries of this host within the retry budget of the rules.
 func (s *Scheduler) guardRetryBudget(request *requestState) bool {
 	rules := &s.settings.Rules
 	if request.attempts == 0 || rules.RetryBudgetWindow == 0 {
--- a/scheduler/latency_estimates.go
+++ b/scheduler/latency_estimates.go
@@ -9,13 +9,13 @@
 
 // Tuned values of the estimates; ours.
 const (
-	workTolerance       = 2               // service times that a request may take without a queue
-	workGain            = 0.02            // weight of one response in the relative work of its class
-	responseGain        = 0.1             // weight of one request in what is learned of clients and load reports
-	nodeDecay           = 5 * time.Second // what is known of a node's queue fades by e in this time
-	lostAfterObjectives = 4               // shortest objectives after which an answer counts as lost
-	fleetSampleAge      = 3 * time.Second // nodes that answered so recently count in the medians of the fleet
-	fleetPriorResponses = 1               // weight of the fleet's median queue, in responses
+	serviceTimeTolerance = 2               // service times that a request may take without a queue
+	workGain             = 0.02            // weight of one response in the relative work of its class
+	responseGain         = 0.1             // weight of one request in what is learned of clients and load reports
+	estimateDecayTime    = 5 * time.Second // what is known of a node's queue fades by e in this time
+	lostAfterObjectives  = 4               // shortest objectives after which an answer counts as lost
+	maxFleetSampleAge    = 3 * time.Second // nodes that answered so recently count in the medians of the fleet
+	fleetPriorResponses  = 1               // weight of the fleet's median queue, in responses
 )
 
 // recordWork updates how long a unit takes, and how much work a unit of the request's class is against the mean.
@@ -28,7 +28,7 @@
 // recordServedQueue takes the node's queue from the latency of a served attempt, or from its load report if that
 // indicates a longer queue.
 func (s *Scheduler) recordServedQueue(node *nodeState, request *requestState, latency time.Duration, load *Load) {
-	queue := latency.Seconds() - workTolerance*s.serviceTime(request, node)
+	queue := latency.Seconds() - serviceTimeTolerance*s.serviceTime(request, node)
 	if load != nil && load.Queued >= 1 {
 		perQueued := max(0, queue) / load.Queued
 		s.queueTimePerRequest += responseGain * (perQueued - s.queueTimePerRequest)
@@ -40,7 +40,7 @@
 // recordUnansweredQueue takes the node's queue from an attempt that ended without an answer. What has lasted so long
 // is expected to last as long again. Otherwise clients that disconnect would hide long queues.
 func (s *Scheduler) recordUnansweredQueue(node *nodeState, attempt *attemptState) {
-	queue := 2*s.unansweredTime(attempt) - workTolerance*s.serviceTime(attempt.request, node)
+	queue := 2*s.unansweredTime(attempt) - serviceTimeTolerance*s.serviceTime(attempt.request, node)
 	s.recordQueueTime(node, max(node.queueTime, queue))
 }
 
@@ -54,7 +54,7 @@
 
 // currentQueueWeight is the number of responses that the node's measured queue is worth now.
 func (s *Scheduler) currentQueueWeight(node *nodeState) float64 {
-	return node.queueWeight * math.Exp(-(s.now-node.lastServedAt).Seconds()/nodeDecay.Seconds())
+	return node.queueWeight * math.Exp(-(s.now-node.lastServedAt).Seconds()/estimateDecayTime.Seconds())
 }
 
 // estimatedQueueTime is the time, in seconds, that the queue at the node takes. With age, what was measured there
@@ -62,7 +62,7 @@
 func (s *Scheduler) estimatedQueueTime(node *nodeState) float64 {
 	measured := s.currentQueueWeight(node)
 	weight := measured + fleetPriorResponses
-	queue := (measured*node.queueTime + fleetPriorResponses*s.fleetQueue) / weight
+	queue := (measured*node.queueTime + fleetPriorResponses*s.fleetQueueTime) / weight
 	if overdue := s.overdueTime(node); overdue > queue {
 		return (queue*weight + overdue) / (weight + 1)
 	}
@@ -81,7 +81,7 @@
 // overdueTime is the time, in seconds, by which the oldest late attempt at the node exceeds what its work explains.
 func (s *Scheduler) overdueTime(node *nodeState) float64 {
 	for _, attempt := range node.pending {
-		if late := s.unansweredTime(attempt) - workTolerance*s.serviceTime(attempt.request, node); late > 0 {
+		if late := s.unansweredTime(attempt) - serviceTimeTolerance*s.serviceTime(attempt.request, node); late > 0 {
 			return late
 		}
 	}
@@ -104,13 +104,13 @@
 	var queues, minLatencies []float64
 	for _, node := range s.listed {
 		overdue := s.overdueTime(node)
-		recent := overdue > 0 || s.now-node.lastServedAt < fleetSampleAge
+		recent := overdue > 0 || s.now-node.lastServedAt < maxFleetSampleAge
 		if recent && node.minLatency > 0 {
 			queues = append(queues, max(overdue, node.queueTime, 0))
 			minLatencies = append(minLatencies, node.minLatency)
 		}
 	}
-	s.fleetQueue = median(queues)
+	s.fleetQueueTime = median(queues)
 	s.minLatencyMedian = cmp.Or(median(minLatencies), s.minLatencyMedian)
 }
 
--- a/scheduler/node_health.go
+++ b/scheduler/node_health.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// The pauses of a node that rejects requests or cannot be reached; ours.
+// The shortest and the longest backoff of a node that rejects requests or cannot be reached. The backoff
+// doubles with each failure in a row.
 const (
 	initialBackoff = 40 * time.Millisecond
 	maxBackoff     = 2 * time.Second
 )
 
-// updateHealth updates what is known of a node, and of the volume, by the outcome of an attempt.
+// updateHealth updates the state of the node, and of the request's volume, with the outcome of an attempt.
 func (s *Scheduler) updateHealth(attempt *attemptState, outcome Outcome) {
 	switch outcome.Result {
 	case Served:
 		s.markServing(attempt)
-		s.meterReserve(attempt.request.volume, attempt.request.Units, outcome.VolumeUse)
+		s.updateReserveShare(attempt.request.volume, attempt.request.Units, outcome.VolumeUse)
 		s.recordServed(attempt.node, attempt.request, outcome.Latency, outcome.Load)
 	case Canceled, TimedOut:
 		s.recordUnansweredQueue(attempt.node, attempt)
@@ -22,8 +23,9 @@
 	}
 }
 
-// markServing records that the node has served an attempt, before those that were sent earlier and are still
-// pending. If the node was down, it may have restarted just before that, so it counts as warming up.
+// markServing records that the node has served an attempt. The attempts that were sent earlier and are still
+// pending have been overtaken by it. If the node was down, it may just have restarted, so it counts as
+// warming up since the attempt was sent.
 func (s *Scheduler) markServing(attempt *attemptState) {
 	node := attempt.node
 	for _, other := range node.pending {
@@ -39,8 +41,9 @@
 	node.backoffUntil = 0
 }
 
-// backOff pauses a node that rejected a request or could not be reached. One failed connection alone may come
-// from a full table of connections; the node is down after the second.
+// backOff starts the backoff of a node that rejected a request or could not be reached. A single failed
+// connection may come from a full connection table, so the node counts as down only when a connection fails
+// at the second failure in a row or later.
 func (s *Scheduler) backOff(node *nodeState, result Result) {
 	if s.now >= node.backoffUntil {
 		node.backoffUntil = s.now + min(initialBackoff<<min(node.failures, 10), maxBackoff)
--- a/scheduler/node_selection.go
+++ b/scheduler/node_selection.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// selection is where a request goes: to a node; or nowhere until the membership changes, without a node; or,
-// if it is rejected, back to the client.
+// selection is the result of selecting a node for a request. Without a node, the request is rejected if
+// rejected is set; otherwise it waits until the membership changes.
 type selection struct {
 	node       *nodeState
 	rejected   bool
-	retryAfter time.Duration // when a rejected request may be of use again
+	retryAfter time.Duration // time after which a retry of a rejected request may succeed
 }
 
-// enqueue selects the node for a request and puts it into the node's queue.
+// enqueue selects a node for a request and puts the request into the node's queue. It rejects the request if
+// the selection says so, and keeps it as unassigned if no node may take it now.
 func (s *Scheduler) enqueue(request *requestState) {
 	selected := s.selectNode(request)
 	if selected.rejected {
@@ -30,8 +31,8 @@
 	s.rejectLate(request.node)
 }
 
-// selectNode selects the node with the shortest expected wait, within the tiers of zones if the settings have
-// any.
+// selectNode selects the node with the shortest expected wait. If the settings define tiers of zones, zone
+// failover decides which nodes are eligible.
 func (s *Scheduler) selectNode(request *requestState) selection {
 	request.spilledOver = false
 	switch {
@@ -45,8 +46,8 @@
 	}
 }
 
-// shortestWait returns the eligible node with the shortest expected wait and that wait, in seconds; nil if
-// the request may wait for none.
+// shortestWait returns the eligible node with the shortest expected wait, and that wait in seconds. It
+// returns nil if the request may wait for no eligible node.
 func (s *Scheduler) shortestWait(
 	request *requestState, eligible func(*nodeState) bool,
 ) (best *nodeState, shortest float64) {
@@ -67,22 +68,23 @@
 	return best, shortest
 }
 
-// anyNode makes every node eligible.
+// anyNode is the filter of shortestWait under which every node is eligible.
 func anyNode(*nodeState) bool { return true }
 
-// holdsData says whether the node is up and holds the data of the request, as any node does for a new object.
+// holdsData says whether the node is up and holds the data of the request. Any node may hold a new object.
 func (n *nodeState) holdsData(request *requestState) bool {
 	return n.Phase == Up && (request.Shard == AnyShard || request.Shard == n.Shard)
 }
 
-// mayWaitFor says whether the request may wait for the node.
+// mayWaitFor says whether the request may be queued for the node: the node holds its data, no restriction
+// excludes the node, and an attempt there is safe.
 func (s *Scheduler) mayWaitFor(request *requestState, node *nodeState) bool {
 	return node.holdsData(request) &&
 		s.restrictionLevel(request, node) < AvoidNode &&
 		s.safeToRetry(request, node)
 }
 
-// expectedWait is the time, in seconds, until the node would have served the request.
+// expectedWait is the expected time, in seconds, until the node has served the request.
 func (s *Scheduler) expectedWait(request *requestState, node *nodeState) float64 {
 	unitsAhead := node.unitsInFlight + node.waitingUnits()
 	atNode := s.estimatedQueueTime(node) + s.serviceTime(request, node)
@@ -96,20 +98,21 @@
 	return wait
 }
 
-// unassignWaiting takes all requests that wait for the node out of its queue, to be reassigned.
+// unassignWaiting moves all requests that wait for the node to the unassigned ones, for reassign.
 func (s *Scheduler) unassignWaiting(node *nodeState) {
 	s.unassigned = append(s.unassigned, node.waiting...)
 	node.waiting = nil
 }
 
-// reassign selects nodes for requests that have none. It rejects those for which that is too late or in vain.
+// reassign selects nodes for the unassigned requests. It rejects those whose objective has passed, that may
+// have no more attempts, or whose operation avoids all nodes that hold their data.
 func (s *Scheduler) reassign() {
 	unassigned := s.unassigned
 	s.unassigned = nil
 	for _, request := range unassigned {
 		switch {
 		case request.ended:
-		case s.now >= request.objectiveAt || s.exhausted(request) || s.avoidedEverywhere(request):
+		case s.now >= request.objectiveAt || s.noMoreAttempts(request) || s.avoidedEverywhere(request):
 			s.rejectOrFail(request, s.retryAfter(nil))
 		default:
 			s.enqueue(request)
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Tiers of the requests that wait for a node, in the order in which they are sent.
+// The tiers of the requests that wait for a node, in the order in which they are sent.
 const (
-	reservedTier = iota // within the volume's reserve
-	sharedTier          // beyond it, by the weights of the volumes
-	queueTiers
+	reservedTier = iota // requests within the reserves of their volumes
+	sharedTier          // requests beyond the reserves; volumes share the capacity by their weights
+	queueTiers          // number of tiers
 )
 
 // sortQueue sorts the node's queue into the order in which its requests are expected to be sent: by tier,
 // then by the start tags of weighted fair queueing among volumes. The requests of one volume are ordered by
-// weight per work, then by objective. The first of them are within its reserve, so what exceeds the share of
-// a volume is last.
+// weight per work, then by objective. The first of them use up the volume's reserve, so those that exceed the
+// volume's share come last.
 func (s *Scheduler) sortQueue(node *nodeState) {
 	slices.SortFunc(node.waiting, func(a, b *requestState) int {
 		return cmp.Or(
@@ -24,7 +24,7 @@
 			cmp.Compare(a.sequence, b.sequence),
 		)
 	})
-	ahead := [queueTiers]map[*volumeState]float64{{}, {}} // units of each volume
+	ahead := [queueTiers]map[*volumeState]float64{{}, {}} // units of each volume's earlier requests
 	for _, request := range node.waiting {
 		volume := request.volume
 		tier := sharedTier
@@ -45,12 +45,13 @@
 	})
 }
 
-// weightPerWork is the priority weight of a request for the work that it causes.
+// weightPerWork is the priority weight of a request in relation to the work that a unit of its class causes.
 func (s *Scheduler) weightPerWork(request *requestState) float64 {
 	return request.class.PriorityWeight / s.classWork[request.Class]
 }
 
-// advanceTags moves the fair queueing on by a request that was sent.
+// advanceTags updates the node's fair-queueing tags for a request that was sent, and charges the volume's
+// reserve if the request was in the reserved tier.
 func (s *Scheduler) advanceTags(request *requestState, node *nodeState) {
 	tier, volume := request.tier, request.volume
 	if tier == reservedTier {
--- a/scheduler/restrictions.go
+++ b/scheduler/restrictions.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// MaxRestrictions is the number of restrictions that a Scheduler holds. Beyond it, the strictest restriction
-// that found no place applies to all operations that have a name, at every node.
+// MaxRestrictions is the largest number of restrictions that a Scheduler stores. Once it is reached, new
+// restrictions are not stored; the strictest level among them applies to all named operations at every node.
 const MaxRestrictions = 4096
 
+// restrictionKey identifies what a restriction applies to.
 type restrictionKey struct {
 	operation string
 	node      string // empty: all nodes
 }
 
-// Restrict sets how cautiously an operation is handled at a node from now on. Requests that wait for the node
-// are reassigned, or rejected if no other node may take them.
+// Restrict sets how cautiously an operation is handled at a node from now on. Waiting requests that may no
+// longer be sent to their node are reassigned, or rejected if no other node may take them.
 func (s *Scheduler) Restrict(now time.Duration, restriction Restriction) {
 	s.tick(now)
 	s.setRestriction(restriction)
@@ -31,7 +32,7 @@
 	s.dispatch()
 }
 
-// setRestriction replaces the restriction of an operation at a node.
+// setRestriction stores, replaces or lifts the restriction of an operation at a node.
 func (s *Scheduler) setRestriction(restriction Restriction) {
 	key := restrictionKey{operation: restriction.Operation, node: restriction.Node}
 	_, known := s.restrictions[key]
@@ -45,7 +46,8 @@
 	}
 }
 
-// restrictionLevel is how cautiously a request is handled at a node.
+// restrictionLevel is the strictest level that applies to a request at a node. Requests without an operation
+// are unrestricted.
 func (s *Scheduler) restrictionLevel(request *requestState, node *nodeState) RestrictionLevel {
 	if request.Operation == "" {
 		return Unrestricted
@@ -57,14 +59,14 @@
 	)
 }
 
-// distrusted says whether a request that may have run at the node must not be sent again.
+// distrusted says whether restrictions at the node forbid sending the request again after it may have run.
 func (s *Scheduler) distrusted(request *requestState, node *nodeState) bool {
 	level := s.restrictionLevel(request, node)
 	return level >= NoRetries || level == NoHedging && request.mayStillRun
 }
 
-// avoidedEverywhere says whether the operation of the request is to avoid all nodes that could take it, so
-// that it waits in vain.
+// avoidedEverywhere says whether the operation of the request has to avoid every node that holds its data, so
+// that no node can take the request.
 func (s *Scheduler) avoidedEverywhere(request *requestState) bool {
 	found := false
 	for _, node := range s.listed {
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -7,31 +7,35 @@
 	"reachpulley/internal/retrybudget"
 )
 
-// Tuned values of lost attempts; ours.
 const (
-	lostFactor        = 6 // expected times after which an attempt that was overtaken is lost
-	discountFactor    = 3 // expected times after which one that was overtaken often holds no capacity
-	discountOvertaken = 2 // how often
+	// lostFactor is the multiple of the expected time after which an overtaken attempt counts as lost.
+	lostFactor = 6
+	// discountFactor is the multiple of the expected time after which an attempt that was overtaken
+	// discountOvertaken times no longer holds capacity at its node.
+	discountFactor    = 3
+	discountOvertaken = 2
 )
 
-// RetryPolicy says how far a request may be retried. The policy of a Request narrows that of its class and
-// never widens it; the zero value narrows nothing. It is stored as an array, so the order of its fields is
-// fixed.
+// RetryPolicy says whether, where and for how long a request may be retried. The policy of a Request narrows
+// that of its class and never widens it; the zero value narrows nothing. A RetryPolicy is stored as an array,
+// so the order of its fields is fixed.
 type RetryPolicy struct {
 	_           struct{}    `cbor:",toarray"`
 	Idempotency Idempotency `json:"Repeats"`
-	// Scope and Window say, for IdempotentWithKey, which nodes discard a repeated request, and for how long.
+	// Scope and Window apply to IdempotentWithKey: they say which nodes discard a repeated request, and for
+	// how long.
 	Scope  DedupScope    `json:"Group"`
 	Window time.Duration `json:"For"`
 }
 
-// RetryPolicy is the policy that the class allows.
+// RetryPolicy returns the policy that the class allows.
 func (c *Class) RetryPolicy() RetryPolicy {
 	return RetryPolicy{Idempotency: c.Idempotency, Scope: c.DedupScope, Window: c.DedupWindow}
 }
 
-// NarrowedBy is the policy that allows what both allow. Two different scopes have no nodes in common for
-// which both policies vouch.
+// NarrowedBy returns the policy that allows only retries that both policies allow. If one scope is the zone
+// and the other the shard, there is no node for which both policies promise to discard repeated requests, so
+// the result allows no retry.
 func (p RetryPolicy) NarrowedBy(other RetryPolicy) RetryPolicy {
 	switch {
 	case p.Idempotency < other.Idempotency:
@@ -48,7 +52,8 @@
 	}
 }
 
-// retryOrReject decides what follows an attempt at the node that did not conclude the request.
+// retryOrReject queues a request for another attempt if it may have one, and otherwise rejects or fails it,
+// after an attempt at the node ended without concluding the request.
 func (s *Scheduler) retryOrReject(request *requestState, node *nodeState, result Result) {
 	if s.mayRetry(request, node, result) {
 		s.enqueue(request)
@@ -57,26 +62,28 @@
 	}
 }
 
-// mayRetry says whether a request may wait for another attempt. What was not sent needs no token for that.
+// mayRetry says whether a request may wait for another attempt after one at the node ended. An attempt that
+// was never sent costs no token of the retry budget.
 func (s *Scheduler) mayRetry(request *requestState, node *nodeState, result Result) bool {
-	if result == TimedOut || s.exhausted(request) || s.now >= request.answerBy {
+	if result == TimedOut || s.noMoreAttempts(request) || s.now >= request.answerBy {
 		return false
 	}
 	return result == NotSent || s.takeRetryToken(request, node)
 }
 
-// exhausted says whether a request can never be sent again, so that it waits in vain.
-func (s *Scheduler) exhausted(request *requestState) bool {
-	return s.attemptsUsedUp(request) || request.firstNode != nil && !s.safeToRetry(request, request.firstNode)
+// noMoreAttempts says whether a request may not be sent again to any node, so that it must not keep waiting.
+func (s *Scheduler) noMoreAttempts(request *requestState) bool {
+	return s.maxAttemptsReached(request) ||
+		request.firstNode != nil && !s.safeToRetry(request, request.firstNode)
 }
 
-// attemptsUsedUp says whether a request has had all attempts that it may have.
-func (s *Scheduler) attemptsUsedUp(request *requestState) bool {
+// maxAttemptsReached says whether a request has had as many attempts as the settings allow.
+func (s *Scheduler) maxAttemptsReached(request *requestState) bool {
 	return s.settings.Allowed.MaxAttempts > 0 && request.attempts >= s.settings.Allowed.MaxAttempts
 }
 
-// safeToRetry says whether the request may be sent to the node after the attempt that may have run: whether a
-// second run has no effect there.
+// safeToRetry says whether the request may be sent to the node although an earlier attempt may have run,
+// because a second run at the node would have no further effect.
 func (s *Scheduler) safeToRetry(request *requestState, node *nodeState) bool {
 	if request.firstNode == nil {
 		return true
@@ -100,7 +107,7 @@
 	return node.Shard == request.firstNode.Shard
 }
 
-// safeToReject says whether the client may safely send the request again, as a rejection promises.
+// safeToReject says whether the client may safely send the request again, which a rejection promises.
 func (s *Scheduler) safeToReject(request *requestState) bool {
 	if request.firstNode == nil {
 		return true
@@ -110,14 +117,15 @@
 		policy.Idempotency == IdempotentWithKey && policy.Scope == ScopeAll)
 }
 
-// recordExecution records whether an attempt that ended may have run, or may still run.
+// recordExecution records whether an attempt that ended may have run or may still run.
 func (s *Scheduler) recordExecution(request *requestState, attempt *attemptState, result Result) {
 	switch result {
 	case Overloaded, ConnectFailed, NotSent:
 		if result == Overloaded && s.restrictionLevel(request, attempt.node) >= NoRetries {
-			return // the node was seen to run what it claimed not to have run
+			return // this node has run requests that it claimed not to have run
 		}
-		if request.firstAttempt == attempt.number { // later attempts may have been sent at the same instant
+		// Compared by number, because a later attempt may have been sent at the same instant.
+		if request.firstAttempt == attempt.number {
 			request.firstNode = nil
 		}
 	case TimedOut, ConnectionReset, Canceled:
@@ -126,9 +134,9 @@
 	}
 }
 
-// RetryWindowLeft returns the time within which the latest attempt of a request has to reach its node, if it
-// is a retry that nodes discard for a limited time only: the way to the node may take longer than that. It
-// may be called while the attempt is being sent.
+// RetryWindowLeft returns the time that is left for the latest attempt of a request to reach its node. It
+// returns limited only for a retry of a keyed request, because nodes discard repeats for a limited time and a
+// retry that reaches its node later could run twice. It may be called while the attempt is being sent.
 func (s *Scheduler) RetryWindowLeft(id string) (left time.Duration, limited bool) {
 	request := s.requests[id]
 	if request == nil || request.firstNode == nil || request.firstAttempt == request.attempts-1 {
@@ -140,10 +148,11 @@
 	return request.firstSentAt + request.effectivePolicy.Window - s.now, true
 }
 
-// cancelLost cancels attempts that will hardly be answered: that take far longer than expected, while others
-// that were sent later have been served. They would hold capacity until their clients give up; somewhat
-// earlier, they stop holding any. This covers all losses on the way and stuck workers. Its price is that an
-// attempt with far more work than its size says runs twice.
+// cancelLost cancels attempts that will probably never be answered: those that take far longer than expected
+// although attempts that were sent later have been served. Otherwise they would hold capacity until their
+// clients give up. Attempts that were overtaken several times stop holding capacity even earlier. This covers
+// requests and answers that were lost on the network, and stuck workers. In return, an attempt whose work is
+// far greater than its size suggests may run twice.
 func (s *Scheduler) cancelLost(node *nodeState) {
 	for _, attempt := range slices.Clone(node.pending) {
 		age := (s.now - attempt.sentAt).Seconds()
@@ -161,17 +170,18 @@
 	}
 }
 
-// takeRetryToken takes a token for a retry from the budget of the operation at the node, if there are
-// budgets.
+// takeRetryToken takes a token for a retry from the budget of the operation at the node and says whether
+// there was one. Without retry budgets, every retry is allowed.
 func (s *Scheduler) takeRetryToken(request *requestState, node *nodeState) bool {
 	if s.retryBudget == nil || s.retryBudget.Take(s.now, retryBudgetKey(request, node)) {
 		return true
 	}
-	s.logf("retry denied by the budget: class=%s node=%s", request.class.Name, node.ID)
+	s.logf("retry denied, retry budget exhausted: class=%s node=%s", request.class.Name, node.ID)
 	return false
 }
 
-// reportToRetryBudget reports the end of an attempt to the budget of its operation, if there are budgets.
+// reportToRetryBudget reports the end of an attempt to the retry budget of its operation, if there are
+// budgets.
 func (s *Scheduler) reportToRetryBudget(attempt *attemptState, result Result) {
 	if s.retryBudget != nil {
 		key := retryBudgetKey(attempt.request, attempt.node)
@@ -179,7 +189,8 @@
 	}
 }
 
-// retryBudgetKey names the budget of a request's operation at the nodes that hold the same data as the node.
+// retryBudgetKey returns the key of the retry budget that covers the request's operation and class at the
+// nodes of the same shard and zone as the node.
 func retryBudgetKey(request *requestState, node *nodeState) retrybudget.Key {
 	return retrybudget.Key{
 		Operation: request.Operation,
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -50,7 +50,7 @@
 	disconnectAfter     []float64 // seconds after which they do
 	serviceTimePerUnit  float64   // mean, in seconds
 	queueTimePerRequest float64   // seconds that a request waiting at a node adds to the node's queue
-	fleetQueue          float64   // median queue of the nodes that answered recently, in seconds
+	fleetQueueTime      float64   // median queue of the nodes that answered recently, in seconds
 	minLatencyMedian    float64   // median of their minimum latencies, in seconds
 
 	arrivedAt   []time.Duration    // requests within the window of the rules' retry budget
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -1,38 +1,44 @@
 package scheduler
 
-// Tuned values of the slow start.
 const (
-	slowStartDrawShare   = 0.3 // share of the part that new objects get by the draw; twice it for others
-	slowStartUsualDemand = 2   // usual demand at a node, in capacities of the warm node
+	// slowStartDrawShare is the share of a host's allowance that new objects may use when they pass at
+	// random. Requests for the node's data may use twice this share.
+	slowStartDrawShare = 0.3
+	// slowStartUsualDemand is the usual demand at a node, as a multiple of the warm node's capacity.
+	slowStartUsualDemand = 2
 )
 
-// guardSlowStart keeps what this host sends to a warming node within its part of what such a node always
-// bears. The part grows along the slowest warming that the rules promise.
+// guardSlowStart keeps the units that this host sends to a warming node within the host's part of the
+// slow-start allowance, which such a node always bears. The allowance grows as the node warms up, at the
+// slowest pace that the rules permit.
 //
-// With many hosts the part is smaller than a request, and rounding it up would overload the node. Requests
-// then pass at random, so many that the part is kept in the mean: requests for the node's data by the demand
-// at this host, new objects by a draw that the host makes once a window.
+// With many hosts, the part of each is smaller than a request, and rounding it up would overload the node.
+// Requests then pass at random, so that the part is kept on average: the chance of requests for the node's
+// data follows from the demand at this host, that of new objects from a random draw that the host makes once
+// a window.
 func (s *Scheduler) guardSlowStart(request *requestState, node *nodeState) bool {
 	if !s.warmingUp(node) {
 		return true
 	}
 	rules := &s.settings.Rules
-	warmed := max(0, s.now-node.warmingSince).Seconds() / rules.SlowStartDuration.Seconds()
-	capacity := rules.SlowStartShare + (1-rules.SlowStartShare)*warmed // as a share of the warm node's
-	part := rules.SlowStartAllowance / float64(s.settings.Siblings) * capacity / rules.SlowStartShare
+	elapsedShare := max(0, s.now-node.warmingSince).Seconds() / rules.SlowStartDuration.Seconds()
+	capacity := rules.SlowStartShare + (1-rules.SlowStartShare)*elapsedShare // as a share of the warm node's
+	// The units that this host may send within a window.
+	allowance := rules.SlowStartAllowance / float64(s.settings.Siblings) * capacity / rules.SlowStartShare
 	sent := node.unitsSentSince(s.now - rules.SlowStartWindow)
-	if part >= s.settings.Sizes.MaxUnits {
-		return sent+request.Units <= part
+	if allowance >= s.settings.Sizes.MaxUnits {
+		return sent+request.Units <= allowance
 	}
 	if request.Shard == AnyShard {
-		return sent+(1-node.slowStartDraw)*request.Units <= slowStartDrawShare*part
+		return sent+(1-node.slowStartDraw)*request.Units <= slowStartDrawShare*allowance
 	}
-	usualDemand := slowStartUsualDemand / (rules.SlowStartMultiple * capacity) * part
+	usualDemand := slowStartUsualDemand / (rules.SlowStartMultiple * capacity) * allowance
 	demand := node.demand.valueAt(s.now, demandWindows*rules.SlowStartWindow) / demandWindows
-	return request.randomDraw*max(demand, usualDemand, part) < 2*slowStartDrawShare*part
+	return request.randomDraw*max(demand, usualDemand, allowance) < 2*slowStartDrawShare*allowance
 }
 
-// warmingUp says whether the node has started so recently that it may not be warm.
+// warmingUp says whether the node has started, or recovered from a failure, so recently that it may not be
+// warm.
 func (s *Scheduler) warmingUp(node *nodeState) bool {
 	rules := &s.settings.Rules
 	return rules.SlowStartShare > 0 &&
@@ -40,7 +46,7 @@
 		s.now-node.warmingSince < rules.SlowStartDuration
 }
 
-// drawSlowStart makes the random draw of a warming node for the next window.
+// drawSlowStart makes the random draw for the next slow-start window of a warming node.
 func (s *Scheduler) drawSlowStart(node *nodeState) {
 	if s.warmingUp(node) && s.now >= node.slowStartDrawUntil {
 		node.slowStartDraw = s.random.Float64()
--- a/scheduler/snapshot_decode.go
+++ b/scheduler/snapshot_decode.go
@@ -94,7 +94,7 @@
 	copy(s.disconnectAfter, from.DisconnectAfter)
 	s.serviceTimePerUnit = from.ServiceTimePerUnit
 	s.queueTimePerRequest = from.QueueTimePerRequest
-	s.fleetQueue = from.FleetQueue
+	s.fleetQueueTime = from.FleetQueue
 	s.minLatencyMedian = from.MinLatencyMedian
 	s.arrivedAt = slices.Clone(from.ArrivedAt)
 	s.retriedAt = slices.Clone(from.RetriedAt)
--- a/scheduler/snapshot_encode.go
+++ b/scheduler/snapshot_encode.go
@@ -25,7 +25,7 @@
 		DisconnectAfter:     slices.Clone(s.disconnectAfter),
 		ServiceTimePerUnit:  s.serviceTimePerUnit,
 		QueueTimePerRequest: s.queueTimePerRequest,
-		FleetQueue:          s.fleetQueue,
+		FleetQueue:          s.fleetQueueTime,
 		MinLatencyMedian:    s.minLatencyMedian,
 
 		ArrivedAt:    slices.Clone(s.arrivedAt),
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -4,8 +4,8 @@
 
 // Tuned values of volumes; ours.
 const (
-	minPlanWeight    = 0.001       // weight of a plan without one
-	reserveMeterSpan = time.Second // over which this host's part of a volume's use is smoothed
+	minPlanWeight        = 0.001       // weight of a plan without one
+	reserveSmoothingSpan = time.Second // over which this host's part of a volume's use is smoothed
 )
 
 // volumeState is what this host knows of a volume: its plan and the tokens that this host may spend for it.
@@ -60,13 +60,13 @@
 	}
 }
 
-// meterReserve gives this host the part of a volume's reserve that corresponds to its part of the volume's
+// updateReserveShare gives this host the part of a volume's reserve that corresponds to its part of the volume's
 // requests, instead of the even part, because clients use their hosts unevenly. Use is the recent rate through all
 // hosts, as a share of the plan's rate, as the nodes report it.
-func (s *Scheduler) meterReserve(volume *volumeState, units, use float64) {
-	volume.ownUnits.add(s.now, reserveMeterSpan, units)
+func (s *Scheduler) updateReserveShare(volume *volumeState, units, use float64) {
+	volume.ownUnits.add(s.now, reserveSmoothingSpan, units)
 	if use > 0 && volume.plan.Reserve > 0 {
-		part := min(max(volume.ownUnits.value/reserveMeterSpan.Seconds()/(use*volume.plan.Rate), 1/volume.hosts), 1)
+		part := min(max(volume.ownUnits.value/reserveSmoothingSpan.Seconds()/(use*volume.plan.Rate), 1/volume.hosts), 1)
 		volume.reserve.refill(s.now)
 		volume.reserve.rate = volume.plan.Reserve * part
 		volume.reserve.burst = volume.reserve.rate + s.settings.Sizes.MaxUnits
--- a/scheduler/zone_failover.go
+++ b/scheduler/zone_failover.go
@@ -2,8 +2,8 @@
 
 import "reachpulley/internal/zonefailover"
 
-// selectForData selects a node that holds the data of the request. If all of them are unavailable, the
-// request is rejected, except that one goes there from time to time as a trial if nodes may not be probed.
+// selectForData selects a node that holds the data of the request. If all such nodes are unavailable, the
+// request is rejected. Where nodes may not be probed, a request is let through from time to time as a trial.
 func (s *Scheduler) selectForData(request *requestState) selection {
 	node, _ := s.shortestWait(request, func(node *nodeState) bool {
 		return s.zoneTracker.Node(node.ID) != zonefailover.Unavailable
@@ -18,8 +18,8 @@
 	return selection{rejected: true, retryAfter: s.zoneTracker.UntilTrial(s.now, node.ID)}
 }
 
-// selectForNewObject selects a node for a new object in the first tier that has one which is expected to
-// respond in time. It goes beyond the home tier only as far as the spillover limit allows.
+// selectForNewObject selects a node for a new object in the first tier that has a node which is expected to
+// respond in time. Nodes beyond the home tier are selected only as far as the spillover limit allows.
 func (s *Scheduler) selectForNewObject(request *requestState) selection {
 	home, last := s.zoneTiers(request)
 	left := (request.objectiveAt - s.now).Seconds()
@@ -50,9 +50,10 @@
 	return s.selectWithoutResponses(request, home, spilloverDenied)
 }
 
-// selectWithoutResponses decides about a new object for which no node of the home tier is expected to respond
-// and which cannot spill over. A node may lose it, so new objects are sent as trials only if nothing else
-// tries the node, or if this host is isolated and nothing is known of any zone.
+// selectWithoutResponses selects for a new object that cannot spill over, when no node of the home tier is
+// expected to respond. A node that does not respond may lose the object. So it is sent there as a trial only
+// if no other request or probe has tried the node, or if this host is isolated and the health of all zones is
+// unknown.
 func (s *Scheduler) selectWithoutResponses(request *requestState, home int, spilloverDenied bool) selection {
 	node, _ := s.shortestWait(request, func(node *nodeState) bool {
 		return s.zoneTier(request, node.Zone) == home
@@ -61,26 +62,27 @@
 		return selection{node: node}
 	}
 	if node == nil && !spilloverDenied {
-		return selection{} // no listed node may take it
+		return selection{} // no listed node may take the object, so it stays unassigned
 	}
 	wait, _ := s.spillover.Wait(s.now, request.Units)
 	return selection{rejected: true, retryAfter: wait}
 }
 
-// overdueForTrial says whether a new object may be sent to an unavailable node as a trial.
+// overdueForTrial says whether a new object may be sent to an unavailable node as a trial, because nodes may
+// not be probed and the trial of this node is overdue. It uses up the trial.
 func (s *Scheduler) overdueForTrial(node *nodeState) bool {
 	return !s.settings.Allowed.Probes &&
 		s.zoneTracker.TrialOverdue(s.now, node.ID) &&
 		s.zoneTracker.AllowTrial(s.now, node.ID)
 }
 
-// zoneTier is the tier of a zone for the request.
+// zoneTier is the tier that the settings give a zone for the class and plan of the request.
 func (s *Scheduler) zoneTier(request *requestState, zone int) int {
 	return s.settings.ZoneFailover.Tier(zone, request.Class, request.Plan)
 }
 
-// zoneTiers returns the first and the last tier that the settings allow for the request, whatever the health
-// of their zones.
+// zoneTiers returns the first and the last tier that the settings allow for the request, regardless of the
+// health of their zones.
 func (s *Scheduler) zoneTiers(request *requestState) (home, last int) {
 	home = -1
 	for zone := range s.settings.ZoneFailover.Tiers {
@@ -96,11 +98,12 @@
 	return max(home, 0), last
 }
 
-// expectedToRespond says whether the node is expected to respond to a new object. A recovering zone gets more
-// of them the longer it has responded. One that flaps gets none until its recovery time is over.
+// expectedToRespond says whether the node is expected to respond to a request for a new object. The longer a
+// recovering zone has responded, the more new objects it gets. A zone that flaps gets none until its recovery
+// time is over.
 func (s *Scheduler) expectedToRespond(request *requestState, node *nodeState) bool {
 	if s.zoneTracker.Isolated() {
-		return true // nothing is known of any zone
+		return true // this host is cut off, so its observations say nothing about the zones
 	}
 	zone := s.zoneTracker.Zone(node.Zone)
 	switch zone.State {
@@ -116,20 +119,20 @@
 	return state == zonefailover.Available || state == zonefailover.Recovering
 }
 
-// updateZoneHealth passes what was observed of all nodes to the zone tracker, probes unavailable nodes, and
-// takes the requests that wait for a node which became unavailable out of its queue.
+// updateZoneHealth passes the observations of all nodes to the zone tracker and probes unavailable nodes. The
+// requests that wait for a node which has become unavailable are unassigned.
 func (s *Scheduler) updateZoneHealth() {
 	if s.zoneTracker == nil {
 		return
 	}
 	observations := make([]zonefailover.Observation, 0, len(s.listed))
-	spareRates := make([]float64, len(s.settings.ZoneFailover.Tiers)) // of the zones, at this host
+	spareRates := make([]float64, len(s.settings.ZoneFailover.Tiers)) // by zone, in units a second
 	for _, node := range s.listed {
 		if node.Phase == Up && node.Zone >= 0 && node.Zone < len(spareRates) {
 			spareRates[node.Zone] += s.spareRate(node)
 		}
 		observations = append(observations, s.observation(node))
-		s.clearFalseWarming(node)
+		s.endMistakenSlowStart(node)
 		if s.settings.Allowed.Probes && s.zoneTracker.Node(node.ID) == zonefailover.Unavailable &&
 			s.zoneTracker.AllowTrial(s.now, node.ID) {
 			s.actions.Probe(node.ID)
@@ -138,7 +141,7 @@
 	s.spillover.Refill(s.now, spareRates)
 	for _, change := range s.zoneTracker.Update(s.now, observations) {
 		if change.Node == "" {
-			s.logf("zone state changed: zone=%d from=%v to=%v silent=%.0f%%",
+			s.logf("zone state changed: zone=%d from=%v to=%v silent_nodes=%.0f%%",
 				change.Zone, change.From, change.To, 100*change.SilentShare)
 			continue
 		}
--- a/scheduler/zone_observation.go
+++ b/scheduler/zone_observation.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// clearFalseWarming ends the slow start of a node that recovered, once the endpoint list would have said that the
+// endMistakenSlowStart ends the slow start of a node that recovered, once the endpoint list would have said that the
 // node had restarted: then only the network path to it was cut.
-func (s *Scheduler) clearFalseWarming(node *nodeState) {
+func (s *Scheduler) endMistakenSlowStart(node *nodeState) {
 	delay := s.settings.ZoneFailover.MembershipDelay
 	if node.recoveredAt == 0 || delay == 0 || s.now-node.recoveredAt < delay {
 		return
