--- a/scheduler/concurrency_limit.go
+++ b/scheduler/concurrency_limit.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// InitialRequests is the concurrency limit of a node of which nothing is known, in mean requests (design).
+// InitialRequests is the concurrency limit of a node of which nothing is known, in mean requests.
 const InitialRequests = 8
 
-// Tuned values of the concurrency limit. "Design" marks values that docs/design.md takes from the published design,
-// "ours" those that were tuned for this product.
+// InitialRequests, maxLimitRequests, latencyTolerance, windowDuration, retestInterval and retestDrainLatencies are
+// those of the published design that docs/design.md describes.
 const (
-	maxLimitRequests     = 32                     // highest limit, in mean requests (design)
-	latencyTolerance     = 0.3                    // growth of the latency that the limit accepts (design)
-	minLatencyGain       = 0.1                    // weight of a lower window in the minimum latency
-	maxRateGain          = minLatencyGain / 10    // weight of a window in the maximum rate
-	windowDuration       = 500 * time.Millisecond // a window closes after this time (design)
-	maxWindowResponses   = 8                      // or after so many responses (ours)
-	smoothingResponses   = 4                      // weight of all earlier windows, in responses (ours)
-	retestInterval       = 10 * time.Second       // between two cuts that remeasure the minimum latency (design)
-	retestCutShare       = 0.5                    // a cut keeps this share of the units in flight (ours)
-	retestDrainLatencies = 2                      // a cut waits for this many latencies (design)
-	maxRetestRaise       = 1.05                   // a cut raises the minimum latency by this factor at most (ours)
-	initialLatency       = 50 * time.Millisecond  // of a mean request before the first response (ours)
+	maxLimitRequests     = 32                     // highest concurrency limit, in mean requests
+	latencyTolerance     = 0.3                    // relative growth of the latency that the limit tolerates
+	minLatencyGain       = 0.1                    // weight of a window with a lower latency in the minimum latency
+	maxRateGain          = minLatencyGain / 10    // weight of a window with a lower rate in the maximum rate
+	windowDuration       = 500 * time.Millisecond // time after which a window is closed
+	maxWindowResponses   = 8                      // number of responses after which a window is closed earlier
+	smoothingResponses   = 4                      // weight of all earlier windows, in responses
+	retestInterval       = 10 * time.Second       // time between two cuts that remeasure the minimum latency
+	retestCutShare       = 0.5                    // share of the units in flight that a cut keeps as the limit
+	retestDrainLatencies = 2                      // time until the queue has drained after a cut, in latencies
+	maxRetestRaise       = 1.05                   // largest factor by which a cut raises the minimum latency
+	initialLatency       = 50 * time.Millisecond  // latency of a mean request before the first response
 )
 
 // latencyWindow collects the responses of a node from which its next concurrency limit is computed.
 type latencyWindow struct {
 	openedAt  time.Duration
-	units     float64 // served
-	responses int
-	latency   time.Duration // sum over the responses
-	work      float64       // expected for them, in mean requests
+	units     float64       // units served
+	responses int           // number of responses
+	latency   time.Duration // sum of the latencies
+	work      float64       // work of the served requests, in mean requests
 }
 
-// due says whether the window has been open for long enough.
+// due says whether the window has been open for windowDuration.
 func (w *latencyWindow) due(now time.Duration) bool { return now-w.openedAt >= windowDuration }
 
-// recordServed updates the estimates of a node by a served attempt.
+// recordServed updates the estimates of a node with a served attempt.
 func (s *Scheduler) recordServed(node *nodeState, request *requestState, latency time.Duration, load *Load) {
 	s.recordWork(request, latency)
 	s.recordServedQueue(node, request, latency, load)
@@ -51,7 +51,8 @@
 	}
 }
 
-// closeWindow computes the node's next concurrency limit from the window's mean latency and rate.
+// closeWindow computes the node's next concurrency limit from the mean latency and the rate of its window, and opens
+// the next window.
 func (s *Scheduler) closeWindow(node *nodeState) {
 	window := node.window
 	node.window = latencyWindow{openedAt: s.now}
@@ -66,8 +67,9 @@
 	s.setConcurrencyLimit(node)
 }
 
-// smoothLatency takes a window's mean latency of a mean request into the node's latency and minimum latency. A
-// window holds few responses to requests of unlike size, so windows are weighted by their number of responses.
+// smoothLatency updates the node's latency and minimum latency with the mean latency of a window, which is scaled to a
+// request of mean size. A window may contain few responses, to requests of different sizes, so windows are weighted by
+// their number of responses.
 func (s *Scheduler) smoothLatency(node *nodeState, mean float64, responses int) {
 	switch {
 	case node.minLatency == 0:
@@ -85,7 +87,7 @@
 	node.learnedAt = s.now
 }
 
-// setConcurrencyLimit sets the limit at which the node's latency stays within the tolerance, by Little's law.
+// setConcurrencyLimit sets the limit at which, by Little's law, the node's latency stays within the tolerance.
 func (s *Scheduler) setConcurrencyLimit(node *nodeState) {
 	if node.minLatency == 0 {
 		return
@@ -98,8 +100,8 @@
 	node.concurrencyLimit = min(max(limit, sizes.MaxUnits), maxLimitRequests*sizes.MeanUnits)
 }
 
-// retestMinLatency cuts the limit below what is in flight from time to time. The latency that is measured once the
-// node's queue has drained becomes the minimum latency, which otherwise could only fall.
+// retestMinLatency cuts the limit below the units in flight from time to time, so that the node's queue drains. The
+// latency that is measured then becomes the minimum latency, which could only fall otherwise.
 func (s *Scheduler) retestMinLatency(node *nodeState) {
 	if node.minLatency == 0 || s.now < node.retestAt {
 		return
@@ -110,7 +112,8 @@
 	s.setConcurrencyLimit(node)
 }
 
-// drainRate is the rate, in units a second, at which the node's queue drains at its limit, by Little's law.
+// drainRate returns the rate, in units a second, at which by Little's law the node's queue drains while the
+// concurrency limit is reached.
 func (n *nodeState) drainRate() float64 {
 	return n.concurrencyLimit / cmp.Or(n.latency, initialLatency.Seconds())
 }
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Candidate says how a node stood before a request, in the terms by which nodes are selected.
+// Candidate describes a node as a candidate for a request, with the values by which nodes are selected.
 type Candidate struct {
 	Node             string
 	Phase            Phase
-	Expected         time.Duration // until the node would have served the request
-	Queue            time.Duration // that its queue takes
-	ServiceTime      time.Duration // that the request takes there without a queue
-	InFlight         float64       // units
-	Waiting          float64       // units
-	ConcurrencyLimit float64       // concurrency limit, in units
-	Backoff          time.Duration // left of its pause
+	Expected         time.Duration // expected time until the node has served the request
+	Queue            time.Duration // time that the request is expected to spend in the node's queue
+	ServiceTime      time.Duration // time that the request takes there without a queue
+	InFlight         float64       // units in flight at the node
+	Waiting          float64       // units that wait for the node at this host
+	ConcurrencyLimit float64       // in units
+	Backoff          time.Duration // time until the node's backoff ends
 	WarmingUp        bool
-	BlockedBy        string // what keeps the request from being sent there now; empty: nothing does
+	BlockedBy        string // reason why the request cannot be sent there now; empty if it can
 }
 
 // BlockedByMissingData is the BlockedBy of a node that does not hold the data of the request.
 const BlockedByMissingData = "it has not the data"
 
-// Explain says how every listed node stands before a request, either one that is known or one that might arrive. It
-// may refill token buckets, so it is for copies of a Scheduler as [Resume] makes them, not for one that decides.
+// Explain describes every listed node as a candidate for a request, which is either a request in the Scheduler or one
+// that might arrive. It may refill token buckets, so use it on copies of a Scheduler as [Resume] makes them, not on one
+// that makes decisions.
 func (s *Scheduler) Explain(arriving Request) []Candidate {
 	if arriving.Class < 0 || arriving.Class >= len(s.settings.Classes) {
 		return nil
@@ -52,7 +53,8 @@
 	return candidates
 }
 
-// hypotheticalRequest makes a request that might arrive now, with the random draw that the guards hold back first.
+// hypotheticalRequest returns the state of a request that might arrive now. Its random draw is above those of all real
+// requests, so the guards hold it back first.
 func (s *Scheduler) hypotheticalRequest(arriving Request) *requestState {
 	request := &requestState{
 		Request:    arriving,
@@ -65,7 +67,8 @@
 	return request
 }
 
-// blockedBy names the first guard that keeps a request from a node, in the order of permitted.
+// blockedBy returns the reason why the request cannot be sent to the node now, or "" if it can. The guards are checked
+// in the same order as in permitted.
 func (s *Scheduler) blockedBy(request *requestState, node *nodeState) string {
 	switch {
 	case request.Shard != AnyShard && request.Shard != node.Shard:
@@ -94,5 +97,5 @@
 	return ""
 }
 
-// toDuration converts seconds.
+// toDuration converts seconds to a Duration.
 func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/scheduler/latency_estimates.go
+++ b/scheduler/latency_estimates.go
@@ -7,25 +7,33 @@
 	"time"
 )
 
-// Tuned values of the estimates; ours.
 const (
-	serviceTimeTolerance = 2               // service times that a request may take without a queue
-	workGain             = 0.02            // weight of one response in the relative work of its class
-	responseGain         = 0.1             // weight of one request in what is learned of clients and load reports
-	estimateDecayTime    = 5 * time.Second // what is known of a node's queue fades by e in this time
-	lostAfterObjectives  = 4               // shortest objectives after which an answer counts as lost
-	maxFleetSampleAge    = 3 * time.Second // nodes that answered so recently count in the medians of the fleet
-	fleetPriorResponses  = 1               // weight of the fleet's median queue, in responses
+	// serviceTimeTolerance is the number of service times that a request may take before the rest counts as time in
+	// a queue.
+	serviceTimeTolerance = 2
+	// workGain is the weight of one response in the relative work of its class.
+	workGain = 0.02
+	// responseGain is the weight of one request in what is learned about clients and load reports.
+	responseGain = 0.1
+	// estimateDecayTime is the time in which the weight of what is known of a node decays by a factor of e.
+	estimateDecayTime = 5 * time.Second
+	// lostAfterObjectives is the time after which an answer counts as lost, as a multiple of the shortest latency
+	// objective of all classes.
+	lostAfterObjectives = 4
+	// maxFleetSampleAge is the age up to which the last response of a node makes it count in the fleet's medians.
+	maxFleetSampleAge = 3 * time.Second
+	// fleetPriorResponses is the weight of the fleet's median queue, in responses.
+	fleetPriorResponses = 1
 )
 
-// recordWork updates how long a unit takes, and how much work a unit of the request's class is against the mean.
+// recordWork updates the mean service time of a unit, and the work of a unit of the request's class relative to it.
 func (s *Scheduler) recordWork(request *requestState, latency time.Duration) {
 	perUnit := latency.Seconds() / max(request.Units, 1)
 	s.serviceTimePerUnit += workGain * (perUnit - s.serviceTimePerUnit)
 	s.classWork[request.Class] += workGain * (perUnit/s.serviceTimePerUnit - s.classWork[request.Class])
 }
 
-// recordServedQueue takes the node's queue from the latency of a served attempt, or from its load report if that
+// recordServedQueue estimates the node's queue from the latency of a served attempt, or from the load report if that
 // indicates a longer queue.
 func (s *Scheduler) recordServedQueue(node *nodeState, request *requestState, latency time.Duration, load *Load) {
 	queue := latency.Seconds() - serviceTimeTolerance*s.serviceTime(request, node)
@@ -37,14 +45,15 @@
 	s.recordQueueTime(node, queue)
 }
 
-// recordUnansweredQueue takes the node's queue from an attempt that ended without an answer. What has lasted so long
-// is expected to last as long again. Otherwise clients that disconnect would hide long queues.
+// recordUnansweredQueue estimates the node's queue from an attempt that ended without an answer. The attempt is
+// expected to have taken twice the time that it was in flight. Without this estimate, clients that disconnect would
+// hide long queues.
 func (s *Scheduler) recordUnansweredQueue(node *nodeState, attempt *attemptState) {
 	queue := 2*s.unansweredTime(attempt) - serviceTimeTolerance*s.serviceTime(attempt.request, node)
 	s.recordQueueTime(node, max(node.queueTime, queue))
 }
 
-// recordQueueTime smooths one measurement of the node's queue, in seconds, into its estimate.
+// recordQueueTime updates the smoothed estimate of the node's queue with one measurement, in seconds.
 func (s *Scheduler) recordQueueTime(node *nodeState, queue float64) {
 	weight := s.currentQueueWeight(node)
 	node.queueTime = (weight*node.queueTime + queue) / (weight + 1)
@@ -52,13 +61,15 @@
 	node.lastServedAt = s.now
 }
 
-// currentQueueWeight is the number of responses that the node's measured queue is worth now.
+// currentQueueWeight returns the number of responses that the node's measured queue is worth now. It decays with the
+// time since the last response.
 func (s *Scheduler) currentQueueWeight(node *nodeState) float64 {
 	return node.queueWeight * math.Exp(-(s.now-node.lastServedAt).Seconds()/estimateDecayTime.Seconds())
 }
 
-// estimatedQueueTime is the time, in seconds, that the queue at the node takes. With age, what was measured there
-// gives way to the median of the fleet. An overdue attempt counts as one more response.
+// estimatedQueueTime returns the time, in seconds, that a request is expected to spend in the queue at the node. The
+// older the node's own measurements are, the more the median of the fleet counts instead. An overdue attempt counts
+// as one more response.
 func (s *Scheduler) estimatedQueueTime(node *nodeState) float64 {
 	measured := s.currentQueueWeight(node)
 	weight := measured + fleetPriorResponses
@@ -69,7 +80,7 @@
 	return max(0, queue)
 }
 
-// serviceTime is the time, in seconds, that the request takes at the node without a queue.
+// serviceTime returns the time, in seconds, that the request takes at the node without a queue.
 func (s *Scheduler) serviceTime(request *requestState, node *nodeState) float64 {
 	perMeanRequest := min(node.latency, node.minLatency)
 	if node.minLatency == 0 {
@@ -78,7 +89,8 @@
 	return max(request.Units, 1) * s.classWork[request.Class] / s.settings.Sizes.MeanUnits * perMeanRequest
 }
 
-// overdueTime is the time, in seconds, by which the oldest late attempt at the node exceeds what its work explains.
+// overdueTime returns the time, in seconds, by which the oldest late attempt at the node exceeds the time that its
+// work explains; 0 if no attempt is late.
 func (s *Scheduler) overdueTime(node *nodeState) float64 {
 	for _, attempt := range node.pending {
 		if late := s.unansweredTime(attempt) - serviceTimeTolerance*s.serviceTime(attempt.request, node); late > 0 {
@@ -88,8 +100,8 @@
 	return 0
 }
 
-// unansweredTime is the time, in seconds, for which an attempt has been in flight. It is 0 for an attempt that
-// seems lost, because that says nothing about the node's queue.
+// unansweredTime returns the time, in seconds, for which an attempt has been in flight. It returns 0 for an attempt
+// that seems lost, because such an attempt says nothing about the node's queue.
 func (s *Scheduler) unansweredTime(attempt *attemptState) float64 {
 	lost := s.now-attempt.sentAt > lostAfterObjectives*s.minClassObjective
 	if attempt.overtaken > 0 || attempt.canceled || attempt.discounted || lost {
@@ -98,8 +110,8 @@
 	return (s.now - attempt.sentAt).Seconds()
 }
 
-// updateFleetEstimates takes the medians of queues and minimum latencies over the nodes that answered recently. They
-// are the prior for nodes that rarely answer. A minority of slow nodes does not move a median.
+// updateFleetEstimates computes the medians of the queues and the minimum latencies of the nodes that answered
+// recently. They are the prior for nodes that rarely answer. A minority of slow nodes does not move a median.
 func (s *Scheduler) updateFleetEstimates() {
 	var queues, minLatencies []float64
 	for _, node := range s.listed {
--- a/scheduler/membership.go
+++ b/scheduler/membership.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Tuned values of the membership; ours.
 const (
-	initialWatchBackoff = 250 * time.Millisecond  // after a failed watch
-	maxWatchBackoff     = 6 * initialWatchBackoff // events count as known after 6 s
+	initialWatchBackoff = 250 * time.Millisecond // backoff after the first failed watch
+	// maxWatchBackoff is well below 6 s, the time after which a scheduler is expected to know a change of the list.
+	maxWatchBackoff = 6 * initialWatchBackoff
 )
 
-// MembershipChanged takes a watch event of the endpoint list.
+// MembershipChanged reports a watch event of the endpoint list.
 func (s *Scheduler) MembershipChanged(now time.Duration, event Membership) {
 	s.tick(now)
 	if event.Kind == WatchFailed {
@@ -36,9 +36,9 @@
 	s.dispatch()
 }
 
-// scheduleWatch schedules the next watch after one failed. All hosts lose their watches at once and discovery can
-// serve few of them, so each waits for a random time. A local agent serves this host alone, and what it has counts
-// as known, so it is watched without a pause.
+// scheduleWatch schedules the next watch after one has failed. If discovery fails, all hosts lose their watches at
+// once, and discovery can serve only a few of them at a time, so each host waits for a random time. A local agent
+// serves this host alone, and what the agent has counts as known, so it is watched again without a pause.
 func (s *Scheduler) scheduleWatch() {
 	if s.nextWatchAt == 0 {
 		s.watchBackoff = min(max(2*s.watchBackoff, initialWatchBackoff), maxWatchBackoff)
@@ -49,7 +49,7 @@
 	}
 }
 
-// watchIfDue watches the endpoint list if a watch is due.
+// watchIfDue starts the next watch of the endpoint list after a failed one, once its backoff is over.
 func (s *Scheduler) watchIfDue() {
 	if s.nextWatchAt > 0 && s.now >= s.nextWatchAt {
 		s.nextWatchAt = 0
@@ -57,7 +57,7 @@
 	}
 }
 
-// listNode takes an entry of the endpoint list.
+// listNode adds or updates the node of an entry of the endpoint list.
 func (s *Scheduler) listNode(entry Node) {
 	node := s.nodes[entry.ID]
 	if node == nil {
@@ -69,8 +69,8 @@
 	node.Node = entry
 }
 
-// newNode enters a node that is listed for the first time. Its demand is that of the nodes that held its data
-// before, whose place it takes.
+// newNode adds a node that is listed for the first time. Its demand starts as that of the last listed node of the same
+// shard, which it probably replaces.
 func (s *Scheduler) newNode(entry Node) *nodeState {
 	node := &nodeState{
 		concurrencyLimit: InitialRequests * s.settings.Sizes.MeanUnits,
@@ -87,8 +87,8 @@
 	return node
 }
 
-// indexNodes finds the nodes of each shard after a change of the listed nodes, so that a request for data considers
-// only those that may hold it.
+// indexNodes groups the listed nodes by shard, so that the selection for a request considers only the nodes that may
+// hold its data.
 func (s *Scheduler) indexNodes() {
 	s.nodesByShard = make(map[int][]*nodeState, len(s.listed))
 	for _, node := range s.listed {
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -5,60 +5,60 @@
 	"time"
 )
 
-// nodeState is a storage node as this host sees it.
+// nodeState is the state of a storage node as this host knows it.
 type nodeState struct {
 	Node
-	waiting []*requestState // in the order in which they are expected to be sent
+	waiting []*requestState // requests in the order in which they are expected to be sent
 	pending []*attemptState // attempts without an outcome, in the order in which they were sent
 
-	unitsInFlight    float64 // without discounted attempts
-	attemptsInFlight int     // without discounted attempts
-	sentAt           time.Duration
-	recentSends      []recentSend // within the slow-start window
+	unitsInFlight    float64       // units of the pending attempts, without the discounted ones
+	attemptsInFlight int           // number of the pending attempts, without the discounted ones
+	sentAt           time.Duration // when the last attempt was sent
+	recentSends      []recentSend  // attempts sent within the slow-start window
 
-	// What its answers say; see concurrency_limit.go and latency_estimates.go.
-	concurrencyLimit float64 // units in flight
+	// Estimates from the node's answers; see concurrency_limit.go and latency_estimates.go.
+	concurrencyLimit float64 // limit of the units in flight
 	window           latencyWindow
-	maxRate          float64       // units a second
-	latency          float64       // seconds of a mean request, smoothed
-	minLatency       float64       // seconds of a mean request without a queue; 0: unknown
-	learnedAt        time.Duration // close of the last window that held a response
-	retestAt         time.Duration // next cut
-	cutDrainedAt     time.Duration // when the queue will have drained after a cut; 0: no cut
-	cutLimit         float64
-	queueTime        float64 // seconds that its queue took, smoothed over responses
-	queueWeight      float64 // number of responses that queueTime was worth at lastServedAt
+	maxRate          float64       // highest rate at which the node served units, in units a second
+	latency          float64       // latency of a mean request, in seconds, smoothed
+	minLatency       float64       // latency of a mean request without a queue, in seconds; 0 if unknown
+	learnedAt        time.Duration // when the last window that contained a response was closed
+	retestAt         time.Duration // when the limit is next cut to measure the minimum latency again
+	cutDrainedAt     time.Duration // when the queue will have drained after a cut; 0 if there was no cut
+	cutLimit         float64       // limit while a cut lasts, in units
+	queueTime        float64       // time that a request spends in the node's queue, in seconds, smoothed
+	queueWeight      float64       // number of responses that queueTime was worth at lastServedAt
 	lastServedAt     time.Duration
 
-	// The order of its queue; see queue.go.
-	virtualTime [queueTiers]float64                  // tag of the last request that was sent
-	finishTags  [queueTiers]map[*volumeState]float64 // of each volume's last request
+	// Order of the node's queue; see queue.go.
+	virtualTime [queueTiers]float64                  // tag of the last request that was sent, by tier
+	finishTags  [queueTiers]map[*volumeState]float64 // tag at which each volume's last request ends, by tier
 
-	// Its health; see node_health.go.
+	// Health of the node; see node_health.go.
 	failures        int // rejections and failed connections in a row
 	backoffUntil    time.Duration
-	down            bool          // connections failed repeatedly, and nothing was served since
-	unansweredSince time.Duration // first attempt since its last response; 0: none
-	lastResponseAt  time.Duration // last answer or refused connection
+	down            bool          // the node seems to have failed, and has not served a request since then
+	unansweredSince time.Duration // when the first attempt since the last response was sent; 0 if there is none
+	lastResponseAt  time.Duration // when the node last answered or refused a connection
 	resetAt         time.Duration // when a connection last broke
-	// recoveredAt is when it answered after it was unavailable, until it is known whether it had restarted;
-	// 0: nothing is open.
+	// recoveredAt is when the node answered after it was down. It is 0 once it is known whether the node had
+	// restarted.
 	recoveredAt time.Duration
 
-	// Its slow start; see slow_start.go.
-	warmingSince       time.Duration // its start, or the end of a failure; 0: warm
-	demand             decayingSum   // units requested of its data
-	slowStartDraw      float64       // random draw by which its part is rounded up for now
+	// Slow start of the node; see slow_start.go.
+	warmingSince       time.Duration // when the node started or recovered from a failure; 0 if it is warm
+	demand             decayingSum   // units requested for the node's data
+	slowStartDraw      float64       // random draw that decides whether new objects pass in the current window
 	slowStartDrawUntil time.Duration
 }
 
-// recentSend is a sent attempt that counts in the slow-start window.
+// recentSend is an attempt that was sent within the slow-start window and counts toward the allowance.
 type recentSend struct {
 	at    time.Duration
 	units float64
 }
 
-// recordSend adds an attempt that is being sent to the books of its node.
+// recordSend registers at the node an attempt that is being sent there.
 func (n *nodeState) recordSend(attempt *attemptState, slowStartWindow time.Duration) {
 	n.pending = append(n.pending, attempt)
 	n.unitsInFlight += attempt.request.Units
@@ -73,7 +73,7 @@
 	n.recentSends = append(n.recentSends, recentSend{at: attempt.sentAt, units: attempt.request.Units})
 }
 
-// recordEnd takes an attempt that has an outcome out of the books of its node.
+// recordEnd removes from the node an attempt that has an outcome.
 func (n *nodeState) recordEnd(attempt *attemptState) {
 	n.pending = slices.DeleteFunc(n.pending, func(other *attemptState) bool { return other == attempt })
 	if !attempt.discounted {
@@ -81,13 +81,13 @@
 	}
 }
 
-// freeCapacity takes an attempt out of what is in flight at the node.
+// freeCapacity subtracts an attempt from what counts as in flight at the node.
 func (n *nodeState) freeCapacity(attempt *attemptState) {
 	n.unitsInFlight = max(0, n.unitsInFlight-attempt.request.Units)
 	n.attemptsInFlight--
 }
 
-// unitsSentSince is the number of units sent to the node after a time.
+// unitsSentSince returns the number of units sent to the node after a time.
 func (n *nodeState) unitsSentSince(at time.Duration) float64 {
 	sum := 0.0
 	for _, send := range n.recentSends {
@@ -98,7 +98,7 @@
 	return sum
 }
 
-// waitingUnits is the number of units that wait for the node.
+// waitingUnits returns the number of units that wait for the node.
 func (n *nodeState) waitingUnits() float64 {
 	sum := 0.0
 	for _, request := range n.waiting {
--- a/scheduler/ordered_keys.go
+++ b/scheduler/ordered_keys.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// orderedKeyQueue holds the requests of an ordered key, which run one at a time in the order of their arrival.
+// orderedKeyQueue contains the requests of an ordered key, which run one at a time in the order of their arrival.
 type orderedKeyQueue struct {
-	waiters     []*requestState // the first may run
-	quietUntil  time.Duration   // an attempt may still run until then
-	quietExempt *requestState   // the request of that attempt, which the quiet period does not hold back
+	waiters     []*requestState // only the first may run
+	quietUntil  time.Duration   // end of the quiet period, during which an attempt may still run
+	quietExempt *requestState   // request of that attempt, which the quiet period does not hold back
 }
 
 // joinOrderedKey adds a request to the queue of its key, if its class is ordered.
@@ -25,14 +25,15 @@
 	queue.waiters = append(queue.waiters, request)
 }
 
-// leaveOrderedKey removes a request from the queue of its key, so that the next one may run.
+// leaveOrderedKey removes a request from the queue of its key, so that the next request may run.
 func (s *Scheduler) leaveOrderedKey(request *requestState) {
 	if queue := s.orderedKeyQueue(request); queue != nil {
 		queue.waiters = removeRequest(queue.waiters, request)
 	}
 }
 
-// startQuietPeriod holds the key of a request back, as an attempt of the request may still run.
+// startQuietPeriod holds back the other requests of a request's ordered key for the quiet period, because an attempt
+// of the request may still run.
 func (s *Scheduler) startQuietPeriod(request *requestState) {
 	if queue := s.orderedKeyQueue(request); queue != nil {
 		queue.quietUntil = s.now + s.settings.Rules.OrderedKeyQuietPeriod
@@ -40,7 +41,7 @@
 	}
 }
 
-// orderedKeyQueue is the queue of the request's key; nil if its class is not ordered.
+// orderedKeyQueue returns the queue of the request's key; nil if its class is not ordered or the key has no queue.
 func (s *Scheduler) orderedKeyQueue(request *requestState) *orderedKeyQueue {
 	if !request.class.Ordered {
 		return nil
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -5,58 +5,61 @@
 	"time"
 )
 
-// Tuned values of a request's times; ours.
 const (
-	answerMargin       = 3 * time.Millisecond // a final answer leaves so long before it is due
-	minDisconnectShare = 0.2                  // share of a class's clients that disconnect early and set the objective
-	demandWindows      = 6                    // slow-start windows over which the demand at a node is smoothed
+	// answerMargin is the time between the final answer of a request and the moment at which its client gives up.
+	answerMargin = 3 * time.Millisecond
+	// minDisconnectShare is the share of a class's clients that have to disconnect early for the time after which
+	// they do so to limit the objective of the class.
+	minDisconnectShare = 0.2
+	// demandWindows is the number of slow-start windows over which the demand at a node is smoothed.
+	demandWindows = 6
 )
 
 // requestState is a request from its arrival until it has ended and all its attempts have outcomes.
 type requestState struct {
 	Request
 	class           *Class
-	effectivePolicy RetryPolicy // of its class, narrowed by its own
+	effectivePolicy RetryPolicy // policy of the class, narrowed by that of the request
 	volume          *volumeState
-	sequence        uint64 // number of the arrival, and key of its timer
-	randomDraw      float64
+	sequence        uint64  // number of the request in the order of arrival, and key of its timer
+	randomDraw      float64 // uniform in [0, 1), for decisions that let requests pass at random
 
 	arrivedAt       time.Duration
-	objectiveAt     time.Duration // answers earn the full weight until then
-	answerBy        time.Duration // the final answer is due
-	clientTimeoutAt time.Duration // the client gives up, over all its tries
+	objectiveAt     time.Duration // end of the time within which an answer earns the full weight
+	answerBy        time.Duration // time at which the final answer is due
+	clientTimeoutAt time.Duration // time at which the client gives up, over all its tries
 
-	node *nodeState // where it waits; nil: it does not wait for a node
-	tier int        // of the queue
-	tag  float64
+	node *nodeState // node in whose queue the request waits; nil if it waits in none
+	tier int        // queue tier
+	tag  float64    // fair-queueing tag at which the request starts
 
 	inFlight []*attemptState // attempts without an outcome
-	attempts int             // attempts sent so far
+	attempts int             // number of attempts sent so far
 
-	// The first attempt that may have run. Without one, firstNode is nil.
+	// The first attempt that may have run. firstNode is nil if there is none.
 	firstNode    *nodeState
 	firstSentAt  time.Duration
 	firstAttempt int
 
-	spilledOver   bool // it goes to another zone than it prefers
-	charged       bool // its units were taken from the volume's limit
-	mayStillRun   bool // an attempt ended without an answer
+	spilledOver   bool // the request was sent to a zone beyond its home tier
+	charged       bool // the units of the request were taken from the volume's limit, if the volume has one
+	mayStillRun   bool // an attempt ended without an answer and may still run
 	streamStarted bool
 	ended         bool
 }
 
-// attemptState is a request that was sent to a node.
+// attemptState is an attempt of a request at a node that has no outcome yet.
 type attemptState struct {
 	request    *requestState
-	number     int // 0 for the first
+	number     int // 0 for the first attempt
 	node       *nodeState
 	sentAt     time.Duration
-	overtaken  int  // attempts sent to the node later and served earlier
-	canceled   bool // as lost
-	discounted bool // probably no longer at the node, so that it holds no capacity there
+	overtaken  int  // number of attempts that were sent to the node later but served earlier
+	canceled   bool // canceled because the attempt seems lost
+	discounted bool // no longer counted as in flight, because the attempt is probably no longer at the node
 }
 
-// discount stops an attempt from holding capacity at its node.
+// discount stops counting an attempt as in flight at its node, so that it holds no capacity there.
 func (a *attemptState) discount() {
 	if !a.discounted {
 		a.discounted = true
@@ -64,7 +67,7 @@
 	}
 }
 
-// requestFingerprint is what the tries of a client for the same purpose have in common.
+// requestFingerprint holds the properties that all tries of a client for the same purpose share.
 type requestFingerprint struct {
 	volume string
 	key    string
@@ -72,7 +75,8 @@
 	units  float64
 }
 
-// takeInFlight removes an attempt from those without an outcome; nil if it is none of them.
+// takeInFlight removes the attempt with the number from those without an outcome and returns it; nil if there is no
+// such attempt.
 func (r *requestState) takeInFlight(number int) *attemptState {
 	i := slices.IndexFunc(r.inFlight, func(attempt *attemptState) bool { return attempt.number == number })
 	if i < 0 {
@@ -83,12 +87,12 @@
 	return attempt
 }
 
-// fingerprint is the fingerprint of the request.
+// fingerprint returns the properties of the request by which a client's retry of it is recognized.
 func (r *requestState) fingerprint() requestFingerprint {
 	return requestFingerprint{volume: r.Volume, key: r.Key, class: r.Class, units: r.Units}
 }
 
-// newRequest enters a request that has arrived into the books and sets the timer of its final answer.
+// newRequest registers a request that has arrived and sets the timer of its final answer.
 func (s *Scheduler) newRequest(arrived Request) *requestState {
 	if s.settings.Rules.RetryBudgetWindow > 0 {
 		s.arrivedAt = append(s.arrivedAt, s.now)
@@ -115,9 +119,9 @@
 	return request
 }
 
-// setDeadlines sets when the final answer of a request is due and until when it earns the full weight. If the
-// request is the client's retry of one that was rejected, the times of that one count. A retry is recognized by its
-// fingerprint and by a client timeout that ends within the deadline of the first try.
+// setDeadlines sets when the final answer of a request is due and until when an answer earns the full weight. If the
+// request is a client's retry of a rejected request, the objective and deadline of that first try apply. A retry is
+// recognized by its fingerprint and by a client timeout that ends within the deadline of the first try.
 func (s *Scheduler) setDeadlines(request *requestState) {
 	serviceTime := request.Units * s.classWork[request.Class] * s.serviceTimePerUnit // in seconds
 	stretch := time.Duration(request.class.ObjectiveStretch * serviceTime * float64(time.Second))
@@ -136,14 +140,14 @@
 	}
 }
 
-// recordDisconnect updates how many clients of a class disconnect early, and after what time.
+// recordDisconnect updates the share of a class's clients that disconnect early, and the time after which they do.
 func (s *Scheduler) recordDisconnect(request *requestState) {
 	waited := (s.now - request.arrivedAt).Seconds()
 	s.disconnectAfter[request.Class] += responseGain * (waited - s.disconnectAfter[request.Class])
 	s.disconnectShare[request.Class] += responseGain
 }
 
-// end marks a request as ended and takes it out of the queue in which it waits.
+// end marks a request as ended, clears its timer and takes it out of the queue in which it waits.
 func (s *Scheduler) end(request *requestState) {
 	request.ended = true
 	s.disconnectShare[request.Class] -= responseGain * s.disconnectShare[request.Class]
@@ -155,7 +159,7 @@
 	s.unassigned = removeRequest(s.unassigned, request)
 }
 
-// release forgets an ended request once all its attempts have outcomes, and lets the next one of its key run.
+// release drops an ended request once all its attempts have outcomes, and lets the next request of its key run.
 func (s *Scheduler) release(request *requestState) {
 	if request.ended && len(request.inFlight) == 0 {
 		delete(s.requests, request.ID)
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -7,40 +7,41 @@
 )
 
 const (
-	// startTimeTolerance is the difference up to which two readings of a node's start are the same. They come from
-	// two clocks.
+	// startTimeTolerance is the difference up to which two start times of a node count as the same start. The times
+	// come from two clocks.
 	startTimeTolerance = time.Second
-	// restoreRetention is the time that restored nodes and volumes wait to be listed or used. After it, the token
-	// buckets of a volume would be full again, or nearly so.
+	// restoreRetention is the time for which restored nodes and volumes are kept until they are listed or used. After
+	// this time, the token buckets of an unused volume would be full or nearly full anyway.
 	restoreRetention = time.Minute
 )
 
-// LearnedState is what a Scheduler may restore from the previous incarnation of its host: what that one knew of
-// nodes and volumes, but no requests. Its times are on the new clock. Whoever makes a LearnedState assesses what of
-// it still holds; the Scheduler takes nothing from it that would loosen a guard. It is stored as an array, so the
-// order of its fields is fixed, and so it is for the types within it.
+// LearnedState is what a Scheduler may restore from the previous incarnation of its host: the knowledge about nodes
+// and volumes, but no requests. Its times are on the new clock. The code that creates a LearnedState decides what of it
+// still holds; the Scheduler takes nothing from it that would loosen a guard. A LearnedState and the types within it
+// are stored as arrays, so the order of their fields is fixed.
 type LearnedState struct {
 	_                   struct{} `cbor:",toarray"`
 	Nodes               []LearnedNode
 	Volumes             []LearnedVolume
 	Keys                []LearnedKey
-	ClassWork           []float64 `json:"Work"` // empty: unknown
+	ClassWork           []float64 `json:"Work"` // empty if unknown
 	ServiceTimePerUnit  float64   `json:"UnitTime"`
 	QueueTimePerRequest float64   `json:"PerQueued"`
 	MinLatencyMedian    float64   `json:"Least"`
-	// RetriedAt are the retries that the requests of the previous incarnation did not cover.
+	// RetriedAt contains the times of retries that the requests of the previous incarnation did not cover, and which
+	// therefore still count against the retry budget.
 	RetriedAt []time.Duration `json:"ExtraAt"`
 }
 
-// LearnedNode is what was known of a node.
+// LearnedNode is what the previous incarnation knew of a node.
 type LearnedNode struct {
 	_  struct{} `cbor:",toarray"`
 	ID string
-	// StartedAt is the start of the node as it was listed. For a node that started later, only what the guards need
-	// still holds.
+	// StartedAt is the start time of the node as it was listed. If the node is listed with a later start, its
+	// estimates no longer hold, but what the guards need does.
 	StartedAt time.Duration
 
-	// The estimates; a Cap of 0 says that they are unknown.
+	// Estimates; a ConcurrencyLimit of 0 says that they are unknown.
 	ConcurrencyLimit float64 `json:"Cap"`
 	MaxRate          float64
 	Latency          float64
@@ -49,30 +50,30 @@
 	QueueConfidence  float64       `json:"Known"`
 	LastServedAt     time.Duration `json:"HeardAt"`
 
-	// What the guards need.
-	WarmingSince time.Duration `json:"ColdSince"` // 0: warm
+	// State that the guards need.
+	WarmingSince time.Duration `json:"ColdSince"` // 0 if the node is warm
 	Down         bool
 	RecentSends  []SnapshotSend `json:"Sent"`
 }
 
-// LearnedVolume is what was left in a volume's token buckets at a time.
+// LearnedVolume is what the previous incarnation had left in a volume's token buckets at a time.
 type LearnedVolume struct {
 	_             struct{} `cbor:",toarray"`
 	Name          string
 	At            time.Duration
 	LimitTokens   float64 `json:"Limit"`
 	ReserveTokens float64 `json:"Reserve"`
-	ReserveRate   float64 // this host's part of the reserve, in units a second; 0: unknown
+	ReserveRate   float64 // this host's part of the reserve, in units a second; 0 if unknown
 }
 
-// LearnedKey is an ordered key of which an attempt may still run.
+// LearnedKey is an ordered key for which an attempt of the previous incarnation may still run.
 type LearnedKey struct {
 	_          struct{} `cbor:",toarray"`
 	Key        string
 	QuietUntil time.Duration `json:"RestUntil"`
 }
 
-// Restore takes over what the previous incarnation learned. It has to be called before the first event.
+// Restore takes over what the previous incarnation of the host learned. It has to be called before the first event.
 func (s *Scheduler) Restore(now time.Duration, learned LearnedState) {
 	s.tick(now)
 	if len(learned.ClassWork) == len(s.classWork) {
@@ -89,7 +90,7 @@
 	s.restoredUntil = s.now + restoreRetention
 }
 
-// indexRestored makes learned nodes and volumes available until they are listed or used.
+// indexRestored stores the learned nodes and volumes by name until they are listed or used.
 func (s *Scheduler) indexRestored(learned LearnedState) {
 	s.restoredNodes = map[string]*LearnedNode{}
 	for _, n := range learned.Nodes {
@@ -101,7 +102,7 @@
 	}
 }
 
-// restoreNode gives a node that is listed for the first time what was learned of it.
+// restoreNode applies what was learned about a node when it is listed for the first time.
 func (s *Scheduler) restoreNode(node *nodeState, entry Node) {
 	learned := s.restoredNodes[entry.ID]
 	if learned == nil {
@@ -143,13 +144,14 @@
 	volume.reserve.lowerTo(learned.ReserveTokens, at, s.now)
 }
 
-// lowerTo lowers the tokens to what so many tokens at an earlier time have become by now, if that is less.
+// lowerTo lowers the bucket to the level that it would have now if it had held tokens at an earlier time, unless it
+// already has less.
 func (b *tokenBucket) lowerTo(tokens float64, at, now time.Duration) {
 	earlier := tokenBucket{tokens: tokens, rate: b.rate, burst: b.burst, refilledAt: at}
 	b.tokens = min(b.tokens, earlier.refill(now))
 }
 
-// dropRestored drops what has been neither listed nor used for long enough.
+// dropRestored drops the restored nodes and volumes that were not listed or used within restoreRetention.
 func (s *Scheduler) dropRestored() {
 	if s.restoredUntil > 0 && s.now >= s.restoredUntil {
 		s.restoredNodes = nil
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -7,22 +7,23 @@
 	"reachpulley/internal/zonefailover"
 )
 
-// SnapshotVersion is the version of [Snapshot] that this program writes and resumes from. The types of this file
-// are stored as arrays without names, so any change of their fields or of the order of these is a new version.
+// SnapshotVersion is the version of [Snapshot] that this program writes and resumes from. The types in this file
+// are stored as arrays without field names, so any change to their fields or to the order of the fields needs a new
+// version.
 const SnapshotVersion = 4
 
 // Snapshot is the whole state of a Scheduler as plain data. A Scheduler that is resumed from it makes the same
-// decisions as the one that it was taken of would have made. Where its parts refer to each other, they hold indexes
-// of Nodes, Volumes and Requests; -1 is none.
+// decisions as the original Scheduler would have made. Nodes, volumes and requests are referred to by their indexes in
+// Nodes, Volumes and Requests; -1 means none.
 type Snapshot struct {
 	_       struct{} `cbor:",toarray"`
 	Version int
-	Random  []byte // state of the random numbers
+	Random  []byte // state of the random number generator
 	Now     time.Duration
 	Started bool `json:"Alive"`
 
 	Nodes       []SnapshotNode
-	Listed      int // number of Nodes that are listed; the others are only known by requests that ran there
+	Listed      int // number of listed nodes, which come first in Nodes; only requests refer to the others
 	Volumes     []SnapshotVolume
 	Requests    []SnapshotRequest    // in the order of their arrival
 	Unassigned  []int                `json:"Homeless"`
@@ -51,32 +52,32 @@
 	ZoneHealth          zonefailover.TrackerState     `json:"View"`
 	Spillover           []zonefailover.SpilloverState `json:"Spill"`
 
-	// Restored is what was restored from the previous incarnation and has not been used yet.
+	// Restored contains the nodes and volumes restored from the previous incarnation that were not listed or used yet.
 	Restored      LearnedState  `json:"Recalled"`
 	RestoredUntil time.Duration `json:"RecalledUntil"`
 }
 
-// SnapshotNode is what is known of a node.
+// SnapshotNode is the state of a node.
 type SnapshotNode struct {
 	_       struct{} `cbor:",toarray"`
 	Node    Node
-	Waiting []int // requests
+	Waiting []int // indexes of requests
 
 	UnitsInFlight    float64       `json:"Out"`
 	AttemptsInFlight int           `json:"AtNode"`
 	LastServedAt     time.Duration `json:"HeardAt"`
-	Queue            float64       // seconds
-	QueueConfidence  float64       `json:"Known"` // responses that Queue is worth
-	ConcurrencyLimit float64       `json:"Cap"`   // concurrency limit, in units
+	Queue            float64       // time in the node's queue, in seconds
+	QueueConfidence  float64       `json:"Known"` // number of responses that Queue is worth
+	ConcurrencyLimit float64       `json:"Cap"`   // in units
 
 	WindowOpenedAt  time.Duration `json:"Opened"`
 	WindowUnits     float64       `json:"Served"`
 	WindowResponses int           `json:"Answers"`
 	WindowLatency   time.Duration `json:"Spent"`
 	WindowWork      float64       `json:"Weight"`
-	MaxRate         float64
-	Latency         float64 // seconds
-	MinLatency      float64 // seconds
+	MaxRate         float64       // units a second
+	Latency         float64       // in seconds
+	MinLatency      float64       // in seconds
 	LearnedAt       time.Duration
 	RetestAt        time.Duration
 	CutDrainedAt    time.Duration `json:"Drained"`
@@ -89,7 +90,7 @@
 	BackoffUntil       time.Duration `json:"HoldUntil"`
 	Down               bool
 	WarmingSince       time.Duration     `json:"ColdSince"`
-	Pending            []SnapshotAttempt // with Request and Number only
+	Pending            []SnapshotAttempt // only with Request and Number
 	SentAt             time.Duration
 	Demand             float64        `json:"Asked"`
 	DemandAt           time.Duration  `json:"AskedFor"`
@@ -98,32 +99,32 @@
 	UnansweredSince    time.Duration  `json:"AskedAt"`
 	LastResponseAt     time.Duration  `json:"WordAt"`
 	RecoveredAt        time.Duration  `json:"BackAt"`
-	ResetAt            time.Duration  // when a connection last broke
+	ResetAt            time.Duration  // time at which a connection last broke
 	RecentSends        []SnapshotSend `json:"Sent"`
 }
 
-// SnapshotFinishTag is the fair-queueing tag at which the last request of a volume at a node ends.
+// SnapshotFinishTag is the fair-queueing tag at which the last request of a volume in a node's queue ends.
 type SnapshotFinishTag struct {
 	_      struct{} `cbor:",toarray"`
 	Volume int
 	Tag    float64
 }
 
-// SnapshotSend is a sent attempt that counts in the slow-start window of its node.
+// SnapshotSend is an attempt that was sent within the slow-start window of its node.
 type SnapshotSend struct {
 	_     struct{} `cbor:",toarray"`
 	At    time.Duration
 	Units float64
 }
 
-// SnapshotVolume is what is known of a volume.
+// SnapshotVolume is the state of a volume.
 type SnapshotVolume struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
-	// Indexed says that new requests of the volume find it by its name. Otherwise only the requests that refer to it
-	// know it.
+	// Indexed says that new requests find the volume by its name. Otherwise only the requests that refer to it still
+	// use it.
 	Indexed    bool          `json:"Held"`
-	Plan       int           // index of Settings.Plans; -1: none
+	Plan       int           // index of Settings.Plans; -1 if there is none
 	IdleAt     time.Duration `json:"SilentAt"`
 	Weight     float64
 	Hosts      float64
@@ -133,7 +134,7 @@
 	OwnUnitsAt time.Duration `json:"OwnAt"`
 }
 
-// SnapshotTokenBucket is a token bucket.
+// SnapshotTokenBucket is the state of a token bucket.
 type SnapshotTokenBucket struct {
 	_          struct{} `cbor:",toarray"`
 	Tokens     float64  `json:"Level"`
@@ -142,7 +143,7 @@
 	RefilledAt time.Duration `json:"At"`
 }
 
-// SnapshotRequest is a request that has not ended or has an attempt without an outcome.
+// SnapshotRequest is the state of a request that has not ended or has an attempt without an outcome.
 type SnapshotRequest struct {
 	_               struct{} `cbor:",toarray"`
 	Request         Request
@@ -155,21 +156,21 @@
 	Tier            int
 	Tag             float64
 	RandomDraw      float64           `json:"Luck"`
-	Node            int               // where it waits
+	Node            int               // index of the node in whose queue the request waits
 	InFlight        []SnapshotAttempt `json:"Open"`
 	Attempts        int
 	Charged         bool          `json:"Drew"`
-	FirstNode       int           `json:"RanOn"` // of the first attempt that may have run
+	FirstNode       int           `json:"RanOn"` // index of the node of the first attempt that may have run
 	FirstSentAt     time.Duration `json:"RanAt"`
 	FirstAttempt    int           `json:"RanBy"`
 	MayStillRun     bool          `json:"MayRun"`
 	SpilledOver     bool          `json:"Spilt"`
 	StreamStarted   bool          `json:"Began"`
 	Ended           bool
-	TimerSet        bool `json:"Timed"` // the timer of its final answer has not fired
+	TimerSet        bool `json:"Timed"` // the timer of the request has been set and has not fired
 }
 
-// SnapshotAttempt is an attempt without an outcome.
+// SnapshotAttempt is the state of an attempt without an outcome.
 type SnapshotAttempt struct {
 	_          struct{} `cbor:",toarray"`
 	Request    int
@@ -181,7 +182,7 @@
 	Discounted bool          `json:"Doubted"`
 }
 
-// SnapshotOrderedKey is the queue of an ordered key.
+// SnapshotOrderedKey is the state of an ordered key: the indexes of its requests and its quiet period.
 type SnapshotOrderedKey struct {
 	_           struct{} `cbor:",toarray"`
 	Key         string
@@ -190,7 +191,8 @@
 	QuietExempt int           `json:"RestFor"`
 }
 
-// SnapshotRejected is a request that was rejected or failed recently. Its times count for the client's next try.
+// SnapshotRejected is a request that was recently rejected or failed. Its objective and deadline also apply to the
+// client's next try.
 type SnapshotRejected struct {
 	_               struct{} `cbor:",toarray"`
 	Volume          string
--- a/scheduler/snapshot_decode.go
+++ b/scheduler/snapshot_decode.go
@@ -7,11 +7,11 @@
 	"slices"
 )
 
-// ErrSnapshot is the error of [Resume] for a snapshot that cannot be resumed from.
+// ErrSnapshot is returned by [Resume] for a snapshot that cannot be resumed from.
 var ErrSnapshot = errors.New("scheduler: inconsistent snapshot")
 
-// Resume makes a Scheduler that goes on from a snapshot and calls actions. It fails with [ErrSnapshot] on a snapshot
-// that is of another version, is of other settings, or refers to parts that it lacks.
+// Resume returns a Scheduler that continues from a snapshot and calls actions. It fails with [ErrSnapshot] if the
+// snapshot has another version, was made with other settings, or refers to parts that it does not contain.
 func Resume(settings Settings, snapshot *Snapshot, actions Actions) (*Scheduler, error) {
 	s, err := New(settings, 0, actions)
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	d := snapshotDecoder{scheduler: s, snapshot: snapshot}
 	for _, decode := range []func() error{
-		d.checkHeader,
+		d.checkVersion,
 		d.random,
 		d.scalars,
 		d.restrictions,
@@ -40,7 +40,7 @@
 	return s, nil
 }
 
-// snapshotDecoder makes the parts of a Scheduler from a snapshot.
+// snapshotDecoder restores the parts of a Scheduler from a snapshot.
 type snapshotDecoder struct {
 	scheduler *Scheduler
 	snapshot  *Snapshot
@@ -49,42 +49,43 @@
 	requests  []*requestState
 }
 
-// validIndex says whether i is an index of a list of so many.
+// validIndex says whether i is an index of a list of the given length.
 func validIndex(i, length int) bool { return i >= 0 && i < length }
 
-// validIndexOrNone says whether i is an index of a list of so many, or -1.
+// validIndexOrNone says whether i is an index of a list of the given length, or -1.
 func validIndexOrNone(i, length int) bool { return i == -1 || validIndex(i, length) }
 
-// invalid makes an ErrSnapshot that says what is wrong.
+// invalid returns an ErrSnapshot that says what is wrong with the snapshot.
 func invalid(format string, args ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrSnapshot}, args...)...)
 }
 
-// checkHeader checks that this program knows the version of the snapshot.
-func (d *snapshotDecoder) checkHeader() error {
+// checkVersion checks that this program can resume from the version of the snapshot.
+func (d *snapshotDecoder) checkVersion() error {
 	if d.snapshot.Version != SnapshotVersion {
-		return invalid("its version is %d, this program resumes from %d", d.snapshot.Version, SnapshotVersion)
+		return invalid("version is %d, want %d", d.snapshot.Version, SnapshotVersion)
 	}
 	return nil
 }
 
-// random resumes the random numbers.
+// random restores the random number generator.
 func (d *snapshotDecoder) random() error {
 	source := rand.NewPCG(0, 0)
 	if err := source.UnmarshalBinary(d.snapshot.Random); err != nil {
-		return invalid("random numbers: %w", err)
+		return invalid("state of the random number generator: %w", err)
 	}
 	d.scheduler.randomSource = source
 	d.scheduler.random = rand.New(source)
 	return nil
 }
 
-// scalars resumes what refers to no other part.
+// scalars restores the values that refer to no other part of the snapshot.
 func (d *snapshotDecoder) scalars() error {
 	s, from := d.scheduler, d.snapshot
 	classes := len(s.settings.Classes)
 	if len(from.ClassWork) != classes || len(from.DisconnectShare) != classes || len(from.DisconnectAfter) != classes {
-		return invalid("it is of %d classes, the settings name %d", len(from.ClassWork), classes)
+		return invalid("work of %d, disconnect share of %d and disconnect time of %d classes, settings have %d",
+			len(from.ClassWork), len(from.DisconnectShare), len(from.DisconnectAfter), classes)
 	}
 	s.now = from.Now
 	s.started = from.Started
@@ -105,11 +106,11 @@
 	return nil
 }
 
-// restrictions resumes the restrictions.
+// restrictions restores the restrictions of operations.
 func (d *snapshotDecoder) restrictions() error {
 	s, from := d.scheduler, d.snapshot
 	if len(from.Restrictions) > MaxRestrictions {
-		return invalid("%d restrictions", len(from.Restrictions))
+		return invalid("%d restrictions, want at most %d", len(from.Restrictions), MaxRestrictions)
 	}
 	s.overflowRestriction = from.OverflowRestriction
 	for _, restriction := range from.Restrictions {
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// trackers resumes the state that other packages keep: the retry budgets and the health of zones.
+// trackers restores the state that other packages keep: the retry budgets and the health of zones.
 func (d *snapshotDecoder) trackers() error {
 	s, from := d.scheduler, d.snapshot
 	if err := s.retryBudget.Resume(from.RetryBudget); err != nil {
@@ -129,19 +130,19 @@
 		return nil
 	}
 	if !s.zoneTracker.Resume(from.ZoneHealth) || !s.spillover.Resume(from.Spillover) {
-		return invalid("its zones are not those of the settings")
+		return invalid("zone health or spillover does not match the zones of the settings")
 	}
 	return nil
 }
 
-// allNodes makes the nodes. Their queues follow in allNodeQueues, once there are volumes and requests.
+// allNodes restores the nodes. Their queues follow in allNodeQueues, because they refer to volumes and requests.
 func (d *snapshotDecoder) allNodes() error {
 	s, from := d.scheduler, d.snapshot
 	if from.Listed < 0 || from.Listed > len(from.Nodes) {
-		return invalid("%d of %d nodes are listed", from.Listed, len(from.Nodes))
+		return invalid("number of listed nodes is %d, but there are %d nodes", from.Listed, len(from.Nodes))
 	}
 	for i := range from.Nodes {
-		node := newSnapshotNode(&from.Nodes[i])
+		node := nodeFromSnapshot(&from.Nodes[i])
 		d.nodes = append(d.nodes, node)
 		if i < from.Listed {
 			s.nodes[node.ID] = node
@@ -152,8 +153,8 @@
 	return nil
 }
 
-// newSnapshotNode makes a node without what refers to volumes and requests.
-func newSnapshotNode(from *SnapshotNode) *nodeState {
+// nodeFromSnapshot returns a node without the parts that refer to volumes and requests.
+func nodeFromSnapshot(from *SnapshotNode) *nodeState {
 	node := &nodeState{
 		Node:             from.Node,
 		unitsInFlight:    from.UnitsInFlight,
@@ -201,13 +202,14 @@
 	return node
 }
 
-// allVolumes makes the volumes.
+// allVolumes restores the volumes.
 func (d *snapshotDecoder) allVolumes() error {
 	s := d.scheduler
 	for i := range d.snapshot.Volumes {
 		from := &d.snapshot.Volumes[i]
 		if !validIndexOrNone(from.Plan, len(s.settings.Plans)) {
-			return invalid("volume %q has plan %d of %d", from.Name, from.Plan, len(s.settings.Plans))
+			return invalid("volume %q has plan index %d, but there are %d plans",
+				from.Name, from.Plan, len(s.settings.Plans))
 		}
 		volume := &volumeState{
 			plan:     &Plan{Weight: 1, Price: 1},
@@ -229,23 +231,24 @@
 	return nil
 }
 
-// bucket makes a token bucket.
+// bucket returns the token bucket of the snapshot.
 func (b *SnapshotTokenBucket) bucket() tokenBucket {
 	return tokenBucket{tokens: b.Tokens, rate: b.Rate, burst: b.Burst, refilledAt: b.RefilledAt}
 }
 
-// allRequests makes the requests and their attempts.
+// allRequests restores the requests and their attempts.
 func (d *snapshotDecoder) allRequests() error {
 	s := d.scheduler
 	for i := range d.snapshot.Requests {
 		from := &d.snapshot.Requests[i]
 		if !d.validRequest(from) {
-			return invalid("request %q", from.Request.ID)
+			return invalid("request %q has a class, volume, node or queue tier that does not exist", from.Request.ID)
 		}
 		request := d.newRequest(from)
 		for _, a := range from.InFlight {
 			if a.Request != i || !validIndex(a.Node, len(d.nodes)) {
-				return invalid("an attempt of request %q", from.Request.ID)
+				return invalid("attempt %d of request %q has request index %d, want %d, and node index %d of %d nodes",
+					a.Number, from.Request.ID, a.Request, i, a.Node, len(d.nodes))
 			}
 			request.inFlight = append(request.inFlight, &attemptState{
 				request:    request,
@@ -266,7 +269,7 @@
 	return nil
 }
 
-// validRequest says whether what a request refers to exists.
+// validRequest says whether all parts that a request refers to exist.
 func (d *snapshotDecoder) validRequest(from *SnapshotRequest) bool {
 	return validIndex(from.Request.Class, len(d.scheduler.settings.Classes)) &&
 		validIndex(from.Volume, len(d.volumes)) &&
@@ -275,7 +278,7 @@
 		validIndex(from.Tier, queueTiers)
 }
 
-// newRequest makes a request without its attempts.
+// newRequest returns a request without its attempts.
 func (d *snapshotDecoder) newRequest(from *SnapshotRequest) *requestState {
 	request := &requestState{
 		Request:         from.Request,
@@ -308,7 +311,7 @@
 	return request
 }
 
-// allNodeQueues gives the nodes what refers to volumes and requests.
+// allNodeQueues restores the parts of the nodes that refer to volumes and requests.
 func (d *snapshotDecoder) allNodeQueues() error {
 	for i := range d.snapshot.Nodes {
 		if err := d.nodeQueues(d.nodes[i], &d.snapshot.Nodes[i]); err != nil {
@@ -318,10 +321,10 @@
 	return nil
 }
 
-// nodeQueues gives a node its waiting requests, its fair-queueing tags and its pending attempts.
+// nodeQueues restores a node's waiting requests, fair-queueing tags and pending attempts.
 func (d *snapshotDecoder) nodeQueues(node *nodeState, from *SnapshotNode) error {
 	if from.Failures < 0 {
-		return invalid("%d failures", from.Failures)
+		return invalid("number of failures is negative: %d", from.Failures)
 	}
 	var err error
 	if node.waiting, err = d.requestsAt(from.Waiting); err != nil {
@@ -330,7 +333,8 @@
 	for tier := range from.FinishTags {
 		for _, tag := range from.FinishTags[tier] {
 			if !validIndex(tag.Volume, len(d.volumes)) {
-				return invalid("volume %d of %d", tag.Volume, len(d.volumes))
+				return invalid("fair-queueing tag has volume index %d, but there are %d volumes",
+					tag.Volume, len(d.volumes))
 			}
 			node.finishTags[tier][d.volumes[tag.Volume]] = tag.Tag
 		}
@@ -345,41 +349,43 @@
 	return nil
 }
 
-// attemptAt finds an attempt at a node among those of its request.
+// attemptAt returns the attempt at a node from the attempts of its request.
 func (d *snapshotDecoder) attemptAt(node *nodeState, from SnapshotAttempt) (*attemptState, error) {
 	if !validIndex(from.Request, len(d.requests)) {
-		return nil, invalid("an attempt of request %d of %d", from.Request, len(d.requests))
+		return nil, invalid("pending attempt has request index %d, but there are %d requests",
+			from.Request, len(d.requests))
 	}
 	inFlight := d.requests[from.Request].inFlight
 	i := slices.IndexFunc(inFlight, func(attempt *attemptState) bool {
 		return attempt.number == from.Number && attempt.node == node
 	})
 	if i < 0 {
-		return nil, invalid("an attempt that its request lacks")
+		return nil, invalid("pending attempt %d is missing from request %q",
+			from.Number, d.requests[from.Request].ID)
 	}
 	return inFlight[i], nil
 }
 
-// requestsAt finds requests by their indexes.
+// requestsAt returns the requests with the indexes.
 func (d *snapshotDecoder) requestsAt(indexes []int) ([]*requestState, error) {
 	var requests []*requestState
 	for _, i := range indexes {
 		if !validIndex(i, len(d.requests)) {
-			return nil, invalid("request %d of %d", i, len(d.requests))
+			return nil, invalid("request index is %d, but there are %d requests", i, len(d.requests))
 		}
 		requests = append(requests, d.requests[i])
 	}
 	return requests, nil
 }
 
-// unassigned resumes the requests that no node may take.
+// unassigned restores the list of requests that no node may take now.
 func (d *snapshotDecoder) unassigned() error {
 	var err error
 	d.scheduler.unassigned, err = d.requestsAt(d.snapshot.Unassigned)
 	return err
 }
 
-// orderedKeys makes the queues of ordered keys.
+// orderedKeys restores the queues of ordered keys.
 func (d *snapshotDecoder) orderedKeys() error {
 	for _, from := range d.snapshot.OrderedKeys {
 		waiters, err := d.requestsAt(from.Waiters)
@@ -387,7 +393,8 @@
 			return fmt.Errorf("ordered key %q: %w", from.Key, err)
 		}
 		if !validIndexOrNone(from.QuietExempt, len(d.requests)) {
-			return invalid("ordered key %q: request %d of %d", from.Key, from.QuietExempt, len(d.requests))
+			return invalid("ordered key %q has request index %d, but there are %d requests",
+				from.Key, from.QuietExempt, len(d.requests))
 		}
 		queue := &orderedKeyQueue{waiters: waiters, quietUntil: from.QuietUntil}
 		if from.QuietExempt >= 0 {
@@ -398,7 +405,7 @@
 	return nil
 }
 
-// rejected restores of the recently rejected requests what their next tries need.
+// rejected restores, of the recently rejected requests, the values that apply to their clients' next tries.
 func (d *snapshotDecoder) rejected() {
 	for _, from := range d.snapshot.Rejected {
 		request := &requestState{objectiveAt: from.ObjectiveAt, clientTimeoutAt: from.ClientTimeoutAt}
@@ -407,7 +414,7 @@
 	}
 }
 
-// restored resumes what was restored from the previous incarnation and has not been used yet.
+// restored restores the nodes and volumes of the previous incarnation that have not been listed or used yet.
 func (d *snapshotDecoder) restored() {
 	d.scheduler.restoredUntil = d.snapshot.RestoredUntil
 	if d.scheduler.restoredUntil > 0 {
--- a/scheduler/snapshot_encode.go
+++ b/scheduler/snapshot_encode.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Snapshot takes the whole state. Parts that no later event can reach are left out.
+// Snapshot returns the whole state of the Scheduler, without parts that no later event can reach.
 func (s *Scheduler) Snapshot() *Snapshot {
 	random, err := s.randomSource.MarshalBinary()
 	if err != nil {
-		panic(err) // the method of a PCG never fails
+		panic(err) // PCG.MarshalBinary never fails
 	}
 	snapshot := &Snapshot{
 		Version: SnapshotVersion,
@@ -53,7 +53,7 @@
 	return snapshot
 }
 
-// sortedRestrictions returns all restrictions in the order of operations and nodes.
+// sortedRestrictions returns all restrictions, sorted by operation and node.
 func (s *Scheduler) sortedRestrictions() []Restriction {
 	var restrictions []Restriction
 	for key, level := range s.restrictions {
@@ -65,8 +65,8 @@
 	return restrictions
 }
 
-// snapshotEncoder writes the parts of a state that refer to each other. It gives each of them an index, which is the
-// same whatever the order of the maps.
+// snapshotEncoder encodes the nodes, volumes and requests of a Scheduler, which refer to each other. It gives each of
+// them an index that does not depend on the random order of maps.
 type snapshotEncoder struct {
 	scheduler    *Scheduler
 	nodes        []*nodeState
@@ -78,7 +78,7 @@
 	requestIndex map[*requestState]int
 }
 
-// newSnapshotEncoder indexes the parts of a Scheduler.
+// newSnapshotEncoder returns an encoder with indexes of the nodes, volumes and requests of a Scheduler.
 func newSnapshotEncoder(s *Scheduler) *snapshotEncoder {
 	e := &snapshotEncoder{
 		scheduler:    s,
@@ -103,7 +103,7 @@
 	}
 }
 
-// indexVolumes indexes first the volumes that are found by their names, then those that only requests refer to.
+// indexVolumes indexes first the volumes that are found by name, then those that only requests refer to.
 func (e *snapshotEncoder) indexVolumes() {
 	for name := range e.scheduler.volumes {
 		e.volumeNames = append(e.volumeNames, name)
@@ -145,7 +145,7 @@
 	}
 }
 
-// indexOf is the index of a part, or -1 if it has none.
+// indexOf returns the index of a part, or -1 if it has none.
 func indexOf[T comparable](indexes map[T]int, part T) int {
 	if i, ok := indexes[part]; ok {
 		return i
@@ -153,7 +153,7 @@
 	return -1
 }
 
-// requestIndexes returns the indexes of requests.
+// requestIndexes returns the indexes of requests, in the same order.
 func (e *snapshotEncoder) requestIndexes(requests []*requestState) []int {
 	var indexes []int
 	for _, request := range requests {
@@ -162,7 +162,7 @@
 	return indexes
 }
 
-// encode writes the parts into a snapshot.
+// encode adds the indexed parts, and the lists that refer to them, to a snapshot.
 func (e *snapshotEncoder) encode(snapshot *Snapshot) {
 	for _, node := range e.nodes {
 		snapshot.Nodes = append(snapshot.Nodes, e.node(node))
@@ -224,7 +224,7 @@
 	}
 }
 
-// finishTags returns the fair-queueing tags of a node, without those of volumes that nothing refers to any more.
+// finishTags returns the fair-queueing tags of a node, except those of volumes to which nothing else refers.
 func (e *snapshotEncoder) finishTags(node *nodeState) [queueTiers][]SnapshotFinishTag {
 	var tags [queueTiers][]SnapshotFinishTag
 	for tier := range node.finishTags {
@@ -238,7 +238,7 @@
 	return tags
 }
 
-// pending returns the attempts at a node. Their requests have the rest of what is known of them.
+// pending returns the request and number of each attempt at a node. Its other properties are stored with its request.
 func (e *snapshotEncoder) pending(node *nodeState) []SnapshotAttempt {
 	var attempts []SnapshotAttempt
 	for _, attempt := range node.pending {
@@ -247,7 +247,7 @@
 	return attempts
 }
 
-// snapshotSends returns the sent attempts that count in the slow-start window.
+// snapshotSends returns the attempts that were sent to the node within the slow-start window.
 func (n *nodeState) snapshotSends() []SnapshotSend {
 	var sends []SnapshotSend
 	for _, send := range n.recentSends {
@@ -259,7 +259,7 @@
 func (e *snapshotEncoder) volume(name string, volume *volumeState) SnapshotVolume {
 	plan := -1
 	for i := range e.scheduler.settings.Plans {
-		if volume.plan == &e.scheduler.settings.Plans[i] { // by address, because names need not differ
+		if volume.plan == &e.scheduler.settings.Plans[i] { // compared by address, because plans may share a name
 			plan = i
 		}
 	}
@@ -339,7 +339,7 @@
 	return keys
 }
 
-// rejected returns the recently rejected requests in the order of their fingerprints.
+// rejected returns the recently rejected requests, sorted by fingerprint.
 func (e *snapshotEncoder) rejected() []SnapshotRejected {
 	var rejected []SnapshotRejected
 	for fingerprint, request := range e.scheduler.rejected {
--- a/scheduler/token_bucket.go
+++ b/scheduler/token_bucket.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// tokenBucket refills at a rate, up to a burst.
+// tokenBucket refills continuously at a rate, up to a burst.
 type tokenBucket struct {
 	tokens     float64
 	rate       float64 // tokens a second
-	burst      float64
+	burst      float64 // largest number of tokens
 	refilledAt time.Duration
 }
 
-// refill moves the bucket on in time and returns its tokens.
+// refill adds the tokens since the last refill and returns the number of tokens.
 func (b *tokenBucket) refill(now time.Duration) float64 {
 	b.tokens = min(b.burst, b.tokens+b.rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
 	return b.tokens
 }
 
-// decayingSum is a sum of recent values. Each of them fades by e within a span that the callers choose.
+// decayingSum is a sum of values that decay exponentially, by a factor of e within the span that callers pass.
 type decayingSum struct {
 	value     float64
 	updatedAt time.Duration
 }
 
-// valueAt is the sum at a time.
+// valueAt returns the sum at a time.
 func (d *decayingSum) valueAt(now, span time.Duration) float64 {
 	return d.value * math.Exp(-(now-d.updatedAt).Seconds()/max(span, time.Millisecond).Seconds())
 }
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -2,44 +2,43 @@
 
 import "time"
 
-// Tuned values of volumes; ours.
 const (
-	minPlanWeight        = 0.001       // weight of a plan without one
-	reserveSmoothingSpan = time.Second // over which this host's part of a volume's use is smoothed
+	minPlanWeight        = 0.001       // weight of a plan that has a smaller weight or none
+	reserveSmoothingSpan = time.Second // span over which this host's part of a volume's use is smoothed
 )
 
-// volumeState is what this host knows of a volume: its plan and the tokens that this host may spend for it.
+// volumeState is the state of a volume at this host: its plan and the tokens that this host may spend for it.
 type volumeState struct {
 	plan     *Plan
-	idleAt   time.Duration // when its last request will be over for long
+	idleAt   time.Duration // time after which the volume is idle if no further request arrives
 	weight   float64
-	hosts    float64 // schedulers through which its requests come
-	reserve  tokenBucket
-	limit    tokenBucket
-	ownUnits decayingSum // units served through this host
+	hosts    float64     // number of schedulers that receive requests of the volume
+	reserve  tokenBucket // this host's part of the volume's reserve
+	limit    tokenBucket // this host's part of the volume's limit
+	ownUnits decayingSum // units of the volume served through this host
 }
 
-// volumeOf finds the volume of a request, and sets it up at its first request.
-func (s *Scheduler) volumeOf(q Request) *volumeState {
-	volume := s.volumes[q.Volume]
+// volumeOf returns the volume of a request. It creates the volume at its first request.
+func (s *Scheduler) volumeOf(request Request) *volumeState {
+	volume := s.volumes[request.Volume]
 	if volume == nil {
-		volume = s.newVolume(q)
-		s.restoreVolume(q.Volume, volume)
-		s.volumes[q.Volume] = volume
+		volume = s.newVolume(request)
+		s.restoreVolume(request.Volume, volume)
+		s.volumes[request.Volume] = volume
 	}
 	return volume
 }
 
-// newVolume sets up the volume of a request with this host's even part of what its plan entitles it to.
-func (s *Scheduler) newVolume(q Request) *volumeState {
+// newVolume creates the volume of a request with an equal part, among its hosts, of what its plan entitles it to.
+func (s *Scheduler) newVolume(request Request) *volumeState {
 	plan := &Plan{Weight: 1, Price: 1}
-	if q.Plan >= 0 && q.Plan < len(s.settings.Plans) {
-		plan = &s.settings.Plans[q.Plan]
+	if request.Plan >= 0 && request.Plan < len(s.settings.Plans) {
+		plan = &s.settings.Plans[request.Plan]
 	}
-	hosts := float64(max(q.Hosts, 1))
+	hosts := float64(max(request.Hosts, 1))
 	reserveRate := plan.Reserve / hosts
-	// The previous incarnation of this host may have spent its part of the limit. The bucket therefore holds half
-	// of the even part of burst and slack; the other half covers what one previous incarnation spent.
+	// The previous incarnation of this host may have spent its part of the limit. The bucket therefore holds only
+	// half of the host's equal part of burst and slack; the other half covers what one previous incarnation spent.
 	limitBurst := (plan.Burst + plan.Slack) / hosts / 2
 	return &volumeState{
 		plan:   plan,
@@ -61,8 +60,8 @@
 }
 
 // updateReserveShare gives this host the part of a volume's reserve that corresponds to its part of the volume's
-// requests, instead of the even part, because clients use their hosts unevenly. Use is the recent rate through all
-// hosts, as a share of the plan's rate, as the nodes report it.
+// requests, instead of an equal part, because clients use their hosts unevenly. The argument use is the recent rate of
+// the volume through all hosts, as a share of the plan's rate, as the nodes report it.
 func (s *Scheduler) updateReserveShare(volume *volumeState, units, use float64) {
 	volume.ownUnits.add(s.now, reserveSmoothingSpan, units)
 	if use > 0 && volume.plan.Reserve > 0 {
@@ -73,8 +72,8 @@
 	}
 }
 
-// idle says whether the volume has been without requests until the bucket of its limit is full, so that setting it
-// up again regains nothing.
+// idle says whether the last request of the volume was over some time ago and the bucket of its limit is full again, so
+// that releasing the volume and creating it anew gains it no tokens.
 func (v *volumeState) idle(now time.Duration) bool {
 	return now >= v.idleAt && v.limit.refill(now) >= v.limit.burst
 }
--- a/scheduler/zone_observation.go
+++ b/scheduler/zone_observation.go
@@ -6,21 +6,22 @@
 	"reachpulley/internal/zonefailover"
 )
 
-// Tuned values of the observations.
 const (
-	resetBurstSpan = 50 * time.Millisecond  // connections that break within it break for one reason
-	minUnanswered  = 100 * time.Millisecond // attempts that end earlier do not show that a node is silent
+	// resetBurstSpan is the time within which connections to a node that break are taken to break for one reason.
+	resetBurstSpan = 50 * time.Millisecond
+	// minUnanswered is the time that an unanswered attempt has to last to show that a node does not respond.
+	minUnanswered = 100 * time.Millisecond
 )
 
-// recordResponse records, for the zone tracker, whether an outcome shows that its node responds. A rejection and a
-// connection that is refused at once show it as well as an answer.
+// recordResponse records, for the zone tracker, whether an outcome shows that its node responds. Rejections and
+// connections that are refused at once show this as well as answers do.
 func (s *Scheduler) recordResponse(attempt *attemptState, outcome Outcome) {
 	if s.zoneTracker == nil {
 		return
 	}
 	node := attempt.node
 	idle := len(node.pending) == 0
-	early := outcome.Latency < minUnanswered // nobody could expect a response yet
+	early := outcome.Latency < minUnanswered // too early to expect a response
 	switch outcome.Result {
 	case Served, Errored, Overloaded:
 		s.markResponding(node)
@@ -45,8 +46,8 @@
 	}
 }
 
-// markResponding records a response. The attempts that are still in flight may have been sent before it or after
-// it, so they count as unanswered from now on.
+// markResponding records a response of the node. The attempts that are still in flight may have been sent before or
+// after the node gave it, so they count as unanswered only from now on.
 func (s *Scheduler) markResponding(node *nodeState) {
 	node.lastResponseAt = s.now
 	node.unansweredSince = 0
@@ -55,8 +56,9 @@
 	}
 }
 
-// recordReset records that a connection broke. If all attempts broke, or two at once, the node may have restarted
-// faster than anybody noticed; the endpoint list will say.
+// recordReset records that a connection to the node broke. If no other attempt is pending, or two connections broke
+// within resetBurstSpan, the node may have restarted so quickly that no attempt to connect failed. It then counts as
+// down; the endpoint list will show later whether it did restart.
 func (s *Scheduler) recordReset(node *nodeState) {
 	if len(node.pending) == 0 || node.resetAt > 0 && s.now-node.resetAt < resetBurstSpan {
 		node.down = true
@@ -64,7 +66,7 @@
 	node.resetAt = s.now
 }
 
-// ProbeEnded takes the result of a probe.
+// ProbeEnded reports the result of a probe. Only a probe that was served changes what is known of the node.
 func (s *Scheduler) ProbeEnded(now time.Duration, probe ProbeResult) {
 	s.tick(now)
 	node := s.nodes[probe.Node]
@@ -78,8 +80,8 @@
 	}
 }
 
-// markUnavailable records that the zone tracker holds the node to be unavailable. Attempts that are in flight there
-// will say nothing about its queue once it has recovered.
+// markUnavailable records that the zone tracker considers the node unavailable. The attempts in flight there are
+// discounted, because they say nothing about the node's queue once it has recovered.
 func (s *Scheduler) markUnavailable(node *nodeState) {
 	node.down = true
 	node.recoveredAt = 0
@@ -88,8 +90,8 @@
 	}
 }
 
-// endMistakenSlowStart ends the slow start of a node that recovered, once the endpoint list would have said that the
-// node had restarted: then only the network path to it was cut.
+// endMistakenSlowStart ends the slow start of a recovered node if the endpoint list does not report a restart within
+// the membership delay. Then only the network path to the node was cut, and the node has stayed warm.
 func (s *Scheduler) endMistakenSlowStart(node *nodeState) {
 	delay := s.settings.ZoneFailover.MembershipDelay
 	if node.recoveredAt == 0 || delay == 0 || s.now-node.recoveredAt < delay {
@@ -103,7 +105,7 @@
 	node.recoveredAt = 0
 }
 
-// observation is what the zone tracker needs to know of the node.
+// observation returns the observation of the node for the zone tracker.
 func (s *Scheduler) observation(node *nodeState) zonefailover.Observation {
 	observation := zonefailover.Observation{
 		ID:           node.ID,
@@ -119,7 +121,8 @@
 	return observation
 }
 
-// spareRate is the rate, in units a second, that the node has been seen to serve beyond what it serves now.
+// spareRate returns the difference between the highest rate that the node has served and its current rate, in units
+// a second.
 func (s *Scheduler) spareRate(node *nodeState) float64 {
 	open := max(s.now-node.window.openedAt, windowDuration)
 	return max(0, node.maxRate-node.window.units/open.Seconds())
