--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestRejectsEarlyWhatCannotBeAnsweredInTime(t *testing.T) {
+func TestRequestsThatCannotBeAnsweredInTimeAreRejectedEarly(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	node := h.nodes["a"]
 	node.concurrencyLimit = 6
@@ -17,19 +17,20 @@
 	}
 	h.wantActions("send", 3)
 	if got := h.count("reject"); got < 6 {
-		t.Fatalf("%d rejected", got)
+		t.Fatalf("got %d rejections, want at least 6", got)
 	}
 	for _, line := range h.recorded {
 		if strings.HasPrefix(line, "reject") && strings.HasSuffix(line, " 0s") {
-			t.Fatalf("no Retry-After: %s", line)
+			t.Fatalf("rejection without Retry-After: %q", line)
 		}
 	}
 }
 
-// Service times vary. What takes a little longer than its objective in the mean is often served in time.
-func TestSlightlyLateEstimateIsStillAdmitted(t *testing.T) {
+// Service times vary. A request whose mean service time is slightly longer than its objective of 0.5 s is often served
+// in time.
+func TestRequestWithSlightlyLateEstimateIsAdmitted(t *testing.T) {
 	for latency, sends := range map[float64]int{0.7: 1, 0.9: 0} {
-		t.Run(fmt.Sprint(latency, " s"), func(t *testing.T) {
+		t.Run(fmt.Sprint("latency ", latency, " s"), func(t *testing.T) {
 			h := newHarness(t, baseSettings())
 			h.nodes["a"].setLatency(latency, latency)
 			h.arrive(Request{})
@@ -38,8 +39,9 @@
 	}
 }
 
-// The rate of a light load does not say what the node could serve; requests were once rejected by it.
-func TestLowMeasuredRateRejectsNothing(t *testing.T) {
+// Under a light load, the measured rate is far below what the node could serve. Requests were once rejected because of
+// that rate.
+func TestLowMeasuredRateCausesNoRejections(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	node := h.nodes["a"]
 	node.concurrencyLimit = 6
@@ -52,8 +54,9 @@
 	h.wantActions("reject", 0)
 }
 
-// Unreserved requests with a long objective must not keep a node full while others with a short one need it.
-func TestNodeQueueIsComparedWithTheShortestObjective(t *testing.T) {
+// Unreserved requests with a long objective must not keep a node full while other requests with a short objective need
+// it.
+func TestUnreservedRequestIsRejectedByTheShortestObjective(t *testing.T) {
 	settings := baseSettings()
 	settings.Classes = append(settings.Classes, Class{
 		Name:             "bulk",
@@ -67,14 +70,14 @@
 	h.setQueue(node, 0.8, smoothingResponses)
 	h.arrive(Request{Class: 1})
 	h.wantActions("reject r1", 1)
-	h.now += 4 * estimateDecayTime // an old measurement blocks no node
+	h.now += 4 * estimateDecayTime // an old measurement must not keep requests from the node
 	h.arrive(Request{Class: 1})
 	h.wantActions("send r2", 1)
 }
 
-// If a fifth of a class's clients disconnect long before the objective, what would take longer than they wait is
-// rejected.
-func TestClientsThatDisconnectEarlySetTheObjective(t *testing.T) {
+// If a fifth of a class's clients disconnect long before the objective, requests that would take longer than those
+// clients wait are rejected.
+func TestEarlyDisconnectsShortenTheObjective(t *testing.T) {
 	settings := baseSettings()
 	settings.Plans[0].Reserve = 1000
 	h := newHarness(t, settings)
@@ -93,7 +96,7 @@
 	node.queueTime = 0
 	h.arrive(Request{Key: "l"})
 	h.wantActions("send", 1)
-	for i := range 40 { // clients that wait end it
+	for i := range 40 { // clients that wait restore the objective of the class
 		h.serve(Request{Key: fmt.Sprint("s", i)})
 	}
 	h.setQueue(node, 0.2, 4)
@@ -102,15 +105,15 @@
 	h.wantActions("send", 1)
 }
 
-// Requests with a short client timeout were once taken for late retries and rejected.
-func TestShortClientTimeoutIsNoRetry(t *testing.T) {
+// Requests with a short client timeout were once mistaken for late retries and rejected.
+func TestShortClientTimeoutIsNotTakenForARetry(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.arrive(Request{})
 	h.arrive(Request{ClientTimeout: 300 * ms})
 	h.wantActions("send r2", 1)
 }
 
-// A client's retry earns its full weight only within the objective of the first try.
+// A client's retry earns its full weight only within the objective of the rejected first try.
 func TestClientRetryKeepsTheObjectiveOfTheRejectedTry(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	node := h.nodes["a"]
@@ -119,10 +122,10 @@
 	h.arrive(Request{Key: "k2"})
 	h.advance(600 * ms)
 	h.wantActions("reject r2", 1)
-	h.arrive(Request{Key: "k2"}) // a client timeout of the whole deadline: another client's first try
+	h.arrive(Request{Key: "k2"}) // its client timeout is the whole deadline, so it is another client's first try
 	h.wantActions("reject r3", 0)
 	h.arrive(Request{Key: "k2", ClientTimeout: 1300 * ms})
 	h.wantActions("reject r4", 1)
-	h.arrive(Request{Key: "k2", ClientTimeout: 1300 * ms}) // its time is that of the first try, too
+	h.arrive(Request{Key: "k2", ClientTimeout: 1300 * ms}) // the objective of the first try applies to it as well
 	h.wantActions("reject r5", 1)
 }
--- a/scheduler/concurrency_limit_test.go
+++ b/scheduler/concurrency_limit_test.go
@@ -12,7 +12,7 @@
 	}
 	node := h.nodes["a"]
 	if node.unitsInFlight > InitialRequests*2 {
-		t.Fatalf("%v units in flight over a limit of %v", node.unitsInFlight, node.concurrencyLimit)
+		t.Fatalf("%v units in flight, more than the initial limit of %v", node.unitsInFlight, InitialRequests*2)
 	}
 	h.wantActions("send", 5)
 }
@@ -25,9 +25,9 @@
 		latency float64
 		want    float64
 	}{
-		{"within its bounds", 500, 0.02, 500 * ((2+latencyTolerance)*0.02 - 0.02)},
-		{"at least the largest request", 500, 1, h.settings.Sizes.MaxUnits},
-		{"at most the highest limit", 1e6, 0.02, maxLimitRequests * 2},
+		{"formula within the bounds", 500, 0.02, 500 * ((2+latencyTolerance)*0.02 - 0.02)},
+		{"raised to the largest request", 500, 1, h.settings.Sizes.MaxUnits},
+		{"lowered to the highest limit", 1e6, 0.02, maxLimitRequests * 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			node := h.nodes["a"]
@@ -35,15 +35,15 @@
 			node.setLatency(test.latency, 0.02)
 			h.setConcurrencyLimit(node)
 			if node.concurrencyLimit != test.want {
-				t.Fatalf("limit %v, want %v", node.concurrencyLimit, test.want)
+				t.Fatalf("concurrency limit is %v, want %v", node.concurrencyLimit, test.want)
 			}
 		})
 	}
 }
 
-// A cut by one host does not empty a node that others load, so what this host measures then may raise the minimum
-// latency by one step at most.
-func TestRetestRaisesMinLatencyByOneStep(t *testing.T) {
+// A cut by one host does not empty a node to which other hosts send requests. So the latency that this host measures
+// during the cut may raise the minimum latency by no more than maxRetestRaise.
+func TestRetestRaisesMinLatencyByOneStepAtMost(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	node := h.nodes["a"]
 	node.maxRate = 500
@@ -53,15 +53,15 @@
 	h.Scheduler.now = h.now
 	h.retestMinLatency(node)
 	if node.concurrencyLimit > retestCutShare*40 {
-		t.Fatalf("no cut: limit %v", node.concurrencyLimit)
+		t.Fatalf("limit of %v was not cut to %v or less", node.concurrencyLimit, retestCutShare*40)
 	}
 	h.Scheduler.now += time.Second
 	h.smoothLatency(node, 1, 4)
 	if node.minLatency != maxRetestRaise*0.02 {
-		t.Fatalf("minimum latency %v", node.minLatency)
+		t.Fatalf("minimum latency after a cut is %v s, want %v s", node.minLatency, maxRetestRaise*0.02)
 	}
 	h.smoothLatency(node, 1, 4)
 	if node.minLatency != maxRetestRaise*0.02 {
-		t.Fatal("raised without a cut")
+		t.Fatalf("minimum latency was raised to %v s without a cut", node.minLatency)
 	}
 }
--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -7,7 +7,7 @@
 	"reachpulley/scheduler"
 )
 
-// printer prints the actions. A gateway sends, answers and sets timers instead.
+// printer prints the actions. A gateway would carry them out: send requests, answer clients and set timers.
 type printer struct{}
 
 func (printer) Send(id, node string, _ time.Duration) { fmt.Println("send", id, "to", node) }
--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -9,19 +9,19 @@
 	h := newHarness(t, baseSettings())
 	id := h.arrive(Request{})
 	request := h.requests[id]
-	h.endAttempt(id, 0, Overloaded) // it waits for the node's backoff to end
+	h.endAttempt(id, 0, Overloaded) // the request waits for the node's backoff to end
 	h.advance(initialBackoff - 10*ms)
 	h.ClientDisconnected(h.now, id)
 	h.now += initialBackoff
 	h.TimerFired(h.now, housekeepingTimer)
 	if h.send(request, h.nodes["a"]) {
-		t.Fatal("sent after its end")
+		t.Fatal("the request was sent after its client disconnected")
 	}
 	h.wantActions("send", 1)
 	h.wantActions("reject", 0)
 	h.wantActions("fail", 0)
 	if h.inFlight(h.arrive(Request{})) == nil {
-		t.Fatal("the node takes no requests")
+		t.Fatal("the next request was not sent to the node")
 	}
 }
 
@@ -44,7 +44,7 @@
 		id := h.arrive(Request{})
 		h.wantActions("send", 0)
 		if h.send(h.requests[id], h.nodes["a"]) {
-			t.Fatal("sent to a node that is not listed")
+			t.Fatal("the request was sent to a node that is not listed")
 		}
 	})
 }
@@ -55,13 +55,13 @@
 		settings Settings
 		first    Result
 		delay    time.Duration
-		want     string // the second attempt, or the end
+		want     string // action that follows the first attempt: the second attempt or the final answer
 	}{
-		{"keyed, may have run: its own shard", keyedSettings(ScopeShard), Errored, 0, "send r1 a"},
-		{"keyed, too late", keyedSettings(ScopeShard), Errored, 310 * ms, "fail r1"},
-		{"keyed, broken connection", keyedSettings(ScopeZone), ConnectionReset, 310 * ms, "fail r1"},
-		{"keyed everywhere, too late", keyedSettings(ScopeAll), Errored, 310 * ms, "reject r1"},
-		{"keyed, never ran", keyedSettings(ScopeShard), Overloaded, 310 * ms, "send r1"},
+		{"shard scope, may have run: retried in its shard", keyedSettings(ScopeShard), Errored, 0, "send r1 a"},
+		{"shard scope, too late", keyedSettings(ScopeShard), Errored, 310 * ms, "fail r1"},
+		{"zone scope, connection broke, too late", keyedSettings(ScopeZone), ConnectionReset, 310 * ms, "fail r1"},
+		{"scope of all nodes, too late", keyedSettings(ScopeAll), Errored, 310 * ms, "reject r1"},
+		{"shard scope, never ran", keyedSettings(ScopeShard), Overloaded, 310 * ms, "send r1"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t, test.settings)
@@ -74,7 +74,7 @@
 			h.wantActions(test.want, 1)
 		})
 	}
-	t.Run("not idempotent", func(t *testing.T) {
+	t.Run("non-idempotent", func(t *testing.T) {
 		settings := baseSettings()
 		settings.Classes[0].Idempotency = NonIdempotent
 		h := newHarness(t, settings)
@@ -93,7 +93,7 @@
 	h := newHarness(t, baseSettings())
 	id := h.arrive(Request{})
 	if h.send(h.requests[id], h.nodes["a"]) {
-		t.Fatal("two attempts in flight at once")
+		t.Fatal("a second attempt was sent while the first was in flight")
 	}
 	for attempt := range 4 {
 		h.endAttempt(id, attempt, Errored)
@@ -110,11 +110,11 @@
 	h := newHarness(t, settings)
 	h.arrive(Request{})
 	h.endAttempt("r1", 0, Errored)
-	h.endAttempt("r1", 1, Errored) // 1 + 0.5 allow one retry
+	h.endAttempt("r1", 1, Errored) // the budget of 1 + 0.5 allows one retry
 	h.advance(50 * ms)
 	h.wantActions("send", 2)
 	h.arrive(Request{Shard: 1})
-	h.wantActions("send", 4) // its first attempt and, with two requests, a second retry
+	h.wantActions("send", 4) // the first attempt of r2 and, as two requests allow two retries, another retry of r1
 }
 
 func TestGuardBackoff(t *testing.T) {
@@ -124,7 +124,7 @@
 	h.arrive(Request{})
 	h.wantActions("send", 1)
 	h.advance(initialBackoff + 10*ms)
-	h.wantActions("send", 2) // one at a time until one is served
+	h.wantActions("send", 2) // the node gets one request at a time until one is served
 	h.endAttempt("r1", 1, Served)
 	h.wantActions("send", 3)
 }
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -11,12 +11,13 @@
 
 const ms = time.Millisecond
 
-// actionRecorder records the actions of a Scheduler as lines and checks nothing.
+// actionRecorder records the actions of a Scheduler as lines of text, without checking them.
 type actionRecorder struct {
 	recorded []string
 	sends    []sentAttempt
 }
 
+// sentAttempt is a call of Send.
 type sentAttempt struct {
 	id   string
 	node string
@@ -56,7 +57,7 @@
 	return count
 }
 
-// discardActions carries out nothing.
+// discardActions ignores all actions.
 type discardActions struct{}
 
 func (discardActions) Send(string, string, time.Duration) {}
@@ -75,7 +76,7 @@
 
 func (discardActions) Log(string) {}
 
-// baseSettings have one class and one plan, no limit and no rules.
+// baseSettings returns settings with one class and one plan, without a volume limit and without rules.
 func baseSettings() Settings {
 	return Settings{
 		Siblings: 1,
@@ -87,7 +88,7 @@
 	}
 }
 
-// keyedSettings have a class whose repeats are discarded within the scope.
+// keyedSettings returns settings with a class whose repeated requests are discarded by the nodes of the scope.
 func keyedSettings(scope DedupScope) Settings {
 	settings := baseSettings()
 	settings.Classes[0].Idempotency = IdempotentWithKey
@@ -96,7 +97,7 @@
 	return settings
 }
 
-// limitedSettings have a plan with a limit.
+// limitedSettings returns settings with a plan that limits the rate of its volumes.
 func limitedSettings() Settings {
 	settings := baseSettings()
 	settings.Plans[0].Limit = 20
@@ -104,7 +105,7 @@
 	return settings
 }
 
-// slowStartSettings are of two hosts, whose nodes start slowly.
+// slowStartSettings returns settings of one of two hosts, with nodes that warm up slowly.
 func slowStartSettings() Settings {
 	settings := baseSettings()
 	settings.Siblings = 2
@@ -117,7 +118,7 @@
 	return settings
 }
 
-// zonedSettings are of two zones: 0, which is the home zone, and 1.
+// zonedSettings returns settings with two zones: zone 0, which is the home zone, and zone 1.
 func zonedSettings() Settings {
 	settings := baseSettings()
 	settings.Allowed.ConnectTimeout = 250 * ms
@@ -138,7 +139,7 @@
 	return settings
 }
 
-// harness is a Scheduler under test with a clock of its own.
+// harness is a Scheduler under test with its own clock and a recorder of its actions.
 type harness struct {
 	*Scheduler
 	*actionRecorder
@@ -147,7 +148,7 @@
 	lastID int
 }
 
-// newHarness makes a harness whose Scheduler knows the nodes a (shard 0, zone 0) and b (shard 1, zone 1).
+// newHarness returns a harness whose Scheduler knows the nodes a (shard 0, zone 0) and b (shard 1, zone 1).
 func newHarness(t *testing.T, settings Settings) *harness {
 	t.Helper()
 	h := newEmptyHarness(t, settings, 1)
@@ -155,7 +156,7 @@
 	return h
 }
 
-// newEmptyHarness makes a harness whose Scheduler knows no nodes.
+// newEmptyHarness returns a harness whose Scheduler knows no nodes.
 func newEmptyHarness(t *testing.T, settings Settings, seed uint64) *harness {
 	t.Helper()
 	recorder := &actionRecorder{}
@@ -171,7 +172,8 @@
 	h.MembershipChanged(h.now, Membership{Kind: kind, Nodes: nodes})
 }
 
-// advance moves the clock on, with the housekeeping timer and all request timers that fall due.
+// advance moves the clock forward in steps of 5 ms. It fires the housekeeping timer at each step and the request timers
+// that have expired.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now = min(end, h.now+5*ms)
@@ -184,7 +186,7 @@
 	}
 }
 
-// arrive sends a request, with defaults for what it leaves out, and returns its ID: r1, r2, ...
+// arrive sends a request, with defaults for the fields that are zero, and returns its ID: r1, r2, ...
 func (h *harness) arrive(request Request) string {
 	h.lastID++
 	request.ID = fmt.Sprintf("r%d", h.lastID)
@@ -204,7 +206,7 @@
 	return request.ID
 }
 
-// inFlight returns the attempt of a request that has no outcome; nil if there is none.
+// inFlight returns the first attempt of a request without an outcome; nil if there is none.
 func (h *harness) inFlight(id string) *attemptState {
 	request := h.requests[id]
 	if request == nil || len(request.inFlight) == 0 {
@@ -213,7 +215,7 @@
 	return request.inFlight[0]
 }
 
-// endAttempt ends an attempt after a latency of 20 ms.
+// endAttempt reports the end of an attempt at the node where the request was last sent, with a latency of 20 ms.
 func (h *harness) endAttempt(id string, attempt int, result Result) {
 	node := ""
 	for _, send := range h.sends {
@@ -246,11 +248,12 @@
 	}
 }
 
-// wantActions fails the test unless so many recorded lines start with the prefix.
+// wantActions fails the test unless exactly want recorded lines start with the prefix.
 func (h *harness) wantActions(prefix string, want int) {
 	h.t.Helper()
 	if got := h.count(prefix); got != want {
-		h.t.Fatalf("%q: got %d, want %d in\n%s", prefix, got, want, strings.Join(h.recorded, "\n"))
+		h.t.Fatalf("actions that start with %q: got %d, want %d in\n%s",
+			prefix, got, want, strings.Join(h.recorded, "\n"))
 	}
 }
 
@@ -260,7 +263,7 @@
 	n.minLatency = minLatency
 }
 
-// setQueue sets the measured queue of a node, in seconds, and how many responses it is worth from now on.
+// setQueue sets the measured queue of a node, in seconds, and the number of responses that it is worth from now on.
 func (h *harness) setQueue(node *nodeState, queue, weight float64) {
 	node.queueTime = queue
 	node.queueWeight = weight
--- a/scheduler/latency_estimates_test.go
+++ b/scheduler/latency_estimates_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// A node that has not answered for long is assumed to have the median queue of those that have. One slow node of
-// three does not block the others, an overload of most does.
+// A node that has not answered for long is assumed to have the median queue of the nodes that have answered recently.
+// One slow node of three does not cause rejections at such a node, but two slow nodes do.
 func TestFleetMedianQueueIsThePriorOfAnUnobservedNode(t *testing.T) {
 	for slow, rejections := range map[int]int{1: 0, 2: 1} {
-		t.Run(fmt.Sprint(slow, " slow"), func(t *testing.T) {
+		t.Run(fmt.Sprint("slow nodes: ", slow), func(t *testing.T) {
 			h := newHarness(t, baseSettings())
 			h.list(DeltaList, Node{ID: "c", Shard: 2}, Node{ID: "d", Shard: 3})
 			for i, id := range []string{"a", "b", "c"} {
@@ -28,8 +28,8 @@
 	}
 }
 
-// An attempt that takes far longer than its work explains indicates a queue before its answer does, unless a later
-// one has been served or it takes so long that its answer is more likely lost.
+// An attempt that takes far longer than its work explains indicates a queue even before its answer arrives, unless a
+// later attempt has been served or it takes so long that its answer is probably lost.
 func TestOverdueAttemptIndicatesAQueue(t *testing.T) {
 	queue := func(inFlightFor time.Duration, overtaken int) float64 {
 		h := newHarness(t, baseSettings())
@@ -42,17 +42,17 @@
 		return h.estimatedQueueTime(node)
 	}
 	if q := queue(400*ms, 0); q < 0.1 {
-		t.Errorf("overdue: queue %v", q)
+		t.Errorf("overdue attempt: queue of %v s, want at least 0.1 s", q)
 	}
 	if q := queue(400*ms, 1); q > 0 {
-		t.Errorf("overtaken by a later one: queue %v", q)
+		t.Errorf("attempt overtaken by a later one: queue of %v s, want none", q)
 	}
 	if q := queue(lostAfterObjectives*500*ms-100*ms, 0); q < 1 {
-		t.Errorf("in flight for long: queue %v", q)
+		t.Errorf("attempt that is almost lost: queue of %v s, want at least 1 s", q)
 	}
 }
 
-// A client that disconnects after a moment says nothing about a queue.
+// An attempt whose client disconnects after 15 ms says nothing about the node's queue.
 func TestEarlyDisconnectIndicatesNoQueue(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	for range 8 {
@@ -63,12 +63,12 @@
 	h.ClientDisconnected(h.now, id)
 	h.endAttempt(id, 0, Canceled)
 	if queue := h.nodes["a"].queueTime; queue > 0 {
-		t.Errorf("a queue of %v s", queue)
+		t.Errorf("queue of %v s after an early disconnect, want none", queue)
 	}
 }
 
-// If clients disconnect early, the answers that still arrive are the quick ones, and only unanswered attempts
-// indicate the queue. Nodes once filled up with the work of those who had disconnected.
+// If clients disconnect early, only the quick answers still arrive, and only unanswered attempts indicate the queue.
+// Nodes once filled up with the work of clients that had disconnected.
 func TestUnansweredAttemptIndicatesAQueue(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	node := h.nodes["a"]
@@ -84,15 +84,15 @@
 		}
 	}
 	if queue := h.estimatedQueueTime(node); queue < 0.05 {
-		t.Fatalf("queue %v", queue)
+		t.Fatalf("queue of %v s, want at least 0.05 s", queue)
 	}
 }
 
-// The queue of load reports counts once they have shown how long a queued request takes. An impossible report counts
-// as none.
-func TestReportedQueueCountsWhereItIsLonger(t *testing.T) {
+// The queue in a load report counts if it indicates a longer queue than the latency, once earlier reports have shown
+// how long a queued request takes. A report with a negative queue does not count.
+func TestReportedQueueCountsIfItIsLonger(t *testing.T) {
 	settings := baseSettings()
-	settings.Plans[0].Reserve = 1000 // an unreserved request would be rejected for the queue at the node
+	settings.Plans[0].Reserve = 1000 // unreserved requests would be rejected because of the queue at the node
 	queue := func(queued float64) float64 {
 		h := newHarness(t, settings)
 		node := h.nodes["a"]
@@ -118,9 +118,9 @@
 		return node.queueTime
 	}
 	if q := queue(10); q < 0.1 {
-		t.Errorf("ten waiting: queue %v", q)
+		t.Errorf("load report with ten queued requests: queue of %v s, want at least 0.1 s", q)
 	}
 	if q := queue(-7); q > 0 {
-		t.Errorf("impossible report: queue %v", q)
+		t.Errorf("load report with a negative queue: queue of %v s, want none", q)
 	}
 }
--- a/scheduler/membership_test.go
+++ b/scheduler/membership_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestPollsMembershipWithBackoff(t *testing.T) {
+func TestFailedWatchesAreRepeatedWithBackoff(t *testing.T) {
 	settings := baseSettings()
 	settings.PollMembership = true
 	h := newHarness(t, settings)
@@ -19,15 +19,15 @@
 	h.list(WatchFailed)
 	h.list(WatchFailed) // the same failure, reported twice
 	h.advance(240 * ms)
-	h.wantActions("watch", 2) // it backs off
+	h.wantActions("watch", 2) // the backoff has doubled
 	h.advance(290 * ms)
 	h.wantActions("watch", 3)
 	pushed := newHarness(t, baseSettings())
 	pushed.wantActions("watch", 0)
 }
 
-// A fleet that had lost discovery once came back to it in step. Most watches were rejected time and again, and the
-// hosts learned of drains too late.
+// After an outage of discovery, the hosts of a fleet once repeated their watches at the same times. Most watches were
+// rejected again and again, and the hosts learned of drains too late.
 func TestWatchRetriesOfAFleetSpreadOut(t *testing.T) {
 	settings := baseSettings()
 	settings.PollMembership = true
@@ -36,10 +36,10 @@
 		h := newEmptyHarness(t, settings, seed)
 		h.now = time.Hour
 		h.list(FullList)
-		for try := range 12 { // of a long outage
+		for try := range 12 { // failed watches during a long outage
 			watchedAt := h.untilNextWatch()
 			if watchedAt-h.now > maxWatchBackoff+2*housekeepingInterval {
-				t.Fatalf("a pause of %v at try %d", watchedAt-h.now, try)
+				t.Fatalf("backoff of %v after failed watch %d, want at most %v", watchedAt-h.now, try, maxWatchBackoff)
 			}
 			h.now = watchedAt
 		}
@@ -47,12 +47,12 @@
 	}
 	for at, count := range watches {
 		if count > 30 {
-			t.Errorf("%d of 300 watch in the same 100 ms, at %v", count, at)
+			t.Errorf("%d of 300 hosts watch within the same 100 ms, at %v; want at most 30", count, at)
 		}
 	}
 }
 
-// untilNextWatch fails the watch and returns when the next one begins.
+// untilNextWatch reports a failed watch and returns the time at which the next watch starts.
 func (h *harness) untilNextWatch() time.Duration {
 	h.list(WatchFailed)
 	now := h.now
@@ -62,8 +62,9 @@
 	return now
 }
 
-// An agent on this machine is silent while discovery is down, and what it has when it comes back counts as known.
-func TestWatchesALocalAgentWithoutBackoff(t *testing.T) {
+// An agent on this machine does not answer while discovery is down. When it answers again, what it has counts as known,
+// so no time may be lost.
+func TestLocalAgentIsWatchedWithoutBackoff(t *testing.T) {
 	settings := baseSettings()
 	settings.LocalAgent = true
 	h := newHarness(t, settings)
--- a/scheduler/node_selection_test.go
+++ b/scheduler/node_selection_test.go
@@ -14,7 +14,7 @@
 	h.wantActions("send r1 b", 1)
 }
 
-// BenchmarkSelectNode measures the selection of a node among so many.
+// BenchmarkSelectNode measures the selection of a node in fleets of several sizes.
 func BenchmarkSelectNode(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000} {
 		s, err := New(zonedSettings(), 1, discardActions{})
--- a/scheduler/ordered_keys_test.go
+++ b/scheduler/ordered_keys_test.go
@@ -6,7 +6,7 @@
 	settings := baseSettings()
 	settings.Classes[0].Ordered = true
 	settings.Rules.OrderedKeyQuietPeriod = 200 * ms
-	settings.Plans[0].Reserve = 1000 // a queue at the node holds unreserved requests back
+	settings.Plans[0].Reserve = 1000 // unreserved requests would be held back because of the queue at the node
 	h := newHarness(t, settings)
 	h.arrive(Request{Key: "k"})
 	h.arrive(Request{Key: "k", Shard: 1})
@@ -15,7 +15,7 @@
 	h.wantActions("send r2", 0)
 	h.wantActions("send r3", 1)
 	h.wantActions("send r4", 1)
-	h.ClientDisconnected(h.now, "r1") // ended, but its attempt has no outcome
+	h.ClientDisconnected(h.now, "r1") // r1 has ended, but its attempt has no outcome yet
 	h.advance(50 * ms)
 	h.wantActions("send r2", 0)
 	h.endAttempt("r1", 0, Canceled)
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -29,7 +29,7 @@
 		node.concurrencyLimit = 2
 	}
 	if order[1] != "vz" {
-		t.Fatalf("the reserved request was not sent first: %v", order)
+		t.Fatalf("the reserved request of vz was not sent first of the waiting ones: %v", order)
 	}
 	weightThree := 0
 	for _, volume := range order[2:7] {
@@ -38,17 +38,17 @@
 		}
 	}
 	if weightThree < 3 {
-		t.Fatalf("not by weight: %v", order)
+		t.Fatalf("%d of 5 requests are of the volume of weight 3, want at least 3: %v", weightThree, order)
 	}
 }
 
-// An unreserved request waits at the host and is not rejected while the node has a queue in which it would delay
-// reserved requests.
+// While the node has a queue in which an unreserved request would delay reserved ones, the request waits at the host
+// and is not rejected.
 func TestUnreservedRequestWaitsForAShortQueue(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		reserve float64
-		atOnce  int
+		atOnce  int // requests that are sent before the queue gets shorter
 	}{
 		{"unreserved", 0, 1},
 		{"reserved", 1000, 2},
@@ -60,7 +60,7 @@
 			node := h.nodes["a"]
 			node.setLatency(0.02, 0.02)
 			h.setQueue(node, 0.15, smoothingResponses)
-			h.arrive(Request{}) // one is always in flight
+			h.arrive(Request{}) // an idle node always gets one request
 			h.arrive(Request{})
 			h.wantActions("send", test.atOnce)
 			h.wantActions("reject", 0)
--- a/scheduler/random_events_test.go
+++ b/scheduler/random_events_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// Random legal events keep the rules: one attempt at a time, nothing after the end, only to nodes that are up, the
-// requests of a key in their order, keyed retries in their scope and window, and one answer each.
-func TestRandomEventsKeepTheRules(t *testing.T) {
+// Whatever valid events come in a random order, the rules hold: a request has one attempt at a time and none after its
+// end, attempts go only to nodes that are up, requests of an ordered key run in their order, retries of keyed requests
+// stay within their scope and window, and each request gets one answer.
+func TestRandomEventsNeverBreakTheRules(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			settings := keyedSettings(ScopeShard)
@@ -30,7 +31,7 @@
 			run.pass(600)
 			for _, id := range run.order {
 				if !run.observed[id].ended {
-					t.Fatalf("%s has no answer", id)
+					t.Fatalf("request %s has no answer", id)
 				}
 			}
 		})
@@ -42,16 +43,16 @@
 	*harness
 	random   *rand.Rand
 	observed map[string]*observedRequest
-	order    []string // of arrival
-	checked  int      // recorded lines that have been checked
+	order    []string // request IDs in the order of arrival
+	checked  int      // number of recorded lines that have been checked
 }
 
-// observedRequest is what the events and actions say of a request.
+// observedRequest is the state of a request as the events and actions show it.
 type observedRequest struct {
 	key      string
-	ranOn    string // node of the first attempt that may have run
-	ranAt    time.Duration
-	mayRun   int // attempts that may have run
+	ranOn    string        // node of the first attempt that may have run; empty if there is none
+	ranAt    time.Duration // when that attempt was sent
+	mayRun   int           // number of attempts that have ended and may have run
 	inFlight bool
 	ended    bool
 }
@@ -69,7 +70,7 @@
 	run.check()
 }
 
-// pass lets so many rounds of 5 ms pass.
+// pass advances the clock by a number of rounds of 5 ms.
 func (run *randomRun) pass(rounds int) {
 	for range rounds {
 		run.advance(5 * ms)
@@ -108,7 +109,7 @@
 	}
 }
 
-// check checks the actions since the last check.
+// check checks the actions that were recorded since the last check.
 func (run *randomRun) check() {
 	for ; run.checked < len(run.recorded); run.checked++ {
 		words := strings.Fields(run.recorded[run.checked])
@@ -124,18 +125,19 @@
 func (run *randomRun) checkSend(id, node string) {
 	r := run.observed[id]
 	if r.inFlight || r.ended || node != "a" && node != "b" {
-		run.t.Fatalf("%s to %s: in flight %v, ended %v", id, node, r.inFlight, r.ended)
+		run.t.Fatalf("request %s was sent to node %q: already in flight %v, ended %v", id, node, r.inFlight, r.ended)
 	}
 	window := run.settings.Classes[0].DedupWindow
 	if r.ranOn != "" && (r.ranOn != node || run.now >= r.ranAt+window) {
-		run.t.Fatalf("%s to %s may run twice: ran on %s %v ago", id, node, r.ranOn, run.now-r.ranAt)
+		run.t.Fatalf("request %s was sent to node %s and may run twice: may have run on %s %v ago",
+			id, node, r.ranOn, run.now-r.ranAt)
 	}
 	for _, earlier := range run.order {
 		if earlier == id {
 			break
 		}
 		if other := run.observed[earlier]; other.key == r.key && (!other.ended || other.inFlight) {
-			run.t.Fatalf("%s before %s", id, earlier)
+			run.t.Fatalf("request %s was sent before the earlier request %s of its key was over", id, earlier)
 		}
 	}
 	r.inFlight = true
@@ -148,10 +150,10 @@
 func (run *randomRun) checkAnswer(kind, id string) {
 	r := run.observed[id]
 	if r.ended {
-		run.t.Fatalf("%s %s: a second answer", kind, id)
+		run.t.Fatalf("request %s got a second answer: %s", id, kind)
 	}
 	if kind == "reject" && r.ranOn != "" {
-		run.t.Fatalf("%s %s, but it may have run", kind, id)
+		run.t.Fatalf("request %s was rejected, but it may have run on node %s", id, r.ranOn)
 	}
 	r.ended = true
 }
--- a/scheduler/restrictions_test.go
+++ b/scheduler/restrictions_test.go
@@ -15,16 +15,16 @@
 		result      Result
 		want        string
 	}{
-		{"none", Restriction{}, Restriction{}, ConnectionReset, "send r1"},
-		{"of another operation", Restriction{}, otherOperation, ConnectionReset, "send r1"},
-		{"of another node", Restriction{}, restrict("b", NoRetries), ConnectionReset, "send r1 a"},
-		{"no hedging: it may still run", Restriction{}, restrict("a", NoHedging), ConnectionReset, "fail r1"},
-		{"no hedging: it ended", Restriction{}, restrict("a", NoHedging), Errored, "send r1"},
+		{"no restriction", Restriction{}, Restriction{}, ConnectionReset, "send r1"},
+		{"restriction of another operation", Restriction{}, otherOperation, ConnectionReset, "send r1"},
+		{"restriction at another node", Restriction{}, restrict("b", NoRetries), ConnectionReset, "send r1 a"},
+		{"no hedging, may still run", Restriction{}, restrict("a", NoHedging), ConnectionReset, "fail r1"},
+		{"no hedging, has ended", Restriction{}, restrict("a", NoHedging), Errored, "send r1"},
 		{"no retries", Restriction{}, restrict("a", NoRetries), Errored, "fail r1"},
-		{"no retries, at any node", Restriction{}, restrict("", NoRetries), Errored, "fail r1"},
-		{"no retries, whatever the node claims", Restriction{}, restrict("a", NoRetries), Overloaded, "fail r1"},
-		{"no retries: it was never sent", Restriction{}, restrict("a", NoRetries), ConnectFailed, "send r1"},
-		{"lifted", restrict("a", AvoidNode), restrict("a", Unrestricted), Errored, "send r1"},
+		{"no retries at any node", Restriction{}, restrict("", NoRetries), Errored, "fail r1"},
+		{"no retries, node claims it never ran", Restriction{}, restrict("a", NoRetries), Overloaded, "fail r1"},
+		{"no retries, connection failed", Restriction{}, restrict("a", NoRetries), ConnectFailed, "send r1"},
+		{"lifted restriction", restrict("a", AvoidNode), restrict("a", Unrestricted), Errored, "send r1"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t, baseSettings())
@@ -42,20 +42,21 @@
 	}
 }
 
-// An avoided node gets nothing new. New objects go to other nodes; what no other node may take is rejected, and so is
-// what already waits.
+// A node that has to be avoided for an operation gets no new requests of it. New objects go to other nodes. Requests
+// that no other node may take are rejected, including those that already wait.
 func TestAvoidedNodeReceivesNoNewRequests(t *testing.T) {
 	h := newHarness(t, baseSettings())
-	for range 20 { // over the concurrency limit: some wait
+	for range 20 { // more than the concurrency limit allows, so that some wait
 		h.arrive(Request{Operation: "o"})
 	}
 	sent := h.count("send")
 	if sent == 20 || h.count("reject") > 0 {
-		t.Fatalf("%d sent at once", sent)
+		t.Fatalf("%d of 20 requests sent and %d rejected at once, want some to wait", sent, h.count("reject"))
 	}
 	h.Restrict(h.now, Restriction{Operation: "o", Node: "a", Level: AvoidNode})
 	if h.count("reject") != 20-sent || h.count("send") != sent {
-		t.Errorf("%d of %d rejected, %d more sent", h.count("reject"), 20-sent, h.count("send")-sent)
+		t.Errorf("%d of %d waiting requests rejected, want all; %d more sent, want none",
+			h.count("reject"), 20-sent, h.count("send")-sent)
 	}
 	h.recorded = nil
 	h.arrive(Request{Operation: "o", Shard: AnyShard})
@@ -66,13 +67,14 @@
 	h.wantActions("reject "+id, 1)
 }
 
-// Beyond their maximum, restrictions only become stricter.
+// Restrictions beyond the maximum number are not stored, and their strictest level applies to all operations.
 func TestRestrictionsBeyondTheMaximumApplyToAll(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	for i := range MaxRestrictions + 100 {
 		h.Restrict(h.now, Restriction{Operation: string(rune('a' + i)), Node: "a", Level: NoRetries})
 	}
 	if len(h.restrictions) != MaxRestrictions || h.overflowRestriction != NoRetries {
-		t.Errorf("%d restrictions, level %d for all operations", len(h.restrictions), h.overflowRestriction)
+		t.Errorf("got %d restrictions and level %d for all operations, want %d and level %d",
+			len(h.restrictions), h.overflowRestriction, MaxRestrictions, NoRetries)
 	}
 }
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -10,7 +10,7 @@
 	"reachpulley/internal/retrybudget"
 )
 
-// The policy of a request's description narrows that of its class and never widens it.
+// The retry policy of a request's API description narrows that of its class and never widens it.
 func TestRetryPoliciesOnlyNarrow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := rapid.Custom(func(t *rapid.T) RetryPolicy {
@@ -23,21 +23,22 @@
 		a, b := policy.Draw(t, "a"), policy.Draw(t, "b")
 		both := a.NarrowedBy(b)
 		if both != b.NarrowedBy(a) && both.Idempotency == IdempotentWithKey {
-			t.Fatalf("%+v and %+v: the order counts", a, b)
+			t.Fatalf("%+v narrowed by %+v is %+v, but the other way round it is %+v", a, b, both, b.NarrowedBy(a))
 		}
 		for after := time.Duration(0); after < 6*time.Second; after += time.Second {
 			for i := range 4 {
 				sameZone, sameShard := i&1 > 0, i&2 > 0
 				allows := func(p RetryPolicy) bool { return allowsRetry(p, sameZone, sameShard, after) }
 				if allows(both) && !(allows(a) && allows(b)) {
-					t.Fatalf("%+v and %+v give %+v, which allows more", a, b, both)
+					t.Fatalf("%+v narrowed by %+v is %+v, which allows more", a, b, both)
 				}
 			}
 		}
 	})
 }
 
-// allowsRetry says whether a policy allows a retry, after some time, at a node of the same zone or shard.
+// allowsRetry says whether a policy allows a retry after some time, at a node that is or is not in the same zone and
+// shard.
 func allowsRetry(policy RetryPolicy, sameZone, sameShard bool, after time.Duration) bool {
 	switch policy.Idempotency {
 	case Idempotent:
@@ -51,7 +52,7 @@
 	return inScope && after < policy.Window
 }
 
-// A request whose policy is stricter than that of its class is handled by its own.
+// If the policy of a request is stricter than that of its class, the policy of the request applies.
 func TestRequestPolicyNarrowsItsClass(t *testing.T) {
 	nonIdempotent := RetryPolicy{Idempotency: NonIdempotent}
 	keyed := RetryPolicy{Idempotency: IdempotentWithKey, Scope: ScopeShard, Window: time.Second}
@@ -61,7 +62,7 @@
 		result Result
 		want   string
 	}{
-		"the class alone":               {RetryPolicy{}, Errored, "send r1"},
+		"policy of the class only":      {RetryPolicy{}, Errored, "send r1"},
 		"non-idempotent, may have run":  {nonIdempotent, Errored, "fail r1"},
 		"non-idempotent, may still run": {nonIdempotent, ConnectionReset, "fail r1"},
 		"non-idempotent, never ran":     {nonIdempotent, Overloaded, "send r1"},
@@ -87,8 +88,8 @@
 	h.wantActions("reject", 0)
 }
 
-// Failures earn no retries: a node that answers nothing but errors gets few of them, and requests without a token
-// fail at once.
+// Failed attempts do not add to the retry budget. So a node that answers only with errors gets few retries, and
+// requests without a token are answered at once.
 func TestRetryBudgetBoundsRetriesAtAFailingNode(t *testing.T) {
 	retries := func(budget retrybudget.Settings) int {
 		settings := baseSettings()
@@ -103,19 +104,19 @@
 		}
 		h.advance(time.Second)
 		if answers := h.count("reject") + h.count("fail"); answers != 200 {
-			t.Errorf("%d answers", answers)
+			t.Errorf("got %d answers, want 200", answers)
 		}
 		return h.count("send") - 200
 	}
 	with := retries(retrybudget.Settings{Share: 0.2, MinShare: 0.02, Trickle: 0.5, Burst: 10, Cells: 16})
 	without := retries(retrybudget.Settings{})
 	if with > 20 || without < 500 {
-		t.Errorf("%d retries with a budget, %d without", with, without)
+		t.Errorf("%d retries with a budget, want at most 20; %d without, want at least 500", with, without)
 	}
 }
 
-// An attempt that hangs while later ones are served is hardly at the node. It holds no capacity there, and frees none
-// when it ends.
+// An attempt that hangs while later attempts are served is probably no longer at the node. It holds no capacity there,
+// and frees none when it ends.
 func TestOvertakenAttemptHoldsNoCapacity(t *testing.T) {
 	for overtaken, want := range map[int]float64{1: 2, 2: 0} {
 		t.Run(fmt.Sprint("overtaken by ", overtaken), func(t *testing.T) {
@@ -133,9 +134,9 @@
 			if node.unitsInFlight != want {
 				t.Errorf("%v units count as in flight, want %v", node.unitsInFlight, want)
 			}
-			h.endAttempt(hanging, 0, ConnectionReset) // it is sent again
+			h.endAttempt(hanging, 0, ConnectionReset) // the request is sent again
 			if node.unitsInFlight != 2 {
-				t.Errorf("%v units count as in flight after it was sent again", node.unitsInFlight)
+				t.Errorf("%v units count as in flight after the request was sent again, want 2", node.unitsInFlight)
 			}
 		})
 	}
@@ -150,7 +151,9 @@
 		settings Settings
 		want     map[string]int
 	}{
-		{"idempotent", baseSettings(), map[string]int{"cancel r9 0": 1, "log lost attempt canceled: node=a ": 1, "send r9": 2}},
+		{"idempotent", baseSettings(), map[string]int{
+			"cancel r9 0": 1, "log lost attempt canceled: node=a ": 1, "send r9": 2,
+		}},
 		{"keyed, with an expired window", keyedSettings(ScopeShard), map[string]int{"send r9": 1, "fail r9": 1}},
 		{"without cancellation", withoutCancel, map[string]int{"cancel": 0, "send r9": 1}},
 	} {
@@ -162,7 +165,7 @@
 			lost := h.arrive(Request{})
 			h.advance(20 * ms)
 			h.serve(Request{})
-			h.wantActions("cancel", 0) // not in flight for long enough
+			h.wantActions("cancel", 0) // the attempt has not been in flight for long enough
 			h.advance(400 * ms)
 			if h.count("cancel") > 0 {
 				h.endAttempt(lost, 0, Canceled)
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -34,7 +34,7 @@
 	h.wantActions("send", 0)
 }
 
-func TestUnknownClassFails(t *testing.T) {
+func TestRequestOfUnknownClassFails(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.RequestArrived(h.now, Request{ID: "x", Class: 9, ClientTimeout: time.Second})
 	h.wantActions("fail x", 1)
@@ -53,11 +53,11 @@
 	h.ProbeEnded(h.now, ProbeResult{Node: "never"})
 	h.StreamStarted(h.now, "never", 0)
 	if len(h.recorded) != before {
-		t.Fatalf("acted: %v", h.recorded[before:])
+		t.Fatalf("late or unknown events caused actions: %v", h.recorded[before:])
 	}
 }
 
-func TestStreamHasNoDeadline(t *testing.T) {
+func TestStartedStreamDoesNotExpire(t *testing.T) {
 	settings := baseSettings()
 	settings.Classes[0].Streamed = true
 	h := newHarness(t, settings)
@@ -69,7 +69,7 @@
 	h.wantActions("cancel", 0)
 }
 
-// playMixedLoad plays requests and outcomes of many kinds and returns all actions.
+// playMixedLoad sends requests and outcomes of many kinds and returns all actions that follow.
 func playMixedLoad(h *harness) string {
 	results := []Result{
 		Served, Errored, Served, Served, ConnectFailed, Served, ConnectionReset, Served, Served, TimedOut,
@@ -103,11 +103,11 @@
 	first := playMixedLoad(newHarness(t, settings))
 	for range 5 {
 		if playMixedLoad(newHarness(t, settings)) != first {
-			t.Fatal("actions differ")
+			t.Fatal("the same events gave different actions")
 		}
 	}
 	if strings.Count(first, "send ") < 50 {
-		t.Fatal("the load was hardly sent")
+		t.Fatalf("only %d requests were sent, want at least 50", strings.Count(first, "send "))
 	}
 }
 
@@ -122,44 +122,44 @@
 	}
 	for id, count := range answers {
 		if count > 1 {
-			t.Errorf("%s has %d answers", id, count)
+			t.Errorf("request %s has %d answers, want 1", id, count)
 		}
 	}
 	for id, request := range h.requests {
 		if !request.ended {
-			t.Errorf("%s has no answer", id)
+			t.Errorf("request %s has no answer", id)
 		}
 	}
 }
 
-// A long incarnation does not grow: removed nodes, idle volumes and rejected requests are released. A volume that is
-// used again has no more of its limit than it had left.
-func TestSweepReleasesWhatIsOver(t *testing.T) {
+// The state of a long-lived host does not grow: removed nodes, idle volumes and rejected requests are released. A
+// volume that is used again must not get tokens of its limit that it had already used.
+func TestSweepReleasesUnusedState(t *testing.T) {
 	h := newHarness(t, limitedSettings())
 	h.arrive(Request{Volume: "w", Units: 6, Shard: 1})
 	h.serveAll()
 	h.list(FullList, Node{ID: "a"})
 	left := h.volumes["w"].limit.tokens
-	h.arrive(Request{Volume: "w", Units: 6}) // over the limit and rejected
+	h.arrive(Request{Volume: "w", Units: 6}) // the request exceeds the limit and is rejected
 	if h.volumes["w"].limit.tokens > left {
-		t.Fatalf("regained %v units", h.volumes["w"].limit.tokens-left)
+		t.Fatalf("volume w regained %v units of its limit", h.volumes["w"].limit.tokens-left)
 	}
 	h.advance(3 * time.Second)
 	h.serveAll()
 	h.advance(30 * time.Second)
 	if len(h.volumes) > 0 || len(h.nodes) != 1 || len(h.listed) != 1 || len(h.rejected) > 0 || len(h.requests) > 0 {
-		t.Fatalf("not released: %d volumes, %d nodes, %d rejected requests, %d requests",
-			len(h.volumes), len(h.nodes), len(h.rejected), len(h.requests))
+		t.Fatalf("kept %d volumes, %d nodes (%d listed), %d rejected requests and %d requests, want only 1 node",
+			len(h.volumes), len(h.nodes), len(h.listed), len(h.rejected), len(h.requests))
 	}
 	h.arrive(Request{Volume: "w", Units: 6})
 	if limit := h.volumes["w"].limit; limit.tokens > limit.burst {
-		t.Fatalf("used again with %v of %v tokens", limit.tokens, limit.burst)
+		t.Fatalf("volume w has %v tokens when it is used again, more than its burst of %v", limit.tokens, limit.burst)
 	}
 }
 
-// A host that stood still gets late timers, outcomes and disconnects at once. Each request still has its one answer,
-// and nothing is sent for those whose time is over.
-func TestLongStallLeavesEveryRequestAnsweredOnce(t *testing.T) {
+// A host that was stalled gets late timers, outcomes and disconnects all at once. Each request still gets exactly one
+// answer, and no request is sent after its client has given up.
+func TestEveryRequestIsAnsweredOnceAfterALongStall(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	var ids []string
 	for i := range 30 {
@@ -183,16 +183,16 @@
 	}
 	h.advance(50 * ms)
 	if len(h.sends) > sends {
-		t.Fatalf("%d sends for requests whose time was over", len(h.sends)-sends)
+		t.Fatalf("%d attempts were sent for requests whose clients had given up", len(h.sends)-sends)
 	}
 	for i, id := range ids {
 		answers := h.count("reject "+id+" ") + h.count("fail "+id)
 		if i%3 != 0 && answers == 0 && h.requests[id] != nil {
-			t.Errorf("%s has no answer", id)
+			t.Errorf("request %s has no answer", id)
 		}
 		isPrefixOfOthers := id == "r1" || id == "r2" || id == "r3"
 		if answers > 1 && !isPrefixOfOthers {
-			t.Errorf("%s has %d answers", id, answers)
+			t.Errorf("request %s has %d answers, want 1", id, answers)
 		}
 	}
 	if len(h.requests) > 0 {
--- a/scheduler/settings_test.go
+++ b/scheduler/settings_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestNewRejectsUnusableSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, modify := range map[string]func(*Settings){
 		"no class":        func(s *Settings) { s.Classes = nil },
 		"no deadline":     func(s *Settings) { s.Classes[0].Deadline = 0 },
 		"no scheduler":    func(s *Settings) { s.Siblings = 0 },
@@ -16,7 +16,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := baseSettings()
-			spoil(&settings)
+			modify(&settings)
 			if _, err := New(settings, 1, &actionRecorder{}); !errors.Is(err, ErrSettings) {
 				t.Errorf("got %v, want ErrSettings", err)
 			}
--- a/scheduler/slow_start_fleet_test.go
+++ b/scheduler/slow_start_fleet_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Whatever the demand at a fleet, and however uneven, a warming node gets no more than it bears, but for chance, and
-// is used meanwhile. When each host might send at least one request, or a share of its demand whatever the demand,
-// thirty hosts together overloaded the node.
+// Whatever the demand at a fleet, and however uneven it is, a warming node is used and gets no more load than it can
+// take, except by chance. Thirty hosts together once overloaded the node, when each host was allowed at least one
+// request, or a fixed share of its demand.
 func TestFleetKeepsTheSlowStartAllowanceUnderUnevenDemand(t *testing.T) {
 	for _, hosts := range []int{3, 12, 30, 300} {
-		for _, demand := range []float64{0.5, 1, 2.5, 5} { // in capacities of the warm node
+		for _, demand := range []float64{0.5, 1, 2.5, 5} { // as a multiple of the warm node's capacity
 			for seed := range uint64(4) {
 				name := fmt.Sprintf("%d hosts, demand %v, seed %d", hosts, demand, seed)
 				t.Run(name, func(t *testing.T) { newWarmingFleet(t, hosts, demand, seed).run() })
@@ -22,23 +22,24 @@
 	}
 }
 
+// Times since the start of a simulated fleet.
 const (
-	replacedAt  = 10 * time.Second // the node is replaced by one that has just started
-	burstAt     = 15 * time.Second // the demand doubles
-	fleetEndsAt = replacedAt + 16*time.Second
+	replacedAt  = 10 * time.Second            // the node is replaced by one that has just started
+	burstAt     = 15 * time.Second            // the demand doubles
+	fleetEndsAt = replacedAt + 16*time.Second // the simulation ends
 )
 
-// warmingFleet is a fleet of hosts with random requests for one node.
+// warmingFleet simulates a fleet of hosts that send random requests to one node.
 type warmingFleet struct {
 	t         *testing.T
 	settings  Settings
-	demand    float64
+	demand    float64 // after the burst, as a multiple of the warm node's capacity
 	warmRate  float64 // units a second that the warm node can serve
 	random    *rand.Rand
 	harnesses []*harness
-	now       time.Duration // since the start of the fleet
-	sent      []recentSend  // to the replacement, within a window
-	sentUnits float64       // to the replacement
+	now       time.Duration // time since the start of the fleet
+	sent      []recentSend  // attempts sent to the replacement within a window
+	sentUnits float64       // units sent to the replacement
 }
 
 func newWarmingFleet(t *testing.T, hosts int, demand float64, seed uint64) *warmingFleet {
@@ -85,15 +86,16 @@
 			f.checkWindow()
 		}
 	}
-	// What the node can do while it warms up, or the demand, whichever is less.
+	// The demand, or the units that the node can serve while it warms up, whichever is less.
 	possible := min(f.demand*0.8, 0.59) * f.warmRate * 16
 	if f.sentUnits < possible/4 {
-		f.t.Errorf("%.0f units sent, the node could do %.0f", f.sentUnits, possible)
+		f.t.Errorf("%.0f units sent, want at least a quarter of the %.0f that the node could serve",
+			f.sentUnits, possible)
 	}
 }
 
-// pause is the random time until the next request. Requests have 2.2 units in the mean; before the burst, there is
-// half of the demand.
+// pause returns the random time until the next request. Requests have 2.2 units on average. Before the burst, the
+// demand is half of what it is afterwards.
 func (f *warmingFleet) pause() time.Duration {
 	rate := f.demand * f.warmRate / 2 / 2.2
 	if f.now >= burstAt {
@@ -102,7 +104,8 @@
 	return time.Duration(f.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// host is the random host of the next request. A tenth of the hosts gets half of the requests.
+// host returns the random host of the next request. A tenth of the hosts gets half of the requests, in addition to its
+// equal part of the other half.
 func (f *warmingFleet) host() *harness {
 	h := f.harnesses[f.random.IntN(len(f.harnesses))]
 	if f.random.IntN(2) == 0 {
@@ -118,7 +121,7 @@
 	}
 }
 
-// request sends a request, serves it if it was sent to the node, and says whether it was.
+// request sends a request to a host, serves it if the host sends it to the node, and says whether the host did.
 func (f *warmingFleet) request(h *harness, number int, units float64) (sent bool) {
 	h.TimerFired(h.now, housekeepingTimer)
 	before := len(h.sends)
@@ -143,7 +146,8 @@
 	return len(h.sends) > before
 }
 
-// checkWindow checks that what was sent within the last window overloads the node by chance at most.
+// checkWindow checks that the requests sent within the last window do not overload the node by more than chance
+// explains.
 func (f *warmingFleet) checkWindow() {
 	for f.sent[0].at < replacedAt || f.sent[0].at <= f.now-f.settings.Rules.SlowStartWindow {
 		f.sent = f.sent[1:]
@@ -154,7 +158,8 @@
 	}
 	warmth := min(1, 0.18+0.82*(f.now-replacedAt).Seconds()/17)
 	bearable := 4 * warmth * f.warmRate * 3 / 2
-	if calls := units / 2; calls > bearable+2*math.Sqrt(bearable)+2 {
-		f.t.Fatalf("%v calls %v after its start; the node bears %.0f and chance", calls, f.now-replacedAt, bearable)
+	if requests := units / 2; requests > bearable+2*math.Sqrt(bearable)+2 {
+		f.t.Fatalf("%v requests of two units in a window, %v after the node started; the node can take %.0f",
+			requests, f.now-replacedAt, bearable)
 	}
 }
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -11,10 +11,10 @@
 	h.list(DeltaList, Node{ID: "c", Shard: 2, StartedAt: h.now - 500*ms})
 	for range 8 {
 		id := h.arrive(Request{Shard: 2})
-		h.endAttempt(id, 0, Errored) // errors count too
+		h.endAttempt(id, 0, Errored) // attempts that end with an error count toward the allowance, too
 		h.endAttempt(id, 1, Served)
 	}
-	h.wantActions("send", 3) // 6 units: half of what the node always bears
+	h.wantActions("send", 3) // 6 units, this host's half of the slow-start allowance
 	h.advance(400 * ms)
 	h.wantActions("send", 3)
 	h.now += 10 * time.Second
@@ -22,7 +22,7 @@
 		h.serve(Request{Shard: 2})
 	}
 	if h.count("send") < 3+8 {
-		t.Fatalf("still held back when warm: %d sends", h.count("send"))
+		t.Fatalf("%d sends, want at least 11: requests to a warm node are held back", h.count("send"))
 	}
 }
 
@@ -38,11 +38,11 @@
 	for range 8 {
 		h.serve(Request{})
 	}
-	h.wantActions("send", 2+3) // 6 units within a second, those of r2 included
+	h.wantActions("send", 2+3) // the two failed attempts, and 6 units within a second, including those of r2
 }
 
-// Resets on all nodes once made every node count as restarted.
-func TestConnectionResetsAreNoRestart(t *testing.T) {
+// Connection resets at all nodes once made every node count as restarted.
+func TestConnectionResetsDoNotCountAsARestart(t *testing.T) {
 	h := newHarness(t, slowStartSettings())
 	h.arrive(Request{})
 	h.endAttempt("r1", 0, ConnectionReset)
@@ -54,8 +54,8 @@
 	h.wantActions("send", 3+8)
 }
 
-// A hundred hosts, each with a fiftieth of what the warm node can do in a window, use it while it warms up and never
-// overload it, however slowly it started.
+// A hundred hosts whose requests together are as much as the warm node can serve use the node while it warms up and
+// never overload it, even if it warms up as slowly as the rules permit.
 func TestManyHostsTogetherKeepTheSlowStartAllowance(t *testing.T) {
 	const hosts = 100
 	settings := baseSettings()
@@ -79,7 +79,7 @@
 		units := 0.0
 		for i, h := range harnesses {
 			h.advance(time.Second)
-			if i < int(warmUnits)/2 { // of two units each
+			if i < int(warmUnits)/2 { // each of these hosts gets a request of two units
 				h.recorded = nil
 				h.sends = nil
 				h.arrive(Request{Key: fmt.Sprint(second)})
@@ -91,10 +91,10 @@
 		sent += units
 		bearable := warmUnits * rules.SlowStartMultiple * (0.2 + 0.8*float64(second)/10)
 		if units > bearable {
-			t.Errorf("second %d: sent %v units, the node bears %v", second, units, bearable)
+			t.Errorf("second %d: sent %v units, more than the %v that the node can take", second, units, bearable)
 		}
 	}
 	if sent < requested/3 {
-		t.Errorf("sent %v of %v units: the node was hardly used while it warmed up", sent, requested)
+		t.Errorf("sent %v of %v requested units while the node warmed up, want at least a third", sent, requested)
 	}
 }
--- a/scheduler/volume_limit_test.go
+++ b/scheduler/volume_limit_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A host's token bucket holds half of its even part of burst and slack, and starts full.
+// A host's token bucket holds half of the host's equal part of burst and slack, and starts full.
 func TestGuardVolumeLimit(t *testing.T) {
 	h := newHarness(t, limitedSettings())
 	plan := h.settings.Plans[0]
@@ -22,15 +22,16 @@
 		return 2 * float64(h.count("send")-before)
 	}
 	if units := unitsServed(); units > burst+refilled || units < burst {
-		t.Fatalf("sent %v units at first, want %v", units, burst)
+		t.Fatalf("sent %v units at first, want %v to %v", units, burst, burst+refilled)
 	}
 	h.advance(time.Minute)
 	if units := unitsServed(); units > burst+refilled || units < burst {
-		t.Fatalf("sent %v units when full again, want %v", units, burst)
+		t.Fatalf("sent %v units when the bucket was full again, want %v to %v", units, burst, burst+refilled)
 	}
 }
 
-// A request larger than a host's bucket is sent when the bucket is full, and its debt is repaid before the next.
+// A request that is larger than a host's token bucket is sent when the bucket is full. The bucket then has to refill
+// from below zero before the next request is sent.
 func TestVolumeLimitAdmitsARequestLargerThanItsBurst(t *testing.T) {
 	settings := limitedSettings()
 	settings.Plans[0].Burst = 12
@@ -41,13 +42,14 @@
 	h.wantActions("send r1", 1)
 	h.arrive(Request{Hosts: 6, Units: 6, Shard: 1, Key: "2"})
 	h.wantActions("send r2", 0)
-	h.wantActions("reject r2", 1) // its six units take three seconds to refill, longer than its objective
+	h.wantActions("reject r2", 1) // six units take three seconds to refill, longer than the objective of r2
 	h.advance(3100 * ms)
 	h.arrive(Request{Hosts: 6, Units: 6, Shard: 1})
 	h.wantActions("send r3", 1)
 }
 
-// Many hosts with a demand far above the limit, each of which restarts once, keep the joint bucket.
+// Many hosts whose demand is far above the limit together keep the volume's limit, even if each of them restarts once
+// and starts with a full bucket.
 func TestHostsTogetherKeepTheVolumeLimit(t *testing.T) {
 	const hosts = 12
 	settings := limitedSettings()
@@ -63,7 +65,7 @@
 	}
 	for step := range 600 {
 		for i, h := range harnesses {
-			if step == 20+i { // killed with an empty bucket
+			if step == 20+i { // the host is killed while its bucket is empty
 				harnesses[i] = newHarness(t, settings)
 				harnesses[i].now = h.now
 				h = harnesses[i]
@@ -76,13 +78,14 @@
 			joint.tokens -= 2 * float64(len(h.sends))
 			h.serveAll()
 			if joint.tokens < -plan.Slack {
-				t.Fatalf("step %d: %v tokens in the joint bucket", step, joint.tokens)
+				t.Fatalf("step %d: %v tokens in the joint bucket, want at least %v", step, joint.tokens, -plan.Slack)
 			}
 			lowest = min(lowest, joint.tokens)
 		}
 	}
 	if lowest > 0.2*joint.burst {
-		t.Fatalf("joint bucket of %v never under %v: the limit was hardly used", joint.burst, lowest)
+		t.Fatalf("joint bucket of %v tokens never had less than %v, want less than a fifth: the limit was hardly used",
+			joint.burst, lowest)
 	}
 }
 
@@ -95,6 +98,6 @@
 	h.endAttempt("r1", 0, Errored)
 	h.wantActions("send r1", 2)
 	if limit.refill(h.now) != before {
-		t.Fatal("charged twice")
+		t.Fatalf("the retry changed the tokens of the limit from %v to %v", before, limit.refill(h.now))
 	}
 }
