--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -26,7 +26,7 @@
 }
 
 // hasCapacity says whether the node's concurrency limit leaves capacity for the request. An idle node always
-// has capacity for one request, and a node that failed gets no more than one until it has served a request.
+// has capacity for one request, and a node that failed gets one request at a time until it serves one.
 // Unreserved requests wait at this host until the queue at the node is short, because they would delay
 // reserved requests there.
 func (s *Scheduler) hasCapacity(request *requestState, node *nodeState) bool {
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -41,7 +41,7 @@
 	firstSentAt  time.Duration
 	firstAttempt int
 
-	spilledOver   bool // the request was sent to a zone beyond its home tier
+	spilledOver   bool // the node was selected in a zone beyond the request's home tier
 	charged       bool // the units of the request were taken from the volume's limit, if the volume has one
 	mayStillRun   bool // an attempt ended without an answer and may still run
 	streamStarted bool
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -9,7 +9,7 @@
 )
 
 // guardSlowStart keeps the units that this host sends to a warming node within the host's part of the
-// slow-start allowance, which such a node always bears. The allowance grows as the node warms up, at the
+// slow-start allowance, which such a node can always take. The allowance grows as the node warms up, at the
 // slowest pace that the rules permit.
 //
 // With many hosts, the part of each is smaller than a request, and rounding it up would overload the node.
