--- a/internal/zonefailover/doc.go
+++ b/internal/zonefailover/doc.go
@@ -1,16 +1,17 @@
-// Package zonefailover assesses the health of zones of storage nodes and limits what may spill over between them:
-// which zone is unavailable, which recovers, which zones new work prefers, and how much of it may go to another one.
-// It has no clock, no lock and does no I/O: its caller passes the time and calls from one goroutine at a time.
+// Package zonefailover assesses the health of zones of storage nodes and limits the work that may spill over between
+// them: which zone is unavailable, which one is recovering, which zones new work prefers, and how much of it may go to
+// another zone. The package reads no clock, takes no lock and does no I/O: its caller passes the time and calls from
+// one goroutine at a time.
 //
-// A gateway observes a zone only through its path there. A cut of that path looks like an unavailable zone, and both
-// are handled alike: the gateway sends nothing to where nothing responds. It can tell apart whether a single node is
-// silent, most of a zone, or all zones at once. In the last case the gateway itself is isolated, and no zone is called
-// unavailable.
+// A gateway observes a zone only over its network path to the zone. If that path is cut, the zone looks unavailable,
+// and the gateway treats both cases alike: it sends no work to nodes that don't respond. It can tell whether a single
+// node, most of a zone, or all zones at once are silent. In the last case the gateway itself is isolated, and no zone
+// becomes unavailable.
 //
 // The parts of the package:
 //
-//   - Tracker owns the state of nodes and zones. Update moves it on by what was observed of all nodes.
+//   - Tracker owns the state of nodes and zones. Update advances it by the observations of all nodes.
 //   - State, with one state machine for nodes (node.go) and one for zones (zone.go).
-//   - Settings name the preferred zones by tier and the bounds of spillover.
-//   - SpilloverLimiter holds the token buckets that bound spillover.
+//   - Settings hold the tier of each zone and the bounds of spillover.
+//   - SpilloverLimiter holds the token buckets that enforce these bounds.
 package zonefailover
--- a/internal/zonefailover/node.go
+++ b/internal/zonefailover/node.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// Observation is what a gateway observes of a node at one time.
+// Observation is what a gateway knows from its own requests and the endpoint list about a node at one time.
 type Observation struct {
 	ID   string
 	Zone int `json:"Room"`
-	// Size is the share of a usual node's work that the node can do. 0 counts as 1.
+	// Size is the node's capacity in relation to that of a typical node. 0 counts as 1.
 	Size float64
 	// Removed means that the node is listed as removed or draining, so that no response is expected of it.
 	Removed bool `json:"Gone"`
-	// UnansweredFor is for how long the oldest attempt has been in flight. 0 means that none is.
+	// UnansweredFor is how long the oldest attempt has been in flight. 0 means that no attempt is in flight.
 	UnansweredFor time.Duration `json:"Waiting"`
-	// UsualLatency is the latency of a usual response, as far as is known.
+	// UsualLatency is the estimated latency of the node's responses. 0 means unknown.
 	UsualLatency time.Duration `json:"Usual"`
-	// LastResponse is when anything last came from the node, a response or a refused connection. 0 means never.
+	// LastResponse is when the node last sent anything, be it a response or a refused connection. 0 means never.
 	LastResponse time.Duration `json:"Heard"`
 }
 
-// Tuned values of the state machine of nodes.
+// Constants of the state machine of nodes.
 const (
-	// An attempt counts as silent after silenceFactor usual latencies, within the two bounds. A node now and then
-	// stands still for as long as the lower one.
+	// An attempt counts as silent after silenceFactor times the usual latency, with minSilenceThreshold and
+	// maxSilenceThreshold as bounds. A healthy node pauses now and then for as long as minSilenceThreshold.
 	silenceFactor       = 4
 	minSilenceThreshold = 120 * time.Millisecond
 	maxSilenceThreshold = 400 * time.Millisecond
-	// unavailableAfter is for how long a node, or most of a zone, must be silent before it is unavailable.
+	// unavailableAfter is how long a node, or most of a zone, must be silent before it is unavailable.
 	unavailableAfter = 250 * time.Millisecond
-	// nodeRecoveryTime is for how long a node must respond before it is available again.
+	// nodeRecoveryTime is how long a recovering node must respond before it is available again.
 	nodeRecoveryTime = time.Second
 	// Trial requests to an unavailable node go out at intervals that double between these bounds.
 	minTrialInterval = 100 * time.Millisecond
 	maxTrialInterval = 3200 * time.Millisecond
 )
 
-// node is the health of a node.
+// node holds the health of a node.
 type node struct {
 	Observation   // the last one
 	state         State
-	since         time.Duration // of the state
-	trialAt       time.Duration // earliest time of the next trial request, while it is unavailable
-	trialInterval time.Duration
+	since         time.Duration // when the state began
+	trialAt       time.Duration // earliest time of the next trial request, while the node is unavailable
+	trialInterval time.Duration // between the last trial request and trialAt
 }
 
-// observe takes an observation and returns the change of state that it causes, or nil.
+// observe stores an observation and returns the change of state that it causes, or nil.
 func (n *node) observe(now time.Duration, observation *Observation) *Change {
 	responded := observation.LastResponse > n.LastResponse
 	n.Observation = *observation
@@ -64,12 +64,12 @@
 	return &Change{At: now, Zone: n.Zone, Node: n.ID, From: from, To: next}
 }
 
-// nextState returns the state that the last observation calls for. The transitions are:
+// nextState returns the state that follows from the last observation. The transitions are:
 //
 //   - any state to Unavailable: the node has been silent for unavailableAfter;
 //   - Available to Suspect: it is silent;
 //   - Suspect to Available, Unavailable to Recovering: it has responded;
-//   - Recovering to Available: nodeRecoveryTime is over and it is not silent.
+//   - Recovering to Available: nodeRecoveryTime has passed and it is not silent.
 //
 // Nodes are never Degraded.
 func (n *node) nextState(now time.Duration, responded bool) State {
@@ -98,21 +98,21 @@
 	return n.state
 }
 
-// silenceThreshold is the time after which an attempt without a response counts as silent.
+// silenceThreshold returns the time after which an attempt without a response counts as silent.
 func (n *node) silenceThreshold() time.Duration {
 	return min(max(silenceFactor*n.UsualLatency, minSilenceThreshold), maxSilenceThreshold)
 }
 
-// silent reports whether an attempt has been in flight for too long and nothing else came from the node meanwhile.
+// silent reports whether an attempt has been in flight for too long while the node sent nothing else either.
 func (n *node) silent(now time.Duration) bool {
 	threshold := n.silenceThreshold()
 	return !n.Removed && n.UnansweredFor > threshold && now-n.LastResponse > threshold
 }
 
-// weight is the node's size in sums over a zone.
+// weight returns the node's weight in the sums over a zone: its size, or 1 if that is unknown.
 func (n *node) weight() float64 { return cmp.Or(n.Size, 1) }
 
-// takeTrial reports whether a trial request may go to an unavailable node now, and schedules the next one.
+// takeTrial reports whether a trial request may go to an unavailable node now. If so, it schedules the next one.
 func (n *node) takeTrial(now time.Duration) bool {
 	if now < n.trialAt {
 		return false
--- a/internal/zonefailover/settings.go
+++ b/internal/zonefailover/settings.go
@@ -1,7 +1,6 @@
 package zonefailover
 
 import (
-	"errors"
 	"fmt"
 	"time"
 )
@@ -12,47 +11,49 @@
 // Settings name the zones that new work prefers, and bound how much of it may spill over. The zero value turns zone
 // failover off.
 type Settings struct {
-	// Tiers is the tier of each zone: 0 is the preferred one, greater numbers are farther away. Empty means off.
+	// Tiers is the tier of each zone: 0 is the preferred one, greater numbers are farther away. If it is empty, zone
+	// failover is off.
 	Tiers []int
-	// Spillover is how many units of new work a second may go beyond the first tier, over all gateways.
+	// Spillover is how many units of new work a second may go beyond the first tier, for all gateways together.
 	Spillover float64 `json:"Spill"`
-	// Burst is how many units may go beyond the first tier at once, over all gateways.
+	// Burst is how many units may go beyond the first tier at once, for all gateways together.
 	Burst float64
-	// Share bounds what may be added to a zone. It is a share of the work that this gateway has seen the zone do
-	// beyond what it does now. 0 means no such bound.
+	// Share bounds the work that may spill over into a zone, as a share of the zone's spare capacity: the work that
+	// this gateway has seen the zone do beyond what it does now. 0 means that there is no such bound.
 	Share float64
 	// Siblings is the number of gateways that share Spillover and Burst.
 	Siblings int
-	// MembershipDelay is for how long the endpoint list may not show yet that a node has restarted.
+	// MembershipDelay is how long the endpoint list may take to show that a node has restarted.
 	MembershipDelay time.Duration `json:"ListLate"`
-	// Work holds preferences of single classes and plans. The first that matches holds.
+	// Work holds the tiers for the work of single classes and plans, in place of Tiers. The first match applies.
 	Work []Work
 }
 
-// Work is the preference of a class or plan.
+// Work holds the tiers of the zones for the work of a class, of a plan, or of a class within a plan.
 type Work struct {
 	Class, Plan int   // -1 matches any
-	Tiers       []int // as in Settings
+	Tiers       []int // of the zones, as in Settings
 }
 
-// Enabled reports whether zones are assessed.
+// Enabled reports whether zone failover is on.
 func (s Settings) Enabled() bool { return len(s.Tiers) > 0 }
 
-// Check returns why the settings can't be used, or nil.
+// Check returns an error that says why the settings are invalid, or nil if they are valid.
 func (s *Settings) Check() error {
 	switch {
 	case !s.Enabled():
 		return nil
 	case s.Siblings < 1:
-		return errors.New("zone failover: there are no gateways")
+		return fmt.Errorf("zone failover: the number of gateways is %d, at least 1 is required", s.Siblings)
 	case !(s.Spillover >= 0 && s.Burst >= 0 && s.Share >= 0): // so that NaN is rejected, too
-		return errors.New("zone failover: a bound is below 0")
+		return fmt.Errorf("zone failover: spillover %v, burst %v and share %v must not be below 0",
+			s.Spillover, s.Burst, s.Share)
 	case s.MembershipDelay < 0:
-		return errors.New("zone failover: the membership delay is below 0")
+		return fmt.Errorf("zone failover: the membership delay %v is below 0", s.MembershipDelay)
 	}
 	for i, work := range s.Work {
 		if len(work.Tiers) != len(s.Tiers) {
-			return fmt.Errorf("zone failover: work %d has %d tiers for %d zones", i, len(work.Tiers), len(s.Tiers))
+			return fmt.Errorf("zone failover: work %d names %d tiers for %d zones", i, len(work.Tiers), len(s.Tiers))
 		}
 	}
 	return nil
@@ -61,7 +62,7 @@
 // Tier returns the tier of a zone for work of a class and plan, or Forbidden.
 func (s *Settings) Tier(zone, class, plan int) int {
 	if zone < 0 || zone >= len(s.Tiers) {
-		return 0 // the settings do not name it
+		return 0 // the settings name no tier for it
 	}
 	for i := range s.Work {
 		if s.Work[i].matches(class, plan) {
--- a/internal/zonefailover/settings_test.go
+++ b/internal/zonefailover/settings_test.go
@@ -20,10 +20,10 @@
 		want              int
 	}{
 		{"the preferred zone", 0, 0, 0, 0},
-		{"a zone far away", 2, 0, 0, 2},
-		{"a class in a forbidden zone", 0, 1, 2, Forbidden},
-		{"a class in another zone", 1, 1, 0, 0},
-		{"a plan in a forbidden zone", 2, 0, 2, Forbidden},
+		{"the farthest zone", 2, 0, 0, 2},
+		{"a zone forbidden for the class", 0, 1, 2, Forbidden},
+		{"the zone preferred for the class", 1, 1, 0, 0},
+		{"a zone forbidden for the plan", 2, 0, 2, Forbidden},
 		{"an unknown zone", 9, 0, 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -34,19 +34,19 @@
 	}
 }
 
-func TestCheckRejectsFaultySettings(t *testing.T) {
+func TestCheckRejectsInvalidSettings(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		settings Settings
 	}{
 		{"no gateways", Settings{Tiers: []int{0}}},
 		{"spillover below 0", Settings{Tiers: []int{0}, Siblings: 1, Spillover: -1}},
-		{"tiers missing", Settings{Tiers: []int{0, 1}, Siblings: 1, Work: []Work{{Tiers: []int{0}}}}},
-		{"delay below 0", Settings{Tiers: []int{0}, Siblings: 1, MembershipDelay: -1}},
+		{"too few tiers for a class", Settings{Tiers: []int{0, 1}, Siblings: 1, Work: []Work{{Tiers: []int{0}}}}},
+		{"membership delay below 0", Settings{Tiers: []int{0}, Siblings: 1, MembershipDelay: -1}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if test.settings.Check() == nil {
-				t.Errorf("%+v is accepted", test.settings)
+				t.Errorf("%+v are accepted", test.settings)
 			}
 		})
 	}
--- a/internal/zonefailover/snapshot.go
+++ b/internal/zonefailover/snapshot.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TrackerState is the state of a Tracker as plain data. It is stored in snapshots.
+// TrackerState is the state of a Tracker in the form that snapshots store.
 type TrackerState struct {
 	_        struct{} `cbor:",toarray"`
 	Nodes    []NodeState
@@ -14,7 +14,7 @@
 	Isolated bool         `json:"Cut"`
 }
 
-// NodeState is the state of a node as plain data. It is stored in snapshots.
+// NodeState is the state of a node in the form that snapshots store.
 type NodeState struct {
 	_             struct{}    `cbor:",toarray"`
 	Observation   Observation `json:"Sight"`
@@ -24,7 +24,7 @@
 	TrialInterval time.Duration `json:"TryStep"`
 }
 
-// Snapshot returns the state, nodes ordered by ID.
+// Snapshot returns the state of the Tracker, with the nodes ordered by ID.
 func (t *Tracker) Snapshot() TrackerState {
 	state := TrackerState{Zones: slices.Clone(t.zones), Isolated: t.isolated}
 	for _, n := range t.nodes {
@@ -40,8 +40,8 @@
 	return state
 }
 
-// Resume continues from a state. It reports false, and changes nothing, if that is of another number of zones or of
-// too many nodes.
+// Resume continues from a stored state. It reports false and changes nothing if the state has another number of zones
+// than the Tracker, or more than MaxNodes nodes.
 func (t *Tracker) Resume(from TrackerState) bool {
 	if len(from.Zones) != len(t.zones) || len(from.Nodes) > MaxNodes {
 		return false
--- a/internal/zonefailover/spillover.go
+++ b/internal/zonefailover/spillover.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// SpilloverLimiter bounds the work that goes beyond the first tier, by token buckets. Each gateway has an even part of
-// the rate and the burst, so that all of them together keep the bound without knowing of each other: in any time t no
-// more than Spillover*t + Burst units. In addition, what goes into a zone is at most Share of the capacity that the
-// zone was seen to have left.
+// SpilloverLimiter limits the work that goes beyond the first tier, by token buckets. Each gateway has an equal part of
+// the rate and the burst, so that all gateways together stay within the bound without communication: in any time t, no
+// more than Spillover*t + Burst units spill over. In addition, the work that spills over into one zone is at most Share
+// of the zone's spare capacity, as this gateway has observed it.
 type SpilloverLimiter struct {
 	settings Settings
 	total    tokenBucket
 	zones    []tokenBucket
 }
 
-// tokenBucket holds tokens of one unit of work each. It starts empty: a gateway that has just started does not know
-// what its previous incarnation spent.
+// tokenBucket holds tokens of one unit of work each. It starts empty, because a gateway that has just started does not
+// know what its previous incarnation spent.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Duration
 	started    bool
 }
 
-// refill adds the tokens of the time that has passed. It is called before a bucket is read.
+// refill adds the tokens for the time since the last refill. It is called before the tokens are read.
 func (b *tokenBucket) refill(now time.Duration, rate, burst float64) {
 	if !b.started {
 		b.started = true
@@ -37,25 +37,25 @@
 	return &SpilloverLimiter{settings: settings, zones: make([]tokenBucket, len(settings.Tiers))}
 }
 
-// gatewayShare is this gateway's part of what all gateways may spill over.
+// gatewayShare returns this gateway's part of the work that all gateways together may spill over.
 func (l *SpilloverLimiter) gatewayShare() float64 { return 1 / float64(max(1, l.settings.Siblings)) }
 
-// rate is in units a second.
+// rate returns the units a second that this gateway may spill over.
 func (l *SpilloverLimiter) rate() float64 { return l.settings.Spillover * l.gatewayShare() }
 
-// burst is in units.
+// burst returns the units that this gateway may spill over at once.
 func (l *SpilloverLimiter) burst() float64 { return l.settings.Burst * l.gatewayShare() }
 
-// Refill lets time pass. Spare is, by zone, how many units a second the zone has been seen to do through this gateway
-// beyond what it does now.
-func (l *SpilloverLimiter) Refill(now time.Duration, spare []float64) {
+// Refill refills all buckets up to now. The spare rate of a zone is how many units a second the zone has been seen to
+// do through this gateway beyond what it does now.
+func (l *SpilloverLimiter) Refill(now time.Duration, spareRates []float64) {
 	l.total.refill(now, l.rate(), l.burst())
 	for i := range l.zones {
-		l.zones[i].refill(now, l.settings.Share*max(0, spare[i]), l.burst())
+		l.zones[i].refill(now, l.settings.Share*max(0, spareRates[i]), l.burst())
 	}
 }
 
-// Take takes the tokens for units that go into a zone. It reports false, and takes nothing, if there are too few.
+// Take takes the tokens for units of work that go to a zone. It reports false and takes nothing if there are too few.
 func (l *SpilloverLimiter) Take(now time.Duration, zone int, units float64) bool {
 	l.total.refill(now, l.rate(), l.burst())
 	if units > l.total.tokens {
@@ -72,8 +72,8 @@
 	return true
 }
 
-// Wait returns after what time so many units may spill over, for the Retry-After of rejected requests. It reports false
-// if they never may, as far as is known, because no burst is large enough.
+// Wait returns the time until the given units may spill over, for the Retry-After of rejected requests. It reports
+// false if they never may with these settings, because the rate is 0 or the burst is too small.
 func (l *SpilloverLimiter) Wait(now time.Duration, units float64) (wait time.Duration, ever bool) {
 	l.total.refill(now, l.rate(), l.burst())
 	if l.rate() <= 0 || units > l.burst() {
@@ -82,7 +82,7 @@
 	return time.Duration(max(0, units-l.total.tokens) / l.rate() * float64(time.Second)), true
 }
 
-// SpilloverState is the state of one token bucket of a SpilloverLimiter. It is stored in snapshots.
+// SpilloverState is the state of one token bucket of a SpilloverLimiter, in the form that snapshots store.
 type SpilloverState struct {
 	_          struct{}      `cbor:",toarray"`
 	Tokens     float64       `json:"Level"`
@@ -94,7 +94,7 @@
 	return SpilloverState{Tokens: b.tokens, RefilledAt: b.refilledAt, Started: b.started}
 }
 
-// Snapshot returns the state of the bucket for all zones, followed by those of single zones.
+// Snapshot returns the state of the bucket for all zones, followed by the states of the buckets of single zones.
 func (l *SpilloverLimiter) Snapshot() []SpilloverState {
 	states := []SpilloverState{l.total.snapshot()}
 	for _, bucket := range l.zones {
@@ -103,7 +103,7 @@
 	return states
 }
 
-// Resume continues from a state. It reports false, and changes nothing, if that is of another number of zones.
+// Resume continues from a stored state. It reports false and changes nothing if the state has another number of zones.
 func (l *SpilloverLimiter) Resume(from []SpilloverState) bool {
 	if len(from) != 1+len(l.zones) {
 		return false
--- a/internal/zonefailover/spillover_test.go
+++ b/internal/zonefailover/spillover_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// spilled is work that was allowed to spill over.
-type spilled struct {
+// spilledWork is work that was allowed to spill over.
+type spilledWork struct {
 	at    time.Duration
 	units float64
 }
 
-// However many gateways there are and whatever each of them does, what spills over keeps the bound of all of them
-// together, over any time.
-func TestSpilloverKeepsItsBound(t *testing.T) {
+// For any number of gateways and any requests, the work that spills over in any period stays within the bound for all
+// gateways together.
+func TestSpilloverStaysWithinItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{
 			Tiers:     []int{0, 1},
@@ -28,7 +28,7 @@
 		for range settings.Siblings {
 			gateways = append(gateways, NewSpilloverLimiter(settings))
 		}
-		var log []spilled
+		var log []spilledWork
 		now := time.Hour
 		for range rapid.IntRange(1, 300).Draw(t, "requests") {
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * ms
@@ -38,7 +38,7 @@
 			}
 			limiter := gateways[rapid.IntRange(0, settings.Siblings-1).Draw(t, "gateway")]
 			if limiter.Take(now, 1, units) {
-				log = append(log, spilled{now, units})
+				log = append(log, spilledWork{now, units})
 			} else if wait, ever := limiter.Wait(now, units); ever && settings.Share == 0 {
 				expectTakenAfter(t, limiter, now, units, wait)
 			}
@@ -47,18 +47,18 @@
 	})
 }
 
-// expectTakenAfter checks on a copy of a limiter that what is rejected now is taken after the wait.
+// expectTakenAfter checks on a copy of a limiter that units which are rejected now are taken after the wait.
 func expectTakenAfter(t *rapid.T, limiter *SpilloverLimiter, now time.Duration, units float64, wait time.Duration) {
 	t.Helper()
 	resumed := NewSpilloverLimiter(limiter.settings)
 	resumed.Resume(limiter.Snapshot())
 	if !resumed.Take(now+wait+time.Microsecond, 1, units) {
-		t.Fatalf("%v units are not taken after %v", units, wait)
+		t.Fatalf("%v units are rejected again after a wait of %v", units, wait)
 	}
 }
 
-// expectBound checks every period that begins and ends with something spilled.
-func expectBound(t *rapid.T, settings Settings, log []spilled) {
+// expectBound checks the bound over every period that begins and ends with work that spilled over.
+func expectBound(t *rapid.T, settings Settings, log []spilledWork) {
 	t.Helper()
 	for i, first := range log {
 		sum := 0.0
@@ -66,7 +66,7 @@
 			sum += last.units
 			period := last.at - first.at
 			if bound := settings.Spillover*period.Seconds() + settings.Burst; sum > bound+1e-6 {
-				t.Fatalf("%v units within %v, %v are allowed", sum, period, bound)
+				t.Fatalf("%v units spilled over within %v, at most %v are allowed", sum, period, bound)
 			}
 		}
 	}
--- a/internal/zonefailover/tracker.go
+++ b/internal/zonefailover/tracker.go
@@ -10,10 +10,10 @@
 // The States of zones. Nodes have all of them but Degraded.
 const (
 	Available   State = iota // it takes work
-	Degraded                 // it takes work, and a part of the zone is removed or unavailable
-	Suspect                  // it is silent, not yet for long enough to be called unavailable
-	Unavailable              // it has been silent for too long: it gets trial requests only
-	Recovering               // it responds again, not yet for long enough to be called available
+	Degraded                 // it takes work, but a part of the zone is removed or unavailable
+	Suspect                  // it is silent, but not yet for long enough to be unavailable
+	Unavailable              // it has been silent for too long and gets trial requests only
+	Recovering               // it responds again, but not yet for long enough to be available
 )
 
 var stateNames = [...]string{
@@ -24,30 +24,30 @@
 	Recovering:  "recovering",
 }
 
-// String returns the name that commands and logs show.
+// String returns the name that commands and logs show for the state.
 func (s State) String() string { return stateNames[s] }
 
-// Change is a change of the state of a zone or a node.
+// Change reports that a zone or a node has gone from one state to another.
 type Change struct {
 	At          time.Duration
 	Zone        int
-	Node        string // empty: the zone itself
+	Node        string // empty if the zone itself has changed
 	From, To    State
-	SilentShare float64 // as in ZoneHealth; of a zone only
-	Isolated    bool    // all zones are silent at once, so it is this gateway that is cut off; of a zone only
+	SilentShare float64 // as in ZoneHealth; for zones only
+	Isolated    bool    // all zones are silent at once, so this gateway itself is cut off; for zones only
 }
 
-// Tracker tracks the health of all zones and nodes, as one gateway observes it.
+// Tracker tracks the health of all zones and nodes as one gateway observes it.
 type Tracker struct {
 	nodes    map[string]*node
 	zones    []ZoneHealth
 	isolated bool
 }
 
-// MaxNodes bounds the nodes that a Tracker tracks. Further ones count as available.
+// MaxNodes is the largest number of nodes that a Tracker tracks. Further nodes count as available.
 const MaxNodes = 1 << 16
 
-// NewTracker makes a Tracker of so many zones, all of them available.
+// NewTracker makes a Tracker for a number of zones, all of them available.
 func NewTracker(zones int) *Tracker {
 	t := &Tracker{nodes: map[string]*node{}, zones: make([]ZoneHealth, max(zones, 1))}
 	for i := range t.zones {
@@ -57,7 +57,7 @@
 }
 
 // Update takes the observations of all listed nodes and returns the changes that they cause, those of nodes first. It
-// forgets nodes that are no longer listed. It costs one pass over the nodes, whatever the number of zones.
+// forgets nodes that are no longer listed. It makes one pass over the nodes, whatever the number of zones.
 func (t *Tracker) Update(now time.Duration, observations []Observation) (changes []Change) {
 	totals := make([]zoneTotals, len(t.zones))
 	observed := 0
@@ -88,7 +88,7 @@
 	return changes
 }
 
-// track returns the node of an ID, a new one if need be, or nil if too many nodes are tracked.
+// track returns the node with an ID, which is added if it is new. It returns nil if too many nodes are tracked.
 func (t *Tracker) track(now time.Duration, id string) *node {
 	if n := t.nodes[id]; n != nil {
 		return n
@@ -136,8 +136,8 @@
 	return Available
 }
 
-// AllowTrial reports whether a request may go to a node. One that is unavailable gets one trial request at a time, at
-// intervals that double, because without any request nobody would notice that it responds again. AllowTrial counts the
+// AllowTrial reports whether a request may go to a node. An unavailable node gets single trial requests, at intervals
+// that double: without any requests, the gateway would not notice that the node responds again. AllowTrial counts the
 // request that it allows.
 func (t *Tracker) AllowTrial(now time.Duration, id string) bool {
 	n := t.nodes[id]
@@ -147,15 +147,15 @@
 	return n.takeTrial(now)
 }
 
-// TrialOverdue reports whether the trial request of an unavailable node is long overdue, because no request came that
-// could be risked on it.
+// TrialOverdue reports whether the trial request of an unavailable node is long overdue, because there was no request
+// that could be risked on the node.
 func (t *Tracker) TrialOverdue(now time.Duration, id string) bool {
 	n := t.nodes[id]
 	return n != nil && n.state == Unavailable && now-n.trialAt > maxTrialInterval
 }
 
-// UntilTrial returns the time until the next trial request of an unavailable node. A rejected client need not retry
-// before.
+// UntilTrial returns the time until the next trial request to an unavailable node, and 0 for other nodes. Before that
+// time, a retry by a rejected client is of no use.
 func (t *Tracker) UntilTrial(now time.Duration, id string) time.Duration {
 	if n := t.nodes[id]; n != nil && n.state == Unavailable {
 		return max(0, n.trialAt-now)
--- a/internal/zonefailover/tracker_test.go
+++ b/internal/zonefailover/tracker_test.go
@@ -19,19 +19,19 @@
 	updateInterval = 25 * ms
 )
 
-// fleet has a Tracker observe simulated nodes, which respond at once or are silent.
+// fleet is a set of simulated nodes, which respond at once or are silent, with a Tracker that observes them.
 type fleet struct {
 	tracker *Tracker
 	now     time.Duration
 	nodes   []*simulatedNode
-	changes []zoneChange // of zones only
+	changes []zoneChange // so far; those of nodes are left out
 }
 
 type simulatedNode struct {
 	Observation
 	silent bool
-	idle   bool // no attempt is sent to it
-	sentAt time.Duration
+	idle   bool          // no attempt is sent to it
+	sentAt time.Duration // when the unanswered attempt was sent; 0: there is none
 }
 
 type zoneChange struct {
@@ -51,7 +51,7 @@
 	return f
 }
 
-// run lets time pass.
+// run lets time pass, with an Update at each interval.
 func (f *fleet) run(duration time.Duration) *fleet {
 	for end := f.now + duration; f.now < end; {
 		f.now += updateInterval
@@ -72,7 +72,7 @@
 	return all
 }
 
-// advance updates what is observed of the node.
+// advance brings the observation of the node up to a time.
 func (n *simulatedNode) advance(now time.Duration) {
 	switch {
 	case n.Removed, n.idle:
@@ -108,11 +108,11 @@
 	f.changeZone(0, setSilent(true))
 	for f.tracker.Zone(0).State != Unavailable {
 		if f.run(updateInterval); f.now-silentSince > time.Second {
-			t.Fatal("not unavailable after a second")
+			t.Fatal("the zone is not unavailable after a second")
 		}
 	}
 	if took := f.now - silentSince; took > 600*ms {
-		t.Errorf("unavailable after %v", took)
+		t.Errorf("the zone became unavailable after %v, want at most 600ms", took)
 	}
 	f.run(10*time.Second).changeZone(0, setSilent(false)).run(3 * time.Second)
 	want := []zoneChange{{0, Suspect}, {0, Unavailable}, {0, Recovering}, {0, Available}}
@@ -130,48 +130,49 @@
 	}
 }
 
-// One silent node makes no zone unavailable, nor does a silent part: it makes the zone degraded.
-func TestSilentPartMakesZoneDegraded(t *testing.T) {
+// One silent node, or a small part of the nodes removed, makes a zone degraded and not unavailable.
+func TestSilentOrRemovedPartMakesZoneDegraded(t *testing.T) {
 	f := newFleet(2, 5).run(time.Second)
 	f.nodes[0].silent = true
 	f.run(5 * time.Second)
 	if f.tracker.Zone(0).State != Degraded || f.tracker.Node("0-0") != Unavailable ||
 		f.tracker.Node("0-1") != Available {
-		t.Errorf("%v, %v", f.tracker.Zone(0), f.tracker.Node("0-0"))
+		t.Errorf("one silent node: zone %+v, silent node %v, another node %v",
+			f.tracker.Zone(0), f.tracker.Node("0-0"), f.tracker.Node("0-1"))
 	}
 	f.nodes[0].silent = false
 	f.nodes[1].Removed = true
 	f.nodes[2].Removed = true
 	f.run(5 * time.Second)
 	if f.tracker.Zone(0).State != Degraded || f.tracker.Zone(0).RemovedShare != 0.4 {
-		t.Errorf("%+v", f.tracker.Zone(0))
+		t.Errorf("two of five nodes removed: zone %+v", f.tracker.Zone(0))
 	}
 	if slices.Contains(f.changes, zoneChange{0, Unavailable}) {
-		t.Error(f.changes)
+		t.Errorf("the zone became unavailable: %v", f.changes)
 	}
 }
 
-// When half of a zone responds again, the zone has recovered, and is degraded.
-func TestHalfOfAZoneRecovers(t *testing.T) {
+// A zone recovers when half of its nodes respond again. It is degraded then.
+func TestZoneRecoversWithHalfOfItsNodes(t *testing.T) {
 	f := newFleet(2, 6).run(time.Second).changeZone(0, setSilent(true)).run(5 * time.Second)
 	for i := range 3 {
 		f.nodes[i].silent = false
 	}
 	f.run(10 * time.Second)
 	if f.tracker.Zone(0).State != Degraded || f.tracker.Node("0-5") != Unavailable {
-		t.Errorf("%+v %v", f.tracker.Zone(0), f.changes)
+		t.Errorf("zone %+v, node 0-5 %v, changes %v", f.tracker.Zone(0), f.tracker.Node("0-5"), f.changes)
 	}
 }
 
-// A gateway to which nothing responds at all is isolated itself: no zone is called unavailable.
-func TestIsolatedGatewayCallsNoZoneUnavailable(t *testing.T) {
+// A gateway that gets no responses from any zone is isolated itself, so no zone becomes unavailable.
+func TestIsolatedGatewayMakesNoZoneUnavailable(t *testing.T) {
 	f := newFleet(3, 4).run(time.Second)
 	for zone := range 3 {
 		f.changeZone(zone, setSilent(true))
 	}
 	f.run(5 * time.Second)
 	if !f.tracker.Isolated() {
-		t.Error("not isolated")
+		t.Error("the gateway does not count as isolated")
 	}
 	for zone := range 3 {
 		if got := f.tracker.Zone(zone).State; got == Unavailable {
@@ -180,16 +181,16 @@
 	}
 }
 
-// Without any attempts nothing is known of a zone: it stays what it was.
+// Without any attempts nothing is known about a zone, so it keeps its state.
 func TestIdleZoneKeepsItsState(t *testing.T) {
 	f := newFleet(2, 4).changeZone(0, func(n *simulatedNode) { n.idle = true }).run(time.Minute)
 	if f.tracker.Zone(0).State != Available || len(f.changes) > 0 {
-		t.Error(f.changes)
+		t.Errorf("zone %v, changes %v", f.tracker.Zone(0).State, f.changes)
 	}
 }
 
-// A flapping zone becomes available ever more rarely, whatever the period.
-func TestFlappingZoneRecoversEverMoreRarely(t *testing.T) {
+// A flapping zone becomes available less and less often, whatever its period.
+func TestFlappingZoneRecoversLessAndLessOften(t *testing.T) {
 	for _, period := range []time.Duration{200 * ms, time.Second, 3 * time.Second, 10 * time.Second, 60 * time.Second} {
 		t.Run(period.String(), func(t *testing.T) {
 			f := newFleet(2, 5).run(time.Second)
@@ -210,8 +211,8 @@
 	}
 }
 
-// Trial requests to an unavailable node are rare, and never end.
-func TestTrialRequestsAreRareAndNeverEnd(t *testing.T) {
+// Trial requests to an unavailable node are rare but never stop.
+func TestTrialRequestsAreRareAndNeverStop(t *testing.T) {
 	f := newFleet(2, 2).run(time.Second).changeZone(0, setSilent(true)).run(time.Second)
 	trials := 0
 	for range 600 {
@@ -222,13 +223,13 @@
 	}
 	if trials < 15 || trials > 30 || f.tracker.UntilTrial(f.now, "0-0") > maxTrialInterval ||
 		!f.tracker.AllowTrial(f.now, "1-0") {
-		t.Errorf("%d trials in a minute", trials)
+		t.Errorf("%d trial requests in a minute, next one in %v", trials, f.tracker.UntilTrial(f.now, "0-0"))
 	}
 }
 
-// Whatever is observed: a resumed state is the same, all zones are available after some time in which all nodes
-// respond, and nodes that are no longer listed are forgotten.
-func TestAnyObservationsSettle(t *testing.T) {
+// After any observations, a resumed state equals the stored one, all zones become available once all nodes have
+// responded for some time, and nodes that are no longer listed are forgotten.
+func TestZonesRecoverAfterAnyObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 6).Draw(t, "nodes"))
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -248,7 +249,7 @@
 			}
 		}
 		if f.tracker.Update(f.now, nil); len(f.tracker.nodes) > 0 {
-			t.Fatalf("%d nodes are tracked", len(f.tracker.nodes))
+			t.Fatalf("%d nodes are tracked although none is listed", len(f.tracker.nodes))
 		}
 	})
 }
@@ -271,15 +272,15 @@
 	t.Helper()
 	resumed := NewTracker(tracker.Zones())
 	if !resumed.Resume(tracker.Snapshot()) {
-		t.Fatal("not resumed")
+		t.Fatal("the state is not resumed")
 	}
 	if diff := cmp.Diff(tracker.Snapshot(), resumed.Snapshot()); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// BenchmarkLook shows that an Update costs what its nodes cost, whatever the number of zones.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkUpdate shows that the cost of Update depends on the number of nodes and not on that of zones.
+func BenchmarkUpdate(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000} {
 		for _, zones := range []int{2, 10} {
 			f := newFleet(zones, nodes/zones).run(time.Second)
--- a/internal/zonefailover/zone.go
+++ b/internal/zonefailover/zone.go
@@ -2,50 +2,51 @@
 
 import "time"
 
-// Tuned values of the state machine of zones. All shares are by size of nodes.
+// Constants of the state machine of zones. Nodes count by their size in all shares.
 const (
-	// suspectShare is the silent share of the contacted nodes from which a zone is suspect.
+	// suspectShare is the share of the contacted nodes that must be silent for a zone to be suspect.
 	suspectShare = 0.5
-	// unavailableShare is the silent share of the contacted nodes from which a zone counts as silent.
+	// unavailableShare is the share of the contacted nodes that must be silent for a zone to count as silent.
 	unavailableShare = 0.8
-	// degradedShare is the share of all nodes that are removed or unavailable from which a zone is degraded.
+	// degradedShare is the share of all nodes that must be removed or unavailable for a zone to be degraded.
 	degradedShare = 0.2
-	// recoveredShare is the share of all nodes that must respond or be removed before a zone has recovered.
+	// recoveredShare is the share of all nodes that must respond or be removed for a zone to have recovered.
 	recoveredShare = 0.5
-	// longOutageAfter is how long a node is unavailable before that counts as an outage of its own, which says
-	// nothing of its zone while other nodes there respond.
+	// longOutageAfter is how long a node must be unavailable before this counts as an outage of the node alone, which
+	// says nothing about its zone while other nodes of the zone respond.
 	longOutageAfter = 2 * time.Second
-	// A zone must recover for the recovery time before it counts as available. That doubles with each outage in a row.
+	// A zone must respond for its recovery time before it is available again. The recovery time doubles with each
+	// outage in a row, between these bounds.
 	minRecoveryTime = time.Second
 	maxRecoveryTime = 64 * time.Second
-	// flapMemory is for how long a zone must be available before its earlier outages are forgotten.
+	// flapMemory is how long a zone must be available before its earlier outages are forgotten.
 	flapMemory = 5 * time.Minute
 )
 
-// ZoneHealth is the health of a zone and what it follows from. It is stored in snapshots.
+// ZoneHealth is the state of a zone and the figures that determine it. It is stored in snapshots.
 type ZoneHealth struct {
 	State           State
-	Since           time.Duration // of State
-	Flaps           int           // recent outages, one after the other
-	RecoveryTime    time.Duration `json:"Calm"`   // for which it must respond after an outage before it is available
-	RespondingShare float64       `json:"Heard"`  // of its nodes, by size
-	SilentShare     float64       `json:"Silent"` // of the contacted nodes, by size
-	RemovedShare    float64       `json:"Gone"`   // of its nodes, by size
+	Since           time.Duration // when State began
+	Flaps           int           // outages in a row, less than flapMemory apart
+	RecoveryTime    time.Duration `json:"Calm"`   // how long it must respond after an outage before it is available
+	RespondingShare float64       `json:"Heard"`  // share of all its nodes, by size
+	SilentShare     float64       `json:"Silent"` // share of its contacted nodes, by size
+	RemovedShare    float64       `json:"Gone"`   // share of all its nodes, by size
 	Nodes           int
 
-	SilentSince time.Duration // since when at least unavailableShare is silent; 0 if it is not
+	SilentSince time.Duration // since when at least unavailableShare has been silent; 0 if less is silent
 }
 
-// zoneTotals sums up the nodes of a zone, by size.
+// zoneTotals sums up the weights of the nodes of a zone.
 type zoneTotals struct {
-	nodes           int // their number
-	all             float64
+	nodes           int     // number of nodes
+	all             float64 // weight of all nodes; the fields below are parts of it
 	removed         float64
 	responding      float64 // available or recovering
 	unavailable     float64
-	longUnavailable float64 // for longer than longOutageAfter
-	contacted       float64 // that have an attempt in flight, responded some time, or are suspect or unavailable
-	silent          float64 // that are suspect or unavailable
+	longUnavailable float64 // unavailable for longer than longOutageAfter
+	contacted       float64 // have an attempt in flight, have ever responded, or are suspect or unavailable
+	silent          float64 // suspect or unavailable
 }
 
 func (t *zoneTotals) add(now time.Duration, n *node) {
@@ -74,8 +75,8 @@
 	}
 }
 
-// silentShare returns the silent share of the contacted nodes. Nodes that have been unavailable for long while others
-// in the zone respond are left out.
+// silentShare returns the silent share of the contacted nodes. It leaves out nodes that have been unavailable for long
+// while others in the zone respond.
 func (t *zoneTotals) silentShare() float64 {
 	contacted := t.contacted
 	silent := t.silent
@@ -89,8 +90,8 @@
 	return silent / contacted
 }
 
-// allSilent reports whether all zones with contacted nodes are silent: then the gateway itself is isolated. A single
-// zone is not enough: whether the zone is unavailable or the gateway is isolated can't be told apart.
+// allSilent reports whether all zones with contacted nodes are silent, which means that the gateway itself is isolated.
+// A single such zone is not enough: an unavailable zone and an isolated gateway would look the same.
 func allSilent(zones []zoneTotals) bool {
 	contacted := 0
 	for i := range zones {
@@ -105,14 +106,14 @@
 	return contacted > 1
 }
 
-// zoneObservation is what the state machine of a zone moves on by.
+// zoneObservation is the input of the state machine of a zone.
 type zoneObservation struct {
 	now         time.Duration
 	silentShare float64
-	responding  bool // at least one node does
-	suspect     bool // suspectShare is silent, and the gateway is not isolated
-	silent      bool // unavailableShare is silent, and the gateway is not isolated
-	degraded    bool // degradedShare is removed or unavailable
+	responding  bool // at least one node responds
+	suspect     bool // at least suspectShare is silent, and the gateway is not isolated
+	silent      bool // at least unavailableShare is silent, and the gateway is not isolated
+	degraded    bool // at least degradedShare is removed or unavailable
 }
 
 // observe takes the totals of the zone's nodes and returns the change of state that they cause, or nil.
@@ -161,7 +162,7 @@
 	}
 }
 
-// nextState returns the state that an observation calls for. The transitions are those of one function per state.
+// nextState returns the state that follows from an observation. Each state has a function with its transitions.
 func (z *ZoneHealth) nextState(observation *zoneObservation) State {
 	switch z.State {
 	case Available, Degraded:
@@ -176,8 +177,8 @@
 	return z.State
 }
 
-// nextFromAvailable leads from Available or Degraded to Suspect as soon as suspectShare is silent, and otherwise to
-// Degraded or Available by whether a part of the zone is removed or unavailable.
+// nextFromAvailable returns the state after Available or Degraded: Suspect as soon as suspectShare is silent, otherwise
+// Degraded or Available, depending on whether degradedShare is removed or unavailable.
 func (z *ZoneHealth) nextFromAvailable(observation *zoneObservation) State {
 	if observation.suspect {
 		return Suspect
@@ -192,8 +193,8 @@
 	return Available
 }
 
-// nextFromSuspect leads to Unavailable once the zone has been silent for unavailableAfter, and back to Available when
-// less than suspectShare is silent or the gateway itself is isolated.
+// nextFromSuspect returns the state after Suspect: Unavailable once the zone has been silent for unavailableAfter, and
+// Available when less than suspectShare is silent or the gateway itself is isolated.
 func (z *ZoneHealth) nextFromSuspect(observation *zoneObservation) State {
 	switch {
 	case z.SilentSince > 0 && observation.now-z.SilentSince >= unavailableAfter:
@@ -204,7 +205,7 @@
 	return Suspect
 }
 
-// nextFromUnavailable leads to Recovering when a node responds and less than unavailableShare is silent.
+// nextFromUnavailable returns Recovering when a node responds and less than unavailableShare is silent.
 func nextFromUnavailable(observation *zoneObservation) State {
 	if observation.responding && observation.silentShare < unavailableShare {
 		return Recovering
@@ -212,8 +213,8 @@
 	return Unavailable
 }
 
-// nextFromRecovering leads back to Unavailable as soon as the zone is silent, and to Available or Degraded when it has
-// responded for the recovery time, enough of its nodes respond and it is not suspect.
+// nextFromRecovering returns the state after Recovering: Unavailable as soon as the zone is silent, and Available or
+// Degraded when the recovery time has passed, enough nodes respond and the zone is not suspect.
 func (z *ZoneHealth) nextFromRecovering(observation *zoneObservation) State {
 	if observation.silent {
 		return Unavailable
@@ -230,8 +231,8 @@
 	return Available
 }
 
-// countOutage makes the zone recover for longer after each outage, so that a flapping zone does not drag traffic back
-// and forth.
+// countOutage counts an outage. The recovery time doubles with each outage in a row, so that a flapping zone does not
+// keep moving traffic back and forth.
 func (z *ZoneHealth) countOutage() {
 	if z.State == Recovering || z.Flaps > 0 {
 		z.Flaps++
