--- a/cmd/reachpulley/simulation_test.go
+++ b/cmd/reachpulley/simulation_test.go
@@ -20,7 +20,7 @@
 		{
 			args: []string{"storm", "--share", "9"},
 			code: exitUsage,
-			want: []string{"--share: is not from 0 to 3"},
+			want: []string{"--share: 9 is not from 0 to 3"},
 		},
 		{
 			args: []string{"rooms", "play", "--dark", "5s", "--plot"},
--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -19,7 +19,7 @@
 
 func projectKey(i int) string { return "project-" + strconv.Itoa(i) }
 
-// BenchmarkTake compares the table with plain maps that forget nothing, at many keys.
+// BenchmarkTake compares the table with plain maps that forget nothing, for few and for many keys.
 func BenchmarkTake(b *testing.B) {
 	for _, n := range []int{100, 100_000} {
 		keys := projectKeys(n)
@@ -44,12 +44,12 @@
 	}
 }
 
-// wheelLimit is the reference limit with a timing wheel that forgets idle keys.
+// wheelLimit is the reference limit with a timing wheel in which idle keys are found and forgotten.
 type wheelLimit struct {
 	*referenceLimit
-	wheel        [64][]string
-	advancedTo   int
-	slotDuration time.Duration
+	wheel        [64][]string  // keys by the slot in which they may be idle
+	advancedTo   int           // number of slots that have expired
+	slotDuration time.Duration // of one slot of the wheel
 }
 
 func (w *wheelLimit) take(now time.Duration, key string) bool {
@@ -64,7 +64,7 @@
 	return admitted
 }
 
-// expire forgets the idle keys of a slot of the wheel and moves the others on.
+// expire forgets the idle keys of a slot of the wheel and moves the others to later slots.
 func (w *wheelLimit) expire(slot int, now time.Duration) {
 	for _, key := range w.wheel[slot] {
 		arrival, known := w.theoreticalArrival[key]
@@ -86,8 +86,8 @@
 	w.wheel[slot] = append(w.wheel[slot], key)
 }
 
-// BenchmarkInvented measures one invented key after another, a million of them a second.
-func BenchmarkInvented(b *testing.B) {
+// BenchmarkOneTimeKeys measures requests that each have a new key, a million of them a second.
+func BenchmarkOneTimeKeys(b *testing.B) {
 	definition := Definition{Name: "l", Rate: 10, Burst: 10, Keys: 1 << 18}
 	b.Run("table", func(b *testing.B) {
 		l := newLimiter(b, definition)
@@ -114,7 +114,7 @@
 	})
 }
 
-// BenchmarkMapBytes measures the memory of plain maps for a million keys.
+// BenchmarkMapBytes measures the memory that plain maps take for each of a million keys.
 func BenchmarkMapBytes(b *testing.B) {
 	const n = 1_000_000
 	for b.Loop() {
--- a/internal/ratelimit/definition.go
+++ b/internal/ratelimit/definition.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// Definition is one limit. Its key is computed elsewhere.
+// Definition defines one limit. The caller computes the keys of the requests.
 type Definition struct {
 	Name   string
 	Rate   float64 // requests a second; 0: the rate is not limited
 	Burst  float64 // requests at once after an idle time
-	Open   int     // requests open at a time; 0: they are not limited
-	Parent string  // name of a limit that the request has to pass as well; empty: none
-	Keys   int     // keys that are counted exactly at a time; further ones share counters
+	Open   int     // requests open at a time; 0: their number is not limited
+	Parent string  // name of a limit that the requests must pass as well; empty: none
+	Keys   int     // number of keys that are counted exactly at a time; further keys share counters
 }
 
-// Bounds of a Definition.
+// Bounds of the fields of a Definition, in the same units.
 const (
 	MaxRate  = 1e6
 	MaxBurst = 1e6
@@ -27,22 +27,22 @@
 // Bounds of a list of definitions.
 const (
 	maxDefinitions = 256
-	maxDepth       = 4 // limits from a child up to its topmost parent
+	maxDepth       = 4 // number of limits from a child up to its topmost parent, both included
 )
 
-// noLimit stands for the number of a limit where there is none.
+// noLimit is the index of a limit where there is no limit.
 const noLimit = -1
 
-// Check returns the number of the first faulty definition, and what is wrong with it.
-func Check(definitions []Definition) (number int, err error) {
+// Check returns the index of the first invalid definition and what is wrong with it.
+func Check(definitions []Definition) (index int, err error) {
 	if len(definitions) > maxDefinitions {
-		return maxDefinitions, fmt.Errorf("%d limits are more than %d", len(definitions), maxDefinitions)
+		return maxDefinitions, fmt.Errorf("%d limits exceed the maximum of %d", len(definitions), maxDefinitions)
 	}
 	names := map[string]bool{}
 	for i, definition := range definitions {
 		err := definition.check()
 		if definition.Name == "" || names[definition.Name] {
-			err = errors.New("the name is missing or taken")
+			err = errors.New("name: it is empty or already taken")
 		}
 		if err != nil {
 			return i, fmt.Errorf("limit %q: %w", definition.Name, err)
@@ -52,7 +52,7 @@
 	return checkParents(definitions, names)
 }
 
-// check checks what does not depend on other definitions.
+// check checks the fields that do not depend on other definitions.
 func (d Definition) check() error {
 	switch { // the conditions are negated so that NaN is rejected, too
 	case !(d.Rate >= 0 && d.Rate <= MaxRate):
@@ -62,15 +62,15 @@
 	case d.Open < 0 || d.Open > MaxOpen:
 		return fmt.Errorf("open: %d is not from 0 to %d", d.Open, MaxOpen)
 	case d.Rate == 0 && d.Open == 0:
-		return errors.New("it bounds neither the rate nor what is open")
+		return errors.New("it limits neither the rate nor the number of open requests")
 	case d.Keys < MinKeys || d.Keys > MaxKeys:
 		return fmt.Errorf("keys: %d is not from %d to %d", d.Keys, MinKeys, MaxKeys)
 	}
 	return nil
 }
 
-// checkParents checks that all parents exist, and that following them ends.
-func checkParents(definitions []Definition, names map[string]bool) (number int, err error) {
+// checkParents checks that all parents exist and that no chain of parents has a cycle or is longer than maxDepth.
+func checkParents(definitions []Definition, names map[string]bool) (index int, err error) {
 	parents := parentsOf(definitions)
 	for i, definition := range definitions {
 		if definition.Parent != "" && !names[definition.Parent] {
@@ -79,7 +79,7 @@
 		depth := 0
 		for limit := i; limit != noLimit; limit = parents[limit] {
 			if depth++; depth > maxDepth {
-				return i, fmt.Errorf("limit %q: parent: it has itself above it, or more than %d limits",
+				return i, fmt.Errorf("limit %q: parent: the chain of parents has a cycle or more than %d limits",
 					definition.Name, maxDepth)
 			}
 		}
@@ -87,16 +87,16 @@
 	return 0, nil
 }
 
-// parentsOf returns the number of each definition's parent, or noLimit.
+// parentsOf returns the index of each definition's parent, or noLimit.
 func parentsOf(definitions []Definition) []int {
-	numbers := map[string]int{}
+	indexes := map[string]int{}
 	for i, definition := range definitions {
-		numbers[definition.Name] = i
+		indexes[definition.Name] = i
 	}
 	parents := make([]int, len(definitions))
 	for i, definition := range definitions {
 		parents[i] = noLimit
-		if parent, ok := numbers[definition.Parent]; ok && definition.Parent != "" {
+		if parent, ok := indexes[definition.Parent]; ok && definition.Parent != "" {
 			parents[i] = parent
 		}
 	}
--- a/internal/ratelimit/fairshare_test.go
+++ b/internal/ratelimit/fairshare_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Two keys request far more than their parent has, one of them ten times as much, and a third requests little. The two
-// get the same, and the modest one gets all that it requests.
-func TestFairAmongKeysOfAParent(t *testing.T) {
+// Two keys, "greedy" and "eager", request far more than their parent allows, at different rates. A third one, "modest",
+// requests little. The first two get the same, and the modest one gets all that it requests.
+func TestParentIsSharedFairlyAmongKeys(t *testing.T) {
 	l := newLimiter(t,
 		Definition{Name: "client", Rate: 1000, Burst: 1000, Parent: "gateway"},
 		Definition{Name: "gateway", Rate: 100, Burst: 50})
@@ -31,12 +31,13 @@
 		}
 	}
 	if admitted["modest"] < requested["modest"]*98/100 {
-		t.Errorf("the modest key got %d of %d", admitted["modest"], requested["modest"])
+		t.Errorf("the modest key got %d of %d requests, want at least 98%%", admitted["modest"], requested["modest"])
 	}
 	if ratio := float64(admitted["greedy"]) / float64(admitted["eager"]); ratio < 0.9 || ratio > 1.2 {
-		t.Errorf("greedy %d, eager %d", admitted["greedy"], admitted["eager"])
+		t.Errorf("the greedy key got %d requests and the eager one %d, want about the same",
+			admitted["greedy"], admitted["eager"])
 	}
 	if sum := admitted["greedy"] + admitted["modest"] + admitted["eager"]; sum < 5900 || sum > 6060 {
-		t.Errorf("%d in 60 s at 100 a second", sum)
+		t.Errorf("%d requests admitted in 60 s, want 100 a second", sum)
 	}
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -1,13 +1,15 @@
-// Package ratelimit limits what each key may request: requests a second with a burst, and requests open at a time.
-// Keys are the values of an expression. New keys take no more memory than was reserved at the start.
+// Package ratelimit limits the requests of each key, such as a client: requests a second with a burst, and requests
+// open at a time. The caller computes the keys. New keys take no memory beyond what was reserved at the start.
 //
-// The package has no clock, no lock and does no I/O: its caller passes the time and calls from one goroutine at a time.
+// The package reads no clock, takes no lock and does no I/O: its caller passes the time and calls from one goroutine at
+// a time.
 //
 // The parts of the package:
 //
-//   - Definition is a limit, and Check finds faulty ones.
+//   - Definition defines a limit, and Check finds invalid definitions.
 //   - Limiter admits or rejects requests under several limits at once.
-//   - A table (table.go) counts the keys of one limit, exactly in slots or, without a free slot, in a sketch.
+//   - A table (table.go) counts the requests of each key of one limit: exactly in a slot, or in a sketch if no slot
+//     is free.
 //   - fairshare.go divides the burst of a parent limit among the keys of its children.
 package ratelimit
 
@@ -18,45 +20,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// OpenRetryAfter is the Retry-After where as many requests are open as are allowed: nobody knows when one will end.
+// OpenRetryAfter is the Retry-After of a request that is rejected because too many are open. It is a constant, because
+// it is unknown when one of them will end.
 const OpenRetryAfter = time.Second
 
-// MaxClaims bounds the limits that a request may be under.
+// MaxClaims is the largest number of limits that a request may be subject to.
 const MaxClaims = 8
 
-// Claim is what a request needs from one limit.
+// Claim names a limit that a request is subject to, and the key that it counts for.
 type Claim struct {
-	Limit int    // its number among the definitions
-	Key   string // empty is a key like any other
+	Limit int    // index among the definitions
+	Key   string // the empty string is a key like any other
 }
 
 // Decision is the result of Take.
 type Decision struct {
 	Admitted   bool
-	Limit      int           // if rejected: the limit that makes the request wait for longest
-	RetryAfter time.Duration // if rejected: when a retry makes sense
+	Limit      int           // if rejected: index of the limit that makes the request wait longest
+	RetryAfter time.Duration // if rejected: time until a retry may be admitted
 	Grant      Grant         // if admitted: to be passed to Release once, at the end of the request
 }
 
-// rejectUntil makes the Decision a rejection by a limit if that makes the request wait for longer than any other.
+// rejectUntil makes the Decision a rejection by a limit if that limit makes the request wait longer than those before.
 func (d *Decision) rejectUntil(limit int, wait time.Duration) {
 	if wait > d.RetryAfter {
 		*d = Decision{Limit: limit, RetryAfter: wait}
 	}
 }
 
-// Grant is what an admitted request has reserved. It stays valid when the limits are replaced.
+// Grant holds the reservations of an admitted request. It stays valid when the limits are replaced.
 type Grant struct {
 	reservations [MaxClaims]reservation
 	count        int
 }
 
-// reservation is what a request has reserved of one limit.
+// reservation says where a request is counted by one limit.
 type reservation struct {
 	table *table
 	limit int
 	hash  uint64 // of the key
-	exact bool   // it is counted in a slot, not in the sketch
+	exact bool   // the request is counted in a slot, not in the sketch
 }
 
 // indexOf returns the index of the reservation of a limit, or -1.
@@ -71,9 +74,9 @@
 
 // Limiter enforces a list of limits. It owns their tables.
 type Limiter struct {
-	parents    []int             // by limit, or noLimit
-	tables     []*table          // by limit
-	byIdentity map[string]*table // by all that a table depends on, for Replace
+	parents    []int             // index of each limit's parent, or noLimit
+	tables     []*table          // of each limit
+	byIdentity map[string]*table // by the definition and whether it is a parent, for Replace
 	now        time.Duration
 }
 
@@ -110,9 +113,9 @@
 	return nil
 }
 
-// Take admits a request if all claimed limits do. Otherwise it rejects the request and counts nothing. A limit whose
-// parent is among the claims shares that parent fairly with its other keys. Each limit is claimed at most once, and
-// there are at most MaxClaims claims. If the time steps back, it counts as unchanged.
+// Take admits a request if all claimed limits admit it. Otherwise it rejects the request, and no limit counts it. If
+// the parent of a limit is among the claims as well, the keys of the limit share that parent fairly. Each limit is
+// claimed at most once, and there are at most MaxClaims claims. If the time steps back, it counts as unchanged.
 func (l *Limiter) Take(now time.Duration, claims []Claim) Decision {
 	l.now = max(l.now, now)
 	var found [MaxClaims]lookup
@@ -146,7 +149,7 @@
 	return Decision{Admitted: true, Grant: grant}
 }
 
-// Release ends an admitted request: it is no longer open. A grant is released once.
+// Release reports that an admitted request has ended and is no longer open. Each grant is released once.
 func (l *Limiter) Release(grant Grant) {
 	for _, reserved := range grant.reservations[:grant.count] {
 		reserved.table.release(reserved.hash, reserved.exact)
@@ -156,7 +159,7 @@
 // ActiveKeys returns the number of keys of a limit that have a slot and are not idle.
 func (l *Limiter) ActiveKeys(limit int) int { return l.tables[limit].activeKeys(l.now) }
 
-// Bytes returns the memory that all tables take.
+// Bytes returns the size of all tables in memory.
 func (l *Limiter) Bytes() (sum int) {
 	for _, table := range l.tables {
 		sum += table.bytes()
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// With a slot for every key the table decides as plain maps do, whatever comes in which order.
-func TestEqualsPlainMaps(t *testing.T) {
+// While every key has a slot, the table decides as plain maps do, for any requests in any order.
+func TestTableDecidesAsPlainMapsDo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		definition := Definition{
 			Name:  "l",
@@ -27,12 +27,13 @@
 		}
 		playRandomRequests(t, l, newReferenceLimit(definition))
 		if n := l.ActiveKeys(0); definition.Rate == 0 && n != 0 {
-			t.Fatalf("%d keys are active with nothing open", n)
+			t.Fatalf("%d keys are active although no request is open", n)
 		}
 	})
 }
 
-// playRandomRequests compares a Limiter with its reference request by request, and releases all grants in the end.
+// playRandomRequests compares the decisions of a Limiter and its reference for each request, and releases all grants in
+// the end.
 func playRandomRequests(t *rapid.T, l *Limiter, reference *referenceLimit) {
 	type openRequest struct {
 		key   string
@@ -50,7 +51,7 @@
 		key := strconv.Itoa(rapid.IntRange(0, 5).Draw(t, "key"))
 		decision := l.Take(now, []Claim{{0, key}})
 		if want := reference.take(now, key); decision.Admitted != want {
-			t.Fatalf("key %s at %v: %v, plain maps say %v", key, now, decision.Admitted, want)
+			t.Fatalf("key %s at %v: admitted is %v, and %v by plain maps", key, now, decision.Admitted, want)
 		}
 		if decision.Admitted {
 			open = append(open, openRequest{key, decision.Grant})
@@ -61,8 +62,8 @@
 	}
 }
 
-// A client that retries after the returned time is admitted.
-func TestRetryAfterHolds(t *testing.T) {
+// A client that retries after the returned Retry-After is admitted.
+func TestRetryAfterTheReturnedTimeIsAdmitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, err := New([]Definition{
 			{
@@ -93,7 +94,7 @@
 				// Clients get milliseconds, rounded up.
 				now += decision.RetryAfter.Truncate(time.Millisecond) + time.Millisecond
 				if decision = l.Take(now, claims); !decision.Admitted {
-					t.Fatalf("retried when told to, and is to wait for %v more", decision.RetryAfter)
+					t.Fatalf("a retry at the time told is rejected, with another wait of %v", decision.RetryAfter)
 				}
 			}
 			l.Release(decision.Grant)
@@ -102,19 +103,19 @@
 	})
 }
 
-func TestAllLimitsAdmitOrNoneCounts(t *testing.T) {
+func TestRejectedRequestIsCountedByNoLimit(t *testing.T) {
 	l := newLimiter(t, Definition{Name: "child", Rate: 1, Burst: 5}, Definition{Name: "narrow", Rate: 1, Burst: 1})
 	if decision := l.Take(0, []Claim{{0, "k"}, {1, "n"}}); !decision.Admitted {
 		t.Fatal("the first request is rejected")
 	}
 	for range 10 {
 		if decision := l.Take(0, []Claim{{0, "k"}, {1, "n"}}); decision.Admitted || decision.Limit != 1 {
-			t.Fatalf("%+v", decision)
+			t.Fatalf("a request beyond the burst of limit 1: %+v", decision)
 		}
 	}
 	for i := range 5 {
 		if decision := l.Take(0, []Claim{{0, "k"}}); decision.Admitted != (i < 4) {
-			t.Errorf("request %d after the rejected ones: %v", i, decision.Admitted)
+			t.Errorf("request %d after the rejected ones: admitted is %v", i, decision.Admitted)
 		}
 	}
 }
@@ -123,13 +124,13 @@
 	l := newLimiter(t, Definition{Name: "l", Rate: 1, Burst: 1})
 	claims := []Claim{{0, "k"}}
 	if !l.Take(time.Hour, claims).Admitted || l.Take(time.Minute, claims).Admitted {
-		t.Error("a step back counts as time")
+		t.Error("the first request is rejected, or a step back of the time admits another one")
 	}
 	if decision := l.Take(time.Hour+time.Second, claims); !decision.Admitted {
-		t.Errorf("a step back delays the key: %v", decision.RetryAfter)
+		t.Errorf("a step back of the time makes the key wait for another %v", decision.RetryAfter)
 	}
 	if !l.Take(1000*time.Hour, claims).Admitted || l.Take(1000*time.Hour, claims).Admitted {
-		t.Error("a long idle time gains more than the burst")
+		t.Error("after a long idle time the burst is not what is admitted")
 	}
 }
 
@@ -142,23 +143,23 @@
 		t.Fatal(err)
 	}
 	if decision := l.Take(0, []Claim{{1, "k"}}); decision.Admitted {
-		t.Error("the rate was forgotten")
+		t.Error("the count of the unchanged limit by rate is lost")
 	}
 	if decision := l.Take(0, []Claim{{0, "k"}}); decision.Admitted {
-		t.Error("the open request was forgotten")
+		t.Error("the count of the unchanged limit of open requests is lost")
 	}
 	l.Release(open.Grant) // admitted before the limits changed places
 	if decision := l.Take(0, []Claim{{0, "k"}}); !decision.Admitted {
-		t.Error("the ended request still counts as open")
+		t.Error("the released request still counts as open")
 	}
 	byRate.Rate = 2
 	if err := l.Replace([]Definition{byRate}); err != nil {
 		t.Fatal(err)
 	}
 	if decision := l.Take(0, []Claim{{0, "k"}}); !decision.Admitted {
-		t.Error("a changed limit keeps its counts")
+		t.Error("the changed limit has kept its counts")
 	}
 	if err := l.Replace([]Definition{{Name: "x"}}); err == nil || l.Take(0, []Claim{{0, "k"}}).Admitted {
-		t.Error("a faulty list changed something")
+		t.Error("an invalid list of limits is accepted or has changed the limits")
 	}
 }
--- a/internal/ratelimit/reference_test.go
+++ b/internal/ratelimit/reference_test.go
@@ -9,7 +9,7 @@
 // Every run of the property tests draws the same cases.
 func init() { flag.Set("rapid.seed", "1") }
 
-// newLimiter makes a Limiter, with MinKeys keys where a definition names no number.
+// newLimiter makes a Limiter. Definitions without a number of keys get MinKeys.
 func newLimiter(t testing.TB, definitions ...Definition) *Limiter {
 	t.Helper()
 	for i := range definitions {
@@ -24,7 +24,7 @@
 	return l
 }
 
-// referenceLimit is a limit by maps that forget nothing, to compare a table with.
+// referenceLimit implements a limit with plain maps that forget nothing, as the reference for a table.
 type referenceLimit struct {
 	definition         Definition
 	theoreticalArrival map[string]time.Duration
@@ -39,7 +39,7 @@
 	}
 }
 
-// take admits a request or not.
+// take counts a request and reports whether it is admitted.
 func (r *referenceLimit) take(now time.Duration, key string) bool {
 	interval := emissionInterval(r.definition.Rate)
 	burstTolerance := time.Duration((r.definition.Burst - 1) * float64(interval))
@@ -54,5 +54,5 @@
 	return true
 }
 
-// release ends an admitted request.
+// release reports that an admitted request has ended.
 func (r *referenceLimit) release(key string) { r.open[key]-- }
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -8,52 +8,56 @@
 )
 
 const (
-	slotsPerBucket     = 8 // slots in which a key may be, by its hash
-	sketchRows         = 4
-	keysPerSketchCell  = 8                // exact keys for each cell of a row of the sketch
-	maxGrace           = 10 * time.Second // for which a returning key keeps its slot while it is idle
-	graceIntervals     = 20               // the grace in emission intervals, up to maxGrace
-	minReturningCounts = 2                // requests from which a key counts as a returning one
+	slotsPerBucket    = 8 // slots in which a key may be stored, by its hash
+	sketchRows        = 4
+	keysPerSketchCell = 8 // slots of the table for each cell in a row of the sketch
+
+	// An idle returning key keeps its slot for graceIntervals emission intervals, but no longer than maxGrace.
+	graceIntervals = 20
+	maxGrace       = 10 * time.Second
+
+	minReturningRequests = 2 // a key with at least so many requests is a returning one
 )
 
 // entry counts the requests of one key.
 type entry struct {
 	hash               uint64
-	theoreticalArrival time.Duration // of the next request; now or earlier: the burst is unused
-	parentShare        float64       // of the parent's used requests, in the parent's scale
-	epoch              uint32        // of the parent, to which parentShare belongs
-	open               int32
-	seen               uint32 // requests, up to the greatest number that fits
+	theoreticalArrival time.Duration // of the next request; if it is not in the future, the whole burst is free
+	parentShare        float64       // of the parent's used requests, divided by the parent's scale
+	epoch              uint32        // of the parent, in which parentShare is valid
+	open               int32         // open requests
+	seen               uint32        // requests so far, up to math.MaxUint32
 }
 
-// idle reports whether a key has its whole burst and no open request, so that nothing is lost if it is forgotten.
+// idle reports whether a key has its whole burst and no open request, so that it can be forgotten without any loss.
 func (e *entry) idle(now time.Duration) bool { return e.theoreticalArrival <= now && e.open == 0 }
 
-// sketchCell counts for all keys that share it.
+// sketchCell counts the requests of all keys that share it.
 type sketchCell struct {
 	theoreticalArrival time.Duration
 	open               int32
 }
 
-// table counts the keys of one limit in memory that never grows. A key is in one of eight slots by its hash. A slot
-// whose key is idle is as good as empty, so no sweep and no timer is needed. Where all eight slots are taken, the key
-// counts in a sketch (count-min with conservative update): it is never charged less than it used, maybe more.
+// table counts the requests of the keys of one limit, in memory that never grows. A key is stored in one of eight slots
+// that its hash selects. A slot whose key is idle can be reused, so neither sweeps nor timers are needed. If all eight
+// slots are in use, the key is counted in a sketch (count-min with conservative update), which never charges a key less
+// than it used, but maybe more.
 type table struct {
 	definition     Definition
-	interval       time.Duration // emission interval: the time of one request by the rate
+	interval       time.Duration // emission interval: the time between two requests at the limit's rate
 	burstTolerance time.Duration
-	grace          time.Duration
+	grace          time.Duration // for which an idle returning key keeps its slot
 	slots          []entry
-	usage          []parentUsage // by slot, of a limit that is a parent
+	usage          []parentUsage // of each slot; nil if the limit is no parent
 	sketch         [sketchRows][]sketchCell
-	scratch        entry // of the key that was looked up last, if it has no slot
+	scratch        entry // estimate for the key that was looked up last, if it has no slot
 }
 
-// lookup is where a key is counted.
+// lookup is the result of looking up a key in a table.
 type lookup struct {
 	*entry
 	usage *parentUsage // nil if the limit is no parent or the key has no slot
-	exact bool         // entry is a slot, not an estimate of the sketch
+	exact bool         // the entry is a slot, not an estimate of the sketch
 }
 
 func newTable(definition Definition, isParent bool) *table {
@@ -74,7 +78,7 @@
 	return t
 }
 
-// emissionInterval returns the time of one request by a rate, or 0 for a rate that is not limited.
+// emissionInterval returns the time between two requests at a rate, or 0 if the rate is 0, which means no limit.
 func emissionInterval(rate float64) time.Duration {
 	if rate == 0 {
 		return 0
@@ -88,7 +92,8 @@
 		sketchRows*len(t.sketch[0])*int(unsafe.Sizeof(sketchCell{}))
 }
 
-// find looks up a key and gives it a slot if one is free. The result is valid until the next find in the same table.
+// find looks up a key by its hash, and gives a new key a slot if one is free. The result is valid until the next find
+// in the same table.
 func (t *table) find(hash uint64, now time.Duration) lookup {
 	first := t.firstSlot(hash)
 	free := -1
@@ -111,17 +116,18 @@
 	return t.slot(free)
 }
 
-// firstSlot returns the first of the slots in which a key may be.
+// firstSlot returns the index of the first slot in which a key may be stored.
 func (t *table) firstSlot(hash uint64) int {
 	return int(hash) & (len(t.slots) - 1) &^ (slotsPerBucket - 1)
 }
 
-// replaceable reports whether another key may take a slot. A returning key keeps its slot for a while, so that
-// invented keys do not evict it.
+// replaceable reports whether another key may take a slot. A returning key keeps its slot for a while, so that a flood
+// of keys that come only once does not evict it.
 func (t *table) replaceable(e *entry, now time.Duration) bool {
-	return e.idle(now) && (e.seen < minReturningCounts || e.theoreticalArrival+t.grace <= now)
+	return e.idle(now) && (e.seen < minReturningRequests || e.theoreticalArrival+t.grace <= now)
 }
 
+// slot returns the lookup of the key in a slot.
 func (t *table) slot(i int) lookup {
 	found := lookup{entry: &t.slots[i], exact: true}
 	if t.usage != nil {
@@ -130,7 +136,7 @@
 	return found
 }
 
-// estimate returns the sketch's estimate of a key: the lowest count of its cells.
+// estimate returns the sketch's estimate for a key: the lowest count of its cells.
 func (t *table) estimate(hash uint64) *entry {
 	t.scratch = entry{hash: hash, theoreticalArrival: math.MaxInt64, open: math.MaxInt32}
 	for row := range t.sketch {
@@ -141,15 +147,15 @@
 	return &t.scratch
 }
 
-// cell returns the cell of a key in a row. Rows use different bits of a mixed hash, so that two keys rarely share all
-// cells.
+// cell returns the cell of a key in a row of the sketch. Each row mixes the hash differently, so that two keys rarely
+// share all their cells.
 func (t *table) cell(row int, hash uint64) *sketchCell {
 	mixed := (hash ^ uint64(row+1)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	cells := t.sketch[row]
 	return &cells[(mixed>>32)%uint64(len(cells))]
 }
 
-// wait returns how long until a key's own limit admits another request. 0 means that it does now.
+// wait returns the time until a key's own limit admits another request. 0 means that it does now.
 func (t *table) wait(e *entry, now time.Duration) time.Duration {
 	if t.definition.Open > 0 && int(e.open) >= t.definition.Open {
 		return OpenRetryAfter
@@ -162,12 +168,12 @@
 	return max(0, e.theoreticalArrival-now-t.burstTolerance)
 }
 
-// used returns how many requests of a key's burst are used.
+// used returns how many requests of a key's burst are in use.
 func (t *table) used(e *entry, now time.Duration) float64 {
 	return max(0, float64(e.theoreticalArrival-now)/float64(t.interval))
 }
 
-// count counts an admitted request.
+// count adds an admitted request to the counts of its key.
 func (t *table) count(found lookup, now time.Duration) {
 	if t.definition.Rate > 0 {
 		found.theoreticalArrival = max(found.theoreticalArrival, now) + t.interval
@@ -183,7 +189,8 @@
 	}
 }
 
-// countInSketch counts a request of a key without a slot. It raises each cell to the key's arrival, and no further.
+// countInSketch counts a request of a key without a slot. It raises each cell to the theoretical arrival of the key and
+// no further.
 func (t *table) countInSketch(e *entry) {
 	for row := range t.sketch {
 		cell := t.cell(row, e.hash)
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// inventedKeys plays requests of keys of which each comes once, beside honest and greedy keys.
-type inventedKeys struct {
+// oneTimeKeyFlood sends requests of keys that come only once, beside those of honest keys and of a greedy one.
+type oneTimeKeyFlood struct {
 	limiter   *Limiter
-	reference *referenceLimit // sees the honest keys alone
+	reference *referenceLimit // gets only the requests of the honest keys
 	random    *rand.Rand
 	now       time.Duration
 
@@ -23,25 +23,26 @@
 }
 
 const (
-	inventedPerSecond = 1_000_000
-	honestKeys        = 100
-	honestRate        = 8 // requests a second of each honest key, of the 10 that the limit allows
+	oneTimeKeysPerSecond = 1_000_000
+	honestKeys           = 100
+	honestRate           = 8 // requests a second of each honest key, of the 10 that the limit allows
 )
 
-func (p *inventedKeys) play(count int) {
+// play sends the requests of count one-time keys, with those of the other keys between them.
+func (p *oneTimeKeyFlood) play(count int) {
 	for i := range count {
-		p.now += time.Second / inventedPerSecond
-		p.limiter.Take(p.now, []Claim{{0, "invented" + strconv.Itoa(i)}})
-		if p.random.Float64() < honestRate*float64(honestKeys)/inventedPerSecond {
+		p.now += time.Second / oneTimeKeysPerSecond
+		p.limiter.Take(p.now, []Claim{{0, "once" + strconv.Itoa(i)}})
+		if p.random.Float64() < honestRate*float64(honestKeys)/oneTimeKeysPerSecond {
 			p.requestHonest("honest" + strconv.Itoa(p.random.IntN(honestKeys)))
 		}
-		if i%1000 == 0 { // a hundred times the rate
+		if i%1000 == 0 { // a hundred times the rate of the limit
 			p.requestGreedy()
 		}
 	}
 }
 
-func (p *inventedKeys) requestHonest(key string) {
+func (p *oneTimeKeyFlood) requestHonest(key string) {
 	p.honestRequests++
 	if !p.limiter.Take(p.now, []Claim{{0, key}}).Admitted {
 		p.honestRejected++
@@ -51,48 +52,49 @@
 	}
 }
 
-func (p *inventedKeys) requestGreedy() {
+func (p *oneTimeKeyFlood) requestGreedy() {
 	p.greedyRequests++
 	if p.limiter.Take(p.now, []Claim{{0, "greedy"}}).Admitted {
 		p.greedyAdmitted++
 	}
 }
 
-// Ten million keys, each new, come beside 100 honest ones that request 80% of their rate. Memory stays what it is, and
-// the limits of the honest keys hold.
-func TestInventedKeys(t *testing.T) {
-	invented := 10_000_000
+// A flood of ten million keys that come only once neither takes memory nor affects other keys: 100 honest keys that
+// request 80% of their rate are admitted, and a greedy key gets no more than its limit.
+func TestFloodOfOneTimeKeysAffectsNoOtherKey(t *testing.T) {
+	oneTimeKeys := 10_000_000
 	if testing.Short() || raceEnabled {
-		invented = 1_000_000
+		oneTimeKeys = 1_000_000
 	}
 	l := newLimiter(t, Definition{Name: "l", Rate: 10, Burst: 5, Keys: 1 << 18})
 	bytes := l.Bytes()
 	if bytes > 16<<20 {
-		t.Errorf("%d bytes", bytes)
+		t.Errorf("the limiter takes %d bytes, want at most 16 MiB", bytes)
 	}
-	p := &inventedKeys{
+	p := &oneTimeKeyFlood{
 		limiter:   l,
 		reference: newReferenceLimit(Definition{Rate: 10, Burst: 5}),
 		random:    rand.New(rand.NewPCG(1, 2)),
 	}
-	p.play(invented)
-	// Plain maps reject some requests, too: they come at random.
+	p.play(oneTimeKeys)
+	// Plain maps reject some honest requests, too, because these come at random times.
 	falselyRejected := float64(p.honestRejected-p.referenceRejected) / float64(p.honestRequests)
 	if falselyRejected > 0.001 || falselyRejected < -0.001 {
-		t.Errorf("of %d honest requests %d are rejected, %d by plain maps that see them alone",
+		t.Errorf("of %d honest requests %d are rejected, and %d by plain maps that get no others",
 			p.honestRequests, p.honestRejected, p.referenceRejected)
 	}
 	if maxAdmitted := 5 + int(10*p.now.Seconds()) + 1; p.greedyAdmitted > maxAdmitted {
-		t.Errorf("the greedy key got %d, its limit is %d", p.greedyAdmitted, maxAdmitted)
+		t.Errorf("%d requests of the greedy key are admitted, its limit is %d", p.greedyAdmitted, maxAdmitted)
 	}
 	if l.Bytes() != bytes {
-		t.Error("memory grew")
+		t.Errorf("the limiter takes %d bytes after the flood, and %d before", l.Bytes(), bytes)
 	}
-	t.Logf("%d keys in %d MB: honest rejected %d (by plain maps %d) of %d, greedy %d of %d", invented, bytes>>20,
+	t.Logf("%d keys in %d MiB: %d honest requests rejected (%d by plain maps) of %d, %d greedy ones admitted of %d",
+		oneTimeKeys, bytes>>20,
 		p.honestRejected, p.referenceRejected, p.honestRequests, p.greedyAdmitted, p.greedyRequests)
 }
 
-// Keys without a slot are never counted for less than they used, and open requests among them are released.
+// The sketch never counts less for a key than it used, and releases the open requests of its keys.
 func TestKeysWithoutASlotAreNotUndercounted(t *testing.T) {
 	l := newLimiter(t, Definition{Name: "l", Rate: 0.001, Burst: 3, Open: 2})
 	var grants []Grant
@@ -102,7 +104,7 @@
 		}
 	}
 	for i := range 50 {
-		key := fmt.Sprint("late", i)
+		key := fmt.Sprint("no slot", i)
 		admitted := 0
 		for range 10 {
 			if decision := l.Take(0, []Claim{{0, key}}); decision.Admitted {
@@ -111,7 +113,7 @@
 			}
 		}
 		if admitted > 2 {
-			t.Errorf("%s got %d open of 2", key, admitted)
+			t.Errorf("key %q got %d open requests, its limit is 2", key, admitted)
 		}
 	}
 	for _, grant := range grants {
@@ -124,13 +126,13 @@
 	t.Helper()
 	for i := range table.slots {
 		if table.slots[i].open != 0 {
-			t.Fatal("a slot still counts open requests")
+			t.Fatalf("slot %d counts %d open requests after all were released", i, table.slots[i].open)
 		}
 	}
 	for _, row := range table.sketch {
 		for _, cell := range row {
 			if cell.open != 0 {
-				t.Fatal("a cell of the sketch still counts open requests")
+				t.Fatalf("a cell of the sketch counts %d open requests after all were released", cell.open)
 			}
 		}
 	}
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,8 +1,9 @@
-// Package retrybudget bounds retries by what first attempts earn: a token bucket for each operation and group of
-// nodes, which served first attempts fill and retries spend. Where retries are served the budget is wide. Where they
-// are not it closes to a trickle, so that a storm of failures does not become a storm of retries.
+// Package retrybudget limits retries to what first attempts earn. Each operation at a group of nodes has a token
+// bucket, which served first attempts fill and retries spend. While retries succeed, first attempts earn much. While
+// retries fail, the budget shrinks to a trickle, so that a storm of failures does not become a storm of retries.
 //
-// The package has no clock, no lock and does no I/O: its caller passes the time and calls from one goroutine at a time.
+// The package reads no clock, takes no lock and does no I/O: its caller passes the time and calls from one goroutine at
+// a time.
 package retrybudget
 
 import (
@@ -14,22 +15,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Tuned values of the success share of a budget.
+// Constants of the success share of a budget.
 const (
-	// successShareGain is how much one retry moves the share towards its own result.
+	// successShareGain is the weight of the latest retry in the success share, which is an exponential moving average.
 	successShareGain = 0.1
-	// successShareDecay is the time in which the share returns by a factor of e towards neutralSuccessShare.
+	// successShareDecay is the time in which the difference from neutralSuccessShare shrinks by a factor of e.
 	successShareDecay = 30 * time.Second
-	// neutralSuccessShare is assumed before any retry has ended.
+	// neutralSuccessShare is the success share before any retry has ended.
 	neutralSuccessShare = 0.5
 )
 
-// ErrSettingsChanged means that a state can't be resumed because it has another number of budgets.
-var ErrSettingsChanged = errors.New("retry budget: the state is of other settings")
+// ErrSettingsChanged means that a stored state can't be resumed because it has another number of budgets.
+var ErrSettingsChanged = errors.New("retry budget: the state was stored under other settings")
 
-// Key names a budget: an operation, or a class for calls that no description covers, at a group of nodes.
+// Key identifies a budget: that of an operation and class at a group of nodes.
 type Key struct {
-	Operation string
+	Operation string // empty if no description covers the call
 	Class     int
 	Shard     int // the group of nodes that hold the same data
 	Zone      int
@@ -49,17 +50,17 @@
 	_            struct{} `cbor:",toarray"`
 	Tokens       float64
 	SuccessShare float64       `json:"Earn"` // smoothed share of the retries that were served
-	At           time.Duration // up to which the budget has been refilled
-	Started      bool          `json:"Met"` // it has been used
+	At           time.Duration // time up to which the budget has been refilled
+	Started      bool          `json:"Met"` // whether the budget has ever been used
 }
 
-// Table holds the budgets of all keys. Their number is fixed, so that new operations and groups take no memory.
+// Table holds the budgets of all keys. Their number is fixed, so that new operations and nodes take no memory.
 type Table struct {
 	settings Settings
-	cells    []Budget // by hash of the key
+	cells    []Budget // by the hash of the key, modulo their number
 }
 
-// New makes a Table, or returns nil if the settings ask for none.
+// New makes a Table, or returns nil if the settings turn retry budgets off.
 func New(settings Settings) *Table {
 	if settings.Share <= 0 {
 		return nil
@@ -87,8 +88,8 @@
 	return budget
 }
 
-// Take spends a token for a retry. It reports false if there is none. The token is spent whether the retry is sent or
-// not.
+// Take spends a token for a retry. It reports false if there is no token. The token stays spent even if the retry is
+// not sent in the end.
 func (t *Table) Take(now time.Duration, key Key) bool {
 	budget := t.refilled(now, key)
 	if budget.Tokens < 1 {
@@ -98,8 +99,9 @@
 	return true
 }
 
-// AttemptEnded records the result of an attempt. A served first attempt earns the share that is due to the success of
-// retries. One that was not served earns nothing, so that failures do not pay for retries.
+// AttemptEnded records the result of an attempt. The result of a retry changes the success share. A served first
+// attempt earns between MinShare and Share tokens, the more the higher the success share is. A first attempt that was
+// not served earns nothing, so that failures do not pay for retries.
 func (t *Table) AttemptEnded(now time.Duration, key Key, retry, served bool) {
 	budget := t.refilled(now, key)
 	switch {
@@ -111,13 +113,13 @@
 		budget.SuccessShare += successShareGain * (result - budget.SuccessShare)
 	case served:
 		earnable := t.settings.Share - t.settings.MinShare
-		// The order of the sum is part of the behaviour: a replay compares the tokens to the last bit.
+		// The order of this sum must not change: a replay compares the tokens to the last bit.
 		tokens := budget.Tokens + t.settings.MinShare + earnable*budget.SuccessShare
 		budget.Tokens = min(t.settings.Burst, tokens)
 	}
 }
 
-// Snapshot returns the state. It is nil if there are no budgets.
+// Snapshot returns a copy of all budgets, in the form that snapshots store. It is nil if t is nil.
 func (t *Table) Snapshot() []Budget {
 	if t == nil {
 		return nil
@@ -125,7 +127,7 @@
 	return slices.Clone(t.cells)
 }
 
-// Resume continues from a state. It fails with ErrSettingsChanged if that has another number of budgets.
+// Resume continues from a stored state. It returns ErrSettingsChanged if that has another number of budgets.
 func (t *Table) Resume(cells []Budget) error {
 	if t == nil && len(cells) == 0 {
 		return nil
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -16,7 +16,8 @@
 
 var testSettings = Settings{Share: 0.5, MinShare: 0.05, Trickle: 1, Burst: 5, Cells: 64}
 
-// Whatever happens, there are no more retries than the burst, the trickle and the share of what was served allow.
+// For any sequence of attempts, there are no more retries than the burst, the trickle and the share of the served first
+// attempts allow.
 func TestNoMoreRetriesThanAreEarned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budgets := New(testSettings)
@@ -42,12 +43,13 @@
 		trickled := testSettings.Trickle * now.Seconds()
 		earned := testSettings.Burst + trickled + testSettings.Share*float64(served)
 		if float64(retries) > earned+1e-9 {
-			t.Fatalf("%d retries, %.2f are earned", retries, earned)
+			t.Fatalf("%d retries were taken, only %.2f were earned", retries, earned)
 		}
 	})
 }
 
-// retriesTaken returns how many retries a thousand served first attempts earn, after as many to learn from.
+// retriesTaken returns how many retries a thousand served first attempts earn, after a thousand others that settle the
+// success share.
 func retriesTaken(retriesServed bool) (taken int) {
 	budgets := New(Settings{Share: 0.5, MinShare: 0.05, Burst: 5, Cells: 64})
 	for i := range 2000 {
@@ -74,13 +76,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if taken := retriesTaken(test.retriesServed); taken < test.minTaken || taken > test.maxTaken {
-				t.Errorf("%d of 1000, want %d to %d", taken, test.minTaken, test.maxTaken)
+				t.Errorf("%d retries for 1000 first attempts, want %d to %d", taken, test.minTaken, test.maxTaken)
 			}
 		})
 	}
 }
 
-// Failures of an operation at one group of nodes spend no other budget, and new operations take no memory.
+// Retries of an operation at one group of nodes spend no token of another group, and new operations take no memory.
 func TestBudgetsAreSeparateAndBounded(t *testing.T) {
 	budgets := New(testSettings)
 	spent := Key{Operation: "a", Shard: 1}
@@ -88,29 +90,29 @@
 	for budgets.Take(0, spent) {
 	}
 	if !budgets.Take(0, other) {
-		t.Error("another group's budget is spent")
+		t.Error("retries at one group of nodes spent the budget of another group")
 	}
 	for i := range 10_000 {
 		budgets.Take(0, Key{Operation: fmt.Sprint(i)})
 	}
 	if len(budgets.cells) != testSettings.Cells {
-		t.Errorf("%d cells", len(budgets.cells))
+		t.Errorf("there are %d cells, want %d", len(budgets.cells), testSettings.Cells)
 	}
 }
 
-func TestResume(t *testing.T) {
+func TestResumeRestoresBudgetsOfSameSettings(t *testing.T) {
 	budgets := New(testSettings)
 	for i := range 10_000 {
 		budgets.Take(0, Key{Operation: fmt.Sprint(i)})
 	}
 	resumed := New(testSettings)
 	if err := resumed.Resume(budgets.Snapshot()); err != nil || !cmp.Equal(resumed.cells, budgets.cells) {
-		t.Errorf("not the same after Resume: %v", err)
+		t.Errorf("the budgets differ after Resume (error %v)", err)
 	}
 	if err := resumed.Resume(budgets.Snapshot()[1:]); !errors.Is(err, ErrSettingsChanged) {
-		t.Errorf("another number of budgets: %v, want %v", err, ErrSettingsChanged)
+		t.Errorf("Resume with another number of budgets: %v, want %v", err, ErrSettingsChanged)
 	}
 	if err := New(Settings{}).Resume(budgets.Snapshot()); !errors.Is(err, ErrSettingsChanged) {
-		t.Errorf("no budgets: %v, want %v", err, ErrSettingsChanged)
+		t.Errorf("Resume with budgets turned off: %v, want %v", err, ErrSettingsChanged)
 	}
 }
