--- a/internal/admission/action.go
+++ b/internal/admission/action.go
@@ -1,9 +1,9 @@
 package admission
 
-// ConnectionID names a connection. It is never used twice.
+// ConnectionID identifies a connection. The caller never uses an ID twice.
 type ConnectionID uint64
 
-// StreamID names a stream of a connection.
+// StreamID identifies a stream within its connection.
 type StreamID uint32
 
 // ActionKind is what an Action asks for.
@@ -14,8 +14,8 @@
 	StartStream     ActionKind = iota // process the stream's request
 	RejectStream                      // REFUSED_STREAM: it was not processed (RFC 9113, section 8.7)
 	AbortStream                       // reset the stream: its response makes no progress
-	LimitStreams                      // announce another limit of streams to the connection
-	GoAway                            // GOAWAY: open streams are completed, new ones are not processed
+	LimitStreams                      // announce a new limit of streams on the connection
+	GoAway                            // send GOAWAY: open streams are completed, the client should open no more
 	CloseConnection                   // close the connection
 )
 
@@ -31,16 +31,16 @@
 // String returns the name of an ActionKind, for tests.
 func (k ActionKind) String() string { return actionNames[k] }
 
-// Action is what the caller is to do. Actions are carried out in their order.
+// Action is what the caller is to do. The caller carries out actions in their order.
 type Action struct {
 	Kind       ActionKind
 	Connection ConnectionID
-	Stream     StreamID // of StartStream, RejectStream and AbortStream
-	Count      int      // of LimitStreams
-	Reason     string   // of GoAway and CloseConnection; the client gets it as debug data
+	Stream     StreamID // for StartStream, RejectStream and AbortStream
+	Count      int      // for LimitStreams: the new limit
+	Reason     string   // for GoAway and CloseConnection; the client gets it as debug data
 }
 
-// The Reasons of GoAway and CloseConnection. Clients get them.
+// The reasons of GoAway and CloseConnection. Clients get them as debug data.
 const (
 	reasonAge      = "age"
 	reasonRequests = "requests"
--- a/internal/admission/churn_test.go
+++ b/internal/admission/churn_test.go
@@ -10,8 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever happens: no bound is exceeded, every stream is started or rejected once, and nothing is left after churn.
-func TestChurn(t *testing.T) {
+// For any sequence of events, no limit is exceeded, a stream is started only while it waits, and nothing is left after
+// all connections have ended.
+func TestRandomEventsKeepLimitsAndLeaveNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newChurn(t)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
@@ -28,7 +29,7 @@
 	stream     StreamID
 }
 
-// churn plays random events on a Controller and tracks the streams by the actions that come back.
+// churn plays random events on a Controller and tracks the streams by the returned actions.
 type churn struct {
 	t           *rapid.T
 	config      Config
@@ -100,15 +101,16 @@
 	}
 }
 
-// someStream returns the stream in flight with the least ID, or perhaps a waiting one with a lesser ID.
+// someStream returns the stream in flight with the lowest ID, or at random a waiting one with a lower ID.
 func (p *churn) someStream() (some streamKey) {
 	for key := range p.inFlight {
 		if some == (streamKey{}) || key.stream < some.stream {
 			some = key
 		}
 	}
-	for _, key := range slices.SortedFunc(maps.Keys(p.waiting), compareStreamKeys) { // so that draws have an order
-		if some == (streamKey{}) || key.stream < some.stream && rapid.Bool().Draw(p.t, "of the waiting ones") {
+	// The keys are sorted so that the draws are reproducible.
+	for _, key := range slices.SortedFunc(maps.Keys(p.waiting), compareStreamKeys) {
+		if some == (streamKey{}) || key.stream < some.stream && rapid.Bool().Draw(p.t, "take a waiting stream") {
 			some = key
 		}
 	}
@@ -117,25 +119,26 @@
 
 func compareStreamKeys(a, b streamKey) int { return cmp.Compare(a.stream, b.stream) }
 
+// arrive opens a stream on a connection, if that exists.
 func (p *churn) arrive(id ConnectionID) {
 	if !p.connections[id] {
 		return
 	}
 	p.lastStream += 2
 	p.waiting[streamKey{id, p.lastStream}] = true
-	who := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(p.t, "client")
+	clientID := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(p.t, "client")
 	urgency := rapid.IntRange(0, MaxUrgency).Draw(p.t, "urgency")
-	p.carryOut(p.controller.Arrive(p.now, id, p.lastStream, who, urgency))
+	p.carryOut(p.controller.Arrive(p.now, id, p.lastStream, clientID, urgency))
 }
 
-// carryOut follows the actions of an event.
+// carryOut tracks the streams by the actions of an event.
 func (p *churn) carryOut(actions []Action) {
 	for _, action := range actions {
 		key := streamKey{action.Connection, action.Stream}
 		switch action.Kind {
 		case StartStream:
 			if !p.waiting[key] || p.inFlight[key] {
-				p.t.Fatalf("%v is started, and does not wait", key)
+				p.t.Fatalf("stream %v is started although it does not wait", key)
 			}
 			delete(p.waiting, key)
 			p.inFlight[key] = true
@@ -175,7 +178,7 @@
 	c := p.controller
 	if len(p.inFlight) != c.inFlight || len(p.inFlight) > p.config.MaxInFlight || c.memory > p.config.Memory ||
 		c.memory < 0 || len(c.connections) > p.config.Connections {
-		p.t.Fatalf("%d in flight (%d counted), %d bytes, %d connections",
+		p.t.Fatalf("%d streams in flight (%d counted), %d bytes reserved, %d connections",
 			len(p.inFlight), c.inFlight, c.memory, len(c.connections))
 	}
 	perConnection := map[ConnectionID]int{}
@@ -184,7 +187,8 @@
 	}
 	for id, streams := range perConnection {
 		if streams > p.config.PerConnection {
-			p.t.Fatalf("connection %d has %d streams in flight", id, streams)
+			p.t.Fatalf("connection %d has %d streams in flight, its limit is %d",
+				id, streams, p.config.PerConnection)
 		}
 	}
 }
@@ -196,7 +200,7 @@
 	left := len(c.connections) + len(c.clients) + c.inFlight + c.memory +
 		c.waiting.byArrival.Len() + len(c.waiting.ready) + len(c.abuse)
 	if left != 0 {
-		p.t.Fatalf("left: %d connections, %d clients, %d streams in flight, %d bytes",
-			len(c.connections), len(c.clients), c.inFlight, c.memory)
+		p.t.Fatalf("left: %d connections, %d clients, %d streams in flight, %d waiting, %d bytes, %d addresses",
+			len(c.connections), len(c.clients), c.inFlight, c.waiting.byArrival.Len(), c.memory, len(c.abuse))
 	}
 }
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Config bounds a frontend.
+// Config holds the limits of a frontend.
 type Config struct {
 	MaxInFlight      int           // streams in flight, over all connections
 	PerConnection    int           // streams in flight of one connection
 	PerClient        int           // streams in flight of one client, over all its connections
 	Streams          int           // streams of a connection, in flight or waiting: SETTINGS_MAX_CONCURRENT_STREAMS
-	MinStreams       int           // the least that Streams is lowered to under load
-	Connections      int           // connections at a time
+	MinStreams       int           // the lowest limit to which Streams is reduced under load
+	Connections      int           // open connections
 	Memory           int           // bytes of requests and responses in memory, for all connections
-	ConnectionMemory int           // bytes of them for one connection
-	Stall            time.Duration // for which a response may make no progress before its stream is aborted
-	Age              time.Duration // after which a connection is asked to go away, plus or minus a fifth; 0: never
+	ConnectionMemory int           // the same for one connection
+	Stall            time.Duration // how long a response may make no progress before its stream is aborted
+	Age              time.Duration // at which a connection is asked to go away, plus or minus a fifth; 0: never
 	Requests         int           // after which a connection is asked to go away, plus or minus a fifth; 0: never
 }
 
-// check returns why a Config can't be used, or nil.
+// check returns an error that names the first invalid field, or nil.
 func (c Config) check() error {
 	for _, bound := range []struct {
 		name     string
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Urgencies of RFC 9218, section 4.1. 0 is the most urgent one.
+// Urgencies of RFC 9218, section 4.1. 0 is the most urgent.
 const (
 	MaxUrgency     = 7
 	DefaultUrgency = 3
 )
 
-// Controller decides for one frontend. It owns the state of its connections and streams, and releases all that belongs
-// to a connection in Disconnect.
+// Controller makes the decisions for one frontend. It owns the state of the connections and streams. Disconnect
+// releases everything that belongs to a connection.
 type Controller struct {
 	config      Config
 	now         time.Duration
@@ -24,15 +24,15 @@
 	connections map[ConnectionID]*connection
 	clients     map[string]*client
 	waiting     waitingStreams
-	inFlight    int // streams
-	memory      int // bytes reserved for all streams
-	started     uint64
-	arrived     uint64
-	actions     []Action                  // of the event at hand
+	inFlight    int                       // streams
+	memory      int                       // bytes reserved for all streams
+	started     uint64                    // streams started so far
+	arrived     uint64                    // streams accepted so far
+	actions     []Action                  // of the current event
 	abuse       map[string]abusiveAddress // by address
 }
 
-// client counts the streams of a client over all connections. It is forgotten with its last stream.
+// client counts the streams of a client over all connections. It is removed with its last stream.
 type client struct{ streams, inFlight int }
 
 // connection is the state of a connection.
@@ -45,17 +45,17 @@
 	waiting     int // streams
 	inFlight    int // streams
 	memory      int // bytes reserved for its streams
-	streamLimit int // as announced
-	requests    int
-	aborts      int // streams aborted since one was answered
+	streamLimit int // last announced limit of streams
+	requests    int // streams accepted so far
+	aborts      int // streams aborted since a stream was last answered
 
 	goAwayAt    time.Duration // 0: never
 	maxRequests int           // 0: any number
-	goingAway   bool          // it got GoAway or CloseConnection
-	rejecting   bool          // new streams are rejected, because of abuse or because it is closed
+	goingAway   bool          // a GoAway or CloseConnection was emitted for it
+	rejecting   bool          // new streams are rejected because of abuse, or because the connection is being closed
 	score       score
 
-	heapIndex   int    // among the ready connections; notReady: it is none
+	heapIndex   int    // index among the ready connections, or notReady
 	lastStarted uint64 // value of Controller.started when one of its streams was last started
 }
 
@@ -68,12 +68,12 @@
 	connection   *connection
 	client       string
 	urgency      int
-	arrival      uint64        // number in the order of arrival
-	byArrival    *list.Element // while it waits: its place among all waiting streams
-	byUrgency    *list.Element // while it waits: its place in its clientQueue
+	arrival      uint64        // position in the order of arrival
+	byArrival    *list.Element // while it waits: its element among all waiting streams
+	byUrgency    *list.Element // while it waits: its element in its clientQueue
 	inFlight     bool
 	memory       int           // bytes reserved
-	stalledSince time.Duration // 0: its response makes progress
+	stalledSince time.Duration // when its response last stopped making progress; 0: it makes progress
 }
 
 // New makes a Controller. The seed spreads the times at which connections are asked to go away.
@@ -90,18 +90,19 @@
 	}, nil
 }
 
-// begin begins an event at a time, with no actions.
+// begin starts the handling of an event: it sets the time and clears the actions.
 func (c *Controller) begin(now time.Duration) {
 	c.now = max(c.now, now)
 	c.actions = nil
 }
 
+// emit adds an action to those of the current event.
 func (c *Controller) emit(action Action) { c.actions = append(c.actions, action) }
 
-// jitter returns a value that is less or more by a fifth at most.
+// jitter returns a value changed at random by at most a fifth.
 func (c *Controller) jitter(value float64) float64 { return value * (0.8 + 0.4*c.random.Float64()) }
 
-// Connect takes a connection from an address. It reports false if the connection is to be closed at once.
+// Connect adds a connection from an address. It reports false if the connection is not accepted and must be closed.
 func (c *Controller) Connect(now time.Duration, id ConnectionID, address string) bool {
 	c.begin(now)
 	if len(c.connections) >= c.config.Connections || c.connections[id] != nil || c.banned(address) {
@@ -125,21 +126,23 @@
 	return true
 }
 
-// Arrive takes a whole request, which waits until it is started, or rejects it.
-func (c *Controller) Arrive(now time.Duration, id ConnectionID, sid StreamID, who string, urgency int) []Action {
+// Arrive adds a stream whose request has been received in full, or rejects it. An added stream waits until it is
+// started.
+func (c *Controller) Arrive(now time.Duration, id ConnectionID, sid StreamID, clientID string, urgency int) []Action {
 	c.begin(now)
 	conn := c.connections[id]
 	if conn == nil {
 		return nil
 	}
-	// Streams that crossed a lowered limit are still taken. More than were ever allowed are not. Some streams cross a
-	// GOAWAY. A client that goes on after it is closed in the end.
+	// A client may open streams before it gets to know of a lowered limit, so as many as were ever allowed are
+	// accepted. It may also open a few streams before it receives a GOAWAY. A rejected stream counts as a small
+	// violation, so that the connection of a client that goes on after a GOAWAY for abuse is closed in the end.
 	if conn.rejecting || conn.streams[sid] != nil || len(conn.streams) >= c.config.Streams {
 		c.emit(Action{Kind: RejectStream, Connection: id, Stream: sid})
 		c.recordViolation(conn, RejectedStream)
 		return c.actions
 	}
-	c.enqueue(c.newStream(conn, sid, who, urgency))
+	c.enqueue(c.newStream(conn, sid, clientID, urgency))
 	c.dispatch()
 	if conn.maxRequests > 0 && conn.requests >= conn.maxRequests {
 		c.goAway(conn, reasonRequests)
@@ -148,26 +151,26 @@
 }
 
 // newStream adds a stream to its connection and its client.
-func (c *Controller) newStream(conn *connection, id StreamID, who string, urgency int) *stream {
+func (c *Controller) newStream(conn *connection, id StreamID, clientID string, urgency int) *stream {
 	c.arrived++
 	s := &stream{
 		id:         id,
 		connection: conn,
-		client:     who,
+		client:     clientID,
 		urgency:    min(max(urgency, 0), MaxUrgency),
 		arrival:    c.arrived,
 	}
 	conn.streams[id] = s
 	conn.requests++
-	if c.clients[who] == nil {
-		c.clients[who] = &client{}
+	if c.clients[clientID] == nil {
+		c.clients[clientID] = &client{}
 	}
-	c.clients[who].streams++
+	c.clients[clientID].streams++
 	return s
 }
 
-// End reports that a stream has ended: its response is sent, or the client has reset it. Reset streams count against
-// the connection, answered ones in its favour.
+// End reports that a stream has ended, because its response has been sent or because the client has reset it. Reset
+// streams count against the connection, and answered ones in its favour.
 func (c *Controller) End(now time.Duration, id ConnectionID, sid StreamID, reset bool) []Action {
 	c.begin(now)
 	conn := c.connections[id]
@@ -185,7 +188,7 @@
 	return c.actions
 }
 
-// Disconnect reports that a connection has ended. All that belongs to it is released here.
+// Disconnect reports that a connection has ended. It releases everything that belongs to the connection.
 func (c *Controller) Disconnect(now time.Duration, id ConnectionID) []Action {
 	c.begin(now)
 	conn := c.connections[id]
@@ -200,27 +203,27 @@
 	return c.actions
 }
 
-// release releases all that belongs to a stream.
+// release releases everything that belongs to a stream.
 func (c *Controller) release(s *stream) {
 	conn := s.connection
-	who := c.clients[s.client]
+	owner := c.clients[s.client]
 	if s.inFlight {
 		conn.inFlight--
 		c.inFlight--
-		who.inFlight--
+		owner.inFlight--
 		c.updateReady(conn)
 	} else {
 		c.dequeue(s)
 	}
 	conn.memory -= s.memory
 	c.memory -= s.memory
-	if who.streams--; who.streams == 0 {
+	if owner.streams--; owner.streams == 0 {
 		delete(c.clients, s.client)
 	}
 	delete(conn.streams, s.id)
 }
 
-// dispatch starts waiting streams while there is capacity.
+// dispatch starts waiting streams while fewer than MaxInFlight are in flight.
 func (c *Controller) dispatch() {
 	for c.inFlight < c.config.MaxInFlight {
 		s := c.next()
@@ -232,6 +235,7 @@
 	}
 }
 
+// start puts a stream in flight that has left its queues.
 func (c *Controller) start(s *stream) {
 	conn := s.connection
 	c.started++
@@ -244,7 +248,7 @@
 	c.emit(Action{Kind: StartStream, Connection: conn.id, Stream: s.id})
 }
 
-// goAway asks a connection once to go away.
+// goAway asks a connection to go away, unless that has been done already.
 func (c *Controller) goAway(conn *connection, reason string) {
 	if conn.goingAway {
 		return
@@ -253,15 +257,15 @@
 	c.emit(Action{Kind: GoAway, Connection: conn.id, Reason: reason})
 }
 
-// closeConnection closes a connection. What belongs to it is released by Disconnect.
+// closeConnection asks the caller to close a connection. Disconnect releases what belongs to it.
 func (c *Controller) closeConnection(conn *connection, reason string) {
 	c.emit(Action{Kind: CloseConnection, Connection: conn.id, Reason: reason})
 	conn.goingAway = true
 	conn.rejecting = true
 }
 
-// Tick does what is due with time: stalled streams are aborted, old connections are asked to go away, and the limits of
-// streams follow the load. It is called a few times a second.
+// Tick handles what depends on time: it aborts stalled streams, asks old connections to go away, and adjusts the limits
+// of streams to the load. It is called a few times a second.
 func (c *Controller) Tick(now time.Duration) []Action {
 	c.begin(now)
 	for _, conn := range c.sortedConnections() {
@@ -285,7 +289,7 @@
 	return c.actions
 }
 
-// sortedConnections returns the connections in a fixed order, so that the same events give the same actions.
+// sortedConnections returns the connections by ID, so that the same events always cause the same actions.
 func (c *Controller) sortedConnections() []*connection {
 	all := make([]*connection, 0, len(c.connections))
 	for _, conn := range c.connections {
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestConnectionsGoAwayByAgeAtTimesOfTheirOwn(t *testing.T) {
+func TestConnectionsGoAwayByAgeAtSpreadTimes(t *testing.T) {
 	c := newController(t, func(config *Config) {
 		config.Connections = 100
 		config.Requests = 50
@@ -18,11 +18,11 @@
 	early := len(c.Tick(testConfig.Age * 9 / 10))
 	late := len(c.Tick(testConfig.Age * 12 / 10))
 	if early < 10 || early > 40 || early+late != 100 {
-		t.Errorf("%d went away early, %d late", early, late)
+		t.Errorf("of 100 connections %d are asked to go away before their age, %d after it", early, late)
 	}
 }
 
-func TestConnectionGoesAwayByRequests(t *testing.T) {
+func TestConnectionGoesAwayAfterItsRequests(t *testing.T) {
 	c := newController(t, func(config *Config) { config.Requests = 50 })
 	c.Connect(0, 1, "a")
 	for sid := StreamID(1); ; sid += 2 {
@@ -30,25 +30,25 @@
 		c.End(0, 1, sid, false)
 		if strings.HasSuffix(got, "go away 1 requests") {
 			if requests := int(sid+1) / 2; requests < 40 || requests > 60 {
-				t.Errorf("went away after %d requests", requests)
+				t.Errorf("asked to go away after %d requests, want 50 plus or minus a fifth", requests)
 			}
 			break
 		}
 		if sid > 200 {
-			t.Fatal("never went away")
+			t.Fatal("the connection is not asked to go away after 100 requests")
 		}
 	}
-	expect(t, "what crosses it", c.Arrive(0, 1, 999, "x", 3), "start 1/999")
+	expect(t, "a stream opened before the client gets the GOAWAY", c.Arrive(0, 1, 999, "x", 3), "start 1/999")
 }
 
-func TestNewRejectsFaultyConfig(t *testing.T) {
+func TestNewRejectsInvalidConfig(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(*Config)
 	}{
-		{"nothing in flight", func(c *Config) { c.MaxInFlight = 0 }},
-		{"least streams above streams", func(c *Config) { c.MinStreams = 11 }},
-		{"memory below that of a connection", func(c *Config) { c.Memory = 1 }},
+		{"no streams in flight", func(c *Config) { c.MaxInFlight = 0 }},
+		{"min streams above streams", func(c *Config) { c.MinStreams = 11 }},
+		{"memory below memory per connection", func(c *Config) { c.Memory = 1 }},
 		{"age below 0", func(c *Config) { c.Age = -1 }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// BenchmarkArrive measures the admission of a request beside 1,000 connections of 100 streams.
+// BenchmarkArrive measures the admission of a request beside one or 1,000 connections of 99 streams each.
 func BenchmarkArrive(b *testing.B) {
 	for _, connections := range []int{1, 1000} {
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,16 +1,16 @@
-// Package admission decides for a frontend on which one connection carries many requests, as with HTTP/2: which streams
-// are started and in what order, which connections get a lower limit of streams, are asked to go away or are closed,
-// and which streams are aborted when memory is short.
+// Package admission makes the admission decisions of a frontend whose connections carry many requests each, as those of
+// HTTP/2 do: which streams are started and in what order, which connections get a lower limit of streams, are asked to
+// go away or are closed, and which streams are aborted when memory is short.
 //
-// The package has no clock, no lock and does no I/O: its caller passes the time, which only needs to advance, reports
-// what happened, and carries out the actions that come back.
+// The package reads no clock, takes no lock and does no I/O: its caller passes the time of a monotonic clock, reports
+// the events, and carries out the actions that are returned.
 //
 // The parts of the package:
 //
-//   - Config and Action are the input and the output.
+//   - Config holds the limits, and Action is what the caller is to do.
 //   - Controller takes the events and owns the state of connections and streams (controller.go).
 //   - The queue of waiting streams decides their order (queue.go).
-//   - Memory is reserved for streams, and stalled ones are aborted for it (memory.go).
-//   - The limit of streams follows the load (limits.go).
-//   - Violations lead to GOAWAY, a closed connection and a ban of the address (violations.go).
+//   - Memory is reserved for streams, and stalled streams are aborted when it runs out (memory.go).
+//   - The limit of streams of each connection follows the load (limits.go).
+//   - Violations lead to a GOAWAY, then to a closed connection and a ban of the address (violations.go).
 package admission
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -27,7 +27,7 @@
 	Requests:         1000,
 }
 
-// newController makes a Controller with the test configuration, changed if change is not nil.
+// newController makes a Controller with testConfig, to which change is applied if it is not nil.
 func newController(t testing.TB, change func(*Config)) *Controller {
 	t.Helper()
 	config := testConfig
@@ -41,7 +41,7 @@
 	return c
 }
 
-// describe returns actions as text.
+// describe returns actions as text, such as "start 1/3, go away 2 age".
 func describe(actions []Action) string {
 	var all []string
 	for _, action := range actions {
@@ -59,6 +59,7 @@
 	return strings.Join(all, ", ")
 }
 
+// expect compares actions with a text as describe returns it.
 func expect(t *testing.T, what string, got []Action, want string) {
 	t.Helper()
 	if diff := cmp.Diff(want, describe(got)); diff != "" {
--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -1,7 +1,8 @@
 package admission
 
-// adjustStreamLimits lowers the stream limits of connections while more streams wait than can be in flight, and raises
-// them once none waits. It costs a pass over all connections, so only Tick calls it.
+// adjustStreamLimits lowers the stream limits of connections while at least MaxInFlight streams wait, and raises them
+// once no stream waits and at most half of MaxInFlight are in flight. It makes a pass over all connections, so only
+// Tick calls it.
 func (c *Controller) adjustStreamLimits() {
 	share := c.fairStreamLimit()
 	for _, conn := range c.sortedConnections() {
@@ -13,7 +14,8 @@
 	}
 }
 
-// fairStreamLimit returns the limit with which the busy connections share twice the streams that can be in flight.
+// fairStreamLimit returns the limit at which the busy connections together may have twice as many streams as can be in
+// flight, but at least MinStreams.
 func (c *Controller) fairStreamLimit() int {
 	busy := 0
 	for _, conn := range c.connections {
@@ -24,6 +26,7 @@
 	return max(c.config.MinStreams, 2*c.config.MaxInFlight/max(1, busy))
 }
 
+// streamLimitOf returns the limit of streams that a connection should have now. The share is that of fairStreamLimit.
 func (c *Controller) streamLimitOf(conn *connection, share int) int {
 	if conn.score.value(c.now) >= minLimitScore {
 		return c.config.MinStreams
--- a/internal/admission/memory.go
+++ b/internal/admission/memory.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// ErrMemory means that there is no memory left for what should be reserved.
-var ErrMemory = errors.New("no memory is left for this stream")
+// ErrMemory means that there is not enough memory left for a reservation.
+var ErrMemory = errors.New("admission: not enough memory left for the stream")
 
-// maxAborts is how many streams of a connection may be aborted in a row before the connection is closed.
+// maxAborts is the number of streams aborted in a row at which their connection is closed.
 const maxAborts = 8
 
 // Reserve reserves bytes for a stream, or releases them if bytes is negative. If the memory of the frontend is used up,
-// stalled streams are aborted: those of the connection with the most reserved bytes first, of these the one stalled for
-// longest, and of several the oldest. The error is ErrMemory.
+// stalled streams are aborted. The first to be aborted are those of the connection with the most reserved bytes, of
+// these the one that has been stalled longest, and among equal ones the oldest. The error is ErrMemory.
 func (c *Controller) Reserve(now time.Duration, id ConnectionID, sid StreamID, bytes int) ([]Action, error) {
 	c.begin(now)
 	conn := c.connections[id]
@@ -39,7 +39,7 @@
 	return c.actions, nil
 }
 
-// stalledVictim returns the stream to abort first, or nil. It is never the excepted one.
+// stalledVictim returns the stalled stream to abort first, or nil. It never returns the excepted stream.
 func (c *Controller) stalledVictim(except *stream) (victim *stream) {
 	for _, conn := range c.connections {
 		for _, s := range conn.streams {
@@ -54,7 +54,7 @@
 	return victim
 }
 
-// compareVictims returns a positive number if a is to be aborted before b.
+// compareVictims compares two stalled streams. It returns a positive number if a is to be aborted before b.
 func compareVictims(a, b *stream) int {
 	return cmp.Or(
 		cmp.Compare(a.connection.memory, b.connection.memory),
@@ -92,7 +92,7 @@
 	}
 }
 
-// abort ends a stalled stream, and after too many of them their connection.
+// abort aborts a stalled stream. After maxAborts in a row it closes the connection.
 func (c *Controller) abort(s *stream) {
 	conn := s.connection
 	c.emit(Action{Kind: AbortStream, Connection: conn.id, Stream: s.id})
--- a/internal/admission/memory_test.go
+++ b/internal/admission/memory_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestStalledStreamsGiveWayForMemory(t *testing.T) {
+func TestStalledStreamIsAbortedForMemory(t *testing.T) {
 	c := newController(t, nil)
 	for id := range ConnectionID(3) {
 		c.Connect(0, id+1, "a")
@@ -19,7 +19,7 @@
 		if !errors.Is(err, wantErr) {
 			t.Errorf("connection %d, %d bytes: %v, want %v", id, bytes, err, wantErr)
 		}
-		expect(t, fmt.Sprint(id), got, wantActions)
+		expect(t, fmt.Sprintf("connection %d, %d bytes", id, bytes), got, wantActions)
 	}
 	reserve(1, 601, "", ErrMemory) // more than one connection may reserve
 	reserve(1, 500, "", nil)
@@ -29,12 +29,12 @@
 	reserve(3, 200, "abort 2/1", nil)
 	reserve(1, -500, "", nil)
 	if c.memory != 200 {
-		t.Errorf("%d bytes are reserved", c.memory)
+		t.Errorf("%d bytes are reserved, want 200", c.memory)
 	}
 }
 
-// Of the stalled streams those of the connection with the most memory are aborted first, of these the one stalled for
-// longest, and of several the oldest.
+// The first stalled streams to be aborted are those of the connection with the most reserved memory, of these the one
+// stalled longest, and among equal ones the oldest.
 func TestOrderOfAbortedStreams(t *testing.T) {
 	c := newController(t, func(config *Config) {
 		config.MaxInFlight = 10
@@ -46,7 +46,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		expect(t, fmt.Sprintf("%d/%d", id, sid), got, want)
+		expect(t, fmt.Sprintf("%d bytes for stream %d/%d", bytes, id, sid), got, want)
 	}
 	for id := range ConnectionID(3) {
 		c.Connect(0, id+1, "a")
@@ -60,13 +60,13 @@
 	}
 	c.Progress(time.Second, 1, 1, false)
 	c.Progress(2*time.Second, 2, 1, false)
-	c.Progress(time.Second, 2, 3, false) // the time does not go back: as long as 2/1
+	c.Progress(time.Second, 2, 3, false) // the time does not step back, so it is stalled as long as 2/1
 	reserve(3, 1, 200, "abort 2/1")
 	reserve(3, 1, 100, "abort 2/3")
 	reserve(3, 1, 100, "abort 1/1")
 }
 
-func TestStalledStreamIsAbortedThenItsConnectionClosed(t *testing.T) {
+func TestConnectionIsClosedAfterMaxAborts(t *testing.T) {
 	c := newController(t, func(config *Config) {
 		config.MaxInFlight = 100
 		config.PerConnection = 100
@@ -83,10 +83,10 @@
 	c.Progress(0, 2, 1, false)
 	c.Progress(time.Second, 2, 1, true)
 	c.Progress(2*time.Second, 2, 1, false)
-	expect(t, "too early", c.Tick(testConfig.Stall-1), "")
+	expect(t, "before the stall time", c.Tick(testConfig.Stall-1), "")
 	got := c.Tick(testConfig.Stall + 1)
 	if want := maxAborts + 1; len(got) != want || got[want-1].Kind != CloseConnection || got[want-1].Connection != 1 {
-		t.Errorf("%s", describe(got))
+		t.Errorf("after %d stalled streams: %s", maxAborts, describe(got))
 	}
-	expect(t, "another connection has its own time", c.Tick(testConfig.Stall+2*time.Second), "abort 2/1")
+	expect(t, "the stalled stream of another connection", c.Tick(testConfig.Stall+2*time.Second), "abort 2/1")
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// oldestFirstInterval is the number of starts of which one goes to the stream that has waited for longest. Fewest
-	// in flight first alone would let short requests of others starve a connection's second stream, and urgency would
-	// starve what is not urgent.
+	// oldestFirstInterval is the number of starts of which one goes to the stream that has waited longest. Without it,
+	// the rule that the connection with the fewest streams in flight comes first would let short requests on other
+	// connections starve the second stream of a connection, and urgent streams would starve the less urgent ones.
 	oldestFirstInterval = 8
-	// maxSkippedStreams bounds the search for the oldest stream that may be started.
+	// maxSkippedStreams bounds the search for the oldest stream that may be started, in streams.
 	maxSkippedStreams = 64
 )
 
 // waitingStreams holds the waiting streams in two orders: all of them by arrival, and those of each connection by
-// client and urgency. To start a stream costs the logarithm of the number of connections that wait, however many
-// streams there are.
+// client and urgency. The cost of starting a stream grows with the logarithm of the number of waiting connections,
+// whatever the number of streams.
 type waitingStreams struct {
 	byArrival list.List      // of *stream
 	ready     connectionHeap // connections that have a waiting stream and capacity for another one in flight
 }
 
-// clientQueue holds the waiting streams of a client on one connection by urgency, each in the order of arrival.
+// clientQueue holds the waiting streams of a client on one connection, with a list for each urgency in the order of
+// arrival.
 type clientQueue struct {
 	client    *client
 	byUrgency [MaxUrgency + 1]list.List
 	length    int
 }
 
-// first returns the most urgent and then oldest stream. The queue is not empty.
+// first returns the oldest of the most urgent streams. The queue must not be empty.
 func (q *clientQueue) first() *stream {
 	for urgency := range q.byUrgency {
 		if element := q.byUrgency[urgency].Front(); element != nil {
@@ -68,7 +69,8 @@
 	c.updateReady(conn)
 }
 
-// updateReady updates the place of a connection among the ready ones, after anything that it depends on has changed.
+// updateReady adds a connection to the ready ones, moves it there or removes it. It is called after a change of the
+// streams that the connection has waiting or in flight.
 func (c *Controller) updateReady(conn *connection) {
 	ready := conn.waiting > 0 && conn.inFlight < c.config.PerConnection
 	switch {
@@ -81,15 +83,16 @@
 	}
 }
 
-// next returns the stream to start next, or nil. It is of the connection with the fewest streams in flight, of that
-// one's client with the fewest, the most urgent and then the oldest one. At intervals it is the oldest of all.
+// next returns the stream to start next, or nil. It takes the connection with the fewest streams in flight, then the
+// client of that connection with the fewest streams in flight, and then the oldest of that client's most urgent
+// streams. Once in oldestFirstInterval starts it takes the oldest of all streams instead.
 func (c *Controller) next() *stream {
 	if (c.started+1)%oldestFirstInterval == 0 {
 		if oldest := c.oldest(); oldest != nil {
 			return oldest
 		}
 	}
-	// Connections whose clients all have as many in flight as they may are passed over, and put back after the search.
+	// Connections whose waiting clients all have PerClient streams in flight are removed, and added back afterwards.
 	var passed []*connection
 	var chosen *stream
 	for len(c.waiting.ready) > 0 && chosen == nil {
@@ -104,7 +107,8 @@
 	return chosen
 }
 
-// oldest returns the oldest stream that may be started, or nil if it is not among the first of all waiting ones.
+// oldest returns the oldest stream that may be started, or nil if none of the first maxSkippedStreams waiting streams
+// may.
 func (c *Controller) oldest() *stream {
 	element := c.waiting.byArrival.Front()
 	for skipped := 0; element != nil && skipped < maxSkippedStreams; skipped++ {
@@ -117,7 +121,8 @@
 	return nil
 }
 
-// choose returns the next stream of a connection, or nil if all its clients have as many in flight as they may.
+// choose returns the next stream to start on a connection, or nil if all clients that wait there have PerClient streams
+// in flight.
 func (c *Controller) choose(conn *connection) (chosen *stream) {
 	for _, queue := range conn.queues {
 		if queue.client.inFlight >= c.config.PerClient {
@@ -130,7 +135,7 @@
 	return chosen
 }
 
-// compareStreams orders the first streams of the clients of a connection.
+// compareStreams compares the first streams of two clients on a connection. The lesser one is started first.
 func (c *Controller) compareStreams(a, b *stream) int {
 	return cmp.Or(
 		cmp.Compare(c.clients[a.client].inFlight, c.clients[b.client].inFlight),
@@ -138,8 +143,8 @@
 		cmp.Compare(a.arrival, b.arrival))
 }
 
-// connectionHeap is a container/heap of connections: fewest streams in flight first, then the one of which a stream was
-// started longest ago.
+// connectionHeap is a container/heap of connections. The first one has the fewest streams in flight, and among equal
+// ones its last start of a stream was longest ago.
 type connectionHeap []*connection
 
 // Len implements sort.Interface.
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -13,17 +13,17 @@
 	})
 	c.Connect(0, 1, "a")
 	c.Connect(0, 2, "b")
-	expect(t, "greedy 1", c.Arrive(0, 1, 1, "x", 3), "start 1/1")
-	expect(t, "greedy 2", c.Arrive(0, 1, 3, "x", 3), "start 1/3")
-	expect(t, "greedy 3", c.Arrive(0, 1, 5, "x", 0), "")
-	expect(t, "of another client", c.Arrive(0, 1, 7, "y", 7), "")
-	expect(t, "of another connection", c.Arrive(0, 2, 1, "z", 7), "")
-	expect(t, "the connection with fewest first", c.End(0, 1, 1, false), "start 2/1")
-	expect(t, "then its client with fewest", c.End(0, 2, 1, false), "start 1/7")
-	expect(t, "then the most urgent", c.End(0, 1, 7, false), "start 1/5")
+	expect(t, "first stream of client x", c.Arrive(0, 1, 1, "x", 3), "start 1/1")
+	expect(t, "second stream of client x", c.Arrive(0, 1, 3, "x", 3), "start 1/3")
+	expect(t, "urgent third stream of client x", c.Arrive(0, 1, 5, "x", 0), "")
+	expect(t, "stream of another client", c.Arrive(0, 1, 7, "y", 7), "")
+	expect(t, "stream of another connection", c.Arrive(0, 2, 1, "z", 7), "")
+	expect(t, "the connection with the fewest streams in flight comes first", c.End(0, 1, 1, false), "start 2/1")
+	expect(t, "then the client with the fewest streams in flight", c.End(0, 2, 1, false), "start 1/7")
+	expect(t, "then the most urgent stream", c.End(0, 1, 7, false), "start 1/5")
 }
 
-// Whatever else is fair and urgent, the stream that has waited for longest is started after a few others.
+// The stream that has waited longest is started after a few others, even if more urgent ones keep arriving.
 func TestNoStreamStarves(t *testing.T) {
 	c := newController(t, func(config *Config) {
 		config.MaxInFlight = 1
@@ -37,7 +37,7 @@
 	c.Arrive(0, 2, 1, "x", 0)
 	c.Arrive(0, 1, 1, "x", MaxUrgency)
 	for i := range 3 * oldestFirstInterval {
-		for j := range 5 { // more urgent ones all the time
+		for j := range 5 { // more urgent streams on another connection
 			c.Arrive(0, 2, StreamID(10*i+2*j+3), "x", 0)
 		}
 		var actions []Action
@@ -51,5 +51,5 @@
 			return
 		}
 	}
-	t.Error("a stream starves")
+	t.Errorf("stream 1/1 is not started among %d others", 3*oldestFirstInterval)
 }
--- a/internal/admission/violations.go
+++ b/internal/admission/violations.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Violation is something that a client may do now and then, but not all the time.
+// Violation is something that a client may do occasionally, but not all the time.
 type Violation int
 
 // The kinds of Violation.
@@ -14,13 +14,14 @@
 	EmptyFrame                         // DATA or HEADERS without a byte that does not end its stream
 	UnsolicitedPing                    // PING
 	SettingsChange                     // SETTINGS after the first
-	SmallWindowUpdate                  // WINDOW_UPDATE by next to nothing
+	SmallWindowUpdate                  // WINDOW_UPDATE by very few bytes
 	PriorityChange                     // change of the priority of a stream
-	OversizedHeader                    // field section beyond what was announced
-	RejectedStream                     // stream that was rejected: a few cross a GOAWAY
+	OversizedHeader                    // field section larger than the announced limit
+	RejectedStream                     // stream that was rejected; clients open a few before they get a GOAWAY
 )
 
-// violationPoints are the points of a violation. Honest clients reset some streams and change some settings.
+// violationPoints are the points that a violation adds to the score of its connection. Honest clients, too, reset some
+// streams and change some settings.
 var violationPoints = [...]float64{
 	StreamReset:       1,
 	EmptyFrame:        0.5,
@@ -32,9 +33,9 @@
 	RejectedStream:    0.25,
 }
 
-// Scores from which a connection is restricted, in points.
+// Scores at which a connection is restricted, in points.
 const (
-	minLimitScore = 25.0  // it gets the least limit of streams
+	minLimitScore = 25.0  // its limit of streams is the lowest one
 	goAwayScore   = 50.0  // it is asked to go away, and new streams are rejected
 	closeScore    = 100.0 // it is closed
 )
@@ -42,23 +43,23 @@
 const (
 	// scoreHalfLife is the time in which a score halves.
 	scoreHalfLife = 10 * time.Second
-	// answerCredit is the points that an answered stream takes off. A client that resets one stream in two is honest,
-	// one that resets all is not.
+	// answerCredit is the number of points that an answered stream takes off the score. It tolerates a client that
+	// resets every second stream, but not one that resets all streams.
 	answerCredit = 1.0
 )
 
 // Bounds of the ban of addresses.
 const (
-	banThreshold        = 3                // closed connections from which an address is banned
-	banDuration         = 30 * time.Second // from the last one
-	abuseMemory         = 5 * time.Minute  // for which a closed connection counts
-	maxAbusiveAddresses = 4096             // that are remembered
+	banThreshold        = 3                // connections closed for abuse at which an address is banned
+	banDuration         = 30 * time.Second // since the last of these connections was closed
+	abuseMemory         = 5 * time.Minute  // how long an address is remembered after the last of these connections
+	maxAbusiveAddresses = 4096             // addresses that are remembered
 )
 
-// score is a sum of points that halves with time.
+// score is a sum of points that decays exponentially with the half-life scoreHalfLife.
 type score struct {
 	points float64
-	at     time.Duration // time of points
+	at     time.Duration // time at which the score had these points
 }
 
 func (s *score) value(now time.Duration) float64 {
@@ -76,7 +77,7 @@
 // abusiveAddress counts the connections of an address that were closed for abuse.
 type abusiveAddress struct {
 	closed int
-	last   time.Duration
+	last   time.Duration // when the last one was closed
 }
 
 // RecordViolation counts a violation of a connection.
@@ -102,7 +103,8 @@
 	}
 }
 
-// recordAbuse counts a connection closed for abuse. If too many addresses are remembered, the oldest is forgotten.
+// recordAbuse counts a connection closed for abuse. If too many addresses are remembered, it forgets the one whose last
+// abuse is longest ago.
 func (c *Controller) recordAbuse(address string) {
 	if _, known := c.abuse[address]; !known && len(c.abuse) >= maxAbusiveAddresses {
 		delete(c.abuse, c.oldestAbuse())
@@ -110,7 +112,7 @@
 	c.abuse[address] = abusiveAddress{closed: c.abuse[address].closed + 1, last: c.now}
 }
 
-// oldestAbuse returns the address whose last abuse is longest ago, of several the least.
+// oldestAbuse returns the address whose last abuse is longest ago, and among equal ones the first in order.
 func (c *Controller) oldestAbuse() (oldest string) {
 	last := c.now + 1
 	for address, abuse := range c.abuse {
@@ -122,7 +124,7 @@
 	return oldest
 }
 
-// banned reports whether no connections are taken from an address.
+// banned reports whether connections from an address are not accepted.
 func (c *Controller) banned(address string) bool {
 	abuse := c.abuse[address]
 	return abuse.closed >= banThreshold && c.now-abuse.last < banDuration
--- a/internal/admission/violations_test.go
+++ b/internal/admission/violations_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// attackByResets connects and resets each stream at once, also after GOAWAY. It returns the number of streams until the
-// connection is closed, or -1 if it is not taken.
+// attackByResets opens a connection and resets each stream at once, even after a GOAWAY. It returns the number of
+// streams until the connection is closed, or -1 if it is not accepted.
 func attackByResets(c *Controller, id ConnectionID, address string) (streams int) {
 	if !c.Connect(0, id, address) {
 		return -1
@@ -22,20 +22,20 @@
 	}
 }
 
-func TestRapidResetIsClosedAndItsAddressBanned(t *testing.T) {
+func TestRapidResetsCloseConnectionAndBanAddress(t *testing.T) {
 	c := newController(t, nil)
 	for i := range banThreshold {
 		streams := attackByResets(c, ConnectionID(i+1), "bad")
 		if float64(streams) > goAwayScore+(closeScore-goAwayScore)/violationPoints[RejectedStream]+2 {
-			t.Errorf("%d streams until the connection is closed", streams)
+			t.Errorf("the connection is closed only after %d streams", streams)
 		}
 	}
 	if c.Connect(banDuration-1, 9, "bad") || !c.Connect(banDuration, 10, "bad") {
-		t.Error("an address is banned for a while, and no longer")
+		t.Errorf("the address is not banned for exactly %v", banDuration)
 	}
 }
 
-// A client that resets one stream in two is honest: a person who moves on.
+// A client that resets every second stream is honest: its user may leave pages before they are loaded.
 func TestHonestResetsAreTolerated(t *testing.T) {
 	c := newController(t, nil)
 	c.Connect(0, 20, "good")
--- a/internal/trust/doc.go
+++ b/internal/trust/doc.go
@@ -1,19 +1,20 @@
 // Package trust decides how far nodes are trusted to do what the descriptions of their operations say. Each operation
-// at each node is trusted, suspect, on probation or distrusted. The package has no clock, no lock and does no I/O: its
-// caller passes the time and calls from one goroutine at a time.
+// at each node is trusted, suspect, on probation or distrusted. The package reads no clock, takes no lock and does no
+// I/O: its caller passes the time and calls from one goroutine at a time.
 //
-// Evidence is of two kinds. Hard evidence is what no client can bring about, such as an effect of a call that is said
-// not to have run: it weighs much, and only time reduces its weight. All other evidence is soft, because it may depend
-// on what a client requests: its weight is a cumulative sum (E. S. Page, "Continuous inspection schemes", Biometrika
-// 41, 1954) that conforming responses reduce, and no client alone can bring it up to the weight of a suspect.
+// There are two kinds of evidence against a node. Hard evidence is what no client can bring about, such as an effect of
+// a call that the node says has not run: it has a large weight, which only time reduces. All other evidence is soft,
+// because it may depend on what a client requests: its weight is a cumulative sum (E. S. Page, "Continuous inspection
+// schemes", Biometrika 41, 1954) that conforming responses reduce, and a single client can't raise it to the weight at
+// which a node becomes suspect.
 //
-// If most nodes of a version contradict a description, the description is taken to be wrong, not the nodes.
+// If most nodes that run the same version contradict a description, the description counts as wrong, not the nodes.
 //
 // The parts of the package:
 //
-//   - Evidence, with its weights (evidence.go).
-//   - State and the state machine of an operation at a node (entry.go).
-//   - versionTotals, which tell when a description is wrong (version.go).
-//   - Tracker, which owns all of these (tracker.go).
-//   - Record, the form for people and for the trust file (record.go).
+//   - Evidence has the kinds of evidence and their weights (evidence.go).
+//   - State has the states of an operation at a node, and entry their state machine (entry.go).
+//   - versionTotals determine whether a description is wrong for a version (version.go).
+//   - Tracker owns all entries (tracker.go).
+//   - Record is the form in which trust is shown and stored in the trust file (record.go).
 package trust
--- a/internal/trust/entry.go
+++ b/internal/trust/entry.go
@@ -10,15 +10,15 @@
 // State is how far a node is trusted with an operation.
 type State int
 
-// The States, by what they cost.
+// The States, with the restriction that each brings. A state has the restrictions of the states above it as well.
 const (
-	Trusted    State = iota // nothing
-	Suspect                 // hedged requests
-	Probation               // retries, and a response that denies that the call ran is not relied on
-	Distrusted              // all new requests while another node can take them
+	Trusted    State = iota // no restriction
+	Suspect                 // no hedged requests
+	Probation               // no retries, and a response that denies that the call has run is not relied on
+	Distrusted              // no new requests while another node can take them
 )
 
-// stateNames are stored in the trust file and are values of events.
+// stateNames are the names of the States in the trust file and in events.
 var stateNames = [...]string{
 	Trusted:    "trusted",
 	Suspect:    "doubted",
@@ -26,10 +26,10 @@
 	Distrusted: "distrusted",
 }
 
-// String returns the name that the trust file and events use.
+// String returns the name of a State in the trust file and in events.
 func (s State) String() string { return stateNames[s] }
 
-// stateLevels are the restrictions of the States.
+// stateLevels are the restriction levels of the States.
 var stateLevels = [...]scheduler.RestrictionLevel{
 	Trusted:    scheduler.Unrestricted,
 	Suspect:    scheduler.NoHedging,
@@ -37,53 +37,55 @@
 	Distrusted: scheduler.AvoidNode,
 }
 
-// Tuned values of the state machine. Weights are in units of one violation of a schema.
+// Constants of the state machine. The unit of weight is one SchemaViolation.
 const (
-	suspectWeight  = 3.0  // from which a node is suspect
-	distrustWeight = 8.0  // from which it is distrusted
-	clearedWeight  = 1.0  // up to which it can be trusted again
-	maxSoftWeight  = 12.0 // of soft evidence
-	maxHardWeight  = 24.0 // of hard evidence
+	suspectWeight  = 3.0  // at which a trusted node becomes suspect
+	distrustWeight = 8.0  // at which a suspect node becomes distrusted
+	clearedWeight  = 1.0  // up to which a node can be trusted again
+	maxSoftWeight  = 12.0 // upper bound of the weight of all soft evidence
+	maxHardWeight  = 24.0 // upper bound of the weight of all hard evidence
 
-	// weightDecay is the time in which all weight decays by a factor of e.
+	// weightDecay is the time in which all weights decay by a factor of e.
 	weightDecay = 30 * time.Second
-	// minStateDuration is how long a state lasts at least before it gets better. For Distrusted that is the hold.
+	// minStateDuration is how long a state lasts at least before a better one follows. Distrusted lasts for the hold
+	// instead.
 	minStateDuration = 10 * time.Second
 
-	// The hold of a distrust doubles from one to the next between these bounds.
+	// The hold is how long a node stays distrusted at least. It doubles each time the node becomes distrusted again,
+	// between these bounds.
 	minHold = 30 * time.Second
 	maxHold = 10 * time.Minute
-	// holdMemory is for how long a node must be trusted before its earlier distrust is forgotten.
+	// holdMemory is how long a node must be trusted before its last hold is forgotten.
 	holdMemory = 30 * time.Minute
-	// probationAnswers is how many conforming responses end a probation.
+	// probationAnswers is how many conforming responses a node must give before its probation can end.
 	probationAnswers = 20
 
-	// maxClientWeight bounds the weight of one client's soft evidence.
+	// maxClientWeight is the upper bound of one client's part of the soft weight.
 	maxClientWeight = 0.45 * suspectWeight
-	// trackedClients is the number of clients whose part of the soft weight is tracked.
+	// trackedClients is the number of clients whose parts of the soft weight are tracked.
 	trackedClients = 8
 )
 
-// entryKey names an entry. An empty node stands for all nodes.
+// entryKey identifies an entry. The node allNodes stands for all nodes.
 type entryKey struct{ operation, node string }
 
-// entry is the trust in a node for an operation.
+// entry holds how far a node is trusted with an operation, and the evidence for that.
 type entry struct {
 	key        entryKey
-	version    string
+	version    string // of the node's program, as last reported
 	state      State
-	since      time.Duration // of the state
-	decayedTo  time.Duration // time to which the weights have decayed
+	since      time.Duration // when the state began
+	decayedTo  time.Duration // time up to which the weights have decayed
 	observedAt time.Duration // time of the last response
 	softWeight float64
 	hardWeight float64
-	hold       time.Duration // of the last distrust; 0: there was none
-	conforming int           // responses since the state began
-	answers    int           // responses since the start
-	counts     [evidenceKinds]int
+	hold       time.Duration      // length of the last hold; 0: there was none, or it is forgotten
+	conforming int                // conforming responses since the state began
+	answers    int                // responses since the start
+	counts     [evidenceKinds]int // of responses since the start, by evidence
 	clients    [trackedClients]clientWeight
-	sample     string // of the last contradiction
-	worst      Evidence
+	sample     string   // of the last contradiction
+	worst      Evidence // kind with the largest weight so far
 }
 
 // clientWeight is one client's part of the soft weight.
@@ -92,9 +94,10 @@
 	weight float64
 }
 
+// weight returns the weight of all evidence against the node.
 func (e *entry) weight() float64 { return e.softWeight + e.hardWeight }
 
-// decay reduces all weight by the time that has passed.
+// decay reduces all weights for the time since the last decay.
 func (e *entry) decay(now time.Duration) {
 	if now <= e.decayedTo {
 		return
@@ -108,7 +111,7 @@
 	}
 }
 
-// add weighs the evidence of a response.
+// add counts the evidence of a response and adds its weight.
 func (e *entry) add(report Report) {
 	e.answers++
 	e.counts[report.Evidence]++
@@ -132,9 +135,9 @@
 	}
 }
 
-// admitSoftWeight returns how much of a weight still counts for a client, and adds it to the client's part. A client
-// that is not tracked replaces the one with the least weight and inherits that weight, so that new names gain nothing
-// (the space-saving sketch of A. Metwally et al., ICDT 2005).
+// admitSoftWeight returns the part of a weight that stays within the client's bound, and adds it to the client's part.
+// A client that is not tracked replaces the one with the lowest weight and inherits that weight, so that a client gains
+// nothing by changing its name (the space-saving sketch of A. Metwally et al., ICDT 2005).
 func (e *entry) admitSoftWeight(client uint64, weight float64) float64 {
 	tracked := &e.clients[e.clientIndex(client)]
 	tracked.client = client
@@ -143,7 +146,7 @@
 	return admitted
 }
 
-// clientIndex returns the index of a tracked client, or of the one with the least weight.
+// clientIndex returns the index of a client if it is tracked, or else that of the client with the lowest weight.
 func (e *entry) clientIndex(client uint64) int {
 	lightest := 0
 	for i := range e.clients {
@@ -157,8 +160,8 @@
 	return lightest
 }
 
-// step moves on to the state that weight and time call for, by one function per state. A state gets better only after
-// some time, so that a flapping node does not drag its traffic back and forth.
+// step enters the state that follows from the weight and the time. Each state has a function with its transitions. A
+// better state follows only after some time, so that a flapping node does not keep moving its traffic back and forth.
 func (e *entry) step(now time.Duration) {
 	switch e.state {
 	case Trusted:
@@ -172,7 +175,7 @@
 	}
 }
 
-// stepTrusted leads to Suspect at the suspect weight.
+// stepTrusted enters Suspect at suspectWeight. It forgets the last hold after holdMemory.
 func (e *entry) stepTrusted(now time.Duration) {
 	switch {
 	case e.weight() >= suspectWeight:
@@ -182,7 +185,7 @@
 	}
 }
 
-// stepSuspect leads to Distrusted at the distrust weight, and back to Trusted when the weight is cleared.
+// stepSuspect enters Distrusted at distrustWeight, and Trusted when the weight is at most clearedWeight.
 func (e *entry) stepSuspect(now time.Duration) {
 	switch {
 	case e.weight() >= distrustWeight:
@@ -192,7 +195,7 @@
 	}
 }
 
-// stepProbation leads back to Distrusted already at the suspect weight, and to Trusted when the weight is cleared and
+// stepProbation enters Distrusted already at suspectWeight, and Trusted when the weight is at most clearedWeight and
 // enough responses have conformed.
 func (e *entry) stepProbation(now time.Duration) {
 	switch {
@@ -203,26 +206,27 @@
 	}
 }
 
-// stepDistrusted leads to Probation when the hold is over and the weight is well below that of a suspect.
+// stepDistrusted enters Probation when the hold is over and the weight is below half of suspectWeight.
 func (e *entry) stepDistrusted(now time.Duration) {
 	if e.weight() < suspectWeight/2 && now-e.since >= e.hold {
 		e.enter(now, Probation)
 	}
 }
 
+// enter begins a state.
 func (e *entry) enter(now time.Duration, state State) {
 	e.state = state
 	e.since = now
 	e.conforming = 0
 }
 
-// distrust enters Distrusted with a hold that doubles each time.
+// distrust enters Distrusted, with a hold that doubles each time.
 func (e *entry) distrust(now time.Duration) {
 	e.hold = min(max(2*e.hold, minHold), maxHold)
 	e.enter(now, Distrusted)
 }
 
-// contradictions returns the counts of all evidence against the node, by name.
+// contradictions returns the counts of all evidence against the node, by the name of its kind.
 func (e *entry) contradictions() map[string]int {
 	counts := map[string]int{}
 	for evidence := Conforms + 1; evidence < evidenceKinds; evidence++ {
--- a/internal/trust/entry_test.go
+++ b/internal/trust/entry_test.go
@@ -24,12 +24,12 @@
 	contradicting := f.tracker.Level(testOperation, "n3")
 	conforming := f.tracker.Level(testOperation, "n2")
 	if contradicting != scheduler.AvoidNode || conforming != scheduler.Unrestricted {
-		t.Errorf("level %v, n2 %v", contradicting, conforming)
+		t.Errorf("level %v at the contradicting node, %v at a conforming one", contradicting, conforming)
 	}
 }
 
-// A client that tries to discredit a node gets no further than to be counted, whatever it requests and however often,
-// while the responses to other clients conform.
+// A client can't discredit a node, whatever it requests and however often, while the responses to other clients
+// conform: its evidence is counted, but does not change the state.
 func TestOneClientDiscreditsNoNode(t *testing.T) {
 	soft := rapid.SampledFrom([]Evidence{
 		UnknownStatus, UnknownMediaType, SchemaViolation, Slow, IgnoredRetryAfter, ResponsesDiffer,
@@ -45,14 +45,14 @@
 				report.Evidence = Conforms
 			}
 			if changes := tracker.Observe(now, report); len(changes) > 0 {
-				t.Fatalf("%+v", changes)
+				t.Fatalf("changes because of one client: %+v", changes)
 			}
 			tracker.Tick(now)
 		}
 	})
 }
 
-// Hard evidence counts whoever the client is.
+// Hard evidence counts in full even if it comes from a single client.
 func TestHardEvidenceOfOneClientCounts(t *testing.T) {
 	f := newFleet(4, 1, func(node int, _ time.Duration) Evidence {
 		if node == 0 {
@@ -61,12 +61,13 @@
 		return Conforms
 	}).run(3)
 	if got := f.states["n0"]; !slices.Equal(got, []State{Suspect, Distrusted}) || len(f.states) != 1 {
-		t.Errorf("%v", f.states)
+		t.Errorf("states by node: %v, want suspect and distrusted for n0 alone", f.states)
 	}
 }
 
-// Trust returns by a probation, after a hold, the decay of the weight and enough conforming responses.
-func TestTrustReturnsByProbation(t *testing.T) {
+// A node that no longer contradicts is trusted again after its hold, the decay of its weight, and a probation with
+// enough conforming responses.
+func TestTrustReturnsAfterProbation(t *testing.T) {
 	f := newFleet(4, 10, func(node int, elapsed time.Duration) Evidence {
 		if node == 0 && elapsed < 10*time.Second {
 			return RepeatExecuted
@@ -74,12 +75,12 @@
 		return Conforms
 	}).run(200)
 	if got := f.states["n0"]; !slices.Equal(got, []State{Suspect, Distrusted, Probation, Trusted}) {
-		t.Errorf("%v", got)
+		t.Errorf("states of the node: %v", got)
 	}
 }
 
-// A node that contradicts again on probation is distrusted for twice the time, and so on. A flapping node does not drag
-// traffic back and forth.
+// A node that contradicts again on probation is distrusted for twice the time, so that a flapping node does not keep
+// moving traffic back and forth.
 func TestFlappingNodeIsHeldForLonger(t *testing.T) {
 	for _, period := range []time.Duration{2 * time.Second, 20 * time.Second, 120 * time.Second} {
 		t.Run(period.String(), func(t *testing.T) {
@@ -93,13 +94,13 @@
 				t.Errorf("%d changes of state in an hour", moves)
 			}
 			if hold := f.tracker.entries[entryKey{testOperation, "n0"}].hold; hold < 4*minHold && period > time.Minute {
-				t.Errorf("a hold of %v", hold)
+				t.Errorf("the last hold is %v, want at least %v", hold, 4*minHold)
 			}
 		})
 	}
 }
 
-// Rare contradictions that come with honest traffic cost nothing.
+// Rare contradictions, which occur in ordinary traffic, change no state.
 func TestRareContradictionsAreTolerated(t *testing.T) {
 	responses := 0
 	f := newFleet(3, 20, func(int, time.Duration) Evidence {
@@ -109,6 +110,6 @@
 		return Conforms
 	}).run(2000)
 	if len(f.changes) > 0 {
-		t.Errorf("%+v", f.changes[0])
+		t.Errorf("1%% of contradictions caused the change %+v", f.changes[0])
 	}
 }
--- a/internal/trust/evidence.go
+++ b/internal/trust/evidence.go
@@ -1,6 +1,6 @@
 package trust
 
-// Evidence is what a response shows of a node.
+// Evidence is what a response shows about a node.
 type Evidence int
 
 // The kinds of Evidence.
@@ -11,15 +11,15 @@
 	SchemaViolation                     // the body violates its schema
 	Slow                                // the response took longer than described
 	IgnoredRetryAfter                   // the node rejected a request again after its own Retry-After
-	ResponsesDiffer                     // two responses to the same idempotent call differ where they must not
+	ResponsesDiffer                     // two responses to the same idempotent call differ where they must be equal
 	RepeatExecuted                      // a retry with the same key was executed again
 	ExecutedAfterDenial                 // a response shows an effect and says that the call has not run
-	KeyKnownAfterDenial                 // it knew the key of a call that it said had not run
-	EffectOfIdempotent                  // a call that is said to change nothing created something
-	evidenceKinds
+	KeyKnownAfterDenial                 // the node knew the key of a call that it said had not run
+	EffectOfIdempotent                  // a call that is described as changing nothing created something
+	evidenceKinds                       // number of kinds
 )
 
-// evidenceNames are stored in the trust file and are values of events.
+// evidenceNames are the names of the kinds of Evidence in the trust file and in events.
 var evidenceNames = [evidenceKinds]string{
 	Conforms:            "fits",
 	UnknownStatus:       "status-unknown",
@@ -34,13 +34,13 @@
 	EffectOfIdempotent:  "safe-created",
 }
 
-// String returns the name that the trust file and events use.
+// String returns the name of a kind of Evidence in the trust file and in events.
 func (e Evidence) String() string { return evidenceNames[e] }
 
-// toleratedShare is the share of contradictions that soft evidence may have without gaining weight.
+// toleratedShare is the share of responses that may be contradictions of weight 1 without the soft weight growing.
 const toleratedShare = 0.02
 
-// evidenceWeights are negative for evidence in favour of a node.
+// evidenceWeights are the weights of the kinds of Evidence. Evidence in favour of a node has a negative weight.
 var evidenceWeights = [evidenceKinds]float64{
 	Conforms:            -toleratedShare,
 	UnknownStatus:       1,
@@ -55,7 +55,7 @@
 	EffectOfIdempotent:  4,
 }
 
-// hardEvidence is what no client can bring about.
+// hardEvidence tells which kinds of Evidence no client can bring about.
 var hardEvidence = [evidenceKinds]bool{
 	RepeatExecuted:      true,
 	ExecutedAfterDenial: true,
@@ -68,5 +68,5 @@
 	Version         string // of the node's program; empty: unknown
 	Client          uint64 // hash of the client that sent the request
 	Evidence        Evidence
-	Sample          string // what was observed, for people
+	Sample          string // readable description of what was observed
 }
--- a/internal/trust/fleet_test.go
+++ b/internal/trust/fleet_test.go
@@ -13,7 +13,8 @@
 
 const testOperation = "GET /sheets/{id}"
 
-// fleet reports the responses of simulated nodes to a Tracker: each second every node responds to every client.
+// fleet is a set of simulated nodes whose responses are reported to a Tracker. Each second every node responds to every
+// client.
 type fleet struct {
 	tracker *Tracker
 	now     time.Duration
@@ -23,10 +24,11 @@
 	evidence func(node int, elapsed time.Duration) Evidence
 	version  func(node int, elapsed time.Duration) string
 
-	states  map[string][]State // that each node came into, in their order
+	states  map[string][]State // states that each node has entered, in order
 	changes []Change
 }
 
+// fleetStart is the time at which a fleet starts.
 const fleetStart = time.Hour
 
 func newFleet(nodes, clients int, evidence func(int, time.Duration) Evidence) *fleet {
@@ -76,7 +78,7 @@
 	return func(int, time.Duration) Evidence { return evidence }
 }
 
-// Level returns how an operation is restricted at a node now.
+// Level returns the level at which an operation is restricted at a node now.
 func (t *Tracker) Level(operation, node string) scheduler.RestrictionLevel {
 	return max(t.levels[entryKey{operation, allNodes}], t.levels[entryKey{operation, node}])
 }
--- a/internal/trust/record.go
+++ b/internal/trust/record.go
@@ -12,17 +12,17 @@
 
 // Errors of Restore.
 var (
-	// ErrInvalidRecord means that a record has a state, a kind of evidence or a figure that does not exist.
+	// ErrInvalidRecord means that a record has no operation, an unknown state or evidence, or a negative figure.
 	ErrInvalidRecord = errors.New("invalid record")
-	// ErrTooManyRecords means that a record is left out because too many are tracked.
+	// ErrTooManyRecords means that a record is not restored because too many entries are tracked.
 	ErrTooManyRecords = errors.New("too many records")
 )
 
-// Record describes an operation at a node that is not trusted, or whose description is wrong. It is shown to people
-// and stored in the trust file for the next incarnation.
+// Record describes an operation that a node is not trusted with, or an operation whose description is wrong. It is
+// shown to operators and stored in the trust file for the next incarnation.
 type Record struct {
 	Operation string         `json:"operation"`
-	Node      string         `json:"node"` // empty: all nodes of the version, whose description is wrong
+	Node      string         `json:"node"` // empty: the description is wrong for all nodes of the version
 	Version   string         `json:"version,omitempty"`
 	State     string         `json:"state"`
 	Level     string         `json:"level"`
@@ -35,10 +35,10 @@
 	Sample    string         `json:"sample,omitempty"`
 }
 
-// stateDescriptionWrong is the state in records of descriptions.
+// stateDescriptionWrong is the state in the record of a wrong description.
 const stateDescriptionWrong = "description doubted"
 
-// levelNames are stored in the trust file and are values of events.
+// levelNames are the names of the restriction levels in the trust file and in events.
 var levelNames = [...]string{
 	scheduler.Unrestricted: "as described",
 	scheduler.NoHedging:    "no second copies",
@@ -46,10 +46,11 @@
 	scheduler.AvoidNode:    "avoided",
 }
 
-// LevelName returns the name of a level that the trust file and events use.
+// LevelName returns the name of a restriction level in the trust file and in events.
 func LevelName(level scheduler.RestrictionLevel) string { return levelNames[level] }
 
-// Records returns all that is not trusted, ordered by operation, node and version.
+// Records returns the records of all entries that are not trusted and of all wrong descriptions, ordered by operation,
+// node and version.
 func (t *Tracker) Records(now time.Duration) (records []Record) {
 	for key, since := range t.wrongSince {
 		records = append(records, Record{
@@ -91,12 +92,13 @@
 	}
 }
 
-// Restore continues from the records of the previous incarnation, which ended age ago. It is called before Observe and
-// Tick. What was distrusted is held for its whole hold again, because nobody has observed it since, and no node gets
-// more trust than it had. The error names the first record that can't be restored. All others are restored.
+// Restore continues from the records of the previous incarnation. The age is the time since that incarnation ended.
+// Restore is called before Observe and Tick. A distrusted node stays distrusted for its whole hold again, because
+// nobody has observed it in the meantime, and no node gets more trust than it had. The error names the first record
+// that can't be restored. All others are restored.
 func (t *Tracker) Restore(now time.Duration, records []Record, age time.Duration) (changes []Change, err error) {
 	for _, record := range records {
-		if record.Node == allNodes { // it follows from the records of the nodes
+		if record.Node == allNodes { // this state follows from the records of the nodes
 			continue
 		}
 		e, failed := t.restore(now, record, age)
@@ -115,11 +117,12 @@
 	worst := Evidence(slices.Index(evidenceNames[:], record.Worst))
 	valid := state > Trusted && worst >= 0 && record.Operation != "" && record.Weight >= 0 && record.HoldMs >= 0
 	if !valid {
-		return nil, ErrInvalidRecord
+		return nil, fmt.Errorf("%w: state %q, worst evidence %q, weight %v, hold %d ms",
+			ErrInvalidRecord, record.State, record.Worst, record.Weight, record.HoldMs)
 	}
 	e := t.track(now, entryKey{record.Operation, record.Node})
 	if e == nil {
-		return nil, ErrTooManyRecords
+		return nil, fmt.Errorf("%w: %d entries are tracked already", ErrTooManyRecords, len(t.entries))
 	}
 	e.version = record.Version
 	e.worst = worst
--- a/internal/trust/record_test.go
+++ b/internal/trust/record_test.go
@@ -9,8 +9,8 @@
 	"reachpulley/scheduler"
 )
 
-// A restart forgets no distrust, and gives no node more trust than it had.
-func TestRestoreKeepsTheLevels(t *testing.T) {
+// After a restart, every operation is restricted at every node as before.
+func TestRestoreKeepsRestrictionLevels(t *testing.T) {
 	f := newFleet(5, 10, func(node int, elapsed time.Duration) Evidence {
 		switch {
 		case node == 0:
@@ -22,7 +22,7 @@
 	}).run(4)
 	records := f.tracker.Records(f.now)
 	if len(records) != 2 {
-		t.Fatalf("%+v", records)
+		t.Fatalf("records %+v, want 2", records)
 	}
 	restored := New(scheduler.AvoidNode)
 	changes, err := restored.Restore(time.Minute, records, 5*time.Second)
@@ -33,11 +33,12 @@
 		before := f.tracker.Level(change.Operation, change.Node)
 		after := restored.Level(change.Operation, change.Node)
 		if change.Level != before || change.Level != after {
-			t.Errorf("%+v", change)
+			t.Errorf("level %v before the restart and %v after it, with the change %+v", before, after, change)
 		}
 	}
 	if len(restored.levels) != len(f.tracker.levels) {
-		t.Errorf("%d levels, %d before", len(restored.levels), len(f.tracker.levels))
+		t.Errorf("%d operations at nodes are restricted after the restart, %d before",
+			len(restored.levels), len(f.tracker.levels))
 	}
 }
 
@@ -46,20 +47,20 @@
 		name   string
 		record Record
 	}{
-		{"unknown state", Record{Operation: "x", Node: "n", State: "cheerful"}},
+		{"unknown state", Record{Operation: "x", Node: "n", State: "unknown"}},
 		{"unknown evidence", Record{Operation: "x", Node: "n", State: "distrusted", Worst: "?"}},
 		{"weight below 0", Record{Operation: "x", Node: "n", State: "distrusted", Worst: "fits", Weight: -1}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := New(scheduler.AvoidNode).Restore(0, []Record{test.record}, 0)
 			if !errors.Is(err, ErrInvalidRecord) {
-				t.Errorf("%v, want %v", err, ErrInvalidRecord)
+				t.Errorf("error %v, want %v", err, ErrInvalidRecord)
 			}
 		})
 	}
 }
 
-func TestRestoreIsBounded(t *testing.T) {
+func TestRestoreKeepsMaxEntries(t *testing.T) {
 	var records []Record
 	for i := range MaxEntries + 1 {
 		records = append(records, Record{
@@ -73,6 +74,6 @@
 	tracker := New(scheduler.AvoidNode)
 	_, err := tracker.Restore(time.Hour, records, 0)
 	if !errors.Is(err, ErrTooManyRecords) || len(tracker.entries) != MaxEntries {
-		t.Errorf("%d entries: %v, want %v", len(tracker.entries), err, ErrTooManyRecords)
+		t.Errorf("%d entries and error %v, want %v", len(tracker.entries), err, ErrTooManyRecords)
 	}
 }
--- a/internal/trust/tracker.go
+++ b/internal/trust/tracker.go
@@ -11,25 +11,25 @@
 
 // Bounds of what a Tracker tracks.
 const (
-	MaxEntries       = 4096 // entries, each of an operation and a node
-	maxWrongVersions = 512  // versions, each of an operation, for which the description is wrong
-	maxVersionBytes  = 64   // of the name of a version
+	MaxEntries       = 4096 // pairs of an operation and a node
+	maxWrongVersions = 512  // pairs of an operation and a version for which its description is wrong
+	maxVersionBytes  = 64   // bytes of the name of a version
 )
 
 // maxEvicted is how many entries are evicted at a time.
 const maxEvicted = MaxEntries / 16
 
-// allNodes is the node of what holds for an operation at all nodes.
+// allNodes stands in place of a node for all nodes of an operation.
 const allNodes = ""
 
-// Change is a change of the trust in a node, or in a description.
+// Change reports a change of the trust in a node or in a description, or of the restriction that follows from it.
 type Change struct {
 	At               time.Duration
 	Operation        string
 	Node             string // empty: all nodes
 	Version          string
 	From, To         State
-	DescriptionWrong bool // most nodes of the version contradict the description, so it is taken to be wrong
+	DescriptionWrong bool // the change concerns the description, which now counts as wrong unless To is Trusted
 	Level            scheduler.RestrictionLevel
 	Worst            Evidence
 	Counts           map[string]int // of contradictions by kind, since the start
@@ -41,12 +41,12 @@
 type Tracker struct {
 	maxLevel   scheduler.RestrictionLevel
 	entries    map[entryKey]*entry
-	wrongSince map[versionKey]time.Duration            // since when the description is wrong for a version
-	levels     map[entryKey]scheduler.RestrictionLevel // as last reported; unrestricted ones are left out
-	dropped    int
+	wrongSince map[versionKey]time.Duration            // since when a description has been wrong for a version
+	levels     map[entryKey]scheduler.RestrictionLevel // as last reported; Unrestricted is left out
+	dropped    int                                     // reports
 }
 
-// New makes a Tracker whose restrictions are at most of a level.
+// New makes a Tracker whose restrictions never go beyond maxLevel.
 func New(maxLevel scheduler.RestrictionLevel) *Tracker {
 	return &Tracker{
 		maxLevel:   maxLevel,
@@ -64,7 +64,8 @@
 		return nil
 	}
 	from := e.state
-	// A node that runs another version keeps its state. Otherwise it could lose a bad one by another name.
+	// A node that runs another version keeps its state. Otherwise it could lose a bad state by changing the name of its
+	// version.
 	e.version = report.Version[:min(len(report.Version), maxVersionBytes)]
 	e.decay(now)
 	e.observedAt = now
@@ -73,7 +74,8 @@
 	return t.changesOf(now, e, from)
 }
 
-// Tick lets time pass, so that weights decay and holds end. It is called about every second.
+// Tick handles what depends on time alone, such as the decay of weights and the end of holds. It is called about once
+// a second.
 func (t *Tracker) Tick(now time.Duration) (changes []Change) {
 	for _, e := range t.sortedEntries() {
 		from := e.state
@@ -83,7 +85,7 @@
 	}
 	totals := t.totalsByVersion()
 	for _, key := range slices.SortedFunc(maps.Keys(totals), compareVersionKeys) {
-		changes = append(changes, t.judgeDescription(now, totals[key])...)
+		changes = append(changes, t.assessDescription(now, totals[key])...)
 	}
 	return changes
 }
@@ -91,7 +93,7 @@
 // Dropped returns how many reports were dropped because too many entries are tracked.
 func (t *Tracker) Dropped() int { return t.dropped }
 
-// sortedEntries returns all entries in a fixed order, so that changes do not follow the order of a map.
+// sortedEntries returns all entries in a fixed order, so that the order of changes does not depend on that of a map.
 func (t *Tracker) sortedEntries() []*entry {
 	return slices.SortedFunc(maps.Values(t.entries), compareEntries)
 }
@@ -100,7 +102,7 @@
 	return cmp.Or(cmp.Compare(a.key.operation, b.key.operation), cmp.Compare(a.key.node, b.key.node))
 }
 
-// track returns the entry of a key, a new one if need be, or nil if too many are tracked.
+// track returns the entry of a key, which is added if it is new. It returns nil if too many entries are tracked.
 func (t *Tracker) track(now time.Duration, key entryKey) *entry {
 	if e := t.entries[key]; e != nil {
 		return e
@@ -113,8 +115,8 @@
 	return e
 }
 
-// evict forgets a part of the entries, the ones observed longest ago, and reports whether it found any. It evicts only
-// what is trusted and clear: otherwise eviction would be a way to regain trust.
+// evict removes up to maxEvicted entries, those observed longest ago first, and reports whether it found any. It removes
+// only trusted entries with little weight, because otherwise a node could regain trust by being evicted.
 func (t *Tracker) evict() bool {
 	var evictable []*entry
 	for _, e := range t.entries {
@@ -134,10 +136,10 @@
 // changesOf returns the changes to report after a step of an entry.
 func (t *Tracker) changesOf(now time.Duration, e *entry, from State) (changes []Change) {
 	if e.state != from {
-		changes = t.judgeDescription(now, t.totalsOf(e.versionKey()))
+		changes = t.assessDescription(now, t.totalsOf(e.versionKey()))
 	}
 	change := t.updateLevel(now, e)
-	if change == nil && e.state != from { // the same restriction, for another reason
+	if change == nil && e.state != from { // another state with the same restriction
 		change = t.changeOf(now, e)
 	}
 	if change != nil {
@@ -151,7 +153,7 @@
 func (t *Tracker) updateLevel(now time.Duration, e *entry) *Change {
 	level := min(stateLevels[e.state], t.maxLevel)
 	if _, wrong := t.wrongSince[e.versionKey()]; wrong {
-		level = min(level, scheduler.NoRetries) // avoiding the node helps nobody: the others are no better
+		level = min(level, scheduler.NoRetries) // avoiding the node would not help: the others are no better
 	}
 	if t.levels[e.key] == level {
 		return nil
@@ -160,7 +162,7 @@
 	return t.changeOf(now, e)
 }
 
-// setLevel sets the level that is reported for a key.
+// setLevel stores the level that is reported for a key.
 func (t *Tracker) setLevel(key entryKey, level scheduler.RestrictionLevel) {
 	if level == scheduler.Unrestricted {
 		delete(t.levels, key)
@@ -169,7 +171,7 @@
 	t.levels[key] = level
 }
 
-// changeOf describes an entry as a change from its state to itself.
+// changeOf returns a Change with the figures of an entry, in which the state does not change.
 func (t *Tracker) changeOf(now time.Duration, e *entry) *Change {
 	return &Change{
 		At:        now,
--- a/internal/trust/tracker_test.go
+++ b/internal/trust/tracker_test.go
@@ -11,19 +11,19 @@
 	"reachpulley/scheduler"
 )
 
-// New operations and nodes take bounded memory, and no distrusted node is forgotten for them.
+// The number of entries stays bounded while new operations come up, and no distrusted node is forgotten for them.
 func TestEntriesAreBounded(t *testing.T) {
 	tracker := New(scheduler.AvoidNode)
 	for range 3 {
-		tracker.Observe(time.Hour, Report{Operation: testOperation, Node: "liar", Evidence: ExecutedAfterDenial})
+		tracker.Observe(time.Hour, Report{Operation: testOperation, Node: "bad", Evidence: ExecutedAfterDenial})
 	}
 	for i := range 4 * MaxEntries {
 		now := time.Hour + time.Duration(i)
 		tracker.Observe(now, Report{Operation: fmt.Sprint("GET /", i), Node: "n", Evidence: Conforms})
 	}
-	level := tracker.Level(testOperation, "liar")
+	level := tracker.Level(testOperation, "bad")
 	if len(tracker.entries) > MaxEntries || level != scheduler.AvoidNode {
-		t.Errorf("%d entries, the distrusted node is %v", len(tracker.entries), level)
+		t.Errorf("%d entries, and the distrusted node has level %v", len(tracker.entries), level)
 	}
 	full := New(scheduler.AvoidNode)
 	for i := range MaxEntries + 10 {
@@ -33,13 +33,13 @@
 		}
 	}
 	if len(full.entries) != MaxEntries || full.Dropped() == 0 {
-		t.Errorf("%d entries, %d dropped", len(full.entries), full.Dropped())
+		t.Errorf("%d distrusted entries, %d dropped reports", len(full.entries), full.Dropped())
 	}
 }
 
-// Whatever is reported: the levels of the changes are those that hold, never above the bound of the operator, and the
-// same for the same evidence.
-func TestChangesReportTheLevels(t *testing.T) {
+// For any reports, the levels in the changes are those that apply, they never exceed the maximum level, and the same
+// reports cause the same changes.
+func TestChangesReportRestrictionLevels(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxLevel := scheduler.RestrictionLevel(rapid.IntRange(0, int(scheduler.AvoidNode)).Draw(t, "maxLevel"))
 		tracker := New(maxLevel)
@@ -62,7 +62,7 @@
 			for _, change := range changes {
 				reported[entryKey{change.Operation, change.Node}] = change.Level
 				if change.Level > maxLevel {
-					t.Fatalf("%+v", change)
+					t.Fatalf("a level above %v: %+v", maxLevel, change)
 				}
 			}
 			expectLevels(t, tracker, reported)
@@ -70,7 +70,7 @@
 	})
 }
 
-// expectLevels compares the levels that were reported with those that hold.
+// expectLevels compares the reported levels with those that apply.
 func expectLevels(t *rapid.T, tracker *Tracker, reported map[entryKey]scheduler.RestrictionLevel) {
 	t.Helper()
 	for _, operation := range []string{"a", "b"} {
@@ -78,7 +78,7 @@
 			node := nodeName(i)
 			got := max(reported[entryKey{operation, allNodes}], reported[entryKey{operation, node}])
 			if want := tracker.Level(operation, node); got != want {
-				t.Fatalf("%s at %s: reported %v, holds %v", operation, node, got, want)
+				t.Fatalf("operation %q at node %q: reported level %v, applied level %v", operation, node, got, want)
 			}
 		}
 	}
--- a/internal/trust/version.go
+++ b/internal/trust/version.go
@@ -7,17 +7,17 @@
 	"reachpulley/scheduler"
 )
 
-// Tuned values by which a description is taken to be wrong, because the nodes of a version contradict it together.
+// Constants of the decision that a description is wrong because most nodes of a version contradict it.
 const (
-	// minVersionNodes is how many nodes of a version must be known before they can be a majority.
+	// minVersionNodes is how many nodes of a version must be known for a decision.
 	minVersionNodes = 3
-	// minKnownAnswers is how many responses make a trusted node a known one.
+	// minKnownAnswers is how many responses a trusted node must have given to be known.
 	minKnownAnswers = 5
-	// descriptionRestoredShare is the share of nodes that are not trusted below which the description holds again.
+	// descriptionRestoredShare is the share of contradicting nodes below which a description counts as right again.
 	descriptionRestoredShare = 0.25
 )
 
-// versionKey names the nodes of a version, for one operation.
+// versionKey identifies an operation at all nodes that run a version.
 type versionKey struct{ operation, version string }
 
 func (e *entry) versionKey() versionKey { return versionKey{e.key.operation, e.version} }
@@ -26,12 +26,12 @@
 	return cmp.Or(cmp.Compare(a.operation, b.operation), cmp.Compare(a.version, b.version))
 }
 
-// versionTotals sums up the nodes of a version.
+// versionTotals counts the nodes of a version by whether they contradict the description of an operation.
 type versionTotals struct {
 	key           versionKey
-	known         int
-	contradicting int    // of the known ones
-	worst         *entry // of the contradicting ones
+	known         int    // nodes that are not trusted, or have given minKnownAnswers responses
+	contradicting int    // known nodes that are not trusted
+	worst         *entry // the contradicting node with the largest weight
 }
 
 func (t *versionTotals) add(e *entry) {
@@ -43,27 +43,27 @@
 		return
 	}
 	t.contradicting++
-	if t.worst == nil || compareBadness(e, t.worst) > 0 {
+	if t.worst == nil || compareWeights(e, t.worst) > 0 {
 		t.worst = e
 	}
 }
 
-// compareBadness orders entries by weight. Of two equal ones, that of the lesser node name is worse.
-func compareBadness(a, b *entry) int {
+// compareWeights compares entries by weight. Of two equal ones, the one whose node's name sorts first is greater.
+func compareWeights(a, b *entry) int {
 	return cmp.Or(cmp.Compare(a.weight(), b.weight()), cmp.Compare(b.key.node, a.key.node))
 }
 
-// majorityContradicts reports whether most of enough known nodes contradict the description.
+// majorityContradicts reports whether enough nodes are known and most of them contradict the description.
 func (t *versionTotals) majorityContradicts() bool {
 	return t.known >= minVersionNodes && 2*t.contradicting > t.known
 }
 
-// fewContradict reports whether so few nodes contradict the description that it holds again.
+// fewContradict reports whether so few nodes contradict the description that it counts as right again.
 func (t *versionTotals) fewContradict() bool {
 	return t.known == 0 || float64(t.contradicting) < descriptionRestoredShare*float64(t.known)
 }
 
-// totalsOf sums up the nodes of one version.
+// totalsOf counts the nodes of one version.
 func (t *Tracker) totalsOf(key versionKey) *versionTotals {
 	totals := &versionTotals{key: key}
 	for _, e := range t.entries {
@@ -74,7 +74,8 @@
 	return totals
 }
 
-// totalsByVersion sums up the nodes of all versions, and of those that no node runs any more.
+// totalsByVersion counts the nodes of all versions. It includes versions that no node runs any more if a description
+// counts as wrong for them.
 func (t *Tracker) totalsByVersion() map[versionKey]*versionTotals {
 	all := map[versionKey]*versionTotals{}
 	for _, e := range t.entries {
@@ -92,9 +93,10 @@
 	return all
 }
 
-// judgeDescription decides whether the description of an operation is wrong for a version, and returns the changes that
-// this causes. While it is wrong, no node of the version is avoided for it and nothing is retried.
-func (t *Tracker) judgeDescription(now time.Duration, totals *versionTotals) (changes []Change) {
+// assessDescription decides whether the description of an operation is wrong for a version, and returns the changes
+// that this causes. While the description is wrong, no node of the version is avoided for it, and the operation is not
+// retried.
+func (t *Tracker) assessDescription(now time.Duration, totals *versionTotals) (changes []Change) {
 	since, wrong := t.wrongSince[totals.key]
 	switch {
 	case !wrong && totals.majorityContradicts() && len(t.wrongSince) < maxWrongVersions:
@@ -116,8 +118,8 @@
 	return changes
 }
 
-// changeOfDescription sets the level of an operation at all nodes, and returns that change. The operation is restricted
-// as long as its description is wrong for any version.
+// changeOfDescription sets the level of an operation at all nodes, and returns the change. The operation is restricted
+// while its description is wrong for any version.
 func (t *Tracker) changeOfDescription(now time.Duration, totals *versionTotals) Change {
 	operation := totals.key.operation
 	level := scheduler.Unrestricted
--- a/internal/trust/version_test.go
+++ b/internal/trust/version_test.go
@@ -9,9 +9,9 @@
 	"reachpulley/scheduler"
 )
 
-// A fleet that moves to a version which behaves otherwise contradicts its description as a whole: no node is avoided,
-// and nothing is retried. Going back to the former version restores the trust.
-func TestFleetOnANewVersionMakesTheDescriptionWrong(t *testing.T) {
+// If all nodes move to a version that contradicts the description, the description counts as wrong: no node is avoided,
+// and the operation is not retried. Trust returns when the nodes go back to the former version.
+func TestDescriptionIsWrongWhenAllNodesContradictIt(t *testing.T) {
 	const firstUpgrade = 60 * time.Second
 	upgraded := func(node int, elapsed time.Duration) bool {
 		return elapsed > firstUpgrade+time.Duration(node)*5*time.Second
@@ -35,7 +35,7 @@
 	}
 	for node := range f.nodes {
 		if got := f.tracker.Level(testOperation, nodeName(node)); got != scheduler.NoRetries {
-			t.Errorf("n%d: level %v", node, got)
+			t.Errorf("level %v at node n%d, want %v", got, node, scheduler.NoRetries)
 		}
 	}
 	f.evidence = always(Conforms)
@@ -43,12 +43,13 @@
 	f.run(600)
 	records := f.tracker.Records(f.now)
 	if len(records) > 0 || len(f.tracker.levels) > 0 || len(f.tracker.wrongSince) > 0 {
-		t.Errorf("still %+v", records)
+		t.Errorf("after the return to v1: records %+v, levels %v, %d wrong descriptions",
+			records, f.tracker.levels, len(f.tracker.wrongSince))
 	}
 }
 
-// A node gains nothing by another version with every response.
-func TestNoTrustByAnotherVersion(t *testing.T) {
+// A node does not regain trust by reporting a new version with every response.
+func TestNewVersionsRestoreNoTrust(t *testing.T) {
 	f := newFleet(4, 10, func(node int, _ time.Duration) Evidence {
 		if node == 0 {
 			return RepeatExecuted
@@ -58,9 +59,9 @@
 	f.version = func(node int, elapsed time.Duration) string { return fmt.Sprint("v", node, elapsed) }
 	f.run(100)
 	if f.tracker.Level(testOperation, "n0") != scheduler.AvoidNode {
-		t.Errorf("%v", f.states)
+		t.Errorf("states by node: %v, want n0 distrusted", f.states)
 	}
 	if len(f.tracker.wrongSince) > maxWrongVersions {
-		t.Errorf("%d versions", len(f.tracker.wrongSince))
+		t.Errorf("%d wrong descriptions, want at most %d", len(f.tracker.wrongSince), maxWrongVersions)
 	}
 }
