--- a/internal/trust/tracker.go
+++ b/internal/trust/tracker.go
@@ -115,8 +115,8 @@
 	return e
 }
 
-// evict removes up to maxEvicted entries, those observed longest ago first, and reports whether it found any. It removes
-// only trusted entries with little weight, because otherwise a node could regain trust by being evicted.
+// evict removes up to maxEvicted entries, those observed longest ago first, and reports whether it found any. It
+// removes only trusted entries with little weight, because otherwise a node could regain trust by being evicted.
 func (t *Tracker) evict() bool {
 	var evictable []*entry
 	for _, e := range t.entries {
--- a/internal/warmrestart/assess.go
+++ b/internal/warmrestart/assess.go
@@ -1,10 +1,11 @@
 // Package warmrestart lets a gateway start with what its previous incarnation had learned.
 //
-// Store keeps the state of a gateway on disk, in two generations. Assess decides which parts of a stored state still
-// hold. It is a pure function: it has no clock and does no I/O, its caller passes the times.
+// Store keeps the state of a gateway on disk, in two generations. Assess decides which parts of a stored state are
+// restored. It is a pure function: it reads no clock and does no I/O, and its caller passes the times.
 //
-// Assess treats two kinds of knowledge differently. What the guards of the rules depend on is restored whatever its
-// age, because it can only make the gateway more cautious. Estimates of capacity and latency lose confidence with age.
+// Assess treats two kinds of knowledge differently. Facts that the guards of the rules depend on are restored whatever
+// their age, because they can only make the gateway more cautious. Estimates of capacity and latency lose weight with
+// their age.
 package warmrestart
 
 import (
@@ -14,26 +15,26 @@
 	"reachpulley/scheduler"
 )
 
-// Tuned values that bound which parts of a stored state are restored.
+// Bounds of what is restored from a stored state.
 const (
 	// confidenceDecay is the time in which the confidence in estimates decays by a factor of e.
 	confidenceDecay = time.Minute
-	// maxEstimateAge is the age after which the confidence in estimates is 0.
+	// maxEstimateAge is the age beyond which the confidence in estimates is 0.
 	maxEstimateAge = 10 * time.Minute
-	// maxReserveRateAge is the age up to which this host's part of a volume's reserve is restored.
+	// maxReserveRateAge is the age up to which the rate of this host's part of a volume's reserve is restored.
 	maxReserveRateAge = 30 * time.Second
-	// maxClockSetback is by how much the wall clock may have been set back between two incarnations.
+	// maxClockSetback is how far the wall clock may have been set back between two incarnations.
 	maxClockSetback = time.Second
-	// minConfidence is the confidence up to which estimates are not worth restoring.
+	// minConfidence is the confidence that must be exceeded for estimates to be restored.
 	minConfidence = 0.1
-	// maxPlausible is the greatest magnitude that a figure of a Scheduler can reach.
+	// maxPlausible is the largest magnitude that a figure of a Scheduler can have. Larger ones are not restored.
 	maxPlausible = 1e12
 )
 
 // Assessment is the result of Assess.
 type Assessment struct {
 	Learned    scheduler.LearnedState // what to restore
-	KnownNodes int                    // nodes of which estimates are restored, not only what the guards depend on
+	KnownNodes int                    // number of nodes whose estimates are restored, besides the facts for the guards
 	Confidence float64                // weight of the restored estimates, from 0 to 1
 }
 
@@ -43,15 +44,16 @@
 	settings   scheduler.Settings
 	now        time.Duration // on the new clock
 	age        time.Duration // of the previous state
-	shift      time.Duration // to add to a time on the previous clock to get the same moment on the new one
+	shift      time.Duration // what to add to a time on the previous clock to get the time on the new one
 	confidence float64
 }
 
-// Assess decides which parts of a previous state are restored. The state was taken on another clock: shift is added
-// to its times to put them on the new clock. Age is how long ago it was taken, now is the time on the new clock.
+// Assess decides which parts of a previous state are restored. The times in the state are those of another clock, and
+// adding shift converts them to the new clock. The age is how long ago the state was taken, and now is the time on the
+// new clock.
 //
-// Restored whatever their age are the facts that can only hold back more work: nodes that warm up and the work sent
-// to them, nodes that are down, used tokens of volumes, ordered keys of which an attempt may still run, and retries.
+// Facts that can only hold back work are restored whatever their age: nodes that warm up and the work sent to them,
+// nodes that are down, used tokens of volumes, ordered keys of which an attempt may still run, and retries.
 func Assess(previous *scheduler.Snapshot, settings scheduler.Settings, now, age, shift time.Duration) Assessment {
 	a := &assessor{
 		previous:   previous,
@@ -70,7 +72,7 @@
 	return result
 }
 
-// confidenceAt returns the confidence in the estimates of a state of an age.
+// confidenceAt returns the confidence in the estimates of a state, from its age.
 func confidenceAt(age time.Duration) float64 {
 	if age < -maxClockSetback || age > maxEstimateAge {
 		return 0
@@ -78,10 +80,10 @@
 	return math.Exp(-max(0, age).Seconds() / confidenceDecay.Seconds())
 }
 
-// onNewClock converts a time of the previous clock. The result is never in the future.
+// onNewClock converts a time on the previous clock to the new clock. The result is never in the future.
 func (a *assessor) onNewClock(at time.Duration) time.Duration { return min(at+a.shift, a.now) }
 
-// nodes returns what is restored of the listed nodes, and of how many of them estimates are restored.
+// nodes returns the restored state of the listed nodes, and the number of nodes whose estimates are restored.
 func (a *assessor) nodes() (learned []scheduler.LearnedNode, known int) {
 	listed := min(max(0, a.previous.Listed), len(a.previous.Nodes))
 	for i := range a.previous.Nodes[:listed] {
@@ -89,8 +91,8 @@
 		if node.Node.Phase == scheduler.Removed {
 			continue
 		}
-		restored := a.guardedNode(node)
-		if a.hasEstimates(node) {
+		restored := a.guardFacts(node)
+		if a.hasUsableEstimates(node) {
 			a.restoreEstimates(&restored, node)
 			known++
 		}
@@ -99,14 +101,14 @@
 	return learned, known
 }
 
-// guardedNode returns the part of a node's state that the guards depend on.
-func (a *assessor) guardedNode(node *scheduler.SnapshotNode) scheduler.LearnedNode {
+// guardFacts returns the part of a node's state that the guards depend on.
+func (a *assessor) guardFacts(node *scheduler.SnapshotNode) scheduler.LearnedNode {
 	restored := scheduler.LearnedNode{ID: node.Node.ID, Down: node.Down}
 	if node.Node.StartedAt > 0 {
 		restored.StartedAt = max(0, a.onNewClock(node.Node.StartedAt))
 	}
 	if node.WarmingSince > 0 {
-		restored.WarmingSince = max(1, a.onNewClock(node.WarmingSince)) // 0 would mean that it is warm
+		restored.WarmingSince = max(1, a.onNewClock(node.WarmingSince)) // 0 would mean that the node is warm
 	}
 	for _, send := range node.RecentSends {
 		restored.RecentSends = append(restored.RecentSends, scheduler.SnapshotSend{
@@ -117,16 +119,16 @@
 	return restored
 }
 
-// hasEstimates reports whether the estimates of a node are to be restored.
-func (a *assessor) hasEstimates(node *scheduler.SnapshotNode) bool {
+// hasUsableEstimates reports whether the estimates of a node are known, plausible and recent enough to be restored.
+func (a *assessor) hasUsableEstimates(node *scheduler.SnapshotNode) bool {
 	return a.confidence > minConfidence && node.MinLatency > 0 &&
 		plausible(node.ConcurrencyLimit, node.MaxRate, node.Latency, node.MinLatency, node.Queue, node.QueueConfidence)
 }
 
-// restoreEstimates moves the estimates of a node by the confidence from the values of an unknown node to the previous
-// ones.
+// restoreEstimates restores the estimates of a node. With less confidence, they are closer to the values of an unknown
+// node.
 func (a *assessor) restoreEstimates(restored *scheduler.LearnedNode, node *scheduler.SnapshotNode) {
-	unknown := initialCap(a.settings)
+	unknown := initialConcurrencyLimit(a.settings)
 	restored.ConcurrencyLimit = unknown + a.confidence*(node.ConcurrencyLimit-unknown)
 	restored.MaxRate = a.confidence * node.MaxRate
 	restored.MinLatency = node.MinLatency
@@ -136,8 +138,8 @@
 	restored.LastServedAt = a.onNewClock(node.LastServedAt)
 }
 
-// initialCap returns the concurrency limit of a node of which nothing is known.
-func initialCap(settings scheduler.Settings) float64 {
+// initialConcurrencyLimit returns the concurrency limit, in units, of a node about which nothing is known.
+func initialConcurrencyLimit(settings scheduler.Settings) float64 {
 	mean := settings.Sizes.MeanUnits
 	if mean == 0 {
 		mean = 1
@@ -145,7 +147,7 @@
 	return scheduler.InitialRequests * mean
 }
 
-// volumes returns what is restored of the volumes that are found by their name and have used tokens or a rate.
+// volumes returns the restored state of the volumes that are found by name and have used tokens or a reserve rate.
 func (a *assessor) volumes() (learned []scheduler.LearnedVolume) {
 	for i := range a.previous.Volumes {
 		volume := &a.previous.Volumes[i]
@@ -171,13 +173,13 @@
 	return learned
 }
 
-// tokensAt returns the tokens of a bucket that has been refilled up to now.
+// tokensAt returns the tokens that a bucket holds when it is refilled up to now.
 func tokensAt(bucket scheduler.SnapshotTokenBucket, now time.Duration) float64 {
 	return min(bucket.Burst, bucket.Tokens+max(0, bucket.Rate)*max(0, now-bucket.RefilledAt).Seconds())
 }
 
-// orderedKeys returns the ordered keys in a quiet period. The previous incarnation may have sent more after the
-// snapshot, so the quiet period of a key that had an attempt in flight begins now.
+// orderedKeys returns the ordered keys that are in a quiet period. A key that had an attempt in flight gets a whole
+// quiet period from now on, because the previous incarnation may have sent more attempts after the snapshot.
 func (a *assessor) orderedKeys() (learned []scheduler.LearnedKey) {
 	quietPeriod := a.settings.Rules.OrderedKeyQuietPeriod
 	quietUntil := map[string]time.Duration{}
@@ -193,7 +195,7 @@
 			quietUntil[request.Request.Key] = a.now + quietPeriod
 		}
 	}
-	for _, key := range a.previous.OrderedKeys { // not the map: the result has a fixed order
+	for _, key := range a.previous.OrderedKeys { // ranging over the map would give the result a random order
 		if until := quietUntil[key.Key]; until > a.now {
 			learned = append(learned, scheduler.LearnedKey{Key: key.Key, QuietUntil: until})
 		}
@@ -206,9 +208,9 @@
 	return class >= 0 && class < len(a.settings.Classes) && a.settings.Classes[class].Ordered
 }
 
-// uncoveredRetries returns the times of the retries that count against the retry budget of the new incarnation. It
-// has taken no requests yet, so the retries that the previous requests covered are left out: restoring those requests,
-// too, would loosen the budget.
+// uncoveredRetries returns the times of the retries that count against the retry budget of the new incarnation. The
+// requests of the previous incarnation are not restored, because that would loosen the budget. Therefore as many
+// retries are left out as those requests covered.
 func (a *assessor) uncoveredRetries() (retriedAt []time.Duration) {
 	covered := int(a.settings.Rules.RetryBudgetShare * float64(len(a.previous.ArrivedAt)))
 	first := min(len(a.previous.RetriedAt), max(0, covered))
@@ -218,7 +220,7 @@
 	return retriedAt
 }
 
-// restoreFleetEstimates restores the estimates that are not of a single node.
+// restoreFleetEstimates restores the estimates that concern all nodes together.
 func (a *assessor) restoreFleetEstimates(learned *scheduler.LearnedState) {
 	previous := a.previous
 	if a.confidence <= minConfidence || len(previous.ClassWork) != len(a.settings.Classes) ||
@@ -234,7 +236,7 @@
 	learned.MinLatencyMedian = previous.MinLatencyMedian
 }
 
-// plausible reports whether all values are numbers that a Scheduler could have reached.
+// plausible reports whether all values are numbers that a Scheduler can have.
 func plausible(values ...float64) bool {
 	for _, value := range values {
 		if math.IsNaN(value) || math.IsInf(value, 0) || math.Abs(value) > maxPlausible {
--- a/internal/warmrestart/assess_test.go
+++ b/internal/warmrestart/assess_test.go
@@ -14,17 +14,17 @@
 	"reachpulley/scheduler"
 )
 
-// Whatever is restored after whatever time, no guard is looser than it would be for a host that knows nothing.
+// For any restored state of any age, no guard is looser than for a host that starts without a state.
 func TestRestoredStateLoosensNoGuard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		previous := stateAfter(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(10, 800).Draw(t, "events"))
 		age := time.Duration(rapid.Int64Range(-5000, 20*60_000).Draw(t, "age")) * ms
 		restored := newNext(t, previous, age)
-		unknowing := newNext(t, nil, 0)
-		for _, s := range []*scheduler.Scheduler{restored, unknowing} {
+		fresh := newNext(t, nil, 0)
+		for _, s := range []*scheduler.Scheduler{restored, fresh} {
 			announceNodesAndVolumes(s)
 		}
-		expectNoLooserGuard(t, restored.Snapshot(), unknowing.Snapshot())
+		expectNoLooserGuard(t, restored.Snapshot(), fresh.Snapshot())
 	})
 }
 
@@ -35,12 +35,12 @@
 		list.Nodes = append(list.Nodes, scheduler.Node{
 			ID:        fmt.Sprint("n", i),
 			Shard:     i % 3,
-			StartedAt: startOfNext - time.Duration(i)*time.Second,
+			StartedAt: nextStart - time.Duration(i)*time.Second,
 		})
 	}
-	s.MembershipChanged(startOfNext, list)
+	s.MembershipChanged(nextStart, list)
 	for i := range 5 {
-		s.RequestArrived(startOfNext, scheduler.Request{
+		s.RequestArrived(nextStart, scheduler.Request{
 			ID:            fmt.Sprint("a", i),
 			Class:         0,
 			Plan:          i % 2,
@@ -53,40 +53,43 @@
 	}
 }
 
-// expectNoLooserGuard compares what the guards depend on in two states with the same nodes and volumes.
-func expectNoLooserGuard(t *rapid.T, restored, unknowing *scheduler.Snapshot) {
+// expectNoLooserGuard compares the facts that the guards depend on in a restored state and in a fresh one, which have
+// the same nodes and volumes.
+func expectNoLooserGuard(t *rapid.T, restored, fresh *scheduler.Snapshot) {
 	t.Helper()
-	for i := range unknowing.Nodes {
-		got, base := restored.Nodes[i], unknowing.Nodes[i]
+	for i := range fresh.Nodes {
+		got, base := restored.Nodes[i], fresh.Nodes[i]
 		if got.Node.ID != base.Node.ID || got.WarmingSince < base.WarmingSince || base.Down && !got.Down ||
 			len(got.RecentSends) < len(base.RecentSends) {
-			t.Fatalf("%+v\n%+v", got, base)
+			t.Fatalf("restored node %+v\nfresh node %+v", got, base)
 		}
-		if got.ConcurrencyLimit < 0 || math.IsNaN(got.ConcurrencyLimit) || got.LastServedAt > startOfNext {
-			t.Fatalf("%+v", got)
+		if got.ConcurrencyLimit < 0 || math.IsNaN(got.ConcurrencyLimit) || got.LastServedAt > nextStart {
+			t.Fatalf("implausible restored node %+v", got)
 		}
 	}
-	for i := range unknowing.Volumes {
-		got, base := restored.Volumes[i], unknowing.Volumes[i]
+	for i := range fresh.Volumes {
+		got, base := restored.Volumes[i], fresh.Volumes[i]
 		if got.Name != base.Name || got.Limit.Tokens > base.Limit.Tokens || got.Limit.Burst != base.Limit.Burst ||
 			got.Limit.Rate != base.Limit.Rate {
-			t.Fatalf("%+v\n%+v", got, base)
+			t.Fatalf("restored volume %+v\nfresh volume %+v", got, base)
 		}
 	}
-	if len(restored.RetriedAt) < len(unknowing.RetriedAt) || len(restored.ArrivedAt) > len(unknowing.ArrivedAt) {
-		t.Fatalf("%d retries, %d arrivals", len(restored.RetriedAt), len(restored.ArrivedAt))
+	if len(restored.RetriedAt) < len(fresh.RetriedAt) || len(restored.ArrivedAt) > len(fresh.ArrivedAt) {
+		t.Fatalf("%d retries and %d arrivals restored, %d and %d fresh",
+			len(restored.RetriedAt), len(restored.ArrivedAt), len(fresh.RetriedAt), len(fresh.ArrivedAt))
 	}
 }
 
-// A captured incarnation that begins with a restored state replays to the byte, from its begin and from every snapshot.
+// The capture of an incarnation that starts with a restored state replays byte for byte, from its beginning and from
+// every snapshot.
 func TestRestoredIncarnationReplays(t *testing.T) {
 	previous := stateAfter(t, 3, 600)
-	workload := capturetest.NewWorkloadAt(4, startOfNext)
+	workload := capturetest.NewWorkloadAt(4, nextStart)
 	recorder, err := capture.NewRecorder(capturetest.Settings, 1, capture.Options{MaxBytes: 500_000}, workload)
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorder.Restore(startOfNext, assess(previous, startOfNext, 3*time.Second).Learned)
+	recorder.Restore(nextStart, assess(previous, nextStart, 3*time.Second).Learned)
 	workload.Play(recorder, 2000)
 	file, err := recorder.Recording().File()
 	if err != nil {
@@ -97,11 +100,11 @@
 		t.Fatal(err)
 	}
 	if events, err := capture.Replay(reader); err != nil || events < 1000 {
-		t.Errorf("%d events, %v", events, err)
+		t.Errorf("%d events replayed, want at least 1000; error %v", events, err)
 	}
 }
 
-// sendCounter counts the units sent to a node.
+// sendCounter counts the requests sent to a node. Each is of one unit.
 type sendCounter struct {
 	capturetest.Workload
 	units int
@@ -110,8 +113,8 @@
 func (c *sendCounter) Send(string, string, time.Duration) { c.units++ }
 func (*sendCounter) SetTimer(time.Duration, uint64)       {}
 
-// sendAcrossRestart sends all that a warming node may get, restarts the host and sends again within the same window. It
-// returns the units sent by the first and by the second incarnation.
+// sendAcrossRestart sends a warming node as much as it may get, restarts the host, and sends again within the same
+// window. It returns the units sent by the first and by the second incarnation.
 func sendAcrossRestart(t *testing.T, restore bool) (first, second int) {
 	t.Helper()
 	settings := capturetest.Settings
@@ -130,14 +133,15 @@
 	}
 	now := started + 500*ms
 	if restore {
-		const shift = 0 // both clocks agree here
+		const shift = 0 // both incarnations have the same clock here
 		after.Restore(now, Assess(previous, settings, now, 500*ms, shift).Learned)
 	}
 	saturateWarmingNode(after, now, "b", started-10*ms)
 	return firstCounter.units, secondCounter.units
 }
 
-// saturateWarmingNode lists one node that has just started and has it serve as many requests as the Scheduler sends.
+// saturateWarmingNode lists one node that has just started, and offers more requests than it may get. The node serves
+// all that are sent to it.
 func saturateWarmingNode(s *scheduler.Scheduler, now time.Duration, prefix string, nodeStartedAt time.Duration) {
 	s.MembershipChanged(now, scheduler.Membership{
 		Kind:  scheduler.FullList,
@@ -150,7 +154,7 @@
 			Volume:        "tin",
 			Plan:          1,
 			Units:         1,
-			Shard:         scheduler.AnyShard, // it is sent by the node's allowance alone, not by chance
+			Shard:         scheduler.AnyShard, // so that only the node's allowance limits what is sent
 			ClientTimeout: time.Second,
 			Hosts:         1,
 		})
@@ -165,21 +169,22 @@
 	}
 }
 
-// A restart during the slow start of a node must not overload the node: what the previous incarnation sent counts in
-// the same window.
+// A restart of the gateway during the slow start of a node must not overload the node: what the previous incarnation
+// sent counts against the allowance of the same window.
 func TestSlowStartAllowanceHoldsAcrossRestart(t *testing.T) {
-	maxUnits := int(capturetest.Settings.Rules.SlowStartAllowance) + 20 // the node warms up a little meanwhile
+	maxUnits := int(capturetest.Settings.Rules.SlowStartAllowance) + 20 // the allowance grows a little in the meantime
 	first, second := sendAcrossRestart(t, true)
 	if first < 50 || first+second > maxUnits {
-		t.Errorf("%d units, then %d, of %d", first, second, maxUnits)
+		t.Errorf("%d units before the restart and %d after it, want at most %d together", first, second, maxUnits)
 	}
 	if first, second := sendAcrossRestart(t, false); first+second <= maxUnits {
-		t.Errorf("%d units, then %d without a restored state: the test shows nothing", first, second)
+		t.Errorf("%d units and then %d without a restored state: the limit is not reached, so the test proves nothing",
+			first, second)
 	}
 }
 
-// A node that has restarted since is warming up and unknown, whatever was known of it.
-func TestRestartedNodeIsUnknown(t *testing.T) {
+// A node that has restarted since the snapshot is warming up, and its old estimates are not used.
+func TestRestartedNodeKeepsNoEstimates(t *testing.T) {
 	previous := stateAfter(t, 5, 800)
 	for i := range previous.Nodes {
 		node := &previous.Nodes[i]
@@ -191,22 +196,22 @@
 		node.Latency = 0.011
 		node.MaxRate = 2000
 	}
-	restartedAt := startOfNext - 200*ms
+	restartedAt := nextStart - 200*ms
 	s := newNext(t, previous, time.Second)
-	s.MembershipChanged(startOfNext, scheduler.Membership{
+	s.MembershipChanged(nextStart, scheduler.Membership{
 		Kind:  scheduler.FullList,
 		Nodes: []scheduler.Node{{ID: "n0"}, {ID: "n1", StartedAt: restartedAt}},
 	})
 	got := s.Snapshot()
 	if n := got.Nodes[0]; n.WarmingSince != 0 || n.ConcurrencyLimit < 35 || n.MinLatency == 0 {
-		t.Errorf("the same incarnation of the node: %+v", n)
+		t.Errorf("node that has not restarted: %+v", n)
 	}
 	if n := got.Nodes[1]; n.WarmingSince != restartedAt || n.ConcurrencyLimit != 16 || n.MinLatency != 0 {
-		t.Errorf("another incarnation of the node: %+v", n)
+		t.Errorf("node that has restarted: %+v", n)
 	}
 }
 
-// Estimates count less the older they are, and nothing in the end. Implausible figures are not restored.
+// Estimates count less the older they are, and not at all beyond maxEstimateAge. Implausible figures are not restored.
 func TestConfidenceDecaysWithAge(t *testing.T) {
 	previous := stateAfter(t, 5, 800)
 	for i := range previous.Nodes {
@@ -217,27 +222,29 @@
 		node.Latency = 0.02
 		node.MaxRate = 3000
 	}
-	lastCap := math.Inf(1)
+	lastLimit := math.Inf(1)
 	ages := []time.Duration{
 		0, time.Second, 10 * time.Second, time.Minute, 2 * time.Minute, 9 * time.Minute, time.Hour,
 	}
 	for _, age := range ages {
 		got := Assess(previous, capturetest.Settings, time.Hour, age, 0)
-		restoredCap := got.Learned.Nodes[0].ConcurrencyLimit
-		if restoredCap > lastCap || restoredCap < 0 ||
+		limit := got.Learned.Nodes[0].ConcurrencyLimit
+		if limit > lastLimit || limit < 0 ||
 			age > maxEstimateAge && (got.KnownNodes > 0 || len(got.Learned.ClassWork) > 0) {
-			t.Errorf("%v: cap %v after %v, %d nodes", age, restoredCap, lastCap, got.KnownNodes)
+			t.Errorf("age %v: concurrency limit %v, %v at the age before, %d known nodes",
+				age, limit, lastLimit, got.KnownNodes)
 		}
-		lastCap = restoredCap
+		lastLimit = limit
 	}
 	if got := Assess(previous, capturetest.Settings, time.Hour, -time.Minute, 0); got.KnownNodes > 0 {
-		t.Error("estimates of a state of the future are restored")
+		t.Error("estimates of a state from the future are restored")
 	}
 	previous.Nodes[0].ConcurrencyLimit = math.NaN()
 	previous.Nodes[1].Latency = math.Inf(1)
 	previous.ClassWork[0] = math.NaN()
 	got := Assess(previous, capturetest.Settings, time.Hour, 0, 0)
-	if got.Learned.Nodes[0].ConcurrencyLimit != 0 || got.Learned.Nodes[1].ConcurrencyLimit != 0 || len(got.Learned.ClassWork) > 0 {
-		t.Errorf("%+v", got.Learned)
+	if got.Learned.Nodes[0].ConcurrencyLimit != 0 || got.Learned.Nodes[1].ConcurrencyLimit != 0 ||
+		len(got.Learned.ClassWork) > 0 {
+		t.Errorf("implausible estimates are restored: %+v", got.Learned)
 	}
 }
--- a/internal/warmrestart/helpers_test.go
+++ b/internal/warmrestart/helpers_test.go
@@ -18,8 +18,8 @@
 
 const ms = time.Millisecond
 
-// startOfNext is the time at which the incarnations of newNext begin, on a clock of their own.
-const startOfNext = time.Hour
+// nextStart is the time at which the incarnations of newNext begin, on a clock of their own.
+const nextStart = time.Hour
 
 // newScheduler makes a Scheduler with the test settings.
 func newScheduler(t rapid.TB, seed uint64, actions scheduler.Actions) *scheduler.Scheduler {
@@ -31,7 +31,7 @@
 	return s
 }
 
-// stateAfter returns the state of a Scheduler after a random workload.
+// stateAfter returns the state of a Scheduler after a random workload of some events.
 func stateAfter(t rapid.TB, seed uint64, events int) *scheduler.Snapshot {
 	t.Helper()
 	workload := capturetest.NewWorkload(seed)
@@ -40,18 +40,18 @@
 	return s.Snapshot()
 }
 
-// newNext makes a Scheduler that starts so long after a previous state was taken, on a clock that begins anew. It
-// restores the state unless that is nil.
+// newNext makes the Scheduler of the next incarnation, which has a new clock and starts when the previous state has the
+// given age. It restores the previous state unless that is nil.
 func newNext(t rapid.TB, previous *scheduler.Snapshot, age time.Duration) *scheduler.Scheduler {
 	t.Helper()
-	s := newScheduler(t, 7, capturetest.NewWorkloadAt(99, startOfNext))
+	s := newScheduler(t, 7, capturetest.NewWorkloadAt(99, nextStart))
 	if previous != nil {
-		s.Restore(startOfNext, assess(previous, startOfNext, age).Learned)
+		s.Restore(nextStart, assess(previous, nextStart, age).Learned)
 	}
 	return s
 }
 
-// assess assesses a state for an incarnation whose clock does not go on from that of the previous one.
+// assess calls Assess for an incarnation whose clock has no relation to that of the previous one.
 func assess(previous *scheduler.Snapshot, now, age time.Duration) Assessment {
 	return Assess(previous, capturetest.Settings, now, age, now-age-previous.Now)
 }
--- a/internal/warmrestart/learning_test.go
+++ b/internal/warmrestart/learning_test.go
@@ -9,7 +9,7 @@
 	"reachpulley/scheduler"
 )
 
-// simulatedNode serves so many requests at a time, each in the same time.
+// simulatedNode serves nodeWorkers requests at a time, each in nodeServiceTime.
 type simulatedNode struct {
 	capturetest.Workload
 	inFlight []scheduler.Outcome
@@ -35,12 +35,12 @@
 
 func (*simulatedNode) SetTimer(time.Duration, uint64) {}
 
-// timeToLearn returns how long it takes until the cap of a node reaches nine tenths of what it is in the end.
+// timeToLearn returns how long it takes until the concurrency limit of a node reaches nine tenths of its final value.
 func timeToLearn(s *scheduler.Scheduler, node *simulatedNode, start time.Duration) time.Duration {
 	const step = 5 * ms
 	s.MembershipChanged(start, scheduler.Membership{Kind: scheduler.FullList, Nodes: []scheduler.Node{{ID: "n"}}})
 	requests := 0
-	var caps []float64
+	var limits []float64
 	for node.now = start; node.now < start+20*time.Second; node.now += step {
 		for len(node.inFlight) > 0 && node.endsAt[0] <= node.now {
 			outcome := node.inFlight[0]
@@ -63,18 +63,18 @@
 		if requests%20 == 0 {
 			s.TimerFired(node.now, 0)
 		}
-		caps = append(caps, s.Snapshot().Nodes[0].ConcurrencyLimit)
+		limits = append(limits, s.Snapshot().Nodes[0].ConcurrencyLimit)
 	}
-	for i, c := range caps {
-		if c >= 0.9*caps[len(caps)-1] {
+	for i, limit := range limits {
+		if limit >= 0.9*limits[len(limits)-1] {
 			return time.Duration(i) * step
 		}
 	}
 	return 0
 }
 
-// BenchmarkLearning measures for how long, in the Scheduler's time, the cap of a node stays below nine tenths of its
-// final value: after a start that knows nothing, and after one that restores a state of ten seconds ago.
+// BenchmarkLearning measures how long, in the Scheduler's time, the concurrency limit of a node stays below nine tenths
+// of its final value: after a start without a state, and after one that restores a state of ten seconds ago.
 func BenchmarkLearning(b *testing.B) {
 	for b.Loop() {
 		before := &simulatedNode{}
--- a/internal/warmrestart/store.go
+++ b/internal/warmrestart/store.go
@@ -15,42 +15,42 @@
 	"reachpulley/scheduler"
 )
 
-// Reasons for which a stored state is rejected, beside those of capture.NewReader and scheduler.Resume.
+// Errors for which a stored state is rejected, besides those of capture.NewReader and scheduler.Resume.
 var (
-	// ErrSettingsChanged means that a state was stored under other settings than the present ones.
+	// ErrSettingsChanged means that a state was stored under settings that differ from the present ones.
 	ErrSettingsChanged = errors.New("the settings have changed since the state was stored")
 	// ErrNoOrigin means that a stored state does not say when its clock began, so its age is unknown.
-	ErrNoOrigin = errors.New("the stored state has no origin of its clock")
-	// ErrNoSnapshot means that a file is a capture, but does not begin with a state.
+	ErrNoOrigin = errors.New("the stored state does not say when its clock began")
+	// ErrNoSnapshot means that a file is a capture, but does not begin with a snapshot.
 	ErrNoSnapshot = errors.New("the file does not begin with a snapshot")
 )
 
-// maxStateBytes is the size up to which the file of a state is read.
+// maxStateBytes is the size up to which a file with a stored state is read.
 const maxStateBytes = 8 << 20
 
-// Suffixes of the files that stand beside the newest generation.
+// Suffixes of the other files beside that of the newest generation.
 const (
-	previousSuffix = ".old"       // the generation before the newest
-	nextSuffix     = ".new"       // a generation that is complete and not yet renamed
+	previousSuffix = ".old"       // the generation before the newest one
+	nextSuffix     = ".new"       // a generation that is complete but not renamed yet
 	rejectedSuffix = ".set-aside" // a state that was rejected
 )
 
 // Store keeps the state of one gateway on disk, in two generations. It is used by one goroutine at a time.
 type Store struct {
 	FS   filesystem.FS
-	Path string // of the newest generation; all other files stand beside it
+	Path string // of the newest generation; the other files are in the same directory
 	Log  *slog.Logger
 }
 
-// StatePath returns the path of a gateway's state in a directory.
+// StatePath returns the path of a gateway's stored state in a directory.
 func StatePath(directory, gateway string) string {
 	return filepath.Join(directory, "state-"+gateway+".capture")
 }
 
 func (s *Store) previousPath() string { return s.Path + previousSuffix }
 
-// Save writes a state completely or not at all. The newest state until now becomes the previous generation. A stored
-// state is a capture of one snapshot, so the commands for captures read it.
+// Save writes a state completely or not at all. The state that was the newest so far becomes the previous generation. A
+// stored state is a capture with a single snapshot, so the commands for captures can read it.
 func (s *Store) Save(head capture.Head, state *scheduler.Snapshot) error {
 	snapshot := capture.Record{Kind: capture.KindSnapshot, At: state.Now, State: state}
 	content, err := capture.Compress(head, []capture.Record{snapshot})
@@ -61,7 +61,7 @@
 	if err := filesystem.ReplaceFile(s.FS, next, content); err != nil {
 		return err
 	}
-	// Between the two renames only the previous generation exists, and Load finds it.
+	// Between the two renames only the previous generation exists. Load finds it there.
 	if err := s.FS.Rename(s.Path, s.previousPath()); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
@@ -71,9 +71,9 @@
 	return s.FS.SyncDirectory(filepath.Dir(s.Path))
 }
 
-// Load returns the newest state that is readable and was stored under the same settings, and when it was taken. It
-// returns nil if there is none. Files that can't be used are logged and renamed, so that they are neither used nor
-// lost.
+// Load returns the newest state that is readable and was stored under the same settings, and the time when it was
+// taken. It returns nil if there is no such state. It logs and renames files that can't be used, so that they are
+// neither read again nor lost.
 func (s *Store) Load(settings scheduler.Settings) (state *scheduler.Snapshot, taken time.Time) {
 	for _, path := range []string{s.Path, s.previousPath()} {
 		state, taken, err := s.load(path, settings)
@@ -106,13 +106,13 @@
 // reject renames a file that can't be used.
 func (s *Store) reject(path string, reason error) {
 	renamed := path + rejectedSuffix
-	s.Log.Warn("stored state rejected; renaming it", "file", path, "renamed_to", renamed, "err", reason)
+	s.Log.Warn("stored state rejected, renaming its file", "file", path, "renamed_to", renamed, "err", reason)
 	if err := s.FS.Rename(path, renamed); err != nil {
-		s.Log.Warn("renaming of the rejected state failed", "file", path, "err", err)
+		s.Log.Warn("renaming the rejected state failed", "file", path, "err", err)
 	}
 }
 
-// read returns the head and the state of a file. The state has passed the checks of scheduler.Resume.
+// read returns the head and the state in a file. The returned state has passed the checks of scheduler.Resume.
 func (s *Store) read(path string) (head capture.Head, state *scheduler.Snapshot, err error) {
 	file, err := s.FS.Open(path)
 	if err != nil {
@@ -128,7 +128,7 @@
 		return head, nil, err
 	}
 	if record.Kind != capture.KindSnapshot || record.State == nil {
-		return head, nil, fmt.Errorf("%w: its first record is a %s", ErrNoSnapshot, record.Kind)
+		return head, nil, fmt.Errorf("%w: its first record is of kind %q", ErrNoSnapshot, record.Kind)
 	}
 	if _, err := scheduler.Resume(reader.Head.Settings, record.State, nil); err != nil {
 		return head, nil, err
@@ -136,7 +136,7 @@
 	return reader.Head, record.State, nil
 }
 
-// equalSettings reports whether two settings are stored as the same bytes.
+// equalSettings reports whether two settings have the same encoding.
 func equalSettings(a, b scheduler.Settings) bool {
 	encodedA, errA := capture.EncodeHeader(&capture.Head{Settings: a})
 	encodedB, errB := capture.EncodeHeader(&capture.Head{Settings: b})
--- a/internal/warmrestart/store_test.go
+++ b/internal/warmrestart/store_test.go
@@ -13,7 +13,7 @@
 	"reachpulley/internal/filesystem/filesystemtest"
 )
 
-// newStore makes a Store on a file system and returns the buffer that it logs to.
+// newStore makes a Store on a file system and returns it with the buffer that it logs to.
 func newStore(f *filesystemtest.FS) (*Store, *bytes.Buffer) {
 	var log bytes.Buffer
 	return &Store{FS: f, Path: StatePath("d", "gate"), Log: slog.New(slog.NewTextHandler(&log, nil))}, &log
@@ -26,10 +26,12 @@
 	Origin:   time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC).UnixNano(),
 }
 
-const logOfRejection = "stored state rejected"
+// rejectionMessage is the beginning of the log line for a rejected state.
+const rejectionMessage = "stored state rejected"
 
-// Whenever the power is lost while a state is written, the next start finds this state or the one before it, complete.
-func TestPowerLossLeavesOneGeneration(t *testing.T) {
+// If the power is lost at any time while a state is written, the next start finds either this state or the one before,
+// complete.
+func TestPowerLossLeavesACompleteGeneration(t *testing.T) {
 	workload := capturetest.NewWorkload(1)
 	s := newScheduler(t, 1, workload)
 	workload.Play(s, 60)
@@ -48,14 +50,14 @@
 			after, log := newStore(disk.Restart(unsyncedBytes))
 			got, taken := after.Load(capturetest.Settings)
 			if got == nil || got.Now != first.Now && got.Now != second.Now ||
-				strings.Contains(log.String(), logOfRejection) {
-				t.Fatalf("power lost after %d bytes: %v %s", writtenBytes, got, log)
+				strings.Contains(log.String(), rejectionMessage) {
+				t.Fatalf("power lost after %d bytes: state %v, log %s", writtenBytes, got, log)
 			}
 			if want := time.Unix(0, testHead.Origin).Add(got.Now); !taken.Equal(want) {
-				t.Fatalf("taken %v, want %v", taken, want)
+				t.Fatalf("the state was taken at %v, want %v", taken, want)
 			}
 		}
-		if err == nil { // everything was written
+		if err == nil { // the power was not lost before everything was written
 			return
 		}
 	}
@@ -66,11 +68,11 @@
 	state := stateAfter(t, 1, 300)
 	for _, test := range []struct {
 		name  string
-		spoil func(file []byte) []byte
+		spoil func(file []byte) []byte // returns the unusable content
 	}{
 		{"damaged", func(file []byte) []byte { file[len(file)-20] ^= 1; return file }},
-		{"cut", func(file []byte) []byte { return file[:len(file)/2] }},
-		{"foreign", func([]byte) []byte { return []byte("somebody else's file, which is of no use") }},
+		{"truncated", func(file []byte) []byte { return file[:len(file)/2] }},
+		{"not a capture", func([]byte) []byte { return []byte("the content of another program's file") }},
 		{"empty", func([]byte) []byte { return nil }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -84,18 +86,18 @@
 			content := test.spoil(disk.Content(s.Path))
 			disk.Remove(s.Path)
 			disk.Put(s.Path, content)
-			if got, _ := s.Load(capturetest.Settings); got == nil || !strings.Contains(log.String(), logOfRejection) {
-				t.Errorf("%v %s", got, log)
+			if got, _ := s.Load(capturetest.Settings); got == nil || !strings.Contains(log.String(), rejectionMessage) {
+				t.Errorf("state %v, log %s", got, log)
 			}
 			if renamed := disk.Content(s.Path + ".set-aside"); !bytes.Equal(renamed, content) {
-				t.Error("the file is lost")
+				t.Errorf("the renamed file has the content %q", renamed)
 			}
 		})
 	}
 }
 
-// The log says why a state is rejected, and the reason is a typed error.
-func TestReasonsOfRejection(t *testing.T) {
+// Each reason to reject a state has its own error, which the log shows. An error of Save is returned.
+func TestRejectedStateHasAReason(t *testing.T) {
 	state := stateAfter(t, 1, 300)
 	changed := capturetest.Settings
 	changed.Siblings++
@@ -105,10 +107,10 @@
 		t.Fatal(err)
 	}
 	if _, _, err := s.load(s.Path, changed); !errors.Is(err, ErrSettingsChanged) {
-		t.Errorf("%v, want %v", err, ErrSettingsChanged)
+		t.Errorf("error %v, want %v", err, ErrSettingsChanged)
 	}
 	if got, _ := s.Load(changed); got != nil || !strings.Contains(log.String(), ErrSettingsChanged.Error()) {
-		t.Errorf("%v %s", got, log)
+		t.Errorf("state %v, log %s", got, log)
 	}
 	withoutOrigin := testHead
 	withoutOrigin.Origin = 0
@@ -116,7 +118,7 @@
 		t.Fatal(err)
 	}
 	if _, _, err := s.load(s.Path, capturetest.Settings); !errors.Is(err, ErrNoOrigin) {
-		t.Errorf("%v, want %v", err, ErrNoOrigin)
+		t.Errorf("error %v, want %v", err, ErrNoOrigin)
 	}
 	note, err := capture.Compress(testHead, []capture.Record{{Kind: capture.KindNote, Text: "no state"}})
 	if err != nil {
@@ -124,17 +126,17 @@
 	}
 	disk.Put(s.Path, note)
 	if _, _, err := s.load(s.Path, capturetest.Settings); !errors.Is(err, ErrNoSnapshot) {
-		t.Errorf("%v, want %v", err, ErrNoSnapshot)
+		t.Errorf("error %v, want %v", err, ErrNoSnapshot)
 	}
 	disk.Capacity = 10
 	if err := s.Save(testHead, state); err == nil {
-		t.Error("no error of a full disk")
+		t.Error("Save returns no error on a full disk")
 	}
 }
 
-func TestNoFileIsNoState(t *testing.T) {
+func TestLoadWithoutFilesReturnsNoState(t *testing.T) {
 	s := &Store{FS: filesystemtest.New(), Path: "d/none", Log: slog.New(slog.DiscardHandler)}
 	if got, _ := s.Load(capturetest.Settings); got != nil {
-		t.Error("a state out of nothing")
+		t.Errorf("state %v although there is no file", got)
 	}
 }
