--- a/internal/config/capture.go
+++ b/internal/config/capture.go
@@ -11,12 +11,12 @@
 
 // Capture is the table [capture].
 type Capture struct {
-	MemoryKB     int           `toml:"memory_kb"`   // for the events and actions in memory; 0: nothing is recorded
-	Directory    string        `toml:"directory"`   // where captures are written
-	DiskMB       int           `toml:"disk_mb"`     // for all segments on disk; 0: none are written
+	MemoryKB     int           `toml:"memory_kb"`   // memory for recorded events and actions; 0: nothing is recorded
+	Directory    string        `toml:"directory"`   // directory of the captures
+	DiskMB       int           `toml:"disk_mb"`     // disk space for all segments; 0: none are written
 	SegmentMB    int           `toml:"segment_mb"`  // size at which a segment ends
-	SegmentAge   time.Duration `toml:"segment_age"` // at which a segment ends
-	MaxTriggered int           `toml:"kept"`        // retained captures of triggers; the oldest are removed first
+	SegmentAge   time.Duration `toml:"segment_age"` // age at which a segment ends
+	MaxTriggered int           `toml:"kept"`        // maximum of captures of triggers; the oldest are removed first
 	Triggers     []Trigger     `toml:"trigger"`
 }
 
@@ -24,7 +24,7 @@
 type Trigger struct {
 	Name   string        `toml:"name"`
 	When   string        `toml:"when"`   // condition over one second
-	Before time.Duration `toml:"before"` // minimum span before the trigger to retain, as far as the memory reaches
+	Before time.Duration `toml:"before"` // minimum span before the trigger to retain, if it is still in memory
 	After  time.Duration `toml:"after"`  // span after the trigger to retain
 	Quiet  time.Duration `toml:"quiet"`  // minimum time between two captures of this trigger
 
@@ -35,7 +35,7 @@
 
 const (
 	maxCaptureMemoryKB  = 1 << 20
-	minMemoryWithDiskKB = 1 << 10 // parts of a capture are a quarter of it, and each begins with a snapshot
+	minMemoryWithDiskKB = 1 << 10 // a part of a capture is a quarter of the memory, and each begins with a snapshot
 	maxCaptureDiskMB    = 1 << 20
 	minSegmentsOnDisk   = 2 // so that the oldest can be removed while the newest is written
 	minSegmentAge       = time.Second
@@ -59,26 +59,27 @@
 
 func (c *Capture) validateSegments(v tableValidator) {
 	v.require(c.MemoryKB >= minMemoryWithDiskKB, "memory_kb",
-		"%d is less than %d, which segments on disk need", c.MemoryKB, minMemoryWithDiskKB)
+		"%d is less than %d, the minimum for segments on disk", c.MemoryKB, minMemoryWithDiskKB)
 	v.require(c.SegmentMB >= 1 && c.SegmentMB*minSegmentsOnDisk <= c.DiskMB, "segment_mb",
-		"%d is not from 1 to a half of disk_mb", c.SegmentMB)
+		"%d is not from 1 to half of disk_mb", c.SegmentMB)
 	v.require(c.SegmentAge >= minSegmentAge, "segment_age", "%v is less than %v", c.SegmentAge, minSegmentAge)
 }
 
 func (c *Capture) validateTriggers(v tableValidator) {
 	v.requireRange("kept", c.MaxTriggered, 1, maxTriggered)
-	v.require(len(c.Triggers) <= maxTriggers, "trigger", "%d are more than %d", len(c.Triggers), maxTriggers)
+	v.require(len(c.Triggers) <= maxTriggers, "trigger", "%d triggers are more than the maximum of %d",
+		len(c.Triggers), maxTriggers)
 	v.require(len(c.Triggers) == 0 || c.MemoryKB > 0, "memory_kb",
-		"triggers retain what is in memory, and nothing is recorded")
+		"is 0, but triggers need events and actions recorded in memory")
 	for i := range c.Triggers {
 		c.Triggers[i].validate(v.element("trigger", i))
 	}
 }
 
-// validate also compiles the condition.
+// validate checks the trigger and compiles its condition.
 func (t *Trigger) validate(v tableValidator) {
 	v.require(triggerName.MatchString(t.Name), "name",
-		"%q is not made of 1 to 32 letters a to z, digits and _", t.Name)
+		"%q is not 1 to 32 of the characters a to z, 0 to 9 and _", t.Name)
 	v.require(t.Before >= 0 && t.Before <= maxTriggerSpan, "before",
 		"%v is not from 0s to %v", t.Before, maxTriggerSpan)
 	v.require(t.After >= 0 && t.After <= maxTriggerSpan, "after",
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,7 +27,7 @@
 	envDiscovery = "BALANCER_DISCOVERY"
 )
 
-// Defaults for what the platform's file leaves out.
+// Defaults for values that the platform's file leaves out.
 const (
 	defaultCores          = 1
 	defaultMemoryMB       = 192
@@ -36,6 +36,7 @@
 	defaultIdleTimeout    = 15 * time.Second
 )
 
+// Minimums of the limits in the platform's file.
 const (
 	minSockets  = 64
 	minMemoryMB = 32
@@ -48,37 +49,38 @@
 	Discovery  string
 	Seed       uint64
 	Limits     Limits
-	CachedList *discovery.List // nil: none
+	CachedList *discovery.List // list of nodes in the platform's file; nil: none
 	Settings   scheduler.Settings
 }
 
-// Limits bound what the gateway may use.
+// Limits are the resources that the gateway may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// platformFile is the platform's file as it is written.
+// platformFile is the platform's file in its JSON form.
 type platformFile struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"`
-	Limits    Limits          `json:"limits"`
-	Known     json.RawMessage `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
+	Name       string          `json:"name"`
+	Listen     string          `json:"listen"`
+	Discovery  string          `json:"discovery"`
+	Seed       string          `json:"seed"`
+	Limits     Limits          `json:"limits"`
+	CachedList json.RawMessage `json:"known"`
+	Settings   json.RawMessage `json:"settings"`
 }
 
-// precedence chooses between a value of the file and one of the environment. An empty value is not set.
+// precedence chooses between the value of the platform's file and that of the environment. An empty value counts as not
+// set.
 type precedence func(file, environment string) string
 
 func preferEnvironment(file, environment string) string { return cmp.Or(environment, file) }
 
 func preferFile(file, environment string) string { return cmp.Or(file, environment) }
 
-// Load reads the environment, by getenv, and the platform's file that it names. Values of the environment take
-// precedence over those of the file.
+// Load reads the environment through getenv, and the platform's file that the environment names. Values of the
+// environment take precedence over those of the file.
 func Load(getenv func(string) string) (*Config, error) { return read(getenv, preferEnvironment) }
 
 // Reload reads the platform's file again for a running gateway. The environment cannot have changed since the start,
@@ -90,7 +92,7 @@
 	return parse(text, getenv, preferEnvironment)
 }
 
-// ParseSettings parses only the settings: either those of a platform's file, or a text that consists of nothing else.
+// ParseSettings parses only the settings. The text is either a whole platform file or the settings alone.
 func ParseSettings(text []byte) (scheduler.Settings, error) {
 	var file platformFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -146,7 +148,7 @@
 	if c.Seed, err = parseSeed(file.Seed); err != nil {
 		return nil, err
 	}
-	if c.CachedList, err = parseCachedList(file.Known); err != nil {
+	if c.CachedList, err = parseCachedList(file.CachedList); err != nil {
 		return nil, err
 	}
 	if c.Settings, err = parseGatewaySettings(file.Settings); err != nil {
@@ -167,14 +169,14 @@
 	return nil
 }
 
-// parseSeed parses 16 hexadecimal digits. Without any, the seed is random.
+// parseSeed parses up to 16 hexadecimal digits. An empty text gives a random seed.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return rand.Uint64(), nil
 	}
 	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		return 0, keyError("seed", "%q is not a number of 16 hex digits", text)
+		return 0, keyError("seed", "%q is not a number of up to 16 hex digits", text)
 	}
 	return seed, nil
 }
@@ -199,7 +201,7 @@
 	if err != nil {
 		return scheduler.Settings{}, &Error{Key: "settings", Err: jsonError(err)}
 	}
-	settings.LocalAgent = !settings.PollMembership // on sockets, a list that is pushed has to be watched, too
+	settings.LocalAgent = !settings.PollMembership // on sockets, the gateway also has to watch a pushed list
 	if err := completeTimeouts(&settings.Allowed); err != nil {
 		return scheduler.Settings{}, err
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,12 +20,12 @@
 
 func emptyEnvironment(string) string { return "" }
 
-// environment returns a getenv over some variables.
+// environment returns a getenv function for the given variables.
 func environment(variables map[string]string) func(string) string {
 	return func(name string) string { return variables[name] }
 }
 
-// writeFile writes a file into a directory of the test and returns its path.
+// writeFile writes a file into a temporary directory of the test and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -46,14 +46,14 @@
 	}
 }
 
-// An error at a start or a reload names the file and the key.
+// An error at the start or at a reload names the file and the key.
 func TestLoadErrorsNameFileAndKey(t *testing.T) {
 	path := writeFile(t, "config.json", strings.Replace(platformJSON, "127.0.0.1:2", "nowhere", 1))
 	for name, load := range map[string]func(func(string) string) (*Config, error){"Load": Load, "Reload": Reload} {
 		t.Run(name, func(t *testing.T) {
 			_, err := load(environment(map[string]string{EnvConfig: path}))
 			if err == nil || !strings.Contains(err.Error(), path+": discovery: ") {
-				t.Errorf("%v", err)
+				t.Errorf("error %v does not name %s and discovery", err, path)
 			}
 			var located *Error
 			if !errors.As(err, &located) || located.Source != path || located.Key != "discovery" {
@@ -63,7 +63,7 @@
 	}
 }
 
-// On sockets a list has to be watched, whether it is pushed or polled.
+// On sockets the list of nodes has to be watched, whether the platform pushes it or has it polled.
 func TestPushedMembershipIsWatched(t *testing.T) {
 	for mode, wantAgent := range map[string]bool{"ask": false, "push": true} {
 		t.Run(mode, func(t *testing.T) {
@@ -73,13 +73,13 @@
 				t.Fatal(err)
 			}
 			if c.Settings.PollMembership == wantAgent || c.Settings.LocalAgent != wantAgent {
-				t.Errorf("polls %v, agent %v", c.Settings.PollMembership, c.Settings.LocalAgent)
+				t.Errorf("PollMembership %v, LocalAgent %v", c.Settings.PollMembership, c.Settings.LocalAgent)
 			}
 		})
 	}
 }
 
-// The environment of a running gateway is that of its start; the file is what was changed.
+// The environment of a running gateway stays that of its start, so a changed value can only come from the file.
 func TestReloadPrefersFileToEnvironment(t *testing.T) {
 	getenv := environment(map[string]string{
 		EnvConfig:    writeFile(t, "config.json", platformJSON),
@@ -122,7 +122,7 @@
 		t.Run(c.want, func(t *testing.T) {
 			_, err := Parse([]byte(strings.Replace(platformJSON, c.old, c.new, 1)), emptyEnvironment)
 			if err == nil || !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("%s: %v, want %s", c.new, err, c.want)
+				t.Errorf("%s: error %v, want one that begins with %s", c.new, err, c.want)
 			}
 		})
 	}
--- a/internal/config/contracts.go
+++ b/internal/config/contracts.go
@@ -15,53 +15,64 @@
 
 // Contracts is the table [contracts].
 type Contracts struct {
-	Files        []string `toml:"files"`       // descriptions; empty: none are in force
-	Undescribed  string   `toml:"undescribed"` // for undescribed calls: AcceptUndescribed or RejectUndescribed
-	Rate         float64  `toml:"rate"`        // accepted undescribed calls per second; 0: no limit
-	Burst        float64  `toml:"burst"`       // accepted undescribed calls at once
-	Open         int      `toml:"open"`        // undescribed calls in flight; 0: no limit
-	Plan         string   `toml:"plan"`        // of requests that name none; empty: such requests are rejected
-	Sample       float64  `toml:"sample"`      // share of the responses whose bodies are checked against their schemas
-	Distrust     string   `toml:"distrust"`    // strictest restriction of nodes that contradict their description
-	DistrustFile string   `toml:"doubts"`      // distrust records for people and the next start; empty: none
+	// Files are the paths of the descriptions. Empty: none are in force.
+	Files []string `toml:"files"`
+	// Undescribed is AcceptUndescribed or RejectUndescribed.
+	Undescribed string `toml:"undescribed"`
+	// UndescribedRate is how many undescribed calls are accepted per second. 0: no limit.
+	UndescribedRate float64 `toml:"rate"`
+	// UndescribedBurst is how many undescribed calls are accepted at once.
+	UndescribedBurst float64 `toml:"burst"`
+	// UndescribedInFlight is how many undescribed calls may be in flight. 0: no limit.
+	UndescribedInFlight int `toml:"open"`
+	// DefaultPlan is the plan of requests that name none. Empty: such requests are rejected.
+	DefaultPlan string `toml:"plan"`
+	// SampleShare is the share of the responses whose bodies are checked against their schemas.
+	SampleShare float64 `toml:"sample"`
+	// Distrust is the strictest restriction of nodes that contradict their description: DistrustLog, DistrustRestrict
+	// or DistrustAvoid.
+	Distrust string `toml:"distrust"`
+	// DistrustFile is the path of the distrust records, which are for people and for the next start. Empty: none are
+	// stored.
+	DistrustFile string `toml:"doubts"`
 
 	Catalog *catalog.Catalog `toml:"-"` // the described operations; nil: none
 }
 
-// What happens to calls that no description covers.
+// Values of Contracts.Undescribed: what happens to calls that no description covers.
 const (
 	AcceptUndescribed = "careful" // accepted, never retried
 	RejectUndescribed = "refuse"  // rejected
 )
 
-// What happens at the strictest to a node that contradicts its description.
+// Values of Contracts.Distrust: what happens at the strictest to a node that contradicts its description.
 const (
-	DistrustLog      = "log"   // it is only logged
-	DistrustRestrict = "care"  // its requests are not retried
-	DistrustAvoid    = "avoid" // it gets requests only if no other node may take them
+	DistrustLog      = "log"   // the contradiction is only logged
+	DistrustRestrict = "care"  // requests to the node are not retried
+	DistrustAvoid    = "avoid" // the node gets requests only if no other node may take them
 )
 
 var defaultContracts = Contracts{
-	Undescribed: AcceptUndescribed,
-	Rate:        10,
-	Burst:       20,
-	Open:        16,
-	Sample:      0.01,
-	Distrust:    DistrustAvoid,
+	Undescribed:         AcceptUndescribed,
+	UndescribedRate:     10,
+	UndescribedBurst:    20,
+	UndescribedInFlight: 16,
+	SampleShare:         0.01,
+	Distrust:            DistrustAvoid,
 }
 
 const (
-	maxUndescribedRate = 1_000_000 // per second and at once
-	maxUndescribedOpen = 1 << 20
+	maxUndescribedRate     = 1_000_000 // calls per second, and calls at once
+	maxUndescribedInFlight = 1 << 20
 )
 
-// Options returns how the registry treats undescribed calls.
+// Options returns the registry's options for undescribed calls.
 func (c *Contracts) Options() registry.Options {
 	return registry.Options{
 		RejectUndescribed: c.Undescribed == RejectUndescribed,
-		Rate:              c.Rate,
-		Burst:             c.Burst,
-		Open:              c.Open,
+		Rate:              c.UndescribedRate,
+		Burst:             c.UndescribedBurst,
+		Open:              c.UndescribedInFlight,
 	}
 }
 
@@ -76,20 +87,21 @@
 	return scheduler.Unrestricted
 }
 
-// validate also loads the descriptions.
+// validate checks the table and loads the descriptions.
 func (c *Contracts) validate(v tableValidator, settings scheduler.Settings) {
 	v.require(c.Undescribed == AcceptUndescribed || c.Undescribed == RejectUndescribed, "undescribed",
 		"%q is neither %s nor %s", c.Undescribed, AcceptUndescribed, RejectUndescribed)
 	restrictions := []string{DistrustLog, DistrustRestrict, DistrustAvoid}
 	v.require(slices.Contains(restrictions, c.Distrust), "distrust",
 		"%q is not %s, %s or %s", c.Distrust, DistrustLog, DistrustRestrict, DistrustAvoid)
-	v.require(c.Rate >= 0 && c.Rate <= maxUndescribedRate, "rate", "%v is not from 0 to %d", c.Rate, maxUndescribedRate)
-	v.require(c.Burst >= 0 && c.Burst <= maxUndescribedRate, "burst",
-		"%v is not from 0 to %d", c.Burst, maxUndescribedRate)
-	v.requireRange("open", c.Open, 0, maxUndescribedOpen)
-	v.require(c.Sample >= 0 && c.Sample <= 1, "sample", "%v is not from 0 to 1", c.Sample)
-	if c.Plan != "" {
-		v.requirePlan("plan", c.Plan, settings)
+	v.require(c.UndescribedRate >= 0 && c.UndescribedRate <= maxUndescribedRate, "rate",
+		"%v is not from 0 to %d", c.UndescribedRate, maxUndescribedRate)
+	v.require(c.UndescribedBurst >= 0 && c.UndescribedBurst <= maxUndescribedRate, "burst",
+		"%v is not from 0 to %d", c.UndescribedBurst, maxUndescribedRate)
+	v.requireRange("open", c.UndescribedInFlight, 0, maxUndescribedInFlight)
+	v.require(c.SampleShare >= 0 && c.SampleShare <= 1, "sample", "%v is not from 0 to 1", c.SampleShare)
+	if c.DefaultPlan != "" {
+		v.requirePlan("plan", c.DefaultPlan, settings)
 	}
 	if len(c.Files) > 0 {
 		c.loadCatalog(v, settings)
@@ -99,7 +111,7 @@
 // loadCatalog loads the descriptions. Their faults are added to those of the operator's file.
 func (c *Contracts) loadCatalog(v tableValidator, settings scheduler.Settings) {
 	var err error
-	c.Catalog, err = loadCatalog(c.Files, settings, c.Sample > 0)
+	c.Catalog, err = loadCatalog(c.Files, settings, c.SampleShare > 0)
 	if err == nil {
 		return
 	}
@@ -122,8 +134,8 @@
 	}
 }
 
-// LoadCatalog loads descriptions, checks them and compares them with the settings. Everything that is wrong with them
-// is reported at once, as contract.Faults.
+// LoadCatalog loads descriptions, checks them and compares them with the settings. All faults of their content are
+// reported at once, as contract.Faults.
 func LoadCatalog(files []string, settings scheduler.Settings) (*catalog.Catalog, error) {
 	return loadCatalog(files, settings, true)
 }
@@ -136,7 +148,7 @@
 	if faults, _ := contract.Check(operations); len(faults) > 0 {
 		return nil, faults
 	}
-	if !withSchemas { // they take most of the memory, and nothing would use them
+	if !withSchemas { // schemas take most of the memory of descriptions, and nothing would use them
 		contract.DropSchemas(operations)
 	}
 	described, faults := catalog.New(operations, settings)
@@ -144,7 +156,7 @@
 		return nil, faults
 	}
 	if described.Empty() {
-		return nil, fmt.Errorf("%s: no operation is one that requests can be of", strings.Join(files, ", "))
+		return nil, fmt.Errorf("%s: no operation is described that a request can match", strings.Join(files, ", "))
 	}
 	return described, nil
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Error is one thing that is wrong with the platform's configuration or with the environment. Faults of the operator's
-// file are reported as configfile.Faults.
+// Error is a fault of the platform's configuration or of the environment. Faults of the operator's file are reported as
+// configfile.Faults.
 type Error struct {
 	Source string // path of the file, or name of the environment variable; empty for a text that has neither
 	Key    string // dotted; empty if the error is not at a key
@@ -27,14 +27,14 @@
 	return strings.Join(append(parts, e.Err.Error()), ": ")
 }
 
-// Unwrap returns what is wrong, without its place.
+// Unwrap returns the error without its source and key.
 func (e *Error) Unwrap() error { return e.Err }
 
 func keyError(key, format string, args ...any) error {
 	return &Error{Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// withSource adds to an error the file from which the faulty text was read.
+// withSource adds the path of the faulty file to an error.
 func withSource(source string, err error) error {
 	var located *Error
 	if !errors.As(err, &located) {
@@ -43,7 +43,8 @@
 	return &Error{Source: source, Key: located.Key, Err: located.Err}
 }
 
-// jsonError names the key at which a value has the wrong type. It returns all other errors as they are.
+// jsonError converts the error for a value of the wrong type to an Error that names the key. It returns other errors
+// unchanged.
 func jsonError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
--- a/internal/config/h2c.go
+++ b/internal/config/h2c.go
@@ -8,39 +8,40 @@
 
 // H2C is the table [h2c]: the frontend for HTTP/2 without TLS.
 type H2C struct {
-	Enabled          bool          `toml:"enabled"`
-	Listen           string        `toml:"listen"`
-	Connections      int           `toml:"connections"`
-	Streams          int           `toml:"streams"`        // that a connection may have open
-	MinStreams       int           `toml:"least_streams"`  // that a connection is allowed under pressure
-	MaxInFlight      int           `toml:"at_core"`        // requests queued or in flight, over all connections
-	PerConnection    int           `toml:"per_connection"` // requests in flight of one connection
-	PerClient        int           `toml:"per_client"`     // requests in flight of one client address
-	MaxHeaderBytes   int           `toml:"head"`           // maximum size of a field section, in bytes
-	Memory           int           `toml:"memory_kb"`      // for buffered responses
-	ConnectionMemory int           `toml:"connection_kb"`  // for one connection, in each direction
-	Stall            time.Duration `toml:"stall"`          // after which a response without progress is cancelled
-	// Age and Requests are after how long and how many requests a connection is shut down gracefully. 0: never.
+	Enabled            bool          `toml:"enabled"`
+	Listen             string        `toml:"listen"`
+	Connections        int           `toml:"connections"`
+	Streams            int           `toml:"streams"`        // maximum of open streams of a connection
+	MinStreams         int           `toml:"least_streams"`  // minimum to which Streams is lowered under load
+	MaxInFlight        int           `toml:"at_core"`        // maximum of requests queued or in flight, in total
+	PerConnection      int           `toml:"per_connection"` // maximum of requests in flight of one connection
+	PerClient          int           `toml:"per_client"`     // maximum of requests in flight of one client address
+	MaxHeaderBytes     int           `toml:"head"`           // maximum size of a field section, in bytes
+	MemoryKB           int           `toml:"memory_kb"`      // memory for buffered responses
+	ConnectionMemoryKB int           `toml:"connection_kb"`  // memory for one connection, in each direction
+	Stall              time.Duration `toml:"stall"`          // time after which a response without progress is canceled
+	// Age and Requests are the age of a connection and the number of its requests at which it is shut down
+	// gracefully. 0: never.
 	Age      time.Duration `toml:"age"`
 	Requests int           `toml:"requests"`
 }
 
 var defaultH2C = H2C{
-	Connections:      128,
-	Streams:          100,
-	MinStreams:       4,
-	MaxInFlight:      256,
-	PerConnection:    100,
-	PerClient:        128,
-	MaxHeaderBytes:   16 << 10,
-	Memory:           8 << 10,
-	ConnectionMemory: 1 << 10,
-	Stall:            10 * time.Second,
-	Age:              time.Hour,
-	Requests:         100_000,
+	Connections:        128,
+	Streams:            100,
+	MinStreams:         4,
+	MaxInFlight:        256,
+	PerConnection:      100,
+	PerClient:          128,
+	MaxHeaderBytes:     16 << 10,
+	MemoryKB:           8 << 10,
+	ConnectionMemoryKB: 1 << 10,
+	Stall:              10 * time.Second,
+	Age:                time.Hour,
+	Requests:           100_000,
 }
 
-// maxH2CValue bounds all numbers of the table that have no bound of their own.
+// maxH2CValue is the maximum of each number in the table that has no limit of its own.
 const maxH2CValue = 1 << 20
 
 func (h *H2C) validate(v tableValidator) {
@@ -51,14 +52,14 @@
 	v.requireRange("at_core", h.MaxInFlight, 1, maxH2CValue)
 	v.requireRange("per_connection", h.PerConnection, 1, maxH2CValue)
 	v.requireRange("per_client", h.PerClient, 1, maxH2CValue)
-	v.requireRange("memory_kb", h.Memory, 1, maxH2CValue)
-	v.requireRange("connection_kb", h.ConnectionMemory, 1, maxH2CValue)
+	v.requireRange("memory_kb", h.MemoryKB, 1, maxH2CValue)
+	v.requireRange("connection_kb", h.ConnectionMemoryKB, 1, maxH2CValue)
 	v.require(h.MinStreams <= h.Streams, "least_streams",
-		"%d are more than streams, %d", h.MinStreams, h.Streams)
-	v.require(h.ConnectionMemory <= h.Memory, "connection_kb",
-		"%d is more than memory_kb, %d", h.ConnectionMemory, h.Memory)
+		"%d is more than streams (%d)", h.MinStreams, h.Streams)
+	v.require(h.ConnectionMemoryKB <= h.MemoryKB, "connection_kb",
+		"%d is more than memory_kb (%d)", h.ConnectionMemoryKB, h.MemoryKB)
 	v.requireRange("head", h.MaxHeaderBytes, minHeaderBytes, maxHeaderBytes)
-	v.require(h.Stall > 0, "stall", "is not above 0s")
+	v.require(h.Stall > 0, "stall", "%v is not above 0s", h.Stall)
 	v.require(h.Requests >= 0, "requests", "%d is below 0", h.Requests)
 }
 
@@ -71,8 +72,8 @@
 		Streams:          h.Streams,
 		MinStreams:       h.MinStreams,
 		Connections:      h.Connections,
-		Memory:           h.Memory << 10,
-		ConnectionMemory: h.ConnectionMemory << 10,
+		Memory:           h.MemoryKB << 10,
+		ConnectionMemory: h.ConnectionMemoryKB << 10,
 		Stall:            h.Stall,
 		Age:              h.Age,
 		Requests:         h.Requests,
--- a/internal/config/iscsi.go
+++ b/internal/config/iscsi.go
@@ -10,32 +10,33 @@
 // Defaults and bounds of the table [iscsi].
 const (
 	defaultSessions  = 32
-	defaultDepth     = 64
+	defaultDepth     = 64 // outstanding commands
 	defaultHosts     = 1
-	defaultBlockSize = 512
-	defaultUnitBytes = 8192
+	defaultBlockSize = 512  // bytes
+	defaultUnitBytes = 8192 // bytes that count as one unit of size
 
 	maxSessions  = 256
-	maxDepth     = 1024
+	maxDepth     = 1024 // outstanding commands
 	maxLUN       = 1<<14 - 1
-	maxBlockSize = 32 << 10
+	maxBlockSize = 32 << 10 // bytes
 
-	sectorSize   = 512 // bytes; blocks are multiples of it
-	volumeDigits = 16
+	sectorSize   = 512 // bytes; the block size is a multiple of it
+	volumeDigits = 16  // hex digits of a volume's ID
 )
 
 // ISCSI is the table [iscsi]: the frontend for block storage.
 type ISCSI struct {
-	Listen      string             `toml:"listen"`
-	Enabled     bool               `toml:"enabled"`
-	Target      string             `toml:"target"`      // name under which clients log in
-	Sessions    int                `toml:"sessions"`    // maximum at a time
-	Depth       int                `toml:"depth"`       // maximum of outstanding commands in a session
-	Nodes       string             `toml:"nodes"`       // what the storage nodes speak: NodesHTTP or NodesISCSI
-	Description string             `toml:"description"` // for NodesHTTP: operations that stand for READ and WRITE
-	NodeTarget  string             `toml:"node_target"` // for NodesISCSI: name of the nodes' target
-	UnitList    []logicalUnit      `toml:"unit"`
-	Units       []iscsitarget.Unit `toml:"-"` // UnitList with indexes of the settings in place of names
+	Listen      string        `toml:"listen"`
+	Enabled     bool          `toml:"enabled"`
+	Target      string        `toml:"target"`      // name under which clients log in
+	Sessions    int           `toml:"sessions"`    // maximum of concurrent sessions
+	Depth       int           `toml:"depth"`       // maximum of outstanding commands in a session
+	Nodes       string        `toml:"nodes"`       // protocol of the storage nodes: NodesHTTP or NodesISCSI
+	Description string        `toml:"description"` // for NodesHTTP: path of the description of the operations
+	NodeTarget  string        `toml:"node_target"` // for NodesISCSI: name of the nodes' target
+	UnitTables  []logicalUnit `toml:"unit"`
+
+	Units []iscsitarget.Unit `toml:"-"` // UnitTables, with names replaced by indexes in the settings
 }
 
 // logicalUnit is a table [[iscsi.unit]].
@@ -60,7 +61,7 @@
 
 var defaultISCSI = ISCSI{Sessions: defaultSessions, Depth: defaultDepth, Nodes: NodesHTTP}
 
-// validate also converts the units.
+// validate checks the table and converts its units.
 func (f *ISCSI) validate(v tableValidator, settings scheduler.Settings) {
 	v.requireAddress("listen", f.Listen)
 	v.require(f.Target != "", "target", "is missing")
@@ -70,17 +71,17 @@
 	v.require(f.Nodes != NodesISCSI || f.NodeTarget != "", "node_target", "is missing")
 	v.require(f.Nodes == NodesHTTP || f.Nodes == NodesISCSI, "nodes",
 		"%q is neither %s nor %s", f.Nodes, NodesHTTP, NodesISCSI)
-	v.require(len(f.UnitList) > 0, "unit", "there is none")
+	v.require(len(f.UnitTables) > 0, "unit", "no unit is configured")
 	seen := map[int]bool{}
-	for i, u := range f.UnitList {
+	for i, u := range f.UnitTables {
 		element := v.element("unit", i)
 		f.Units = append(f.Units, u.validate(element, settings))
-		element.require(!seen[u.LUN], "lun", "%d is taken", u.LUN)
+		element.require(!seen[u.LUN], "lun", "%d is the LUN of another unit, too", u.LUN)
 		seen[u.LUN] = true
 	}
 }
 
-// validate returns the unit with indexes of the settings in place of names.
+// validate checks the unit and returns it with names replaced by indexes in the settings.
 func (u logicalUnit) validate(v tableValidator, settings scheduler.Settings) iscsitarget.Unit {
 	v.requireRange("lun", u.LUN, 0, maxLUN)
 	v.require(len(u.Volume) == volumeDigits, "volume", "%q is not %d hex digits", u.Volume, volumeDigits)
@@ -106,12 +107,13 @@
 	return converted
 }
 
-// validateClasses rejects a class for the wrong direction: reads would be scheduled as writes, or writes as reads.
+// validateClasses rejects a class that writes as read_class, and one that does not as write_class: reads would be
+// scheduled as writes, or writes as reads.
 func (u logicalUnit) validateClasses(v tableValidator, converted iscsitarget.Unit, classes []scheduler.Class) {
 	if converted.ReadClass >= 0 {
-		v.require(!classes[converted.ReadClass].Writes, "read_class", "%q writes", u.ReadClass)
+		v.require(!classes[converted.ReadClass].Writes, "read_class", "class %q writes", u.ReadClass)
 	}
 	if converted.WriteClass >= 0 {
-		v.require(classes[converted.WriteClass].Writes, "write_class", "%q does not write", u.WriteClass)
+		v.require(classes[converted.WriteClass].Writes, "write_class", "class %q does not write", u.WriteClass)
 	}
 }
--- a/internal/config/log.go
+++ b/internal/config/log.go
@@ -10,7 +10,7 @@
 	Format   string        `toml:"format"` // LogJSON or LogText
 	Level    string        `toml:"level"`
 	Repeat   time.Duration `toml:"repeat"` // interval between repeats beyond logging.MaxRepeats; 0: no limit
-	MinLevel slog.Level    `toml:"-"`      // that Level or the environment names
+	MinLevel slog.Level    `toml:"-"`      // level that Level or envLog names
 }
 
 // Formats of the log.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -10,19 +10,19 @@
 	"reachpulley/scheduler"
 )
 
-// Environment variables that the operators set.
+// Environment variables that the operator sets.
 const (
 	envOperator = "BALANCER_OPERATOR" // path of the operator's file
-	envLog      = "BALANCER_LOG"      // level of the log: debug, info, warn or error
+	envLog      = "BALANCER_LOG"      // minimum level of the log: debug, info, warn or error
 )
 
-// defaultOperatorPath names the operator's file if the environment does not.
+// defaultOperatorPath is the path of the operator's file if the environment names none.
 const defaultOperatorPath = "deploy/reachpulley.toml"
 
-// Operator is the operator's own file: a table for each subsystem that the platform's file does not cover.
+// Operator holds the operator's file, which has a table for each subsystem that the platform's file does not cover.
 type Operator struct {
 	Log   Log    `toml:"log"`
-	ISCSI *ISCSI `toml:"iscsi"` // nil if the frontend is off
+	ISCSI *ISCSI `toml:"iscsi"` // nil if the iSCSI frontend is off
 	Rules Rules  `toml:"rules"`
 	H2C   H2C    `toml:"h2c"`
 
@@ -36,7 +36,7 @@
 
 var defaultRetryBudget = retrybudget.Settings{MinShare: 0, Trickle: 0.5, Burst: 10, Cells: 1024}
 
-// DefaultOperator returns the configuration that holds without an operator's file.
+// DefaultOperator returns the configuration that takes effect without an operator's file.
 func DefaultOperator() *Operator {
 	return &Operator{
 		Log:          defaultLog,
@@ -73,7 +73,7 @@
 	return o, faults.Err()
 }
 
-// readOperatorFile reads the file at path. Only the default file, which an empty path stands for, may be missing.
+// readOperatorFile reads the file at path. An empty path stands for the default file, which alone may be missing.
 func readOperatorFile(path string) (*configfile.Document, error) {
 	file, err := configfile.Read(cmp.Or(path, defaultOperatorPath))
 	if errors.Is(err, fs.ErrNotExist) && path == "" {
@@ -110,7 +110,7 @@
 	}
 }
 
-// Settings returns the platform's settings completed by the operator's file.
+// Settings returns the platform's settings with the additions of the operator's file.
 func (o *Operator) Settings(settings scheduler.Settings) scheduler.Settings {
 	if o.Contracts.Catalog != nil {
 		settings = o.Contracts.Catalog.Settings(settings)
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -14,7 +14,7 @@
 	"reachpulley/scheduler"
 )
 
-// loadOperator loads a text as the operator's file. Faults name the file "f".
+// loadOperator loads a text as the operator's file. Faults name the file as "f", in place of its temporary path.
 func loadOperator(t *testing.T, text string) (*Operator, error) {
 	t.Helper()
 	c, err := Parse([]byte(platformJSON), emptyEnvironment)
@@ -35,8 +35,8 @@
 // edit replaces the first occurrence of old.
 type edit struct{ old, new string }
 
-// operatorFaults are edits of the file as it is shipped, with all tables turned on, and the fault that each causes.
-// An empty fault means that the file is valid.
+// operatorFaults are edits of the shipped file with all tables turned on, and the fault that each edit causes. An empty
+// fault means that the file is valid.
 var operatorFaults = []struct {
 	edits []edit
 	want  string
@@ -50,22 +50,23 @@
 	{[]edit{{`nodes = "http"`, `nodes = "iscsi"`}}, "iscsi.node_target: is missing"},
 	{[]edit{{`description = "api/openapi.yaml"`, ""}}, "iscsi.description: is missing"},
 	{[]edit{{"lun = 0", "lun = 20000"}}, "iscsi.unit[0].lun: 20000 is not"},
-	{[]edit{{`plan = "gold"`, `plan = "tin"`}}, `iscsi.unit[0].plan: the settings have no "tin"`},
-	{[]edit{{`read_class = "read"`, `read_class = "write"`}}, `iscsi.unit[0].read_class: "write" writes`},
-	{[]edit{{`write_class = "write"`, `write_class = "read"`}}, `iscsi.unit[0].write_class: "read" does not write`},
+	{[]edit{{`plan = "gold"`, `plan = "tin"`}}, `iscsi.unit[0].plan: the settings have no plan "tin"`},
+	{[]edit{{`read_class = "read"`, `read_class = "write"`}}, `iscsi.unit[0].read_class: class "write" writes`},
+	{[]edit{{`write_class = "write"`, `write_class = "read"`}},
+		`iscsi.unit[0].write_class: class "read" does not write`},
 	{[]edit{{"block_size = 512", "block_size = 500"}}, "iscsi.unit[0].block_size: 500 is not"},
 	{[]edit{{"blocks = 2097152", "blocks = 0"}}, "iscsi.unit[0].blocks: 0 is below 1"},
 	{[]edit{{"shard = 0", "shard = -1"}}, "iscsi.unit[0].shard: -1 is below 0"},
-	{[]edit{{"least_streams = 4 ", "least_streams = 400 "}}, "h2c.least_streams: 400 are more than streams, 100"},
+	{[]edit{{"least_streams = 4 ", "least_streams = 400 "}}, "h2c.least_streams: 400 is more than streams (100)"},
 	{[]edit{{"connection_kb = 1024", "connection_kb = 10240"}},
-		"h2c.connection_kb: 10240 is more than memory_kb, 8192"},
+		"h2c.connection_kb: 10240 is more than memory_kb (8192)"},
 	{[]edit{{`stall = "10s"`, `stall = 10`}}, "h2c.stall: want a duration"},
 	{[]edit{{"at_core = 256", "at_core = 0"}}, "h2c.at_core: 0 is not from 1 to"},
 	{[]edit{{`listen = "127.0.0.1:8080"`, `listen = "here"`}}, "h2c.listen: address here: missing port"},
 	{[]edit{{"memory_kb = 0 ", "memory_kb = 2000000 "}}, "capture.memory_kb: 2000000 is not from 0 to 1048576"},
 	{[]edit{{"memory_kb = 0 ", "memory_kb = 2000 "}}, "capture.directory: is missing"},
 	{[]edit{{"disk_mb = 0 ", "disk_mb = 100 "}}, "capture.memory_kb: 0 is less than 1024"},
-	{[]edit{{"disk_mb = 0 ", "disk_mb = 15 "}}, "capture.segment_mb: 8 is not from 1 to a half of disk_mb"},
+	{[]edit{{"disk_mb = 0 ", "disk_mb = 15 "}}, "capture.segment_mb: 8 is not from 1 to half of disk_mb"},
 	{[]edit{{`disk_mb = 0 `, "disk_mb = -1 "}}, "capture.disk_mb: -1 is not"},
 	{[]edit{{`format = "json"`, `format = "xml"`}}, `log.format: "xml" is neither`},
 	{[]edit{{`level = "info"`, `level = "loud"`}}, `log.level: "loud" is not`},
@@ -75,7 +76,7 @@
 	{[]edit{{`distrust = "avoid"`, `distrust = "shrug"`}}, `contracts.distrust: "shrug" is not log, care or avoid`},
 	{[]edit{{"sample = 0.01", "sample = 2.0"}}, "contracts.sample: 2 is not from 0 to 1"},
 	{[]edit{{"open = 16", "open = -1"}}, "contracts.open: -1 is not"},
-	{[]edit{{`plan = ""   `, `plan = "tin"   `}}, `contracts.plan: the settings have no "tin"`},
+	{[]edit{{`plan = ""   `, `plan = "tin"   `}}, `contracts.plan: the settings have no plan "tin"`},
 	{[]edit{{"files = []", `files = ["none.yaml"]`}}, "contracts.files: stat none.yaml"},
 	{[]edit{{"share = 0.0", "share = 4.0"}}, "retry.share: is not from 0 to 3"},
 	{[]edit{{"cells = 1024", "cells = 0"}}, ""},
@@ -126,7 +127,7 @@
 	}
 }
 
-// The example is loaded from the directory that its comment names.
+// The example is loaded with the working directory that the comment in the file names.
 func TestExampleOperatorFile(t *testing.T) {
 	t.Chdir("../..")
 	text, err := os.ReadFile("examples/config.json")
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -11,28 +11,29 @@
 
 // Rules is the table [rules].
 type Rules struct {
-	File           string `toml:"file"`   // of the rules in force; empty: none
-	Shadow         string `toml:"shadow"` // of rules that are only compared with those in force
+	File           string `toml:"file"`   // path of the rules in force; empty: none
+	ShadowFile     string `toml:"shadow"` // path of rules that are only compared with those in force
 	MaxHeaderBytes int    `toml:"head"`   // maximum size of a request's header, in bytes
 
 	Set       *rules.Set `toml:"-"` // the rules in force; nil: none
-	ShadowSet *rules.Set `toml:"-"`
+	ShadowSet *rules.Set `toml:"-"` // the rules of ShadowFile; nil: none
 }
 
 var defaultRules = Rules{MaxHeaderBytes: httpfrontend.DefaultMaxHeaderBytes}
 
-// Bounds of the size of a request's header, in bytes.
+// Bounds of the maximum size of a request's header, in bytes.
 const (
 	minHeaderBytes = 4 << 10
 	maxHeaderBytes = 1 << 20
 )
 
-// validate also loads the rule files.
+// validate checks the table and loads the rule files.
 func (r *Rules) validate(v tableValidator, settings scheduler.Settings) {
 	v.requireRange("head", r.MaxHeaderBytes, minHeaderBytes, maxHeaderBytes)
-	v.require(r.Shadow == "" || r.File != "", "shadow", "there are no rules in force to compare with")
+	v.require(r.ShadowFile == "" || r.File != "", "shadow",
+		"shadow rules need rules in force to compare with, but rules.file is not set")
 	r.Set = loadRules(v, "file", r.File, settings)
-	r.ShadowSet = loadRules(v, "shadow", r.Shadow, settings)
+	r.ShadowSet = loadRules(v, "shadow", r.ShadowFile, settings)
 }
 
 // loadRules loads the rule file that a key names, if it names any. The faults of the rule file are added to those of
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -15,7 +15,7 @@
 	faults *configfile.Faults
 }
 
-// element returns a validator for an element of a list of tables within the table.
+// element returns a validator for the table at an index of a list, which stands under a key of this table.
 func (v tableValidator) element(list string, index int) tableValidator {
 	v.table = fmt.Sprintf("%s.%s[%d]", v.table, list, index)
 	return v
@@ -33,7 +33,7 @@
 	}
 }
 
-// requireRange records a fault unless value is from low to high.
+// requireRange records a fault unless value is at least low and at most high.
 func (v tableValidator) requireRange(key string, value, low, high int) {
 	v.require(value >= low && value <= high, key, "%d is not from %d to %d", value, low, high)
 }
@@ -45,16 +45,18 @@
 	}
 }
 
-// requireClass returns the index of the class with a name. It records a fault if the settings do not have it.
+// requireClass returns the index of the class with the given name. If the settings do not have it, the result is -1 and
+// a fault is recorded.
 func (v tableValidator) requireClass(key, name string, settings scheduler.Settings) int {
 	index := slices.IndexFunc(settings.Classes, func(c scheduler.Class) bool { return c.Name == name })
-	v.require(index >= 0, key, "the settings have no %q", name)
+	v.require(index >= 0, key, "the settings have no class %q", name)
 	return index
 }
 
-// requirePlan returns the index of the plan with a name. It records a fault if the settings do not have it.
+// requirePlan returns the index of the plan with the given name. If the settings do not have it, the result is -1 and
+// a fault is recorded.
 func (v tableValidator) requirePlan(key, name string, settings scheduler.Settings) int {
 	index := slices.IndexFunc(settings.Plans, func(p scheduler.Plan) bool { return p.Name == name })
-	v.require(index >= 0, key, "the settings have no %q", name)
+	v.require(index >= 0, key, "the settings have no plan %q", name)
 	return index
 }
--- a/internal/config/zone_failover.go
+++ b/internal/config/zone_failover.go
@@ -12,25 +12,26 @@
 // ZoneFailover is the table [rooms].
 type ZoneFailover struct {
 	Enabled bool `toml:"enabled"`
-	// Prefer lists the zones of new work by priority tier, nearest first. Empty: the gateway's own, then all others.
+	// Prefer lists the zones for new work by priority tier, nearest first. Empty: the gateway's own zone, then all
+	// others.
 	Prefer [][]string `toml:"prefer"`
 	// Spillover is how many units of new work per second may go beyond the first tier, over all gateways that share
 	// the tier. 0: none.
 	Spillover float64 `toml:"spill"`
-	// Burst is how many units may go beyond the first tier at once, over these gateways.
+	// Burst is how many units may go beyond the first tier at once, over the same gateways.
 	Burst float64 `toml:"burst"`
-	// Gateways is how many share the first tier. 0: all.
+	// Gateways is the number of gateways that share the first tier. 0: all.
 	Gateways int `toml:"gateways"`
-	// Share is the part of a zone's observed spare capacity that may spill over into it. 0: no such bound.
+	// Share is the share of a zone's observed spare capacity that may spill over into it. 0: no such limit.
 	Share float64 `toml:"share"`
-	// MembershipDelay is by how much the endpoint list may lag behind the restart of a node.
+	// MembershipDelay is how long the endpoint list may take to show that a node has restarted.
 	MembershipDelay time.Duration `toml:"list_late"`
 	Work            []ZoneWork    `toml:"work"`
 
-	Settings zonefailover.Settings `toml:"-"` // the table with indexes of the settings in place of names
+	Settings zonefailover.Settings `toml:"-"` // the table, with names replaced by indexes in the platform's settings
 }
 
-// ZoneWork is a table [[rooms.work]]: the preference of a class or plan of its own.
+// ZoneWork is a table [[rooms.work]]: the zone preference for new work of one class or plan.
 type ZoneWork struct {
 	Class  string     `toml:"class"` // empty: any
 	Plan   string     `toml:"plan"`  // empty: any
@@ -42,13 +43,13 @@
 
 const (
 	maxPriorityTiers   = 16
-	maxSpilloverUnits  = 1_000_000 // per second and at once
-	maxCapacityShare   = 10
+	maxSpilloverUnits  = 1_000_000 // units per second, and units at once
+	maxCapacityShare   = 10        // times a zone's observed spare capacity
 	maxMembershipDelay = 10 * time.Minute
-	anyIndex           = -1 // any class or plan
+	anyIndex           = -1 // in place of an index: any class or plan
 )
 
-// validate also converts the table.
+// validate checks the table and converts it to Settings.
 func (z *ZoneFailover) validate(v tableValidator, settings scheduler.Settings) {
 	if !z.Enabled {
 		return
@@ -74,18 +75,18 @@
 }
 
 func (z *ZoneFailover) validateBounds(v tableValidator, settings scheduler.Settings, allGateways, sharingGateways int) {
-	v.require(len(settings.Zones) > 0, "enabled", "the settings name no zone")
+	v.require(len(settings.Zones) > 0, "enabled", "zone failover needs zones, and the settings have none")
 	v.require(z.Spillover >= 0 && z.Spillover <= maxSpilloverUnits, "spill",
 		"%v is not from 0 to %d", z.Spillover, maxSpilloverUnits)
 	v.require(z.Burst >= 0 && z.Burst <= maxSpilloverUnits, "burst",
 		"%v is not from 0 to %d", z.Burst, maxSpilloverUnits)
 	v.require(z.Gateways >= 0 && z.Gateways <= allGateways, "gateways",
-		"%d is not from 0 to %d, which are all", z.Gateways, allGateways)
+		"%d is not from 0 to %d, the number of all gateways", z.Gateways, allGateways)
 	burstShare := z.Burst / float64(sharingGateways)
 	largest := settings.Sizes.MaxUnits
 	v.require(z.Spillover == 0 || burstShare >= largest, "burst",
-		"%v units are %.1f for each of %d gateways, less than the largest request's %v, which could never spill over",
-		z.Burst, burstShare, sharingGateways, largest)
+		"%v units over %d gateways are %.1f for each: a request of the maximum size, %v units, could never spill over",
+		z.Burst, sharingGateways, burstShare, largest)
 	v.require(z.Share >= 0 && z.Share <= maxCapacityShare, "share", "%v is not from 0 to %d", z.Share, maxCapacityShare)
 	v.require(z.MembershipDelay >= 0 && z.MembershipDelay <= maxMembershipDelay, "list_late",
 		"%v is not from 0s to 10m", z.MembershipDelay)
@@ -101,7 +102,7 @@
 	return [][]string{{own}, others}
 }
 
-// validate returns the preference with indexes of the settings in place of names.
+// validate checks the table and returns it with names replaced by indexes in the settings.
 func (w ZoneWork) validate(v tableValidator, defaultPrefer [][]string, settings scheduler.Settings) zonefailover.Work {
 	converted := zonefailover.Work{Class: anyIndex, Plan: anyIndex}
 	if w.Class != "" {
@@ -116,18 +117,19 @@
 	}
 	converted.Tiers = priorityTiers(v, prefer, w.Forbid, settings.Zones)
 	isAllowed := func(tier int) bool { return tier != zonefailover.Forbidden }
-	v.require(slices.ContainsFunc(converted.Tiers, isAllowed), "forbid", "no zone is left")
+	v.require(slices.ContainsFunc(converted.Tiers, isAllowed), "forbid", "all zones are forbidden")
 	return converted
 }
 
-// priorityTiers returns the tier of each zone. Zones that no tier names are in a last tier of their own.
+// priorityTiers returns the tier of each zone. Zones that prefer does not name form one more tier, the last. Zones in
+// forbid have the tier zonefailover.Forbidden.
 func priorityTiers(v tableValidator, prefer [][]string, forbid, zones []string) []int {
 	tiers := make([]int, len(zones))
 	for zone := range tiers {
 		tiers[zone] = len(prefer)
 	}
 	v.require(len(prefer) <= maxPriorityTiers, "prefer",
-		"there are %d tiers, more than %d", len(prefer), maxPriorityTiers)
+		"%d tiers are more than the maximum of %d", len(prefer), maxPriorityTiers)
 	listed := map[string]bool{}
 	for tier, names := range prefer {
 		for _, name := range names {
--- a/internal/config/zone_failover_test.go
+++ b/internal/config/zone_failover_test.go
@@ -34,21 +34,21 @@
 	}
 	o, err := loadOperator(t, "[rooms]\nspill = 5.0\n")
 	if err != nil || len(o.Settings(scheduler.Settings{}).ZoneFailover.Tiers) > 0 {
-		t.Errorf("on without being enabled: %v", err)
+		t.Errorf("zone failover is on although the table is not enabled: %v", err)
 	}
 }
 
 func TestZoneFailoverFaults(t *testing.T) {
 	for text, want := range map[string]string{
-		"[[rooms.work]]\nclass = 'x'\n":    `rooms.work[0].class: the settings have no "x"`,
-		"[[rooms.work]]\nplan = 'x'\n":     `rooms.work[0].plan: the settings have no "x"`,
+		"[[rooms.work]]\nclass = 'x'\n":    `rooms.work[0].class: the settings have no class "x"`,
+		"[[rooms.work]]\nplan = 'x'\n":     `rooms.work[0].plan: the settings have no plan "x"`,
 		"[[rooms.work]]\nforbid = ['x']\n": `rooms.work[0].forbid: the settings have no zone "x"`,
 
-		"[[rooms.work]]\nforbid = ['room-a', 'room-b', 'room-c']\n": "rooms.work[0].forbid: no zone is left",
+		"[[rooms.work]]\nforbid = ['room-a', 'room-b', 'room-c']\n": "rooms.work[0].forbid: all zones are forbidden",
 
 		"gateways = 2\n": "rooms.gateways: 2 is not from 0 to 1",
 		"share = 11.0\n": "rooms.share: 11 is not from 0 to 10",
-		"prefer = [" + strings.Repeat("[], ", 17) + "]\n": "rooms.prefer: there are 17 tiers",
+		"prefer = [" + strings.Repeat("[], ", 17) + "]\n": "rooms.prefer: 17 tiers are more than",
 	} {
 		t.Run(want, func(t *testing.T) {
 			_, err := loadOperator(t, zoneFailoverTable+text)
--- a/internal/gateway/checkpoint.go
+++ b/internal/gateway/checkpoint.go
@@ -43,7 +43,7 @@
 			Seed:     g.options.Config.Seed,
 			Settings: g.options.Config.Settings,
 		},
-		interval: settings.Every,
+		interval: settings.Interval,
 		clock:    g.clock,
 		loop:     g.loop,
 		log:      g.log,
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -37,7 +37,7 @@
 func (g *gateway) newConformanceMonitor() conformanceMonitor {
 	settings := &g.options.Operator.Contracts
 	options := conformance.Options{
-		Sample:         settings.Sample,
+		Sample:         settings.SampleShare,
 		MaxRestriction: settings.MaxRestriction(),
 		Notify:         func(r scheduler.Restriction) { g.loop.Restrict(r) },
 		Log:            g.log,
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -89,10 +89,10 @@
 ) config.Contracts {
 	t.Helper()
 	contracts := config.DefaultOperator().Contracts
-	contracts.Plan = "gold"
-	contracts.Rate = 1
-	contracts.Burst = 1
-	contracts.Sample = 1
+	contracts.DefaultPlan = "gold"
+	contracts.UndescribedRate = 1
+	contracts.UndescribedBurst = 1
+	contracts.SampleShare = 1
 	if change != nil {
 		change(&contracts)
 	}
--- a/internal/gateway/frontends.go
+++ b/internal/gateway/frontends.go
@@ -18,7 +18,7 @@
 		Loop:        g.loop,
 		Rules:       g.rules,
 		Contracts:   g.contracts,
-		DefaultPlan: g.options.Operator.Contracts.Plan,
+		DefaultPlan: g.options.Operator.Contracts.DefaultPlan,
 		NewID:       newRequestIDs(),
 		Log:         g.log,
 	})
