--- a/internal/gateway/assembly.go
+++ b/internal/gateway/assembly.go
@@ -16,10 +16,10 @@
 	"reachpulley/scheduler"
 )
 
-// gateway is the parts of one gateway.
+// gateway holds the parts of one gateway.
 type gateway struct {
-	options          Options            // Config.Settings are those in force
-	platformSettings scheduler.Settings // without what the operator's file adds
+	options          Options            // Config.Settings are the settings in force
+	platformSettings scheduler.Settings // the settings without the additions of the operator's file
 	log              *slog.Logger
 
 	sockets     socketBudget
@@ -29,19 +29,19 @@
 	backends    backends
 	recording   recording
 	loop        *eventloop.Loop
-	checkpoints *checkpointer // nil where warm restarts are off
+	checkpoints *checkpointer // nil if warm restarts are off
 	rules       *engine.Engine
 	contracts   *registry.Registry
 
-	iscsiTarget  *iscsitarget.Target // nil where the iSCSI frontend is off
+	iscsiTarget  *iscsitarget.Target // nil if the iSCSI frontend is off
 	httpFrontend *httpfrontend.Frontend
-	h2Server     *h2frontend.Server // nil where HTTP/2 is off
+	h2Server     *h2frontend.Server // nil if HTTP/2 is off
 	httpServer   *httpfrontend.Server
 
 	goroutines sync.WaitGroup
 }
 
-// assemble builds the parts. ctx is the serving context. The package documentation explains the order.
+// assemble builds the parts of a gateway. ctx is the serving context. The package documentation explains the order.
 func assemble(ctx context.Context, options Options) (*gateway, error) {
 	platformSettings := options.Config.Settings
 	inForce := *options.Config
@@ -99,9 +99,10 @@
 	})
 }
 
-// agentResponseTimeout is how long a discovery agent on the same machine may take to respond. It normally responds at
-// once, and a list that it holds when it recovers from silence counts as announced at that moment. So a call that it
-// leaves unanswered has to end within a part of the time that a drain leaves. 0: discovery is not such an agent.
+// agentResponseTimeout returns how long a discovery agent on the same machine may take to respond, or 0 if discovery is
+// no such agent. An agent normally responds at once. When it recovers from an outage, the list that it then holds
+// counts as announced at that moment. A call that the agent leaves unanswered therefore has to end within a part of the
+// grace period of a drain.
 func agentResponseTimeout(settings scheduler.Settings) time.Duration {
 	if !settings.LocalAgent {
 		return 0
--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -11,11 +11,11 @@
 	"reachpulley/scheduler"
 )
 
-// backends is the [eventloop.Backend] that hands each attempt to the backend that knows its payload. Where the nodes
-// speak iSCSI, a request that came as HTTP has no node to go to: its attempts end as never sent.
+// backends is the [eventloop.Backend] that hands each attempt to the backend for its payload. If the nodes speak iSCSI,
+// no node can serve a request that came as HTTP: its attempts end as never sent.
 type backends struct {
 	http  *httpbackend.Backend
-	iscsi *iscsiinitiator.Initiator // nil where the nodes speak HTTP
+	iscsi *iscsiinitiator.Initiator // nil if the nodes speak HTTP
 }
 
 func (g *gateway) newBackends() backends {
@@ -51,7 +51,7 @@
 	})
 }
 
-// Start begins an attempt at the backend for its payload.
+// Start starts an attempt at the backend for its payload.
 func (b backends) Start(ctx context.Context, attempt eventloop.Attempt, report func(eventloop.Report)) {
 	_, isISCSI := attempt.Exchange.Payload.(*iscsi.Command)
 	switch {
--- a/internal/gateway/captures.go
+++ b/internal/gateway/captures.go
@@ -16,7 +16,7 @@
 	"reachpulley/internal/filesystem"
 )
 
-// Why a capture was written, as its file name says.
+// Parts of the file name of a capture: the reason why it was written, and the extension.
 const (
 	requestedReason  = "asked"
 	crashReason      = "crash"
@@ -24,16 +24,17 @@
 	captureExtension = ".capture"
 )
 
-// maxQueuedCaptures bounds the triggered captures that wait for the disk: each holds on to the recorder's memory.
+// maxQueuedCaptures is the maximum of triggered captures that wait for the disk. The number is
+// limited because each of them keeps memory of the recorder in use.
 const maxQueuedCaptures = 4
 
-// captureFiles writes captures into files of their own: those that are requested, those of triggers, and that of a
+// captureFiles writes each capture into a file of its own: those that are requested, those of triggers, and that of a
 // crash.
 type captureFiles struct {
-	enabled      bool // something is recorded
+	enabled      bool // whether anything is recorded
 	directory    string
 	gatewayName  string
-	maxTriggered int // files of triggers that are left
+	maxTriggered int // maximum of retained captures of triggers
 	triggered    chan triggeredCapture
 	log          *slog.Logger
 }
@@ -56,7 +57,7 @@
 	}
 }
 
-// runRequested writes a capture at each request until ctx ends. The loop only hands out the recording: it does not wait
+// runRequested writes a capture at each request until ctx ends. The loop only hands out the recording; it does not wait
 // for the disk.
 func (f *captureFiles) runRequested(ctx context.Context, requests <-chan os.Signal, loop *eventloop.Loop) {
 	for {
@@ -95,17 +96,17 @@
 	f.log.Error("event loop panicked", "capture", path, "err", err)
 }
 
-// enqueueTriggered takes the recording of a trigger. It runs within the loop, which waits for nobody: where the disk is
-// slow, the capture is lost.
+// enqueueTriggered queues the recording of a trigger for the disk. It runs within the loop, which must not block: if
+// the queue is full because the disk is slow, the capture is dropped.
 func (f *captureFiles) enqueueTriggered(match capture.TriggerMatch, recording capture.Recording) {
 	select {
 	case f.triggered <- triggeredCapture{trigger: match.Name, recording: recording}:
 	default:
-		f.log.Warn("triggered capture dropped: others wait for the disk", "trigger", match.Name)
+		f.log.Warn("triggered capture dropped: queue for the disk is full", "trigger", match.Name)
 	}
 }
 
-// runTriggered writes captures of triggers until the recording has ended, then those that still wait.
+// runTriggered writes captures of triggers until the recording has ended, and then those that are still queued.
 func (f *captureFiles) runTriggered(recorded context.Context) {
 	for {
 		select {
@@ -123,7 +124,7 @@
 	}
 }
 
-// saveTriggered writes a capture and removes the oldest ones beyond the number that the operator allows.
+// saveTriggered writes a capture of a trigger, and removes the oldest ones beyond the number that the operator allows.
 func (f *captureFiles) saveTriggered(c triggeredCapture) {
 	path, size, err := f.save(triggeredReason+c.trigger, c.recording)
 	if err == nil {
@@ -137,7 +138,7 @@
 	f.log.Info("capture written", "trigger", c.trigger, "file", path, "bytes", size)
 }
 
-// save writes a recording into a file of its own, whole or not at all. The names of files sort by time.
+// save writes a recording into a file of its own, either completely or not at all. The names of the files sort by time.
 func (f *captureFiles) save(reason string, recording capture.Recording) (path string, size int, err error) {
 	content, err := recording.File()
 	if err != nil {
@@ -149,7 +150,7 @@
 	return path, len(content), filesystem.ReplaceFile(filesystem.OS{}, path, content)
 }
 
-// removeOldestTriggered removes captures of triggers, the oldest first, until as many are left as allowed.
+// removeOldestTriggered removes captures of triggers, the oldest first, until no more are left than allowed.
 func removeOldestTriggered(fs filesystem.FS, directory, prefix string, allowed int) error {
 	files, err := fs.List(directory)
 	if err != nil {
--- a/internal/gateway/checkpoint.go
+++ b/internal/gateway/checkpoint.go
@@ -13,8 +13,8 @@
 	"reachpulley/scheduler"
 )
 
-// checkpointer stores the state of the scheduler from time to time, from which the next incarnation restores what this
-// one has learned. It is used by one goroutine at a time.
+// checkpointer periodically stores the state of the scheduler, from which the next incarnation restores what this one
+// has learned. Only one goroutine may use it at a time.
 type checkpointer struct {
 	store    *warmrestart.Store
 	head     capture.Head // of each checkpoint, except for its Origin
@@ -22,10 +22,10 @@
 	clock    eventloop.Clock
 	loop     *eventloop.Loop
 	log      *slog.Logger
-	failing  bool
+	failing  bool // whether the last checkpoint failed
 }
 
-// newCheckpointer makes the checkpointer; nil where the operator has not switched warm restarts on.
+// newCheckpointer makes the checkpointer. It returns nil if the operator has not turned on warm restarts.
 func (g *gateway) newCheckpointer() *checkpointer {
 	settings := g.options.Operator.WarmRestart
 	if settings.Directory == "" {
@@ -50,7 +50,7 @@
 	}
 }
 
-// restore hands the loop what the previous incarnation has learned, as far as it still holds.
+// restore hands the loop what the previous incarnation has learned, as far as that is still valid.
 func (c *checkpointer) restore() {
 	settings := c.head.Settings
 	state, taken := c.store.Load(settings)
@@ -70,7 +70,7 @@
 		"volumes", len(assessment.Learned.Volumes))
 }
 
-// run writes checkpoints until the loop has ended, and the last state then.
+// run writes checkpoints until the loop has ended, and then one of its last state.
 func (c *checkpointer) run(loopEnded context.Context) {
 	tick := time.NewTicker(c.interval)
 	defer tick.Stop()
@@ -95,7 +95,7 @@
 
 // save writes a checkpoint. A failure is logged when it begins and when it ends, not with every checkpoint.
 func (c *checkpointer) save(state *scheduler.Snapshot) {
-	c.head.Origin = c.clock.Origin().UnixNano() // the wall clock may have been set
+	c.head.Origin = c.clock.Origin().UnixNano() // the wall clock may have been set since the last checkpoint
 	err := c.store.Save(c.head, state)
 	failed := err != nil
 	if failed == c.failing {
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -11,7 +11,7 @@
 	"reachpulley/scheduler"
 )
 
-// newContractRegistry makes the registry of operations, with the descriptions of the operator's file in force.
+// newContractRegistry makes the registry of operations, in which the descriptions of the operator's file are in force.
 func (g *gateway) newContractRegistry() (*registry.Registry, error) {
 	settings := &g.options.Operator.Contracts
 	contracts, err := registry.New(settings.Options(), g.log)
@@ -26,14 +26,15 @@
 	return settings.Undescribed == config.RejectUndescribed
 }
 
-// conformanceMonitor checks what nodes do against their descriptions, and keeps the distrust that follows from it.
+// conformanceMonitor checks the behavior of nodes against their descriptions, and keeps track of the nodes that are
+// distrusted because they contradict them.
 type conformanceMonitor struct {
 	*conformance.Observer
 	store *conformance.Store // nil: distrust records are not stored
 }
 
-// newConformanceMonitor makes the monitor, with the distrust records of the previous incarnation where they were
-// stored. The loop is notified of those by NotifyRestored.
+// newConformanceMonitor makes the monitor, with the distrust records that the previous incarnation stored, if any.
+// NotifyRestored notifies the loop of these.
 func (g *gateway) newConformanceMonitor() conformanceMonitor {
 	settings := &g.options.Operator.Contracts
 	options := conformance.Options{
@@ -51,7 +52,8 @@
 	return conformanceMonitor{Observer: conformance.New(options, records, age), store: store}
 }
 
-// run runs the observer and the store until ctx ends. The store ends last, so that what the observer saved is written.
+// run runs the observer and the store until ctx ends. The store ends last, so that it writes what the observer saved
+// last.
 func (m conformanceMonitor) run(ctx context.Context) {
 	observed, endObserved := context.WithCancel(context.Background())
 	var storing sync.WaitGroup
--- a/internal/gateway/frontends.go
+++ b/internal/gateway/frontends.go
@@ -29,7 +29,8 @@
 	return httpfrontend.NewServer(g.httpFrontend, g.options.Listener, g.sockets.clients, maxHeaderBytes, g.log)
 }
 
-// newH2Server makes the server for HTTP/2, which hands its requests to the HTTP frontend; nil where HTTP/2 is off.
+// newH2Server makes the server for HTTP/2, which hands its requests to the HTTP frontend. It returns nil if HTTP/2 is
+// off.
 func (g *gateway) newH2Server() (*h2frontend.Server, error) {
 	h2c := g.options.Operator.H2C
 	if !h2c.Enabled {
@@ -48,8 +49,8 @@
 	return server, nil
 }
 
-// newISCSITarget makes the iSCSI frontend; nil where it is off. Before nodes that speak HTTP it translates commands by
-// an API description.
+// newISCSITarget makes the iSCSI frontend. It returns nil if that is off. If the nodes speak HTTP, the frontend
+// translates commands to requests as an API description says.
 func (g *gateway) newISCSITarget() (*iscsitarget.Target, error) {
 	iscsi := g.options.Operator.ISCSI
 	if iscsi == nil {
@@ -80,8 +81,8 @@
 	}), nil
 }
 
-// newRequestIDs returns a generator of request IDs: a random prefix, which keeps them apart from those of another
-// frontend or incarnation, and a counter.
+// newRequestIDs returns a generator of request IDs. An ID is a random prefix, which differs from that of other
+// frontends and incarnations, and a counter.
 func newRequestIDs() func() string {
 	prefix := rand.Uint32()
 	var count atomic.Uint32
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -9,22 +9,23 @@
 	"reachpulley/internal/config"
 )
 
-// How memory is divided.
+// Division of memory.
 const (
 	heapShare = 0.7 // of the memory limit; the rest is for stacks, the program itself and garbage
-	// Share of the memory limit that may be allocated between two collections, which cost a part of a core dearly.
+	// allocationShare is the share of the memory limit that may be allocated between two garbage collections.
+	// Collections are expensive on a gateway that has only a part of a core.
 	allocationShare = 0.2
-	minHeapMB       = 4     // what the runtime takes a heap for at least, times GOGC/100
+	minHeapMB       = 4     // smallest heap, times GOGC/100, at which the runtime starts a collection
 	maxGCPercent    = 400   // GOGC
 	responseShare   = 0.125 // of the memory limit, for long responses that are being read from nodes
 )
 
-// How sockets are divided.
+// Division of sockets.
 const (
 	reservedSockets   = 48  // for listeners, discovery, the standard streams and the runtime
 	iscsiNodeSessions = 64  // iSCSI sessions with nodes
-	minHTTPSockets    = 48  // that have to be left for the HTTP frontend and backend
-	clientShare       = 0.6 // of the sockets for HTTP; clients' idle connections count too
+	minHTTPSockets    = 48  // minimum that has to be left for the HTTP frontend and backend
+	clientShare       = 0.6 // clients' share of the sockets for HTTP; their idle connections count too
 )
 
 // ApplyRuntimeLimits sets what the Go runtime may use, for the whole process.
@@ -34,22 +35,24 @@
 	debug.SetMemoryLimit(int64(heapShare * float64(limits.MemoryMB) * (1 << 20)))
 }
 
-// gcPercent is GOGC for a memory limit. The heap in use is small, so it is the runtime's minimum heap that counts.
+// gcPercent returns GOGC for a memory limit. The heap in use is small, so it is the runtime's minimum heap that decides
+// when a collection starts.
 func gcPercent(memoryMB int) int {
 	return min(maxGCPercent, max(100, int(100*allocationShare*float64(memoryMB)/minHeapMB)))
 }
 
 // socketBudget is how many sockets the HTTP frontend and the HTTP backend may use.
 type socketBudget struct {
-	clients int
-	nodes   int
+	clients int // of the frontend
+	nodes   int // of the backend
 }
 
-// divideSockets takes what the other parts may use from the limit and divides the rest.
+// divideSockets subtracts from the limit the sockets that other parts may use, and divides the rest between the HTTP
+// frontend and the HTTP backend.
 func divideSockets(limit int, operator *config.Operator) (socketBudget, error) {
 	available := limit - reservedSockets
 	if iscsi := operator.ISCSI; iscsi != nil {
-		available -= 2 * iscsi.Sessions // a session that is rejected has a socket too
+		available -= 2 * iscsi.Sessions // twice, as a rejected session needs a socket too
 		if iscsi.Nodes == config.NodesISCSI {
 			available -= iscsiNodeSessions
 		}
@@ -68,5 +71,5 @@
 }
 
 func tooFewSockets(key string, value int) error {
-	return &ConfigError{Key: key, Err: fmt.Errorf("%d leave too few sockets for the HTTP frontend", value)}
+	return &ConfigError{Key: key, Err: fmt.Errorf("%d leaves fewer than %d sockets for HTTP", value, minHTTPSockets)}
 }
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -10,19 +10,20 @@
 	"reachpulley/internal/config"
 )
 
-// Options are what a gateway is assembled from. The gateway owns the listeners; its frontends close them.
+// Options are the inputs from which a gateway is assembled. The gateway owns the listeners; its frontends close them.
 type Options struct {
 	Config        *config.Config
 	Operator      *config.Operator
 	Listener      net.Listener
-	ISCSIListener net.Listener // nil where the iSCSI frontend is off
-	H2CListener   net.Listener // nil where HTTP/2 is off
+	ISCSIListener net.Listener // nil if the iSCSI frontend is off
+	H2CListener   net.Listener // nil if HTTP/2 is off
 	Log           *slog.Logger
 
-	Dial func(ctx context.Context, network, address string) (net.Conn, error) // nil: the network
+	// Dial opens connections to nodes and to discovery. Nil stands for the real network.
+	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	Reloads  <-chan os.Signal // each requests a reload
-	Captures <-chan os.Signal // each requests a capture of what was recorded
+	Reloads  <-chan os.Signal // each signal requests a reload
+	Captures <-chan os.Signal // each signal requests a capture of what was recorded
 
 	// Reload reads and checks the whole configuration.
 	Reload func() (*config.Config, *config.Operator, error)
@@ -34,13 +35,13 @@
 	Err error
 }
 
-// Error returns the key and what is wrong with it.
+// Error returns one line: KEY: MESSAGE.
 func (e *ConfigError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the key.
+// Unwrap returns the error without its key.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// Listen opens the addresses that are configured and sets the listeners of o. On an error none stays open.
+// Listen listens on the configured addresses and sets the listeners of o. On an error, none of them stays open.
 func (o *Options) Listen() error {
 	type endpoint struct {
 		key      string
--- a/internal/gateway/recording.go
+++ b/internal/gateway/recording.go
@@ -10,10 +10,10 @@
 	"reachpulley/internal/filesystem"
 )
 
-// recording is how the loop's events and actions are recorded.
+// recording holds the parts that record the loop's events and actions.
 type recording struct {
 	options  capture.Options
-	segments *segment.Writer // nil where nothing is written to disk continuously
+	segments *segment.Writer // nil if events and actions are not written to disk continuously
 	files    *captureFiles
 }
 
@@ -47,7 +47,7 @@
 	return recording{options: options, segments: segments, files: files}, nil
 }
 
-// programVersion returns the version that the build recorded.
+// programVersion returns the version of the program that the build recorded in it.
 func programVersion() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Version
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -16,19 +16,19 @@
 	"reachpulley/scheduler"
 )
 
-// Faults of a new configuration that a restart would accept.
+// Errors of a reload whose configuration would be accepted at a restart.
 var (
 	errClassesChanged = errors.New("the classes or plans of the settings have changed: a restart is needed")
 	errCatalogChanged = errors.New("the descriptions generate other classes than at the start: a restart is needed")
 )
 
 // reloader applies a new configuration whenever one is requested, during a drain too. A faulty one changes nothing.
-// What a running gateway cannot change takes effect at its next start.
+// Changes that a running gateway cannot apply take effect at its next start.
 type reloader struct {
 	requests <-chan os.Signal
 	load     func() (*config.Config, *config.Operator, error)
 
-	// What the gateway was started with.
+	// The configuration with which the gateway was started.
 	config           *config.Config
 	operator         *config.Operator
 	platformSettings scheduler.Settings
@@ -94,16 +94,16 @@
 	return nil
 }
 
-// sameClassesAndPlans reports whether rules that were checked against other settings hold for those in force: rules
-// refer to classes and plans by their index.
+// sameClassesAndPlans reports whether rules that were checked against the given settings are valid for the running
+// gateway, too: rules refer to classes and plans by their index.
 func (r *reloader) sameClassesAndPlans(settings scheduler.Settings) bool {
 	return reflect.DeepEqual(settings.Classes, r.platformSettings.Classes) &&
 		reflect.DeepEqual(settings.Plans, r.platformSettings.Plans)
 }
 
-// rebuildCatalog checks new descriptions against the settings that the gateway runs with, whatever the new ones
-// are. The classes that descriptions generate are a part of those, so they cannot change. Without descriptions it
-// returns nil.
+// rebuildCatalog checks new descriptions against the settings that the gateway runs with, not against reloaded ones.
+// The classes that descriptions generate are a part of the running settings, so they cannot change. Without
+// descriptions it returns nil.
 func (r *reloader) rebuildCatalog(operator *config.Operator) (*catalog.Catalog, error) {
 	if operator.Contracts.Catalog == nil {
 		return nil, nil
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -7,7 +7,8 @@
 	"reachpulley/internal/frontend/httpfrontend"
 )
 
-// Serve runs a gateway until stop ends and all that was accepted is answered.
+// Serve runs a gateway until stop ends, and then until all accepted requests are answered. It also ends if the HTTP
+// server fails, and then returns its error.
 func Serve(stop context.Context, options Options) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -28,12 +29,12 @@
 	return err
 }
 
-// start starts the goroutines of all parts and returns a channel that receives how the HTTP server ended. The package
-// documentation explains order and contexts.
+// start starts the goroutines of all parts and returns a channel that receives the result of the HTTP server. The
+// package documentation explains the order of start and the contexts.
 func (g *gateway) start(ctx context.Context) <-chan error {
 	recorded, endRecording := context.WithCancel(context.Background())
 	g.goroutines.Go(func() {
-		defer endRecording() // by then the loop has handed over what it recorded last
+		defer endRecording() // by then the loop has handed over its last records
 		g.loop.Run(ctx)
 	})
 	if segments := g.recording.segments; segments != nil {
@@ -55,7 +56,8 @@
 	return g.startFrontends(ctx)
 }
 
-// startFrontends starts the frontends and the backend for iSCSI.
+// startFrontends starts the frontends and the iSCSI backend, and returns a channel that receives the result of the HTTP
+// server.
 func (g *gateway) startFrontends(ctx context.Context) <-chan error {
 	httpServerEnded := make(chan error, 1)
 	g.goroutines.Go(func() { httpServerEnded <- g.httpServer.Serve() })
@@ -74,11 +76,12 @@
 	return httpServerEnded
 }
 
-// rejectionNoteInterval is the interval at which a capture notes what the HTTP frontend has rejected by itself.
+// rejectionNoteInterval is how often captures get a note of what the HTTP frontend has rejected by itself.
 const rejectionNoteInterval = time.Second
 
-// noteRejections adds to captures what never reaches the scheduler, until ctx ends. Without it, a surge of clients that
-// holds all connections would look like a quiet hour.
+// noteRejections notes in captures, until ctx ends, how many connections and requests the HTTP frontend has rejected
+// before the scheduler saw them. Without these notes, a capture of a time when a surge of clients held all connections
+// would show hardly any load.
 func (g *gateway) noteRejections(ctx context.Context) {
 	tick := time.NewTicker(rejectionNoteInterval)
 	defer tick.Stop()
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	// noticePeriod is how long a gateway that stops is still open to new connections. Clients learn of a planned stop
+	// noticePeriod is how long a gateway that stops still accepts new connections. Clients learn of a planned stop
 	// within 0.4 s; until then they are served as before.
 	noticePeriod = 500 * time.Millisecond
 
-	// drainTimeout bounds the rest of the shutdown. What was accepted is answered by its own deadline, which may be
-	// this long.
+	// drainTimeout bounds the rest of the shutdown. Accepted requests are answered by their own deadlines, which may
+	// be this far away.
 	drainTimeout = 10 * time.Second
 )
 
-// drain stops the frontends and waits until all that they accepted is answered.
+// drain stops the frontends and waits until all requests that they accepted are answered.
 func (g *gateway) drain(ctx context.Context) error {
 	g.log.Info("stopping")
 	g.httpFrontend.BeginDrain()
 	if g.h2Server != nil {
-		g.h2Server.Drain() // its clients are notified at once; what they have sent meanwhile is served
+		g.h2Server.Drain() // notifies its clients at once; requests that they sent meanwhile are served
 	}
 	time.Sleep(noticePeriod)
-	within, cancel := context.WithTimeout(ctx, drainTimeout)
+	drainCtx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	var ending sync.WaitGroup
+	var shutdowns sync.WaitGroup
 	if g.iscsiTarget != nil {
 		g.options.ISCSIListener.Close()
-		ending.Go(func() { g.iscsiTarget.Shutdown(within) })
+		shutdowns.Go(func() { g.iscsiTarget.Shutdown(drainCtx) })
 	}
 	if g.h2Server != nil {
 		g.options.H2CListener.Close()
-		ending.Go(func() { g.h2Server.Shutdown(within) })
+		shutdowns.Go(func() { g.h2Server.Shutdown(drainCtx) })
 	}
-	err := g.httpServer.Shutdown(within)
-	ending.Wait()
+	err := g.httpServer.Shutdown(drainCtx)
+	shutdowns.Wait()
 	return err
 }
 
