--- a/internal/gateway/captures_test.go
+++ b/internal/gateway/captures_test.go
@@ -12,7 +12,7 @@
 	"reachpulley/internal/filesystem/filesystemtest"
 )
 
-// What a trigger records in the last moment of a gateway is written before the gateway ends.
+// Captures of triggers that are still queued when the recording ends are written before the gateway ends.
 func TestTriggeredCapturesAreWrittenAtTheEnd(t *testing.T) {
 	files := &captureFiles{
 		directory:    t.TempDir(),
@@ -29,11 +29,11 @@
 	files.runTriggered(recorded)
 	written, err := filepath.Glob(filepath.Join(files.directory, "*-trigger-*.capture"))
 	if err != nil || len(written) != maxQueuedCaptures {
-		t.Error(written, err)
+		t.Errorf("%d captures written, want %d: %v, %v", len(written), maxQueuedCaptures, written, err)
 	}
 }
 
-// Captures of triggers stay within their number, the oldest being removed first; nothing else is removed.
+// Captures of triggers are limited in number, and the oldest are removed first. No other file is removed.
 func TestOldestTriggeredCapturesAreRemoved(t *testing.T) {
 	fs := filesystemtest.New()
 	for i := range 5 {
--- a/internal/gateway/contracts_fleet_test.go
+++ b/internal/gateway/contracts_fleet_test.go
@@ -21,6 +21,7 @@
 	"reachpulley/internal/scenariotest"
 )
 
+// fleetContracts describes the operations of the nodes of a fleet.
 const fleetContracts = `
 openapi: 3.0.3
 info: {title: sheets, version: "1"}
@@ -55,56 +56,56 @@
 const (
 	fleetNodes   = 11
 	fleetClients = 12
-	lyingNode    = 3
+	faultyNode   = 3 // the only one that may break its contract
 )
 
-// lies are the ways in which a node may break its contract.
-type lies struct {
+// contractFaults are the ways in which a node may break its contract.
+type contractFaults struct {
 	runsRetries   bool // a retry with the same key has a second effect
-	otherSchema   bool // reads have another schema
+	otherSchema   bool // responses to reads do not match their schema
 	deniesEffects bool // a write that ran is reported as not run
-	readWrites    bool // a read has an effect
+	changingReads bool // a read has an effect
 }
 
-// fakeStore is a stand-in for a node: it remembers the writes that ran and deduplicates retries as described, unless it
-// lies.
-type fakeStore struct {
-	lies
+// fakeNode is a stand-in for a node. It remembers the writes that ran and deduplicates retries as described, unless it
+// has a fault.
+type fakeNode struct {
+	contractFaults
 	mu   sync.Mutex
-	runs map[string]int // by key
-	read int            // what reads return, changed by reads that write
+	runs map[string]int // number of times that each write ran, by key
+	read int            // value that reads return; faulty reads change it
 }
 
-func (s *fakeStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	io.Copy(io.Discard, r.Body)
 	switch {
-	case strings.HasSuffix(r.URL.Path, "/odd"): // what a client may request to make a node look odd
+	case strings.HasSuffix(r.URL.Path, "/odd"): // for requests by which a client tries to discredit nodes
 		w.WriteHeader(http.StatusTeapot)
 	case r.Method == http.MethodPut:
-		s.serveWrite(w, r.Header.Get("X-Clock"))
-	case s.otherSchema:
+		n.serveWrite(w, r.Header.Get("X-Clock"))
+	case n.otherSchema:
 		w.Header().Set("Content-Type", "application/json")
 		io.WriteString(w, `{"h":7}`)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		if s.readWrites {
-			s.read++
+		if n.changingReads {
+			n.read++
 		}
-		fmt.Fprintf(w, `{"hours":%d}`, s.read)
+		fmt.Fprintf(w, `{"hours":%d}`, n.read)
 	}
 }
 
 // serveWrite runs a write. It is called with mu held.
-func (s *fakeStore) serveWrite(w http.ResponseWriter, key string) {
-	isRetry := s.runs[key] > 0
-	if isRetry && !s.runsRetries {
+func (n *fakeNode) serveWrite(w http.ResponseWriter, key string) {
+	isRetry := n.runs[key] > 0
+	if isRetry && !n.runsRetries {
 		w.Header().Set("X-Repeated", "1")
 		return
 	}
-	s.runs[key]++
-	if s.deniesEffects && !isRetry {
+	n.runs[key]++
+	if n.deniesEffects && !isRetry {
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
@@ -131,31 +132,32 @@
 	return &net.TCPAddr{IP: net.IPv4(10, 0, 0, byte(c.number)), Port: 1}
 }
 
-// fleet is a gateway before eleven nodes, one of which may lie, and clients with one connection each.
+// fleet is a gateway in front of eleven nodes, one of which may be faulty, and clients with one connection each.
 type fleet struct {
 	t       *testing.T
 	network scenariotest.Network
-	stores  []*fakeStore
+	nodes   []*fakeNode
 	servers []*http.Server
 	clients []*http.Transport
 	running sync.WaitGroup
 	stop    context.CancelFunc
 }
 
-func startFleet(t *testing.T, lies lies, distrustFile string, log io.Writer) *fleet {
+// startFleet starts a fleet whose faultyNode has the given faults.
+func startFleet(t *testing.T, faults contractFaults, distrustFile string, log io.Writer) *fleet {
 	f := &fleet{t: t}
 	var listed []string
 	for i := range fleetNodes {
 		name := fmt.Sprint("n", i)
 		listed = append(listed, name+" up")
-		store := &fakeStore{runs: map[string]int{}}
-		if i == lyingNode {
-			store.lies = lies
+		node := &fakeNode{runs: map[string]int{}}
+		if i == faultyNode {
+			node.contractFaults = faults
 		}
-		server := &http.Server{Handler: store}
+		server := &http.Server{Handler: node}
 		listener := f.network.Listen(name + ":1")
 		f.running.Go(func() { server.Serve(listener) })
-		f.stores = append(f.stores, store)
+		f.nodes = append(f.nodes, node)
 		f.servers = append(f.servers, server)
 	}
 	configuration := parseConfig(t,
@@ -187,7 +189,7 @@
 	return f
 }
 
-// send has a client send a request that belongs at a node, and returns the status.
+// send lets a client send a request for data on a node, and returns the status of the response.
 func (f *fleet) send(client int, method, path string, node int, key string) (status int) {
 	request, err := http.NewRequest(method, "http://gate:1"+path, nil)
 	if err != nil {
@@ -207,9 +209,10 @@
 	return response.StatusCode
 }
 
-// playRound has every client read twice at every node, as a client that retries by itself does. With withWrites it also
-// writes, twice with the same key. With odd, the first client sends odd requests as well.
-func (f *fleet) playRound(round int, withWrites, odd bool) {
+// playRound lets every client read from every node twice, as a client does that retries by itself. With withWrites,
+// each client also writes, twice with the same key. With discredit, the first client also tries to discredit the nodes,
+// by requests to which they respond with a status that is not described.
+func (f *fleet) playRound(round int, withWrites, discredit bool) {
 	for client := range fleetClients {
 		for node := range fleetNodes {
 			path := fmt.Sprintf("/sheets/p%d/%d", client, node)
@@ -220,7 +223,7 @@
 				f.send(client, "PUT", path, node, key)
 				f.send(client, "PUT", path, node, key)
 			}
-			if odd && client == 0 {
+			if discredit && client == 0 {
 				for range 20 {
 					f.send(0, "GET", fmt.Sprintf("/sheets/p%d/odd", round), node, "")
 				}
@@ -229,17 +232,17 @@
 	}
 }
 
-// checkLiarIsAvoided sends a late request to the node that lies, and one to an honest node.
-func (f *fleet) checkLiarIsAvoided(method string) {
-	liar := f.stores[lyingNode]
-	before := len(liar.runs)
-	if got := f.send(1, method, "/sheets/p/1", lyingNode, "late"); got != http.StatusServiceUnavailable {
-		f.t.Errorf("%d from a node that is distrusted", got)
+// checkFaultyNodeIsAvoided sends one more request for the faulty node, and one for a node without a fault.
+func (f *fleet) checkFaultyNodeIsAvoided(method string) {
+	faulty := f.nodes[faultyNode]
+	before := len(faulty.runs)
+	if got := f.send(1, method, "/sheets/p/1", faultyNode, "late"); got != http.StatusServiceUnavailable {
+		f.t.Errorf("status %d for data on the distrusted node, want %d", got, http.StatusServiceUnavailable)
 	}
-	if got := f.send(1, method, "/sheets/p/1", lyingNode+1, "late"); got != http.StatusOK {
-		f.t.Errorf("%d from an honest node", got)
+	if got := f.send(1, method, "/sheets/p/1", faultyNode+1, "late"); got != http.StatusOK {
+		f.t.Errorf("status %d for data on a node without a fault, want %d", got, http.StatusOK)
 	}
-	if len(liar.runs) != before {
+	if len(faulty.runs) != before {
 		f.t.Error("the distrusted node received a write")
 	}
 }
@@ -256,40 +259,40 @@
 	f.running.Wait()
 }
 
-// One node among ten honest ones that lies is detected by what it does, and is not used any more; no other node is
-// distrusted. A client that sends odd requests discredits no node. Whatever a node does, it receives no write again
-// once it was seen to run a retry.
-func TestLyingNodesAreDistrusted(t *testing.T) {
+// One node of eleven breaks its contract. The gateway must detect that from its responses and stop using the node, and
+// must not distrust any other node. A client must not be able to discredit nodes by its requests. A node that was seen
+// to run a retry must not receive a write again.
+func TestNodesThatBreakContractsAreDistrusted(t *testing.T) {
 	const (
 		read  = "GET /sheets/{project}/{sheet}"
 		write = "PUT /sheets/{project}/{sheet}"
 	)
 	for _, test := range []struct {
 		name      string
-		lies      lies
-		odd       bool   // one client sends odd requests to all nodes
-		operation string // of which the liar is distrusted; empty: no node is
+		faults    contractFaults
+		discredit bool   // one client tries to discredit all nodes
+		operation string // operation for which the faulty node is distrusted; empty: no node is distrusted
 	}{
-		{name: "honest nodes"},
-		{name: "a client that discredits nodes", odd: true},
-		{name: "runs retries", lies: lies{runsRetries: true}, operation: write},
-		{name: "answers with another schema", lies: lies{otherSchema: true}, operation: read},
-		{name: "claims not to have run", lies: lies{deniesEffects: true}, operation: write},
-		{name: "a read with an effect", lies: lies{readWrites: true}, operation: read},
+		{name: "no node has a fault"},
+		{name: "a client cannot discredit nodes", discredit: true},
+		{name: "a retry is run again", faults: contractFaults{runsRetries: true}, operation: write},
+		{name: "responses do not match their schema", faults: contractFaults{otherSchema: true}, operation: read},
+		{name: "a write that ran is denied", faults: contractFaults{deniesEffects: true}, operation: write},
+		{name: "a read has an effect", faults: contractFaults{changingReads: true}, operation: read},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			distrustFile := filepath.Join(t.TempDir(), "doubts.json")
 			var log bytes.Buffer
 			synctest.Test(t, func(t *testing.T) {
-				f := startFleet(t, test.lies, distrustFile, &log)
+				f := startFleet(t, test.faults, distrustFile, &log)
 				for round := range 2 {
-					// Writes between two reads would explain that these differ.
-					f.playRound(round, !test.lies.readWrites, test.odd)
+					// Without writes: a write between two reads would explain why their results differ.
+					f.playRound(round, !test.faults.changingReads, test.discredit)
 					time.Sleep(2 * time.Second)
 				}
 				if test.operation != "" {
 					method, _, _ := strings.Cut(test.operation, " ")
-					f.checkLiarIsAvoided(method)
+					f.checkFaultyNodeIsAvoided(method)
 				}
 				f.close()
 			})
@@ -299,14 +302,14 @@
 	}
 }
 
-// checkDistrustFile checks that the file says that the liar is distrusted for an operation, or, where the operation is
-// empty, that there is none.
+// checkDistrustFile checks that the file contains only the distrust of the faulty node for an operation or, if the
+// operation is empty, that there is no file.
 func checkDistrustFile(t *testing.T, path, operation string) {
 	t.Helper()
 	file, err := conformance.ReadDistrustFile(filesystem.OS{}, path)
 	if operation == "" {
 		if err == nil {
-			t.Errorf("an honest fleet is distrusted: %+v", file.Records)
+			t.Errorf("nodes without a fault are distrusted: %+v", file.Records)
 		}
 		return
 	}
@@ -314,7 +317,7 @@
 		t.Fatalf("%v %+v", err, file.Records)
 	}
 	record := file.Records[0]
-	if record.Node != fmt.Sprint("n", lyingNode) || record.State != "distrusted" || record.Operation != operation {
+	if record.Node != fmt.Sprint("n", faultyNode) || record.State != "distrusted" || record.Operation != operation {
 		t.Errorf("%+v", record)
 	}
 }
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -16,7 +16,8 @@
 	"reachpulley/scheduler"
 )
 
-// sheetContracts describes what the nodes of the scenarios do, and leaves out what nobody may rely on.
+// sheetContracts describes the operations of the nodes in the scenarios, apart from those that clients must not rely
+// on.
 const sheetContracts = `
 openapi: 3.0.3
 info: {title: sheets, version: "1"}
@@ -69,7 +70,7 @@
       responses: {"200": {description: it}}
 `
 
-// commandContracts describes writes to one unit of the iSCSI frontend, and reads of all of them.
+// commandContracts describes writes to one unit of the iSCSI frontend, and reads from all units.
 const commandContracts = `{
 	"asyncapi": "3.0.0",
 	"channels": {
@@ -82,8 +83,8 @@
 	}
 }`
 
-// parseContracts returns the table [contracts] of the operator's file with the descriptions of text and
-// commandContracts. One undescribed call a second is accepted.
+// parseContracts returns the table [contracts] of the operator's file, with the descriptions in text and in
+// commandContracts in force. The table accepts one undescribed call per second, unless change alters that.
 func parseContracts(
 	t *testing.T, text string, settings scheduler.Settings, change func(*config.Contracts),
 ) config.Contracts {
@@ -112,19 +113,20 @@
 	return contracts
 }
 
-// factsNode shows the headers by which a node learns what was decided on a request.
-var factsNode = scenariotest.HTTP{VisibleHeaders: []string{"X-Class", "X-Placement", "X-Qos-Policy"}}
+// classifiedNode is an HTTP node of a script. It shows the headers with the class, placement and plan that the gateway
+// determined for a request.
+var classifiedNode = scenariotest.HTTP{VisibleHeaders: []string{"X-Class", "X-Placement", "X-Qos-Policy"}}
 
-// Calls that sheetContracts describes, and what a node sees of them.
+// Calls that sheetContracts describes, and the headers with which a node receives them.
 const (
-	describedRead       = "GET /sheets/bridge/7"
-	describedReadFacts  = " X-Class=read X-Placement=units=1,shard=0,hosts=1 X-Qos-Policy=gold"
-	describedWrite      = "POST /sheets/bridge/7?clock=4711"
-	describedWriteFacts = " X-Class=write X-Placement=units=3,shard=0,hosts=1 X-Qos-Policy=gold"
+	describedRead         = "GET /sheets/bridge/7"
+	describedReadHeaders  = " X-Class=read X-Placement=units=1,shard=0,hosts=1 X-Qos-Policy=gold"
+	describedWrite        = "POST /sheets/bridge/7?clock=4711"
+	describedWriteHeaders = " X-Class=write X-Placement=units=3,shard=0,hosts=1 X-Qos-Policy=gold"
 )
 
-// loggedInContractScenarios is what the log of some scenarios has to hold.
-var loggedInContractScenarios = map[string]string{
+// wantLogged holds, by scenario, a text that the log must contain.
+var wantLogged = map[string]string{
 	"descriptions that generate other classes need a restart": errCatalogChanged.Error(),
 	"an undescribed call is never retried, and limited":       `"path":"/other`,
 }
@@ -132,41 +134,41 @@
 var contractScenarios = map[string]string{
 	"a described call is served": `
 		client send ` + describedRead + `
-		node expect ` + describedRead + describedReadFacts + `
+		node expect ` + describedRead + describedReadHeaders + `
 		node send 200 hours
 		client expect 200 hours`,
 	"an idempotent call is retried after an error": `
 		client send ` + describedRead + `
-		node expect ` + describedRead + describedReadFacts + `
+		node expect ` + describedRead + describedReadHeaders + `
 		node send 500
-		node expect ` + describedRead + describedReadFacts + `
+		node expect ` + describedRead + describedReadHeaders + `
 		node send 200 hours
 		client expect 200 hours`,
-	"a status that no retry changes is the client's answer": `
+	"a status that no retry would change is returned to the client": `
 		client send ` + describedRead + `
-		node expect ` + describedRead + describedReadFacts + `
+		node expect ` + describedRead + describedReadHeaders + `
 		node send 404 none
 		client expect 404 none
 		node expect nothing`,
-	"a status described as rejected is retried": `
+	"a call whose status is described as a rejection is retried": `
 		client send ` + describedRead + `
-		node expect ` + describedRead + describedReadFacts + `
+		node expect ` + describedRead + describedReadHeaders + `
 		node send 503
 		wait 100ms
-		node expect ` + describedRead + describedReadFacts + `
+		node expect ` + describedRead + describedReadHeaders + `
 		node send 200 hours
 		client expect 200 hours`,
-	"a keyed call is retried with its key, and its own status comes back": `
+	"a keyed call is retried with its key, and the status of the operation is returned": `
 		client send ` + describedWrite + ` hello
-		node expect ` + describedWrite + describedWriteFacts + ` hello
+		node expect ` + describedWrite + describedWriteHeaders + ` hello
 		node send 409
-		node expect ` + describedWrite + describedWriteFacts + ` hello
+		node expect ` + describedWrite + describedWriteHeaders + ` hello
 		node send 201 stored
 		client expect 201 stored`,
-	// The class knows keys for 4 s, the description vouches for 2 s only.
-	"a key is relied on no longer than its description says": `
+	// Keys of the class are valid for 4 s, but the description guarantees only 2 s.
+	"a keyed call is not retried after the time that its description guarantees": `
 		client send ` + describedWrite + ` hello
-		node expect ` + describedWrite + describedWriteFacts + ` hello
+		node expect ` + describedWrite + describedWriteHeaders + ` hello
 		wait 2001ms
 		node close
 		client expect 502
@@ -180,19 +182,19 @@
 		client expect 400 query clock is missing, which class "write" needs
 		node expect nothing`,
 	// The platform's class allows a retry by the key, but the description is stricter and wins.
-	"a description narrows the class that a client names": `
+	"a description forbids retries that the class named by a client allows": `
 		client send ` + putRequest + `r1 hello
 		node expect PUT ` + objectPath + ` X-Class=write X-Placement=units=2,shard=0,hosts=1 X-Qos-Policy=gold hello
 		node close
 		client expect 502
 		node expect nothing`,
-	"a description never widens it": `
+	"a description cannot allow retries that the class named by a client forbids": `
 		client send ` + strings.Replace(onceRequest, "PUT", "GET", 1) + `r1
 		node expect GET ` + objectPath + ` X-Class=once X-Placement=units=2,shard=0,hosts=1 X-Qos-Policy=gold
 		node close
 		client expect 502
 		node expect nothing`,
-	// It has the platform's headers, which say where it belongs, but no description.
+	// The call has the platform's headers, which contain its placement, but no description.
 	"an undescribed call is never retried, and limited": `
 		client send GET /other` + objectRequest + ` X-Class=read X-Request-Id=r1
 		node expect GET /other` + objectPath + ` X-Class=read X-Placement=units=2,shard=0,hosts=1 X-Qos-Policy=gold
@@ -209,14 +211,14 @@
 		client send GET /sheets/bridge%2F..%2F..%2Fadmin/7
 		client expect 400 path: want a volume and a piece of data, 16 hex digits each
 		node expect nothing`,
-	"an undescribed call is rejected where the operator says so": `
+	"an undescribed call is rejected if the operator has configured that": `
 		file send strict contracts
 		gateway send reload
 		wait 1ms
 		client send GET /payroll
 		client expect 404 no description has this operation
 		client send ` + describedRead + `
-		node expect ` + describedRead + describedReadFacts + `
+		node expect ` + describedRead + describedReadHeaders + `
 		node send 200 hours
 		client expect 200 hours`,
 	"descriptions that generate other classes need a restart": `
@@ -224,7 +226,7 @@
 		gateway send reload
 		wait 1ms
 		client send ` + describedRead + `
-		node expect ` + describedRead + describedReadFacts + `
+		node expect ` + describedRead + describedReadHeaders + `
 		node send 200 hours
 		client expect 200 hours`,
 	"descriptions can be turned off": `
@@ -235,38 +237,38 @@
 		client expect 400 X-Request-Id is missing`,
 }
 
-// A client that sends none of the platform's headers is served by descriptions alone, and nothing is done that they do
-// not allow.
+// A client that sends none of the platform's headers is served as the descriptions say, and the gateway does nothing
+// that they do not allow.
 func TestContracts(t *testing.T) {
 	for name, script := range contractScenarios {
 		t.Run(name, func(t *testing.T) {
-			log := scenario{script: script, contracts: true, node: factsNode}.play(t)
-			if want := loggedInContractScenarios[name]; !strings.Contains(log, want) {
-				t.Errorf("the log lacks %q:\n%s", want, log)
+			log := scenario{script: script, contracts: true, node: classifiedNode}.play(t)
+			if want := wantLogged[name]; !strings.Contains(log, want) {
+				t.Errorf("the log does not contain %q:\n%s", want, log)
 			}
 		})
 	}
 }
 
-// Descriptions of channels bound iSCSI commands: a write whose class knows keys is sent once where its description says
-// so, and so is one that nothing describes; a read is retried.
+// Descriptions of channels restrict iSCSI commands. A write whose class allows retries by key is sent only once if its
+// description says that it is unsafe, and so is a write without a description. A read is retried.
 func TestContractsOfTheISCSIFrontend(t *testing.T) {
 	for name, script := range map[string]string{
-		"a write that is described as unsafe": `
+		"a write that is described as unsafe is not retried": `
 			initiator send command tag=1 sn=1 lun=1 write=8+1 data=512*w
 			` + nodeLogin + `
 			node expect command tag=1 lun=1 write=8+1 data=512*w
 			node close
 			initiator expect response tag=1 status=check-condition sense=b/44/00
 			node expect nothing`,
-		"a write that nothing describes": `
+		"a write without a description is not retried": `
 			initiator send command tag=1 sn=1 lun=0 write=8+1 data=512*w
 			` + nodeLogin + `
 			node expect command tag=1 lun=0 write=8+1 data=512*w
 			node close
 			initiator expect response tag=1 status=check-condition sense=b/44/00
 			node expect nothing`,
-		"a read": `
+		"a read is retried": `
 			initiator send command tag=1 sn=1 lun=0 read=8+1
 			` + nodeLogin + `
 			node expect command tag=1 lun=0 read=8+1
@@ -287,8 +289,9 @@
 	}
 }
 
-// A node that reports an effect and none at once is restricted ever more, and regains trust by a probation; reloads
-// forget nothing. What each state restricts is up to the scheduler.
+// A node that responds with success and with X-Not-Run at the same time contradicts itself. Each time, it is restricted
+// more strictly, until it regains trust by a probation. Reloads do not reset its state. The scheduler decides what each
+// state restricts.
 func TestContractViolationsAreDistrusted(t *testing.T) {
 	const violation = `
 		client send ` + describedRead + `
@@ -329,7 +332,7 @@
 	}
 }
 
-// trustChanges returns the changes of trust that a log holds, and checks each against its description.
+// trustChanges returns the changes of trust in a log, and checks each against its schema.
 func trustChanges(t *testing.T, log string) (changes []string) {
 	t.Helper()
 	schema := apitest.Schemas(t, "../../api/asyncapi.yaml")("TrustChanged")
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -12,8 +12,8 @@
 	"reachpulley/internal/apitest"
 )
 
-// Events of the iSCSI frontend are as api/asyncapi.yaml describes them.
-func TestEventsAreAsDescribed(t *testing.T) {
+// The logged events of the iSCSI frontend match their schemas in api/asyncapi.yaml.
+func TestEventsMatchTheirSchemas(t *testing.T) {
 	log := playISCSI(t, initiatorLogin+`
 		initiator send command tag=1 sn=1 read=8+1
 		`+nodeLogin+`
@@ -48,7 +48,7 @@
 	}
 }
 
-// loggedEvents returns the events that a log holds.
+// loggedEvents returns the events in a log.
 func loggedEvents(t *testing.T, log string) (events []json.RawMessage) {
 	t.Helper()
 	for line := range strings.Lines(log) {
--- a/internal/gateway/failure_test.go
+++ b/internal/gateway/failure_test.go
@@ -12,14 +12,14 @@
 	"reachpulley/internal/scenariotest"
 )
 
-// brokenListener is a listener that fails for good.
+// brokenListener is a listener that fails to accept any connection.
 type brokenListener struct{ net.Listener }
 
 func (brokenListener) Accept() (net.Conn, error) { return nil, errors.New("the listener is broken") }
 
-// A gateway whose HTTP server fails ends with the reason, whatever other frontends it has: they once kept it
-// running for ever.
-func TestABrokenListenerEndsTheGateway(t *testing.T) {
+// A gateway whose HTTP server fails ends with that error, whatever other frontends it has. Once, the other frontends
+// kept such a gateway running forever.
+func TestBrokenListenerEndsGateway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var network scenariotest.Network
 		operator := config.DefaultOperator()
--- a/internal/gateway/h2c_test.go
+++ b/internal/gateway/h2c_test.go
@@ -6,7 +6,7 @@
 	"reachpulley/internal/scenariotest"
 )
 
-// What an HTTP/2 client sends, up to its own part.
+// Requests of HTTP/2 clients, up to the request ID, which each scenario adds.
 const (
 	h2Get  = "GET " + objectRequest + " x-class=read x-request-id="
 	h2Put  = "PUT " + objectRequest + " x-class=write x-request-id="
@@ -30,7 +30,7 @@
 		node send 200 two
 		tablet expect headers 3 200
 		tablet expect data 3 end two`,
-	// The write may have run.
+	// The write may have run at the node.
 	"a non-idempotent request whose response is lost is not retried": `
 		tablet send headers 1 end ` + h2Once + `r1
 		node expect PUT ` + objectPath + ` X-Request-Id=r1
@@ -38,8 +38,8 @@
 		tablet expect headers 1 end 502
 		wait 1s
 		node expect nothing`,
-	// The hard case: the write is at the node when its client resets the stream.
-	"a reset ends the attempt, and the write is never retried": `
+	// The write is at the node when its client resets the stream.
+	"a reset of a stream ends the attempt, and the write is never retried": `
 		tablet send headers 1 end ` + h2Put + `r1 idempotency-key=k
 		node expect PUT ` + objectPath + ` X-Request-Id=r1 Idempotency-Key=k
 		tablet send rst 1 CANCEL
@@ -68,7 +68,7 @@
 		tablet expect headers 1 400
 		tablet expect data 1 end X-Class: unknown class "none"
 		node expect nothing`,
-	"a planned stop answers what crossed the first GOAWAY, and ends after the second": `
+	"a planned stop answers a request that crossed the first GOAWAY, and ends after the second": `
 		tablet send ping
 		tablet expect ping
 		gateway send stop
@@ -83,7 +83,7 @@
 		wait 500ms
 		tablet expect goaway 1 NO_ERROR
 		tablet expect end`,
-	"a closed window holds back only its own response": `
+	"an exhausted flow-control window holds back only its own response": `
 		tablet send settings window=0
 		tablet send headers 1 end ` + h2Get + `r1
 		node expect GET ` + objectPath + ` X-Request-Id=r1
@@ -97,15 +97,15 @@
 		tablet expect data 1 end one`,
 }
 
-// What the frontend for HTTP/1.1 guarantees holds over HTTP/2 too.
+// The guarantees of the frontend for HTTP/1.1 apply over HTTP/2 too.
 func TestHTTP2Frontend(t *testing.T) {
 	for name, script := range h2Scenarios {
 		t.Run(name, func(t *testing.T) {
 			scenario{
 				script: "tablet send preface\n" + script,
 				node:   httpNode,
-				prepare: func(stage *scenariotest.Scenario) {
-					stage.Client("tablet", "h2:1", &scenariotest.HTTP2{VisibleFields: []string{"retry-after"}})
+				prepare: func(testbed *scenariotest.Scenario) {
+					testbed.Client("tablet", "h2:1", &scenariotest.HTTP2{VisibleFields: []string{"retry-after"}})
 				},
 			}.play(t)
 		})
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -37,7 +37,8 @@
 	"policies": [{"name": "gold", "baseRate": 99, "guaranteed": 99, "price": 1, "proportion": 1}]
 }`
 
-// hostList formats discovery's list of nodes, each given as "name state". It is on one line, as a script's message is.
+// hostList formats discovery's list of nodes, each given as "name state". The list is on one line because each message
+// of a script is.
 func hostList(seq int, whole bool, nodes ...string) string {
 	var hosts []string
 	for shard, node := range nodes {
@@ -58,18 +59,18 @@
 	return parsed
 }
 
-// replaceSetting replaces a part of settings, which must be there.
+// replaceSetting replaces a part of the settings. The test fails if the settings do not contain it.
 func replaceSetting(t *testing.T, settings, part, by string) string {
 	t.Helper()
 	if !strings.Contains(settings, part) {
-		t.Fatalf("the settings lack %s", part)
+		t.Fatalf("the settings do not contain %s", part)
 	}
 	return strings.Replace(settings, part, by, 1)
 }
 
 const objectPath = "/api/00000003b4d60021/7f3a9c21e0b4d655"
 
-// What a client sends, up to its own part.
+// Requests of clients, up to the request ID, which each scenario adds.
 const (
 	objectRequest = objectPath + " X-Qos-Policy=gold X-Deadline=480m X-Placement=units=2,shard=0,hosts=1"
 	getRequest    = "GET " + objectRequest + " X-Class=read X-Request-Id="
@@ -77,45 +78,47 @@
 	onceRequest   = "PUT " + objectRequest + " X-Class=once X-Request-Id="
 )
 
-// The request of a watch, and the beginning of its response.
+// The request with which a gateway watches discovery, and the beginning of the response.
 const (
 	watchRequest  = "discovery expect GET /v1/endpoints?stream=1&index=1\n"
 	watchResponse = "discovery send raw HTTP/1.1 200 OK\\nConnection: close\\n\\n"
 )
 
-// httpNode shows the headers of requests that most scenarios look at.
+// httpNode is an HTTP node of a script. It shows the request headers that most scenarios check.
 var httpNode = scenariotest.HTTP{VisibleHeaders: []string{"X-Request-Id", "Idempotency-Key"}}
 
-// scenario is a script that is played in fake time before a whole gateway with one node, n.
+// scenario is a script that is played in fake time against a whole gateway with one node, n.
 //
-// Its clients are client and other (HTTP) and initiator, other-initiator, second, third and fourth (iSCSI).
-// Discovery is discovery, and moved is where it moves to. What a reload reads is changed by messages to file, and
-// the gateway itself is controlled by messages to gateway.
+// The HTTP clients of the script are called client and other, its iSCSI clients initiator, other-initiator, second,
+// third and fourth. The node is called node, discovery is called discovery, and moved is the discovery at another
+// address. Messages to file change the configuration that a reload reads, and messages to gateway control the gateway
+// itself.
 type scenario struct {
 	script    string
 	node      scenariotest.Codec
 	iscsi     *config.ISCSI                // nil: the iSCSI frontend is off
-	contracts bool                         // the descriptions of the tests are in force from the start
-	rules     string                       // the rule file that is in force from the start; empty: none
+	contracts bool                         // whether sheetContracts are in force from the start
+	rules     string                       // rules in force from the start, by their name in ruleFiles; empty: none
 	prepare   func(*scenariotest.Scenario) // adds actors; nil: none
 }
 
-// play runs the scenario, replays what the gateway recorded, and returns the gateway's log.
+// play runs the scenario, checks that the recorded decisions of the gateway can be replayed, and returns the gateway's
+// log.
 func (s scenario) play(t *testing.T) (log string) {
 	t.Helper()
 	var logged bytes.Buffer
 	captures := t.TempDir()
-	scenariotest.Run(t, s.script, func(stage *scenariotest.Scenario) func() {
-		s.addActors(stage)
-		options := s.options(t, stage)
+	scenariotest.Run(t, s.script, func(testbed *scenariotest.Scenario) func() {
+		s.addActors(testbed)
+		options := s.options(t, testbed)
 		options.Log = slog.New(slog.NewJSONHandler(&logged, &slog.HandlerOptions{Level: slog.LevelDebug}))
 		options.Operator.Capture.Directory = captures
-		addReloads(t, stage, &options)
+		addReloads(t, testbed, &options)
 		if s.rules != "" {
 			options.Operator.Rules.Set = parseRules(t, ruleFiles[s.rules], options.Config.Settings)
 		}
 		stop, cancel := context.WithCancel(context.Background())
-		stage.Control("gateway", "stop", cancel)
+		testbed.Control("gateway", "stop", cancel)
 		ended := make(chan error)
 		go func() { ended <- Serve(stop, options) }()
 		return func() {
@@ -129,23 +132,23 @@
 	return logged.String()
 }
 
-func (s scenario) addActors(stage *scenariotest.Scenario) {
+func (s scenario) addActors(testbed *scenariotest.Scenario) {
 	client := scenariotest.HTTP{VisibleHeaders: []string{"X-Request-Id", "Idempotency-Key", "Retry-After", "Connection"}}
-	stage.Client("client", "gate:1", client)
-	stage.Client("other", "gate:1", client)
+	testbed.Client("client", "gate:1", client)
+	testbed.Client("other", "gate:1", client)
 	for _, name := range []string{"initiator", "second", "other-initiator", "third", "fourth"} {
-		stage.Client(name, "iscsi:1", scenariotest.ISCSI{})
+		testbed.Client(name, "iscsi:1", scenariotest.ISCSI{})
 	}
-	stage.Server("discovery", "disc:1", scenariotest.HTTP{})
-	stage.Server("moved", "disc:2", scenariotest.HTTP{})
-	stage.Server("node", "n:1", s.node)
+	testbed.Server("discovery", "disc:1", scenariotest.HTTP{})
+	testbed.Server("moved", "disc:2", scenariotest.HTTP{})
+	testbed.Server("node", "n:1", s.node)
 	if s.prepare != nil {
-		s.prepare(stage)
+		s.prepare(testbed)
 	}
 }
 
-// options are those of a gateway that records all of the scenario.
-func (s scenario) options(t *testing.T, stage *scenariotest.Scenario) Options {
+// options returns the options of a gateway that records the whole scenario.
+func (s scenario) options(t *testing.T, testbed *scenariotest.Scenario) Options {
 	configuration := parseConfig(t,
 		`"listen":"gate:1","discovery":"disc:1","seed":"1","known":`+hostList(1, true, "n up"))
 	operator := config.DefaultOperator()
@@ -164,52 +167,52 @@
 	options := Options{
 		Config:      configuration,
 		Operator:    operator,
-		Listener:    stage.Network.Listen("gate:1"),
-		H2CListener: stage.Network.Listen("h2:1"),
-		Dial:        stage.Network.Dial,
+		Listener:    testbed.Network.Listen("gate:1"),
+		H2CListener: testbed.Network.Listen("h2:1"),
+		Dial:        testbed.Network.Dial,
 	}
 	if s.iscsi != nil {
-		options.ISCSIListener = stage.Network.Listen("iscsi:1")
+		options.ISCSIListener = testbed.Network.Listen("iscsi:1")
 	}
 	return options
 }
 
-// addReloads lets the script change what a reload reads, and request reloads.
-func addReloads(t *testing.T, stage *scenariotest.Scenario, options *Options) {
+// addReloads lets the script change the configuration that a reload reads, and request reloads.
+func addReloads(t *testing.T, testbed *scenariotest.Scenario, options *Options) {
 	next, operator := *options.Config, *options.Operator
 	settings := next.Settings
 	var fault error
 	options.Reload = func() (*config.Config, *config.Operator, error) { return &next, &operator, fault }
-	stage.Control("file", "moved", func() { next.Discovery, fault = "disc:2", nil })
-	stage.Control("file", "faulty", func() { next.Discovery, fault = "", errors.New("discovery: is missing") })
-	stage.Control("file", "other classes", func() {
+	testbed.Control("file", "moved", func() { next.Discovery, fault = "disc:2", nil })
+	testbed.Control("file", "faulty", func() { next.Discovery, fault = "", errors.New("discovery: is missing") })
+	testbed.Control("file", "other classes", func() {
 		next.Settings.Classes = slices.Clone(next.Settings.Classes)
 		slices.Reverse(next.Settings.Classes)
 	})
-	stage.Control("file", "strict contracts", func() {
+	testbed.Control("file", "strict contracts", func() {
 		strict := func(c *config.Contracts) { c.Undescribed = config.RejectUndescribed }
 		operator.Contracts = parseContracts(t, sheetContracts, settings, strict)
 	})
-	stage.Control("file", "other contracts", func() {
+	testbed.Control("file", "other contracts", func() {
 		other := strings.Replace(sheetContracts, "repeats: safe}", "repeats: safe, aim: 1s, deadline: 2s}", 1)
 		operator.Contracts = parseContracts(t, other, settings, nil)
 	})
-	stage.Control("file", "no contracts", func() { operator.Contracts.Catalog = nil })
+	testbed.Control("file", "no contracts", func() { operator.Contracts.Catalog = nil })
 	for name, text := range ruleFiles {
-		stage.Control("file", name+" rules", func() { operator.Rules.Set = parseRules(t, text, settings) })
+		testbed.Control("file", name+" rules", func() { operator.Rules.Set = parseRules(t, text, settings) })
 	}
 	reloads := make(chan os.Signal, 1)
 	options.Reloads = reloads
-	stage.Control("gateway", "reload", func() {
-		select { // as os/signal does
+	testbed.Control("gateway", "reload", func() {
+		select { // drops a signal if one is pending, as os/signal does
 		case reloads <- syscall.SIGHUP:
 		default:
 		}
 	})
 }
 
-// replayRecorded replays what a gateway recorded while a script was played: whatever went wrong in it, the
-// decisions can be replayed and break no invariant.
+// replayRecorded replays the decisions that a gateway recorded while a script was played. Whatever goes wrong in the
+// script, the decisions must be replayable and violate no invariant.
 func replayRecorded(t *testing.T, directory string) {
 	t.Helper()
 	segments, err := filepath.Glob(filepath.Join(directory, "*.segment"))
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -11,7 +11,7 @@
 		node expect PUT ` + objectPath + ` X-Request-Id=r1 Idempotency-Key=k hello
 		node send 200 stored
 		client expect 200 stored`,
-	"a request that a node rejects unrun is retried": `
+	"a request that a node rejects without running it is retried": `
 		client send ` + putRequest + `r1 hello
 		node expect PUT ` + objectPath + ` X-Request-Id=r1 Idempotency-Key=k hello
 		node send 503 X-Not-Run=1
@@ -19,22 +19,22 @@
 		node expect PUT ` + objectPath + ` X-Request-Id=r1 Idempotency-Key=k hello
 		node send 200 stored
 		client expect 200 stored`,
-	// The connection ends after the last byte: the write may have run.
+	// The connection ends after the last byte of the request, so the write may have run.
 	"a non-idempotent request whose response is lost is not retried": `
 		client send ` + onceRequest + `r1 hello
 		node expect PUT ` + objectPath + ` X-Request-Id=r1 hello
 		node close
 		client expect 502
 		node expect nothing`,
-	// Without X-Not-Run from the node the work may have begun.
-	"503 alone does not prove that nothing ran": `
+	// Without X-Not-Run in the response, the node may have begun the work.
+	"a 503 without X-Not-Run does not allow a retry": `
 		client send ` + onceRequest + `r1 hello
 		node expect PUT ` + objectPath + ` X-Request-Id=r1 hello
 		node send 503
 		client expect 502
 		node expect nothing`,
-	// http.Transport would repeat a GET by itself when a reused connection breaks: an attempt that nobody counts.
-	"a GET on a reused connection that breaks is not retried behind the scheduler's back": `
+	// http.Transport would repeat a GET by itself when a reused connection breaks, which no retry limit would count.
+	"a GET on a reused connection that breaks is not retried without the scheduler": `
 		client send ` + getRequest + `r1
 		node expect GET ` + objectPath + ` X-Request-Id=r1
 		node send 200 one
@@ -68,8 +68,8 @@
 		node send 200 stored
 		client expect 200 stored
 		node expect nothing`,
-	// Nothing of a response may reach the client before it is complete: another node may still have to give it.
-	"a response that breaks off is not passed on": `
+	// No part of a response may reach the client before it is complete: another node may still have to provide it.
+	"an incomplete response is not passed on": `
 		client send ` + onceRequest + `r1 hello
 		node expect PUT ` + objectPath + ` X-Request-Id=r1 hello
 		node send raw HTTP/1.1 200 OK\nContent-Length: 10\n\nhalf
@@ -123,30 +123,30 @@
 	for _, test := range []struct{ name, request, fault string }{
 		{"no id", "GET " + objectRequest + " X-Class=read", "X-Request-Id is missing"},
 		{"an unknown class", withoutClass + "none X-Request-Id=r1", `X-Class: unknown class "none"`},
-		{"an unknown plan", change(getRequest, "gold", "tin"), `X-Qos-Policy: unknown plan "tin"`},
+		{"an unknown plan", changedRequest(getRequest, "gold", "tin"), `X-Qos-Policy: unknown plan "tin"`},
 		{
-			"a path of one part", change(getRequest, objectPath, "/7f3a9c21e0b4d655"),
+			"a path of one part", changedRequest(getRequest, objectPath, "/7f3a9c21e0b4d655"),
 			"path: want a volume and a piece of data, 16 hex digits each",
 		},
 		{
-			"a volume by name", change(getRequest, "00000003b4d60021", "mine"),
+			"a volume by name", changedRequest(getRequest, "00000003b4d60021", "mine"),
 			"path: want a volume and a piece of data, 16 hex digits each",
 		},
 		{
-			"no deadline", change(getRequest, "X-Deadline=480m", ""),
+			"no deadline", changedRequest(getRequest, "X-Deadline=480m", ""),
 			`X-Deadline: "" is not a time such as 480m or 480000u`,
 		},
 		{
-			"a deadline in hours", change(getRequest, "480m", "4h"),
+			"a deadline in hours", changedRequest(getRequest, "480m", "4h"),
 			`X-Deadline: "4h" is not a time such as 480m or 480000u`,
 		},
 		{
-			"a deadline of NaN", change(getRequest, "480m", "NaNm"),
+			"a deadline of NaN", changedRequest(getRequest, "480m", "NaNm"),
 			`X-Deadline: "NaNm" is not a time such as 480m or 480000u`,
 		},
-		{"no units", change(getRequest, "units=2,", ""), "X-Placement: units is missing"},
+		{"no units", changedRequest(getRequest, "units=2,", ""), "X-Placement: units is missing"},
 		{
-			"a shard of a half", change(getRequest, "shard=0", "shard=0.5"),
+			"a shard of a half", changedRequest(getRequest, "shard=0", "shard=0.5"),
 			`X-Placement: "units=2,shard=0.5,hosts=1" makes no sense`,
 		},
 	} {
@@ -172,8 +172,10 @@
 	}.play(t)
 }
 
-// change replaces a part of a request and completes it.
-func change(request, part, by string) string { return strings.Replace(request, part, by, 1) + "r1" }
+// changedRequest replaces a part of a request and appends the request ID.
+func changedRequest(request, part, by string) string {
+	return strings.Replace(request, part, by, 1) + "r1"
+}
 
 func TestPlannedStop(t *testing.T) {
 	scenario{
@@ -185,7 +187,7 @@
 			node send 200 one
 			client expect 200 Connection=close one
 			client expect end
-			# for a while clients do not know: what comes is served, over new connections too
+			# clients learn of the stop later: until then requests are served, over new connections too
 			other send ` + onceRequest + `r2 late
 			node expect PUT ` + objectPath + ` X-Request-Id=r2 late
 			wait 400ms
@@ -196,7 +198,8 @@
 	}.play(t)
 }
 
-func TestHTTPFrontendBeforeISCSINodes(t *testing.T) {
+// No node can serve a request that came as HTTP if the nodes speak iSCSI: it is rejected at its deadline.
+func TestHTTPFrontendRejectsRequestsForISCSINodes(t *testing.T) {
 	playISCSI(t, `
 		client send `+onceRequest+`r1 hello
 		wait 479ms
--- a/internal/gateway/iscsi_protocol_test.go
+++ b/internal/gateway/iscsi_protocol_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What the target reports of itself.
+// Data that the target reports about itself.
 var (
 	unitList   = "\x00\x00\x00\x10" + strings.Repeat("\x00", 12)                                 // REPORT LUNS
 	capacity10 = "\x00\x00\x03\xe7\x00\x00\x02\x00"                                              // READ CAPACITY(10)
@@ -13,14 +13,15 @@
 )
 
 var iscsiProtocolScenarios = map[string]string{
-	"a login that does not come ends within 3 s": `
+	"a connection without a complete login is closed within 3 s": `
 		initiator send login cut=1
 		wait 2499ms
 		initiator expect nothing
 		wait 1ms
 		initiator expect end`,
-	// Beyond two sessions two more connections are accepted, so that they can be told that there is no capacity.
-	"silent connections keep nobody out": `
+	// With the limit of two sessions, two more connections are accepted, so that they can be told that there is no
+	// capacity.
+	"a new client replaces a connection without a login, and is told that there is no capacity": `
 		initiator send login cut=1
 		second send login cut=1
 		other-initiator send login cut=1
@@ -48,14 +49,14 @@
 		initiator send login imm tag=0 sn=1 text=InitiatorName
 		initiator expect login-response status=0200
 		initiator expect end`,
-	"a login in two stages": `
+	"a login in two stages is accepted": `
 		initiator send login imm tag=0 sn=1 flags=0x81 text=InitiatorName=iqn.a;TargetName=iqn.gate;AuthMethod=None
 		initiator expect login-response status=0000
 		initiator send login imm tag=0 sn=1 flags=0x87 text=HeaderDigest=CRC32C,None
 		initiator expect login-response status=0000
 		initiator send nop-out imm tag=5 sn=1 data=hello
 		initiator expect nop-in tag=5 ttt=4294967295 data=hello`,
-	"a login that is never completed ends": `
+	"a login that is never completed is ended": `
 		initiator send login imm tag=0 sn=1 flags=0x04 text=InitiatorName=iqn.a;TargetName=iqn.gate
 		initiator expect login-response status=0000
 		wait 10s
@@ -82,7 +83,7 @@
 		initiator send login imm tag=0 sn=1
 		initiator expect reject reason=4
 		initiator expect end`,
-	"what is not supported is rejected": initiatorLogin + `
+	"unsupported requests are rejected": initiatorLogin + `
 		initiator send text tag=1 sn=1
 		initiator expect reject reason=5
 		initiator send task-request imm tag=2 sn=1 flags=0x85
@@ -97,7 +98,7 @@
 		initiator send nop-out imm tag=1 sn=1 ahs=1
 		initiator expect reject reason=4
 		initiator expect end`,
-	"commands outside the window are ignored, a gap is rejected": initiatorLogin + `
+	"commands outside the window are ignored, a gap in their numbers is rejected": initiatorLogin + `
 		initiator send command tag=1 sn=1 cdb=00
 		initiator expect response tag=1 status=good
 		initiator send command tag=2 sn=1 cdb=00
@@ -107,7 +108,7 @@
 		initiator send command tag=4 sn=4 cdb=00
 		initiator expect reject reason=4
 		initiator expect end`,
-	"a flood is limited to the window, and immediate commands are rejected beyond it": initiatorLogin + `
+	"a flood of commands is limited to the window, beyond which immediate commands are rejected": initiatorLogin + `
 		initiator send command tag=1 sn=1 read=1+1
 		initiator send command tag=2 sn=2 read=2+1
 		initiator send command tag=3 sn=3 read=3+1
@@ -120,7 +121,7 @@
 		initiator send command tag=1 sn=1 read=1+1
 		initiator send command tag=1 sn=2 read=2+1
 		initiator expect reject reason=7`,
-	"an address beyond the unit, an unknown unit and a transfer that is too long": initiatorLogin + `
+	"an address beyond the unit, an unknown unit and a transfer that is too long are rejected": initiatorLogin + `
 		initiator send command tag=1 sn=1 read=999+2
 		initiator expect response tag=1 status=check-condition sense=5/21/00
 		initiator send command tag=2 sn=2 lun=7 read=0+1
@@ -157,7 +158,7 @@
 		initiator expect data-in tag=5 offset=0 status=good data=` + "\x00\x00\x00\x02\x00\xb0" + `
 		initiator send command tag=6 sn=6 cdb=120177000600
 		initiator expect response tag=6 status=check-condition sense=5/24/00`,
-	"a logout": initiatorLogin + `
+	"a logout is confirmed and ends the connection": initiatorLogin + `
 		initiator send logout tag=1 sn=1
 		initiator expect logout-response tag=1
 		initiator expect end`,
--- a/internal/gateway/iscsi_test.go
+++ b/internal/gateway/iscsi_test.go
@@ -9,19 +9,20 @@
 	"reachpulley/internal/scenariotest"
 )
 
-// initiatorLogin begins a session at the gateway.
+// initiatorLogin begins a session of an iSCSI client at the gateway.
 const initiatorLogin = `
 	initiator send login imm tag=0 sn=1 text=InitiatorName=iqn.a;TargetName=iqn.gate
 	initiator expect login-response status=0000
 `
 
-// nodeLogin begins a session of the gateway at an iSCSI node, whose window then holds 64 commands.
+// nodeLogin begins a session of the gateway at an iSCSI node, whose command window then allows 64 commands.
 const nodeLogin = `
 	node expect login
 	node send login-response exp=1 max=64
 `
 
-// iscsiFrontend has one unit of 1,000 blocks whose writes are non-idempotent, and another whose writes carry a key.
+// iscsiFrontend returns the configuration of an iSCSI frontend with two units of 1,000 blocks. Writes to the first are
+// non-idempotent; writes to the second carry a key.
 func iscsiFrontend(nodes string) *config.ISCSI {
 	unit := iscsitarget.Unit{
 		Volume:     "00000003b4d60021",
@@ -46,26 +47,26 @@
 	}
 }
 
-// playISCSI plays a script before iSCSI nodes.
+// playISCSI plays a script against a gateway in front of an iSCSI node.
 func playISCSI(t *testing.T, script string) (log string) {
 	t.Helper()
 	return scenario{script: script, iscsi: iscsiFrontend(config.NodesISCSI), node: scenariotest.ISCSI{}}.play(t)
 }
 
 var iscsiScenarios = map[string]string{
-	"a read comes back with its status": initiatorLogin + `
+	"a read returns data and status": initiatorLogin + `
 		initiator send command tag=1 sn=1 read=8+2
 		` + nodeLogin + `
 		node expect command tag=1 lun=0 read=8+2
 		node send data-in tag=1 data=1024*r
 		initiator expect data-in tag=1 offset=0 status=good data=1024*r`,
-	"a write carries its data": initiatorLogin + `
+	"a write is forwarded with its data": initiatorLogin + `
 		initiator send command tag=1 sn=1 write=8+1 data=512*w
 		` + nodeLogin + `
 		node expect command tag=1 lun=0 write=8+1 data=512*w
 		node send response tag=1
 		initiator expect response tag=1 status=good`,
-	"data that a write leaves out is requested, on both sides": initiatorLogin + `
+	"data that a write does not send at once is requested, by the gateway and by the node": initiatorLogin + `
 		initiator send command tag=1 sn=1 write=0+2 data=512*a
 		initiator expect r2t tag=1 ttt=1 offset=512 length=512
 		initiator send data-out tag=1 ttt=1 offset=512 data=512*a
@@ -100,7 +101,7 @@
 		wait 5s
 		initiator expect nothing
 		node expect nothing`,
-	// The write may have run.
+	// The write may have run at the node.
 	"a non-idempotent write whose response is lost is not retried": initiatorLogin + `
 		initiator send command tag=1 sn=1 write=8+1 data=512*w
 		` + nodeLogin + `
@@ -120,7 +121,7 @@
 		node send response tag=1
 		initiator expect response tag=1 status=good
 		node expect nothing`,
-	"a deadline ends a command with its own sense data": initiatorLogin + `
+	"a command that reaches its deadline ends with the sense data for that": initiatorLogin + `
 		initiator send command tag=1 sn=1 write=8+1 data=512*w
 		` + nodeLogin + `
 		node expect command tag=1 lun=0 write=8+1 data=512*w
@@ -148,7 +149,7 @@
 		initiator expect nothing
 		initiator send task-request imm tag=8 sn=2 flags=0x81 ref=1
 		initiator expect task-response tag=8 result=1`,
-	"a read in several PDUs, on both sides": initiatorLogin + `
+	"a read in several PDUs, from the node and to the initiator": initiatorLogin + `
 		initiator send command tag=1 sn=1 read=0+20
 		` + nodeLogin + `
 		node expect command tag=1 lun=0 read=0+20
@@ -156,7 +157,7 @@
 		node send data-in tag=1 offset=8192 data=2048*r
 		initiator expect data-in tag=1 offset=0 data=8192*r
 		initiator expect data-in tag=1 offset=8192 status=good data=2048*r`,
-	"a short read is not passed on": initiatorLogin + `
+	"a read with too little data is not passed on but retried": initiatorLogin + `
 		initiator send command tag=1 sn=1 read=0+2
 		` + nodeLogin + `
 		node expect command tag=1 lun=0 read=0+2
@@ -164,7 +165,7 @@
 		node expect command tag=2 lun=0 read=0+2
 		node send data-in tag=2 data=1024*r
 		initiator expect data-in tag=1 offset=0 status=good data=1024*r`,
-	"a node that asks for a logout finishes its commands; new ones get a new session": initiatorLogin + `
+	"a node that asks for a logout finishes its commands, and new ones use a new session": initiatorLogin + `
 		initiator send command tag=1 sn=1 read=1+1
 		` + nodeLogin + `
 		node expect command tag=1 lun=0 read=1+1
@@ -209,7 +210,7 @@
 		node expect nothing
 		wait 2s
 		node expect end`,
-	"a node that falls silent gets a new connection for the next command": initiatorLogin + `
+	"after a node fell silent, the next command uses a new connection": initiatorLogin + `
 		initiator send command tag=1 sn=1 write=1+1 data=512*w
 		` + nodeLogin + `
 		node expect command tag=1 lun=0 write=1+1 data=512*w
@@ -219,7 +220,7 @@
 		initiator send command tag=2 sn=2 read=1+1
 		` + nodeLogin + `
 		node expect command tag=1 lun=0 read=1+1`,
-	"an initiator that disconnects ends its commands": initiatorLogin + `
+	"when an initiator disconnects, its commands are aborted": initiatorLogin + `
 		initiator send command tag=1 sn=1 read=8+1
 		` + nodeLogin + `
 		node expect command tag=1 lun=0 read=8+1
@@ -233,7 +234,8 @@
 	}
 }
 
-func TestISCSIFrontendWithoutItsNode(t *testing.T) {
+// If no connection to the node can be established, commands end as busy or, while others wait, with a full task set.
+func TestISCSIFrontendWithUnreachableNode(t *testing.T) {
 	scenario{
 		script: initiatorLogin + `
 			initiator send command tag=1 sn=1 write=8+1 data=512*w
@@ -245,11 +247,11 @@
 			initiator expect nothing`,
 		iscsi:   iscsiFrontend(config.NodesISCSI),
 		node:    scenariotest.ISCSI{},
-		prepare: func(stage *scenariotest.Scenario) { stage.Network.Listen("n:1").Close() },
+		prepare: func(testbed *scenariotest.Scenario) { testbed.Network.Listen("n:1").Close() },
 	}.play(t)
 }
 
-func TestISCSIFrontendBeforeHTTPNodes(t *testing.T) {
+func TestISCSIFrontendInFrontOfHTTPNodes(t *testing.T) {
 	const (
 		object = "/api/00000003b4d60021/0000000000000008"
 		read   = " X-Class=read X-Placement=units=1,shard=0,hosts=1 X-Qos-Policy=gold"
--- a/internal/gateway/precedence_test.go
+++ b/internal/gateway/precedence_test.go
@@ -3,12 +3,12 @@
 import "testing"
 
 var precedenceScenarios = map[string]string{
-	"the description applies where no rule does": `
+	"the description applies if no rule matches": `
 		client send ` + describedRead + `
-		node expect ` + describedRead + describedReadFacts + `
+		node expect ` + describedRead + describedReadHeaders + `
 		node send 200 hours
 		client expect 200 hours`,
-	"a rule goes before the description": `
+	"a rule takes precedence over the description": `
 		file send order rules
 		gateway send reload
 		wait 1ms
@@ -16,7 +16,7 @@
 		node expect GET /sheets/bridge/7 X-Class=once X-Placement=units=5,shard=0,hosts=1 X-Qos-Policy=gold
 		node send 200 hours
 		client expect 200 hours`,
-	"headers go before both": `
+	"headers take precedence over rules and descriptions": `
 		file send order rules
 		gateway send reload
 		wait 1ms
@@ -24,9 +24,10 @@
 		node expect GET ` + objectPath + ` X-Class=read X-Placement=units=2,shard=0,hosts=1 X-Qos-Policy=gold
 		node send 200 hours
 		client expect 200 hours`,
-	// The rule gives the key and the class write, which knows keys; the description says that the call is unsafe.
-	"no rule widens a description": `
-		file send wide rules
+	// The rule sets a key and the class write, which allows retries by key; the description says that the call is
+	// unsafe.
+	"a rule cannot allow retries that the description forbids": `
+		file send keyed rules
 		gateway send reload
 		wait 1ms
 		client send PUT ` + objectRequest + ` X-Class=write X-Request-Id=r1 hello
@@ -34,7 +35,7 @@
 		node close
 		client expect 502
 		node expect nothing`,
-	"no description widens a rule": `
+	"a description cannot allow retries that the class of a rule forbids": `
 		file send order rules
 		gateway send reload
 		wait 1ms
@@ -45,12 +46,12 @@
 		node expect nothing`,
 }
 
-// The order of precedence: the request's own headers, rules, the description of its operation. A rule may be given
-// precedence over headers; nothing goes beyond what class and description allow.
-func TestContractsAfterRules(t *testing.T) {
+// The order of precedence is: the request's own headers, rules, the description of its operation. A rule may be given
+// precedence over headers. Nothing allows more than both the class and the description do.
+func TestPrecedenceOfHeadersRulesAndContracts(t *testing.T) {
 	for name, script := range precedenceScenarios {
 		t.Run(name, func(t *testing.T) {
-			scenario{script: script, contracts: true, node: factsNode}.play(t)
+			scenario{script: script, contracts: true, node: classifiedNode}.play(t)
 		})
 	}
 }
--- a/internal/gateway/races_harness_test.go
+++ b/internal/gateway/races_harness_test.go
@@ -20,19 +20,18 @@
 	"reachpulley/internal/config"
 )
 
-// waitLimit bounds how long a test that fails may take. No test waits for it otherwise.
+// waitLimit is how long a test waits for an event before it fails. A test that passes never waits that long.
 const waitLimit = 20 * time.Second
 
-// testGateway is a whole gateway on loopback, with stand-ins for discovery and one node that the test plays line by
-// line.
+// testGateway is a whole gateway on loopback. The test itself acts as discovery and as the only node, step by step.
 type testGateway struct {
 	t         *testing.T
 	address   string
 	discovery net.Listener
-	moved     net.Listener // where discovery moves to at a reload
+	moved     net.Listener // the address to which a reload moves discovery
 	node      net.Listener
 	reloads   chan os.Signal
-	dialNode  func(ctx context.Context, address string) (net.Conn, error) // nil: the network
+	dialNode  func(ctx context.Context, address string) (net.Conn, error) // nil: the real network
 	stop      context.CancelFunc
 	ended     chan error
 
@@ -99,7 +98,7 @@
 	return (&net.Dialer{}).DialContext(ctx, network, address)
 }
 
-// close stops the gateway and logs what it said if the test has failed.
+// close stops the gateway and, if the test has failed, logs the gateway's log.
 func (g *testGateway) close() {
 	g.stop()
 	select {
@@ -108,7 +107,7 @@
 			g.t.Error(err)
 		}
 	case <-time.After(waitLimit):
-		g.t.Error("the gateway does not end")
+		g.t.Errorf("the gateway has not ended within %v", waitLimit)
 	}
 	if g.t.Failed() {
 		g.mu.Lock()
@@ -126,7 +125,7 @@
 	return w.log.Write(p)
 }
 
-// list formats discovery's list of the one node.
+// list formats discovery's list, which consists of the one node.
 func (g *testGateway) list(seq int, whole bool, state string) string {
 	return fmt.Sprintf(
 		`{"seq":%d,"whole":%v,"hosts":[{"host":"n","dial":"%s","site":"a","block":0,"health":"%s","born_ms":0}]}`,
@@ -154,7 +153,8 @@
 	return g.peer(conn)
 }
 
-// served sends a read and answers it at the node if it arrives there. It returns the status, 0 where there is none.
+// served sends a read, and answers it as the node if it arrives there. It returns the status of the response, or 0 if
+// there is none.
 func (g *testGateway) served(node *peer, id string) (status int) {
 	client := g.client()
 	defer client.Close()
@@ -177,8 +177,8 @@
 	return <-statuses
 }
 
-// until retries until a condition holds, each time with a new request ID.
-func (g *testGateway) until(what string, condition func(id string) bool) {
+// waitUntil retries until a condition holds, each time with a new request ID.
+func (g *testGateway) waitUntil(what string, condition func(id string) bool) {
 	g.t.Helper()
 	end := time.Now().Add(waitLimit)
 	for number := 0; !condition(fmt.Sprint("try", number)); number++ {
@@ -188,7 +188,7 @@
 	}
 }
 
-// peer is the test's end of a connection.
+// peer is the test's end of a connection with the gateway.
 type peer struct {
 	t *testing.T
 	*net.TCPConn
@@ -219,17 +219,17 @@
 	return request
 }
 
-// wantRequest reads the request with an ID.
+// wantRequest reads a request, which must have the given ID.
 func (p *peer) wantRequest(id string) *http.Request {
 	p.t.Helper()
 	request := p.request()
 	if got := request.Header.Get("X-Request-Id"); got != id {
-		p.t.Fatalf("request %s came, want %s", got, id)
+		p.t.Fatalf("received request %s, want %s", got, id)
 	}
 	return request
 }
 
-// wantResponse reads a response.
+// wantResponse reads a response, which must have the given status and body.
 func (p *peer) wantResponse(status int, body string) {
 	p.t.Helper()
 	response, err := http.ReadResponse(p.reader, nil)
@@ -238,16 +238,16 @@
 	}
 	got, err := io.ReadAll(response.Body)
 	if err != nil || response.StatusCode != status || string(got) != body {
-		p.t.Fatalf("%d %q, %v; want %d %q", response.StatusCode, got, err, status, body)
+		p.t.Fatalf("response %d %q, %v; want %d %q", response.StatusCode, got, err, status, body)
 	}
 }
 
-// wantEnd reads to the end of the connection, before which nothing more may come.
+// wantEnd reads to the end of the connection, before which nothing more may arrive.
 func (p *peer) wantEnd() {
 	p.t.Helper()
 	rest, err := io.ReadAll(p.reader)
 	if len(rest) > 0 || err != nil && !errors.Is(err, syscall.ECONNRESET) {
-		p.t.Fatalf("%q, %v before the end", rest, err)
+		p.t.Fatalf("received %q, %v before the end of the connection", rest, err)
 	}
 }
 
@@ -256,7 +256,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// requestText formats a client's request; headers are added to its head.
+// requestText formats a client's request. The lines in headers are added to its header.
 func requestText(id, class, headers string) string {
 	method, body := "GET", ""
 	if class != "read" {
--- a/internal/gateway/races_test.go
+++ b/internal/gateway/races_test.go
@@ -15,12 +15,12 @@
 	"reachpulley/internal/config"
 )
 
-// Races of two events, over loopback sockets; docs/design/race-conditions.md lists them. What each side receives forces
-// the order of events, never a sleep.
+// The tests in this file are races of two events over loopback sockets; docs/design/race-conditions.md lists them. The
+// order of events is forced by what each side receives, never by a sleep.
 
-// A client sends two requests at once and disconnects while the first is in flight. http.Server does not notice: a byte
-// of the second request waits before the end of the connection.
-func TestClientLeavesBehindAPipelinedRequest(t *testing.T) {
+// A client sends two requests at once and disconnects while the first is in flight. http.Server would not notice, as
+// the second request is still unread before the end of the connection.
+func TestClientDisconnectsWithPipelinedRequest(t *testing.T) {
 	g := startGateway(t, gatewaySetup{settings: func(settings string) string {
 		return replaceSetting(t, settings, `"deadlineMs": 1500`, `"deadlineMs": 60000`)
 	}})
@@ -34,14 +34,14 @@
 	other := g.client()
 	other.write(requestText("r3", "read", ""))
 	node = g.accept(g.node)
-	node.wantRequest("r3") // and r2 was never forwarded
+	node.wantRequest("r3") // r2 was never forwarded
 	node.write(responseText("three"))
 	other.wantResponse(200, "three")
 }
 
-// A client disconnects while the connection to the node for its request is being established; it is up in the same
-// moment.
-func TestClientLeavesWhileAConnectionComesUp(t *testing.T) {
+// A client disconnects while the connection to the node for its request is being established. The connection is
+// established at the same moment.
+func TestClientDisconnectsDuringDial(t *testing.T) {
 	dialing, canceled := make(chan bool), make(chan bool)
 	g := startGateway(t, gatewaySetup{gateway: func(g *testGateway, _ *config.Config) {
 		g.dialNode = func(ctx context.Context, address string) (net.Conn, error) {
@@ -63,7 +63,7 @@
 	first := g.accept(g.node)
 	other := g.client()
 	other.write(requestText("r2", "read", ""))
-	// It is sent over the first connection, to which nothing was written, or over a new one.
+	// The second request is sent over the first connection, to which nothing was written, or over a new one.
 	serving := make(chan *peer, 2)
 	receive := func(node *peer) {
 		request, err := http.ReadRequest(node.reader)
@@ -71,7 +71,7 @@
 			return
 		}
 		if id := request.Header.Get("X-Request-Id"); id != "r2" {
-			t.Errorf("%s was forwarded", id)
+			t.Errorf("request %s was forwarded, want only r2", id)
 		}
 		serving <- node
 	}
@@ -86,8 +86,9 @@
 	g.node.Close()
 }
 
-// The retry of a keyed request waits for its connection until nodes no longer deduplicate.
-func TestRetryWindowEndsWhileAConnectionComesUp(t *testing.T) {
+// The connection for the retry of a keyed request is established only when nodes no longer deduplicate the request. The
+// retry must not be sent.
+func TestRetryWindowEndsDuringDial(t *testing.T) {
 	const window = 300 * time.Millisecond
 	dials := make(chan time.Time, 2)
 	shortWindow := func(settings string) string {
@@ -97,7 +98,7 @@
 	g := startGateway(t, gatewaySetup{settings: shortWindow, gateway: func(g *testGateway, _ *config.Config) {
 		g.dialNode = func(_ context.Context, address string) (net.Conn, error) {
 			select {
-			case began := <-dials: // this is the second connection; it is up when the window is over
+			case began := <-dials: // the second connection: it is established when the window is over
 				for dials <- began; time.Since(began) < window; {
 					time.Sleep(time.Millisecond)
 				}
@@ -121,9 +122,9 @@
 	g.accept(g.node).wantEnd()
 }
 
-// The deadline of a request that waits behind another one runs from its arrival, and its node is given no more than
-// what is left.
-func TestTimeOfAPipelinedRequestRunsFromItsArrival(t *testing.T) {
+// The time to the deadline of a request that waits behind another one runs from the arrival of the request. The node
+// must be given no more than the time that is left.
+func TestDeadlineOfPipelinedRequestCountsFromArrival(t *testing.T) {
 	g := startGateway(t, gatewaySetup{})
 	client := g.client()
 	before := time.Now()
@@ -134,7 +135,8 @@
 		time.Sleep(time.Millisecond)
 	}
 	node.write(responseText("one"))
-	// The second request arrived together with the first one, which had arrived when the node received it.
+	// The second request arrived together with the first one, and the first one had arrived before the node received
+	// it.
 	deadline := node.wantRequest("r2").Header.Get("X-Deadline")
 	micros, err := strconv.ParseInt(strings.TrimSuffix(deadline, "u"), 10, 64)
 	const maxDeadline = 1400*time.Millisecond - 200*time.Millisecond + 100*time.Millisecond
@@ -146,9 +148,9 @@
 	client.wantResponse(200, "two")
 }
 
-// A stop races with what arrives over connections. An idle one is closed, and what arrives after its end is not
-// forwarded. One over which a request has begun gets an answer, though the request is complete only after the stop;
-// http.Server drops such a request with its connection.
+// A stop crosses requests of clients. An idle connection is closed, and a request that arrives after that is not
+// forwarded. A connection over which a request has begun to arrive gets a response, although the request is complete
+// only after the stop. http.Server would drop such a request with its connection.
 func TestStopCrossesRequests(t *testing.T) {
 	g := startGateway(t, gatewaySetup{})
 	idle, active := g.client(), g.client()
@@ -161,25 +163,25 @@
 	active.write(requestText("r2", "read", "") + unfinished[:len(unfinished)-2])
 	node.wantRequest("r2")
 	g.stop()
-	idle.wantEnd() // the stop has come so far
+	idle.wantEnd() // the stop has closed idle connections by now
 	idle.write(requestText("r4", "once", ""))
 	node.write(responseText("two"))
 	active.wantResponse(200, "two")
 	active.write(unfinished[len(unfinished)-2:])
 	active.wantResponse(503, "")
 	active.wantEnd()
-	node.wantEnd() // and neither r3 nor r4 came
+	node.wantEnd() // neither r3 nor r4 was forwarded
 }
 
-// A gateway ends though one client stays idle on its connection, another sends without end and a node hangs; a second
-// stop changes nothing.
-func TestStopBeforeHungNodesAndClients(t *testing.T) {
+// A gateway must end although one client keeps its connection and sends data without end, another waits for a response,
+// and a node hangs. A second stop changes nothing.
+func TestStopWithHungNodesAndClients(t *testing.T) {
 	g := startGateway(t, gatewaySetup{})
 	idle, waiting := g.client(), g.client()
 	waiting.write(requestText("r1", "once", ""))
 	node := g.accept(g.node)
 	node.wantRequest("r1")
-	go func() { // the idle client takes no notice of the stop, and sends what nobody reads
+	go func() { // the idle client ignores the stop and sends data that nobody reads
 		for {
 			if _, err := io.WriteString(idle, "x"); err != nil {
 				return
@@ -195,9 +197,9 @@
 	g.ended <- <-g.ended // it has ended; close reads the result again
 }
 
-// A watch falls silent in the middle of a list; the next one brings the drain in pieces, over several lines. The half
-// list of the first one counts for nothing.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+// A watch of discovery falls silent in the middle of a list. The next watch delivers a drain in pieces, over several
+// lines. The incomplete list of the first watch must have no effect.
+func TestSilentWatchIsReopened(t *testing.T) {
 	g := startGateway(t, gatewaySetup{})
 	watch := g.accept(g.discovery)
 	if request := watch.request(); request.URL.RequestURI() != watchPath+"1" {
@@ -215,16 +217,16 @@
 	node.wantRequest("r1")
 	text := strings.ReplaceAll(g.list(3, false, "draining"), ",", ",\n  ") + "\n"
 	second.write(chunkedResponse + chunk(text[:25]) + chunk(text[25:]))
-	// No line follows, and yet the drain counts: requests are rejected once it was received.
+	// The drain must take effect although no other line follows: requests are rejected once it was received.
 	node.write(responseText("one"))
 	client.wantResponse(200, "one")
-	g.until("the drain is followed",
+	g.waitUntil("the drain is followed",
 		func(id string) bool { return g.served(node, id) == http.StatusServiceUnavailable })
 }
 
-// A reload moves discovery while the last line of the old watch is being sent. The rest of it arrives when the new
-// discovery has been called, and counts for nothing.
-func TestDiscoveryMovesWithinALine(t *testing.T) {
+// A reload moves discovery while the last line of the old watch is being sent. The rest of the line arrives after the
+// new discovery has been called, and must have no effect.
+func TestDiscoveryMovesWithinLine(t *testing.T) {
 	g := startGateway(t, gatewaySetup{})
 	watch := g.accept(g.discovery)
 	watch.request()
@@ -235,22 +237,22 @@
 	if request := moved.request(); request.URL.RequestURI() != watchPath+"0" {
 		t.Fatal(request.URL)
 	}
-	io.WriteString(watch, line[40:]+"\r\n") // it may be closed by now
+	io.WriteString(watch, line[40:]+"\r\n") // the connection may be closed by now
 	client := g.client()
 	client.write(requestText("r1", "read", ""))
 	node := g.accept(g.node)
 	node.wantRequest("r1")
 	node.write(responseText("one"))
 	client.wantResponse(200, "one")
-	// The new discovery has its own count, which is below the old one's.
+	// The new discovery counts versions of its list by itself; its version is below that of the old one.
 	moved.write(chunkedResponse + chunk(g.list(1, true, "draining")+"\n"))
-	g.until("the new discovery is followed",
+	g.waitUntil("the list of the new discovery is followed",
 		func(id string) bool { return g.served(node, id) == http.StatusServiceUnavailable })
 }
 
-// Idle clients take all descriptors that there are for clients while discovery is down. New clients are accepted
-// all the same, discovery is followed as soon as it is back, and nodes are reached.
-func TestIdleClientsLeaveDescriptors(t *testing.T) {
+// Idle clients take all file descriptors that are available to clients while discovery is down. New clients must still
+// be accepted, discovery must be followed as soon as it is back, and nodes must be reached.
+func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	g := startGateway(t, gatewaySetup{gateway: func(g *testGateway, c *config.Config) {
 		c.Limits.Sockets = 80
 		c.Discovery = g.moved.Addr().String()
@@ -282,8 +284,8 @@
 	}
 }
 
-// A response without a length that is reset on the way is none; one that ends is.
-func TestAnswerWithoutLengthIsReset(t *testing.T) {
+// A response without a length is passed on if its connection ends normally, and not if its connection is reset.
+func TestResponseWithoutLengthIsReset(t *testing.T) {
 	g := startGateway(t, gatewaySetup{})
 	client := g.client()
 	client.write(requestText("r1", "once", ""))
@@ -301,9 +303,9 @@
 	client.wantResponse(200, "whole")
 }
 
-// A connection to a node is idle, and half a line arrives over it before the next request: it must not be taken for the
+// Half a line arrives from a node over an idle connection, before the next request. It must not be taken for the
 // response to that request.
-func TestHalfALineOnAnIdleConnection(t *testing.T) {
+func TestHalfALineOnIdleConnection(t *testing.T) {
 	g := startGateway(t, gatewaySetup{})
 	client := g.client()
 	client.write(requestText("r1", "read", ""))
@@ -319,19 +321,19 @@
 	client.wantResponse(200, "two")
 }
 
-// An agent that pushes lists is silent while discovery is down: a call to it gets no response, and the next one
-// brings a drain, which is followed from then on.
-func TestSilentAgentIsCalledAnew(t *testing.T) {
+// An agent that pushes lists is silent while discovery is down. A call to it gets no response, and the next call
+// delivers a drain, which must be followed from then on.
+func TestSilentAgentIsCalledAgain(t *testing.T) {
 	g := startGateway(t, gatewaySetup{settings: func(settings string) string {
 		return replaceSetting(t, settings, `"membershipMode": "ask"`, `"membershipMode": "push"`)
 	}})
 	first := g.accept(g.discovery)
 	first.request()
-	second := g.accept(g.discovery) // before the time for a drain has passed
+	second := g.accept(g.discovery) // before the grace period of a drain has passed
 	first.wantEnd()
 	second.request()
 	second.write(chunkedResponse + chunk(g.list(2, false, "draining")+"\n"))
-	g.until("the drain is followed", func(id string) bool {
+	g.waitUntil("the drain is followed", func(id string) bool {
 		client := g.client()
 		client.write(requestText(id, "read", ""))
 		response, err := http.ReadResponse(client.reader, nil)
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// moveDiscovery has the configuration name another discovery, and the gateway reload it twice.
+// moveDiscovery changes the address of discovery in the configuration and lets the gateway reload it twice.
 const moveDiscovery = `
 	file send moved
 	gateway send reload
@@ -14,14 +14,14 @@
 	moved expect GET /v1/endpoints?stream=1&index=0
 `
 
-// movedResponse begins the response of the discovery at the new address.
+// movedResponse is the beginning of the response of discovery at the new address.
 var movedResponse = strings.ReplaceAll(watchResponse, "discovery", "moved")
 
-// faultyFile is the scenario in which the configuration is rejected.
-const faultyFile = "a faulty file changes nothing"
+// faultyFileScenario is the scenario in which the configuration is rejected.
+const faultyFileScenario = "a faulty file changes nothing"
 
 var reloadScenarios = map[string]string{
-	// The new discovery has its own count of versions, and the list is kept meanwhile.
+	// The new discovery counts versions of its list by itself. Until its first list arrives, the old list is kept.
 	"discovery moves and is watched at its new address": watchRequest + moveDiscovery + `
 		client send ` + getRequest + `r1
 		node expect GET ` + objectPath + ` X-Request-Id=r1
@@ -31,7 +31,7 @@
 		client send ` + getRequest + `r2
 		wait 250ms
 		node expect nothing`,
-	faultyFile: watchRequest + `
+	faultyFileScenario: watchRequest + `
 		file send faulty
 		gateway send reload
 		wait 1s
@@ -40,7 +40,7 @@
 		client send ` + getRequest + `r1
 		wait 250ms
 		node expect nothing`,
-	"a stop goes on, and drains are still followed": watchRequest + `
+	"a reload does not interrupt a stop, and drains of nodes are still followed": watchRequest + `
 		client send ` + getRequest + `r1
 		node expect GET ` + objectPath + ` X-Request-Id=r1
 		gateway send stop
@@ -57,8 +57,8 @@
 		t.Run(name, func(t *testing.T) {
 			log := scenario{script: script, node: httpNode}.play(t)
 			rejected := strings.Contains(log, "discovery: is missing")
-			if rejected != (name == faultyFile) {
-				t.Errorf("the fault of the file is logged: %v", rejected)
+			if rejected != (name == faultyFileScenario) {
+				t.Errorf("the fault of the file is logged: %v, want %v", rejected, !rejected)
 			}
 		})
 	}
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -10,7 +10,8 @@
 	"reachpulley/scheduler"
 )
 
-// ruleFiles are the rules of the scenarios. Those of TestRules begin with "initial"; a reload applies another.
+// ruleFiles holds the rules of the scenarios by name. Scenarios of TestRules begin with "initial"; a reload may apply
+// others.
 var ruleFiles = map[string]string{
 	"initial": `
 on_fault = "refuse"
@@ -18,7 +19,7 @@
 name = "project"
 is = 'header("X-Project")'
 [[rule]]
-name = "asker"
+name = "client"
 stage = "normalise"
 when = 'has("X-Project")'
 set.who = 'project'
@@ -49,7 +50,7 @@
 burst = 2
 per = "gateway"
 `,
-	"wider": `
+	"all writes": `
 [[rule]]
 name = "all"
 stage = "classify"
@@ -74,7 +75,7 @@
 when = 'header("X-Kind") == "big"'
 set = { class = '"once"', units = '5' }
 `,
-	"wide": `
+	"keyed": `
 [[rule]]
 name = "keyed"
 stage = "classify"
@@ -99,7 +100,7 @@
 `,
 }
 
-// parseRules reads the text of a rule file; an empty one holds no rules.
+// parseRules parses the text of a rule file. An empty text stands for no rules.
 func parseRules(t *testing.T, text string, settings scheduler.Settings) *rules.Set {
 	if text == "" {
 		return nil
@@ -111,26 +112,26 @@
 	return set
 }
 
-// A legacy client sends none of the platform's headers.
+// legacyClient is the only header of a legacy client, which sends none of the platform's.
 const legacyClient = " X-Project=bridge"
 
-// What a node sees of a legacy client's request.
+// Headers with which a node receives the request of a legacy client.
 const (
 	seenRead  = " X-Class=read X-Placement=units=1,shard=0,hosts=1" + legacyClient + " X-Qos-Policy=gold"
 	seenOnce  = " X-Class=once X-Placement=units=2,shard=0,hosts=1" + legacyClient + " X-Qos-Policy=gold"
 	seenWrite = " X-Class=write X-Placement=units=1,shard=0,hosts=1" + legacyClient + " X-Qos-Policy=gold"
 )
 
-// withoutPlan is a request with all headers of the platform but the one of the plan.
+// withoutPlan is a request with all headers of the platform except that of the plan.
 var withoutPlan = strings.Replace(getRequest, " X-Qos-Policy=gold", "", 1) + "r1"
 
 var ruleScenarios = map[string]string{
-	"a legacy client is served, and its node learns what was decided": `
+	"a legacy client is served, and the node receives class, placement and plan": `
 		client send GET /sheets/7` + legacyClient + `
 		node expect GET /sheets/7` + seenRead + `
 		node send 200 hours
 		client expect 200 hours`,
-	// The write may have run.
+	// The write may have run at the node.
 	"a write that a rule classifies as non-idempotent is not retried": `
 		client send PUT /sheets/7` + legacyClient + ` hello
 		node expect PUT /sheets/7` + seenOnce + ` hello
@@ -138,7 +139,8 @@
 		client expect 502
 		wait 1s
 		node expect nothing`,
-	// The rule matches any method, and the client names a class that only reads.
+	// The rule matches any method, and takes the class from a header, in which the client names a class that only
+	// reads.
 	"a client cannot turn a write into a read": `
 		client send PUT /sheets/7` + legacyClient + ` X-Kind=read hello
 		client expect 400 rule writes: class "read" only reads, and PUT writes
@@ -155,8 +157,8 @@
 		client send GET /other/7` + legacyClient + `
 		client expect 400 nothing tells the class of this request, and X-Class is missing
 		node expect nothing`,
-	// A request with the platform's headers does not get the plan of a rule by leaving out its own.
-	"leaving out a header gives no better plan": `
+	// Otherwise a client with the platform's headers could get a better plan than its own.
+	"a client that leaves out its plan does not get that of a rule": `
 		client send ` + withoutPlan + ` X-Project=bridge
 		client expect 400 X-Qos-Policy: unknown plan ""
 		node expect nothing`,
@@ -175,7 +177,7 @@
 		node send 200 hours
 		client expect 200 hours
 		client send GET /sheets/9` + legacyClient + `
-		# 5 ms have passed: the connection to the node had to settle
+		# 5 ms have passed while the connection to the node settled
 		client expect 429 Retry-After=0.996 limit project is reached
 		node expect nothing
 		other send GET /sheets/9 X-Project=tunnel
@@ -187,11 +189,11 @@
 		node expect GET /sheets/9` + seenRead + `
 		node send 200 hours
 		client expect 200 hours`,
-	// The request in flight keeps its rules. The limit is unchanged, so its token buckets are kept.
-	"a reload under load": `
+	// The request in flight keeps the rules with which it began. The limit is unchanged, so its token buckets are kept.
+	"a reload while a request is in flight": `
 		client send PUT /sheets/7` + legacyClient + ` hello
 		node expect PUT /sheets/7` + seenOnce + ` hello
-		file send wider rules
+		file send all writes rules
 		gateway send reload
 		wait 1ms
 		node close
@@ -205,7 +207,7 @@
 		other send PUT /sheets/9` + legacyClient + ` more
 		other expect 429 Retry-After=1.000 limit project is reached`,
 	"a faulty file leaves the rules in force": `
-		file send wider rules
+		file send all writes rules
 		file send faulty
 		gateway send reload
 		wait 1ms
@@ -213,11 +215,11 @@
 		node expect PUT /sheets/7` + seenOnce + ` hello
 		node send 200 stored
 		client expect 200 stored`,
-	// Checked against the new classes, the class "once" would have the index of what the running gateway calls "read",
-	// and a write would be retried freely.
-	"rules by other classes need a restart": `
+	// Rules refer to classes by index. By the new classes, "once" would have the index that means "read" to the running
+	// gateway, which would then retry a write freely.
+	"rules for other classes need a restart": `
 		file send other classes
-		file send wider rules
+		file send all writes rules
 		gateway send reload
 		wait 1ms
 		client send PUT /sheets/7` + legacyClient + ` hello
@@ -238,7 +240,7 @@
 		node expect end`,
 }
 
-// Each request of a legacy client, too, gets one answer.
+// Requests without the platform's headers are served by rules, and each of them gets exactly one answer.
 func TestRules(t *testing.T) {
 	node := scenariotest.HTTP{VisibleHeaders: []string{"X-Class", "X-Placement", "X-Project", "X-Qos-Policy"}}
 	for name, script := range ruleScenarios {
@@ -246,7 +248,7 @@
 	}
 }
 
-// iSCSI commands count towards the same limits; their client is the initiator.
+// iSCSI commands count towards the limits of rules, too. Their client is the initiator.
 func TestRulesOfTheISCSIFrontend(t *testing.T) {
 	scenario{
 		script: initiatorLogin + `
--- a/internal/gateway/stored_test.go
+++ b/internal/gateway/stored_test.go
@@ -23,8 +23,9 @@
 	"reachpulley/scheduler"
 )
 
-// The files under storedDirectory were written by commit 6bf5e3d, before names were changed: a real gateway in front of
-// the demo's nodes, and a random day with every kind of record. Captures are of format 5, states of version 4.
+// The files under storedDirectory were written by the program of commit 6bf5e3d, before names were changed in the
+// source. They come from a real gateway in front of the demo's nodes, and from a random day with every kind of record.
+// Captures have format 5, states have version 4.
 const storedDirectory = "testdata/format5"
 
 func storedFile(t *testing.T, name string) []byte {
@@ -36,9 +37,9 @@
 	return content
 }
 
-// Each stored capture is read and replayed, as many invariants are violated in it as before, and written again it
-// has the bytes that the program which recorded it would have written: no key of a stored map was renamed, no field
-// moved.
+// Guards against a change of a name in the source that renames a key of a stored map or moves a stored field. Each
+// stored capture must be readable and replayable and violate as many invariants as before. Written again, it must have
+// the bytes that the program which recorded it would have written.
 func TestStoredCapturesReplay(t *testing.T) {
 	for _, stored := range []struct {
 		name       string
@@ -62,13 +63,13 @@
 			}
 			sum := sha256.Sum256(rewrite(t, content))
 			if got := hex.EncodeToString(sum[:]); got != stored.rewritten {
-				t.Errorf("written again it has the sum %s, want %s", got, stored.rewritten)
+				t.Errorf("SHA-256 of the rewritten capture is %s, want %s", got, stored.rewritten)
 			}
 		})
 	}
 }
 
-// replayStored replays a capture and returns how many events it holds.
+// replayStored replays a capture and returns the number of its events.
 func replayStored(content []byte) (events int, err error) {
 	reader, err := capture.NewReader(bytes.NewReader(content))
 	if err != nil {
@@ -97,7 +98,7 @@
 	}
 }
 
-// rewrite reads all records of a capture and writes them as an uncompressed one.
+// rewrite reads all records of a capture and writes them as an uncompressed capture.
 func rewrite(t *testing.T, content []byte) []byte {
 	t.Helper()
 	reader, err := capture.NewReader(bytes.NewReader(content))
@@ -122,9 +123,9 @@
 	return out.Bytes()
 }
 
-// A gateway restores each stored state: it is read with the settings that it was written with, and as much of it still
-// holds as the program that wrote it found.
-func TestStoredStatesAreRestoredFrom(t *testing.T) {
+// A gateway can restore each stored state. The state is read with the settings with which it was written, and as much
+// of it is still valid as the program that wrote it found.
+func TestStoredStatesAreRestored(t *testing.T) {
 	demo, err := capture.NewReader(bytes.NewReader(storedFile(t, "state-demo.capture")))
 	if err != nil {
 		t.Fatal(err)
@@ -132,9 +133,9 @@
 	for _, stored := range []struct {
 		name     string
 		settings scheduler.Settings
-		nodes    int // whose state is restored
-		known    int // of them, of which more is restored than what tightens guards
-		volumes  int
+		nodes    int // number of nodes whose state is restored
+		known    int // number of those nodes of which more is restored than what tightens guards
+		volumes  int // number of volumes whose state is restored
 	}{
 		{"state-demo.capture", demo.Head.Settings, 2, 2, 1},
 		{"state-random.capture", capturetest.Settings, 4, 4, 5},
@@ -147,7 +148,7 @@
 			}
 			state, _ := store.Load(stored.settings)
 			if state == nil {
-				t.Fatal("it could not be read")
+				t.Fatal("the stored state could not be read")
 			}
 			const now, age = time.Hour, 3 * time.Second
 			assessment := warmrestart.Assess(state, stored.settings, now, age, now-age-state.Now)
@@ -164,8 +165,8 @@
 	}
 }
 
-// The stored trust file is read and restored as a whole, and written again it has the same JSON.
-func TestStoredTrustFileIsRestoredFrom(t *testing.T) {
+// The stored distrust file is read and restored as a whole. Written again, it has the same JSON.
+func TestStoredDistrustFileIsRestored(t *testing.T) {
 	content := storedFile(t, "distrust.json")
 	file, err := conformance.ReadDistrustFile(filesystem.OS{}, filepath.Join(storedDirectory, "distrust.json"))
 	if err != nil {
@@ -177,6 +178,6 @@
 	}
 	rewritten, err := json.MarshalIndent(file, "", "  ")
 	if err != nil || !bytes.Equal(append(rewritten, '\n'), content) {
-		t.Errorf("%v: written again:\n%s", err, rewritten)
+		t.Errorf("%v: rewritten file differs:\n%s", err, rewritten)
 	}
 }
--- a/internal/gateway/zone_node_test.go
+++ b/internal/gateway/zone_node_test.go
@@ -12,32 +12,32 @@
 	"reachpulley/internal/scenariotest"
 )
 
-// What a zoneNode bears, as zoneSettings say.
+// Speed of a zoneNode and the load that it tolerates, as zoneSettings describe them.
 const (
 	timePerUnit       = 20 * time.Millisecond
 	nodeWorkers       = 2
-	unitsPerSecond    = 100 // of a warm node
-	slowStartShare    = 0.18
+	unitsPerSecond    = 100  // after the slow start: nodeWorkers / timePerUnit
+	slowStartShare    = 0.18 // of the full speed, at the start
 	slowStartWindow   = 3 * time.Second
 	slowStartDuration = 17 * time.Second
-	slowStartMultiple = 4 // of what it can serve, that a node bears within a window
+	slowStartMultiple = 4 // tolerated load within slowStartWindow, as a multiple of what the node can serve
 )
 
-// zoneNode is a stand-in for a node: two workers, a slow start, and silence. Once silent it listens again only when
-// it is restarted, so that connections hang meanwhile.
+// zoneNode is a stand-in for a node with two workers and a slow start. It can be silenced, and then accepts connections
+// again only when it is restarted, so that connections hang meanwhile.
 type zoneNode struct {
 	name    string
 	network *scenariotest.Network
 
 	mu             sync.Mutex
 	server         *http.Server
-	startedAt      time.Time     // zero: long ago
+	startedAt      time.Time     // zero if the node was never restarted: it has its full speed
 	silent         chan struct{} // closed once the node is silent; what it has accepted is never answered
 	workers        chan struct{}
 	arrivals       []arrival
-	newObjectUnits float64
-	served         int
-	maxLoad        float64 // while warming up, as a share of what the node bears
+	newObjectUnits float64 // units of new objects that the node received
+	served         int     // number of requests
+	maxLoad        float64 // maximum load in slow start, as a share of the tolerated load
 }
 
 // arrival is a request that a node received.
@@ -46,15 +46,15 @@
 	units float64
 }
 
-// warmth is the share of its full rate at which a node serves. It is called with mu held.
-func (n *zoneNode) warmth() float64 {
+// speed returns the current speed of the node, as a share of its full speed. It is called with mu held.
+func (n *zoneNode) speed() float64 {
 	if n.startedAt.IsZero() || time.Since(n.startedAt) >= slowStartDuration {
 		return 1
 	}
 	return slowStartShare + (1-slowStartShare)*time.Since(n.startedAt).Seconds()/slowStartDuration.Seconds()
 }
 
-// start has the node listen.
+// start makes the node listen.
 func (n *zoneNode) start() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,15 +67,16 @@
 	go server.Serve(listener)
 }
 
-// fallSilent keeps the node's connections open and unanswered, and new ones from coming up.
+// fallSilent leaves the node's connections open without any response, and keeps new ones from being
+// established.
 func (n *zoneNode) fallSilent() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	close(n.silent)
-	n.network.Listen(n.name + ":1") // in place of the listener that accepts: nobody accepts from this one
+	n.network.Listen(n.name + ":1") // replaces the listener by one from which nobody accepts
 }
 
-// restart resets the connections of before and starts the node with a slow start.
+// restart closes the connections from before and starts the node, with a slow start.
 func (n *zoneNode) restart() {
 	n.mu.Lock()
 	n.startedAt = time.Now()
@@ -85,12 +86,12 @@
 	n.start()
 }
 
-// sampleLoad notes how much of what the node bears it received within the window, while it is warming up.
+// sampleLoad updates maxLoad by the load within the last slowStartWindow, if the node is in slow start.
 func (n *zoneNode) sampleLoad() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	warmth := n.warmth()
-	if warmth == 1 {
+	speed := n.speed()
+	if speed == 1 {
 		return
 	}
 	units := 0.0
@@ -99,39 +100,40 @@
 			units += a.units
 		}
 	}
-	n.maxLoad = max(n.maxLoad, units/(slowStartMultiple*warmth*unitsPerSecond*slowStartWindow.Seconds()))
+	n.maxLoad = max(n.maxLoad, units/(slowStartMultiple*speed*unitsPerSecond*slowStartWindow.Seconds()))
 }
 
-// newObjects is the units of new objects that the node received.
+// newObjects returns the units of new objects that the node received.
 func (n *zoneNode) newObjects() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.newObjectUnits
 }
 
-// countFromNow forgets how many requests the node has served.
-func (n *zoneNode) countFromNow() {
+// resetServed resets the number of requests that the node has served.
+func (n *zoneNode) resetServed() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.served = 0
 }
 
-// check checks, at the end, that the node was never overloaded while it was warming up, and that it serves.
+// check checks at the end of a test that the node was never overloaded in slow start, and that it has served requests
+// since resetServed.
 func (n *zoneNode) check(t *testing.T) {
 	t.Helper()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.maxLoad > 1 {
-		t.Errorf("%s got %.2f of what it bears while it was warming up", n.name, n.maxLoad)
+		t.Errorf("%s received %.2f times the load that it tolerates in slow start", n.name, n.maxLoad)
 	}
 	if n.served < 10 {
-		t.Errorf("%s serves %d requests at the end", n.name, n.served)
+		t.Errorf("%s served %d requests at the end, want at least 10", n.name, n.served)
 	}
 }
 
 func (n *zoneNode) ServeHTTP(_ http.ResponseWriter, r *http.Request) {
 	n.mu.Lock()
-	silent, workers, warmth := n.silent, n.workers, n.warmth()
+	silent, workers, speed := n.silent, n.workers, n.speed()
 	units := n.receive(r.Header.Get("X-Placement"))
 	n.mu.Unlock()
 	io.Copy(io.Discard, r.Body)
@@ -144,7 +146,7 @@
 		hang()
 	case workers <- struct{}{}:
 	}
-	time.Sleep(time.Duration(units * float64(timePerUnit) / warmth))
+	time.Sleep(time.Duration(units * float64(timePerUnit) / speed))
 	<-workers
 	select {
 	case <-silent:
@@ -156,7 +158,7 @@
 	}
 }
 
-// receive notes a request and returns its units. It is called with mu held.
+// receive records a request and returns its units. It is called with mu held.
 func (n *zoneNode) receive(placement string) (units float64) {
 	_, after, ok := strings.Cut(placement, "units=")
 	if !ok {
--- a/internal/gateway/zone_sockets_test.go
+++ b/internal/gateway/zone_sockets_test.go
@@ -16,18 +16,20 @@
 	"reachpulley/internal/zonefailover"
 )
 
-// socketZones is a gateway on real sockets before two zones of one node each. The node of zone a can be silenced: its
-// connections stay open, new ones come up, as the kernel accepts them, and nothing is answered.
+// socketZones is a gateway on real sockets in front of two zones with one node each. The node of zone a can be
+// silenced. Its connections then stay open, new ones are established, as the kernel accepts them, and no request is
+// answered.
 type socketZones struct {
 	t        *testing.T
 	address  string
 	silent   atomic.Bool
-	received [2]atomic.Int64 // requests, by node
-	sent     int
+	received [2]atomic.Int64 // number of requests, by node
+	sent     int             // number of requests sent by the test
 	stop     context.CancelFunc
 	ended    chan error
 }
 
+// startSocketZones starts the nodes and the gateway.
 func startSocketZones(t *testing.T) *socketZones {
 	z := &socketZones{t: t, ended: make(chan error)}
 	var listed []string
@@ -64,7 +66,7 @@
 	return z
 }
 
-// listenLoopback listens on a free port of loopback.
+// listenLoopback listens on a free port of the loopback interface.
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,7 +76,7 @@
 	return listener
 }
 
-// node answers with the name of its zone, unless it is the one of zone a and silent.
+// node returns the handler of a node. It answers with the name of the zone, unless it is that of zone a and silenced.
 func (z *socketZones) node(shard int, zone string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		z.received[shard].Add(1)
@@ -86,8 +88,8 @@
 	})
 }
 
-// send sends a read of what is on a shard, or, for shard -1, a new object. It returns the status, the zone that served
-// it and Retry-After.
+// send sends a read from a shard or, for shard -1, a write of a new object. It returns the status, the zone that served
+// the request, and Retry-After.
 func (z *socketZones) send(shard int) (status int, zone, retryAfter string) {
 	z.sent++
 	class := "read"
@@ -108,21 +110,21 @@
 	return response.StatusCode, string(body), response.Header.Get("Retry-After")
 }
 
-// servedBy reports whether a request is served by a zone.
+// servedBy sends a request and reports whether the given zone served it.
 func (z *socketZones) servedBy(zone string, shard int) bool {
 	status, served, _ := z.send(shard)
 	return status == http.StatusOK && served == zone
 }
 
-// rejectedUnsent reports whether a request for the silent node is rejected without being sent there.
+// rejectedUnsent sends a request for the silent node and reports whether it was rejected without being sent there.
 func (z *socketZones) rejectedUnsent() bool {
 	before := z.received[0].Load()
 	status, _, retryAfter := z.send(0)
 	return status == http.StatusServiceUnavailable && retryAfter != "" && z.received[0].Load() == before
 }
 
-// until retries until a condition holds, for so long that a slow machine does not matter.
-func (z *socketZones) until(what string, condition func() bool) {
+// waitUntil retries until a condition holds. The limit is so long that a slow machine does not matter.
+func (z *socketZones) waitUntil(what string, condition func() bool) {
 	z.t.Helper()
 	const limit = 30 * time.Second
 	for end := time.Now().Add(limit); !condition(); time.Sleep(20 * time.Millisecond) {
@@ -140,16 +142,16 @@
 	}
 }
 
-// A zone that falls silent on real sockets. Nothing here is timed but by a bound on the whole.
+// A zone on real sockets falls silent and comes back. No step depends on timing, except that each has a long limit.
 func TestZoneFallsSilentOnSockets(t *testing.T) {
 	const newObject = -1
 	z := startSocketZones(t)
-	z.until("new objects stay in the first zone", func() bool { return z.servedBy("a", newObject) })
+	z.waitUntil("new objects stay in the first zone", func() bool { return z.servedBy("a", newObject) })
 	z.silent.Store(true)
-	z.until("what is bound to the silent node is rejected without being sent", z.rejectedUnsent)
-	z.until("new objects spill over", func() bool { return z.servedBy("b", newObject) })
+	z.waitUntil("requests for data on the silent node are rejected without being sent", z.rejectedUnsent)
+	z.waitUntil("new objects spill over", func() bool { return z.servedBy("b", newObject) })
 	z.silent.Store(false)
-	z.until("the zone serves again", func() bool { return z.servedBy("a", 0) })
-	z.until("new objects return to the first zone", func() bool { return z.servedBy("a", newObject) })
+	z.waitUntil("the zone serves again", func() bool { return z.servedBy("a", 0) })
+	z.waitUntil("new objects return to the first zone", func() bool { return z.servedBy("a", newObject) })
 	z.close()
 }
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -17,7 +17,7 @@
 	"reachpulley/internal/zonefailover"
 )
 
-// zoneSettings are those of a platform with two zones.
+// zoneSettings are the platform's settings of tests with two zones.
 const zoneSettings = `{
 	"siblings": 3, "zone": 0, "tickMs": 1, "membershipMode": "push", "dcs": ["a", "b"], "report": {"via": "off"},
 	"ceilings": {"cancel": true, "maxAttempts": 4, "retryAfter": true, "probes": true, "maxRetryAfterMs": 500,
@@ -52,7 +52,8 @@
 		name, address, zone, shard)
 }
 
-// objectRequestTo makes a request of a platform's client; shard -1 is a new object's.
+// objectRequestTo makes a request of one of the platform's clients. Shard -1 stands for a new object, which is on no
+// shard yet.
 func objectRequestTo(address, id, class string, volume, object, units, shard int) (*http.Request, error) {
 	method := http.MethodGet
 	if class == "write" {
@@ -71,16 +72,16 @@
 	return request, nil
 }
 
-// Two zones of three nodes each, and three gateways, on the whole program.
+// Parameters of TestZoneOutageAndRecovery: two zones of three nodes each, behind three whole gateways.
 const (
 	zoneGateways     = 3
 	zoneClients      = 36
-	spilloverRate    = 30.0 // units a second, of all gateways together
-	spilloverBurst   = 24.0
+	spilloverRate    = 30.0 // units per second, over all gateways
+	spilloverBurst   = 24.0 // units
 	zoneTestTime     = 40 * time.Second
-	firstZoneLost    = 5 * time.Second
-	firstZoneBack    = 11 * time.Second
-	countServedFrom  = 35 * time.Second
+	firstZoneLost    = 5 * time.Second  // since the start
+	firstZoneBack    = 11 * time.Second // since the start
+	countServedFrom  = 35 * time.Second // since the start
 	zoneLoadInterval = 10 * time.Millisecond
 )
 
@@ -125,7 +126,7 @@
 	return running
 }
 
-// zoneResults counts what the clients see.
+// zoneResults counts the responses that the clients receive.
 type zoneResults struct {
 	mu             sync.Mutex
 	sent           int
@@ -133,7 +134,7 @@
 	newObjectsLost int
 }
 
-// runClient sends requests until the test time is over, a third of them new objects, and checks that each is
+// runClient sends requests until zoneTestTime is over, a third of them for new objects, and checks that each is
 // answered in time.
 func (r *zoneResults) runClient(t *testing.T, network *scenariotest.Network, client int, began time.Time) {
 	random := rand.New(rand.NewPCG(uint64(client), 3))
@@ -163,7 +164,7 @@
 	defer r.mu.Unlock()
 	r.sent++
 	if err != nil {
-		t.Errorf("no answer: %v", err)
+		t.Errorf("no response: %v", err)
 	} else {
 		r.answered[response.StatusCode]++
 		if class == "write" && response.StatusCode == http.StatusBadGateway {
@@ -172,11 +173,11 @@
 		response.Body.Close()
 	}
 	if took > 1450*time.Millisecond {
-		t.Errorf("an answer after %v", took)
+		t.Errorf("response after %v, want it within 1.45 s", took)
 	}
 }
 
-// spilledOver is the units of new objects that the nodes of the second zone got.
+// spilledOver returns the units of new objects that the nodes of the second zone received.
 func spilledOver(secondZone []*zoneNode) (units float64) {
 	for _, node := range secondZone {
 		units += node.newObjects()
@@ -184,8 +185,8 @@
 	return units
 }
 
-// playZoneOutage loses the first zone and brings it back, and samples the load of the nodes meanwhile. It returns
-// what had spilled over before anything was wrong.
+// playZoneOutage silences the first zone, restarts it later, and samples the load of the nodes meanwhile. It returns
+// the units that had spilled over before the outage.
 func playZoneOutage(t *testing.T, nodes []*zoneNode) (spilledBefore float64) {
 	firstZone, secondZone := nodes[:3], nodes[3:]
 	for at := time.Duration(0); at < zoneTestTime; at += zoneLoadInterval {
@@ -198,14 +199,15 @@
 		case firstZoneBack:
 			units := spilledOver(secondZone) - spilledBefore
 			if units < 40 || units > spilloverRate*6+spilloverBurst {
-				t.Errorf("%v units spilled over in 6 s", units)
+				t.Errorf("%v units spilled over in the 6 s of the outage, want from 40 to %v",
+					units, spilloverRate*6+spilloverBurst)
 			}
 			for _, node := range firstZone {
 				node.restart()
 			}
 		case countServedFrom:
 			for _, node := range nodes {
-				node.countFromNow()
+				node.resetServed()
 			}
 		}
 		time.Sleep(zoneLoadInterval)
@@ -216,10 +218,11 @@
 	return spilledBefore
 }
 
-// The first zone says nothing for 6 s and comes back with nodes that have just started. While it recovers, the load
-// of its nodes by all gateways together never exceeds what they bear, sampled every 10 ms; spillover keeps to the
-// bound of all gateways; each request has one answer in time; and in the end all nodes serve again.
-func TestZoneIsLostAndRegained(t *testing.T) {
+// The first zone is silent for 6 s and comes back with nodes that have just started. While it recovers, the load that
+// all gateways together put on its nodes, sampled every 10 ms, must never exceed what the nodes tolerate. Spillover
+// must stay within the limit for all gateways, each request must get one response in time, and in the end all nodes
+// must serve again.
+func TestZoneOutageAndRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var network scenariotest.Network
 		nodes, listed := startZoneNodes(&network)
@@ -237,7 +240,7 @@
 			node.check(t)
 		}
 		if spilledBefore > spilloverBurst {
-			t.Errorf("%.0f units spilled over while nothing was wrong", spilledBefore)
+			t.Errorf("%.0f units spilled over before the outage", spilledBefore)
 		}
 		if results.answered[http.StatusOK] < results.sent/2 || results.newObjectsLost > 30 {
 			t.Errorf("%d sent, answered %v, %d new objects lost",
