--- a/internal/config/capture.go
+++ b/internal/config/capture.go
@@ -23,7 +23,7 @@
 // Trigger is a table [[capture.trigger]].
 type Trigger struct {
 	Name   string        `toml:"name"`
-	When   string        `toml:"when"`   // condition over one second
+	When   string        `toml:"when"`   // condition on the numbers of one second
 	Before time.Duration `toml:"before"` // minimum span before the trigger to retain, if it is still in memory
 	After  time.Duration `toml:"after"`  // span after the trigger to retain
 	Quiet  time.Duration `toml:"quiet"`  // minimum time between two captures of this trigger
--- a/internal/config/contracts.go
+++ b/internal/config/contracts.go
@@ -45,7 +45,7 @@
 	RejectUndescribed = "refuse"  // rejected
 )
 
-// Values of Contracts.Distrust: what happens at the strictest to a node that contradicts its description.
+// Values of Contracts.Distrust: the strictest measure against a node that contradicts its description.
 const (
 	DistrustLog      = "log"   // the contradiction is only logged
 	DistrustRestrict = "care"  // requests to the node are not retried
@@ -63,7 +63,7 @@
 
 const (
 	maxUndescribedRate     = 1_000_000 // calls per second, and calls at once
-	maxUndescribedInFlight = 1 << 20
+	maxUndescribedInFlight = 1 << 20   // calls
 )
 
 // Options returns the registry's options for undescribed calls.
@@ -148,7 +148,7 @@
 	if faults, _ := contract.Check(operations); len(faults) > 0 {
 		return nil, faults
 	}
-	if !withSchemas { // schemas take most of the memory of descriptions, and nothing would use them
+	if !withSchemas { // schemas take most of the memory of descriptions, and only sampling uses them
 		contract.DropSchemas(operations)
 	}
 	described, faults := catalog.New(operations, settings)
--- a/internal/config/zone_failover.go
+++ b/internal/config/zone_failover.go
@@ -117,7 +117,7 @@
 	}
 	converted.Tiers = priorityTiers(v, prefer, w.Forbid, settings.Zones)
 	isAllowed := func(tier int) bool { return tier != zonefailover.Forbidden }
-	v.require(slices.ContainsFunc(converted.Tiers, isAllowed), "forbid", "all zones are forbidden")
+	v.require(slices.ContainsFunc(converted.Tiers, isAllowed), "forbid", "no zone is allowed")
 	return converted
 }
 
--- a/internal/config/zone_failover_test.go
+++ b/internal/config/zone_failover_test.go
@@ -44,7 +44,7 @@
 		"[[rooms.work]]\nplan = 'x'\n":     `rooms.work[0].plan: the settings have no plan "x"`,
 		"[[rooms.work]]\nforbid = ['x']\n": `rooms.work[0].forbid: the settings have no zone "x"`,
 
-		"[[rooms.work]]\nforbid = ['room-a', 'room-b', 'room-c']\n": "rooms.work[0].forbid: all zones are forbidden",
+		"[[rooms.work]]\nforbid = ['room-a', 'room-b', 'room-c']\n": "rooms.work[0].forbid: no zone is allowed",
 
 		"gateways = 2\n": "rooms.gateways: 2 is not from 0 to 1",
 		"share = 11.0\n": "rooms.share: 11 is not from 0 to 10",
--- a/internal/gateway/precedence_test.go
+++ b/internal/gateway/precedence_test.go
@@ -47,7 +47,7 @@
 }
 
 // The order of precedence is: the request's own headers, rules, the description of its operation. A rule may be given
-// precedence over headers. Nothing allows more than both the class and the description do.
+// precedence over headers. A retry is sent only if both the class and the description allow it.
 func TestPrecedenceOfHeadersRulesAndContracts(t *testing.T) {
 	for name, script := range precedenceScenarios {
 		t.Run(name, func(t *testing.T) {
