--- a/cmd/reachpulley/capture_test.go
+++ b/cmd/reachpulley/capture_test.go
@@ -49,7 +49,7 @@
 	{
 		args: []string{"capture", "verify", "$DIR/damaged"},
 		code: exitUsage,
-		want: []string{"the capture is damaged"},
+		want: []string{"capture: damaged file at byte"},
 	},
 	{
 		args: []string{"capture", "merge", "$DIR/merged", "$DIR/part-a", "$DIR/part-b"},
@@ -74,7 +74,7 @@
 	{
 		args: []string{"replay", "$DIR/with-gap"},
 		code: exitUsage,
-		want: []string{"records were lost: 1 gaps"},
+		want: []string{"capture: records were lost: 1 gaps"},
 	},
 	{
 		args: []string{"capture", "merge", "$DIR/reversed", "$DIR/part-b", "$DIR/part-a"},
@@ -124,7 +124,7 @@
 	{
 		args: []string{"capture", "hash", "--key", "$DIR/short-key", "$DIR/whole", "$DIR/hashed-2"},
 		code: exitUsage,
-		want: []string{"the key has 5 bytes, less than 16"},
+		want: []string{"hash key has 5 bytes, less than the minimum of 16"},
 	},
 }
 
--- a/cmd/reachpulley/serve_test.go
+++ b/cmd/reachpulley/serve_test.go
@@ -138,7 +138,7 @@
 	g.waitForLine(t, "capture written")
 	expectReplay(t, onlyFile(t, filepath.Join(configured.captures, "*-asked.capture")))
 	code, _, stderr := runCommand(t, nil, "replay", configured.configPath)
-	if code != exitUsage || !strings.Contains(stderr, "this is no capture") {
+	if code != exitUsage || !strings.Contains(stderr, "capture: not a capture file") {
 		t.Errorf("%d\n%s", code, stderr)
 	}
 	g.waitForLine(t, "capture written", `"trigger":"always"`) // a second after the start
--- a/cmd/reachpulley/simulation_test.go
+++ b/cmd/reachpulley/simulation_test.go
@@ -40,7 +40,7 @@
 		{
 			args: []string{"rooms", "state", exampleDescription},
 			code: exitUsage,
-			want: []string{"this is no capture"},
+			want: []string{"capture: not a capture file"},
 		},
 	}, strings.NewReplacer())
 }
--- a/internal/capture/apply.go
+++ b/internal/capture/apply.go
@@ -43,7 +43,7 @@
 	case event.Kind == KindRestricted && event.Restriction != nil:
 		s.Restrict(event.At, *event.Restriction)
 	default:
-		return fmt.Errorf("a record of kind %q is not an event or lacks its data", event.Kind)
+		return fmt.Errorf("capture: record of kind %q is not an event or lacks its data", event.Kind)
 	}
 	return nil
 }
--- a/internal/capture/difference.go
+++ b/internal/capture/difference.go
@@ -5,16 +5,17 @@
 	"fmt"
 )
 
-// Difference is the error of a replay that does something else than was recorded. It describes the first such place.
+// Difference is the error of a replay of which an action or a state differs from the recorded one. It describes the
+// first difference.
 type Difference struct {
 	Event    uint64   // number of the event since the Recorder's start, from 0
-	Input    *Record  // the event
-	Recorded *Record  // the action that was recorded; nil: none
-	Replayed *Record  // the action of the replay; nil: none
-	Before   []Record // the events before it, the oldest first
+	Input    *Record  // the event, or the recorded snapshot if a state differs
+	Recorded *Record  // the action or the snapshot that was recorded; nil: none
+	Replayed *Record  // the action or the snapshot of the replay; nil: none
+	Before   []Record // the last events before this one, the oldest first
 }
 
-// maxEventsBefore bounds Difference.Before.
+// maxEventsBefore is the maximum number of events in Difference.Before.
 const maxEventsBefore = 20
 
 // Error says at which event the replay differs, and how.
@@ -34,10 +35,10 @@
 	return fmt.Sprintf("%s %s%s (%x, %v)", r.Kind, r.ID, r.Node, encoded, err)
 }
 
-// sameAction compares a recorded action with a replayed one. The text of a log line is left out of the comparison:
-// it is worded for people and may be worded differently by each build, so another text is not another decision.
-// That a line was logged, and at which place among the actions, is compared as for any action. Head.Program can't
-// limit this to captures of other builds, because it is the same string for all builds from a source tree.
+// sameAction compares a recorded action with a replayed one, except for the text of a log line. The text is written
+// for people and may differ between builds, so another text is not another decision. That a line was logged, and its
+// position among the actions, are compared as for any action. Head.Program can't limit this to captures of other
+// builds, because it is the same string for all builds from a source tree.
 func sameAction(recorded, replayed *Record) bool {
 	if recorded.Kind == KindLog && replayed.Kind == KindLog {
 		withoutText := *recorded
@@ -49,7 +50,7 @@
 
 // sameRecord compares two records by their encoding.
 func sameRecord(a, b *Record) bool {
-	if *a == *b { // actions hold no pointers, and what is equal has the same encoding
+	if *a == *b { // equal values have the same encoding; most actions end here, as they hold no pointers
 		return true
 	}
 	encodedA, errA := encoding.Marshal(a)
--- a/internal/capture/doc.go
+++ b/internal/capture/doc.go
@@ -1,6 +1,6 @@
 // Package capture records the inputs and the actions of a scheduler.Scheduler, and replays them. A Scheduler has no
 // clock and does no I/O, so the same events must lead to the same actions, byte for byte. A replay that differs
-// shows that a build decides something else than the one that recorded.
+// shows that this build decides differently from the one that recorded the capture.
 //
 // # Recording
 //
@@ -16,8 +16,8 @@
 //
 // # File format
 //
-// A capture file is a magic text, followed by frames. A frame is a word and a CRC-32C of four bytes each, big
-// endian, then a body. The word holds the length of the body and two flags. The first frame is the Head. Every
-// other one is either a Record in CBOR (RFC 8949) or a block: frames of records, compressed with Zstandard (RFC
-// 8878).
+// A capture file is a magic text, followed by frames. A frame begins with a word and a CRC-32C of its body, each of
+// four bytes in big-endian order, and the body follows them. The word holds the length of the body and two flags. The
+// first frame is the Head. Every other one is either a Record in CBOR (RFC 8949) or a block: frames of records,
+// compressed with Zstandard (RFC 8878).
 package capture
--- a/internal/capture/frame.go
+++ b/internal/capture/frame.go
@@ -13,16 +13,16 @@
 
 // MaxFrame and MaxBlock bound what is read into memory at once.
 const (
-	MaxFrame = 4 << 20  // bytes of a frame's body; the longest frames are those of snapshots
-	MaxBlock = 32 << 20 // bytes of a block's frames before compression
+	MaxFrame = 4 << 20  // maximum length of a frame's body in bytes; the longest frames are those of snapshots
+	MaxBlock = 32 << 20 // maximum length of a block's frames in bytes, before compression
 )
 
 // The parts of the file format.
 const (
 	magic             = "reachpulley capture\n"
-	frameHeaderLength = 8 // a word and a checksum of four bytes each
+	frameHeaderLength = 8 // bytes: a word and a checksum of four bytes each
 
-	// Flags of a frame's word. The other bits are the length of its body.
+	// Flags in the word of a frame. The other bits of the word are the length of the body.
 	flagBlock      = 1 << 31 // the body is a block: compressed frames
 	flagStartsPart = 1 << 30 // the block begins with a snapshot, possibly after a gap, so a replay can begin there
 )
@@ -32,7 +32,8 @@
 // compressionWindow is the window of the compressor in bytes. It is small to save memory.
 const compressionWindow = 256 << 10
 
-// compressor and decompressor are made at their first use, because they take some memory.
+// compressor and decompressor are created at their first use, so that a program that does not need them does not hold
+// their memory.
 var (
 	compressor = sync.OnceValue(func() *zstd.Encoder {
 		encoder, err := zstd.NewWriter(nil,
@@ -56,7 +57,8 @@
 	})
 )
 
-// encoding writes the same bytes for the same value (RFC 8949, section 4.2), so that captures can be compared.
+// encoding is deterministic (RFC 8949, section 4.2): it writes equal values as the same bytes, so that encoded records
+// can be compared.
 var encoding = func() cbor.UserBufferEncMode {
 	mode, err := cbor.CoreDetEncOptions().UserBufferEncMode()
 	if err != nil {
@@ -78,14 +80,14 @@
 	return mode
 }()
 
-// encodeBuffers holds buffers in which values are encoded before they are framed. A Recorder encodes several values for
-// every request.
+// encodeBuffers holds buffers in which values are encoded before they are framed. A Recorder encodes several values
+// for every request.
 var encodeBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // maxEncodeBuffer is the capacity in bytes above which a buffer does not go back to encodeBuffers.
 const maxEncodeBuffer = 64 << 10
 
-// appendFrame encodes a value and appends it as a frame. On an error, to is returned as it was.
+// appendFrame encodes a value and appends it as a frame. On an error, it returns to unchanged.
 func appendFrame(to []byte, value any) ([]byte, error) {
 	buffer := encodeBuffers.Get().(*bytes.Buffer)
 	defer func() {
@@ -99,7 +101,8 @@
 	}
 	body := buffer.Bytes()
 	if len(body) > MaxFrame {
-		return to, fmt.Errorf("a frame of %d bytes is longer than %d", len(body), MaxFrame)
+		return to, fmt.Errorf("capture: frame body of %d bytes is longer than the limit of %d bytes",
+			len(body), MaxFrame)
 	}
 	to = binary.BigEndian.AppendUint32(to, uint32(len(body)))
 	to = binary.BigEndian.AppendUint32(to, crc32.Checksum(body, castagnoli))
--- a/internal/capture/hash.go
+++ b/internal/capture/hash.go
@@ -11,12 +11,12 @@
 	"reachpulley/scheduler"
 )
 
-// MinHashKey is the minimum length of a key for Hash in bytes. With a shorter one, names could be found by trying
+// MinHashKey is the minimum length in bytes of a key for Hash. With a shorter key, the names could be found by trying
 // all keys.
 const MinHashKey = 16
 
-// hashLength is the number of hex digits that stand for a name. Two of a million names share them once in 300 million
-// captures.
+// hashLength is the number of hex digits that replace a name. Among a million names, two have the same digits in one
+// of 300 million captures.
 const hashLength = 24
 
 // Hash returns a copy of a capture in which IDs, volumes and keys are replaced by keyed hashes. Nodes keep their
@@ -24,7 +24,7 @@
 // does. Only the order in which snapshots list volumes and keys follows the new names.
 func Hash(r *Reader, key []byte) ([]byte, error) {
 	if len(key) < MinHashKey {
-		return nil, fmt.Errorf("the key has %d bytes, less than %d", len(key), MinHashKey)
+		return nil, fmt.Errorf("capture: hash key has %d bytes, less than the minimum of %d", len(key), MinHashKey)
 	}
 	h := hasher{key}
 	var records []Record
@@ -43,8 +43,8 @@
 	}
 }
 
-// hasher replaces names by keyed hashes (HMAC, RFC 2104, with SHA-256): the same name by the same hash. Each kind
-// of name has its own hashes, so that a volume and a key with the same name can't be recognized as such.
+// hasher replaces names by keyed hashes (HMAC, RFC 2104, with SHA-256). A name always has the same hash. The kind of a
+// name is hashed with it, so that nobody can see that a volume and a data key have the same name.
 type hasher struct{ key []byte }
 
 func (h hasher) hash(kind, name string) string {
@@ -97,8 +97,8 @@
 	}
 }
 
-// hashState replaces the names in a state and returns it with its parts in the order that the new names give them. A
-// Scheduler that is resumed from the state puts them in that order.
+// hashState replaces the names in a state and returns the state with its volumes and keys in the order of the new
+// names. That is the order of a snapshot of a Scheduler that is resumed from the state.
 func (h hasher) hashState(state *scheduler.Snapshot, settings scheduler.Settings) (*scheduler.Snapshot, error) {
 	for i := range state.Volumes {
 		state.Volumes[i].Name = h.volume(state.Volumes[i].Name)
--- a/internal/capture/invariants/checker.go
+++ b/internal/capture/invariants/checker.go
@@ -39,8 +39,8 @@
 // Step follows an event and its actions, and returns the violations of rules.
 func (c *Checker) Step(step *capture.Step) []Violation {
 	c.violations = nil
-	if step.From != nil {
-		c.restore(step.From)
+	if step.ResumedFrom != nil {
+		c.restore(step.ResumedFrom)
 	}
 	c.now = max(c.now, step.Event.At)
 	c.event = step.Number
--- a/internal/capture/invariants/helpers_test.go
+++ b/internal/capture/invariants/helpers_test.go
@@ -65,7 +65,7 @@
 	event.At = time.Hour + time.Duration(at)*ms
 	step := &capture.Step{Number: uint64(len(s.steps)), Event: &event, Actions: actions}
 	if len(s.steps) == 0 {
-		step.From = &scheduler.Snapshot{}
+		step.ResumedFrom = &scheduler.Snapshot{}
 	}
 	s.steps = append(s.steps, step)
 	return s
--- a/internal/capture/options.go
+++ b/internal/capture/options.go
@@ -5,20 +5,20 @@
 // Options say what a Recorder records and who receives it.
 type Options struct {
 	Program  string // version of the program, for readers of the capture
-	MaxBytes int    // bytes of records that are kept in memory; the oldest parts are dropped first
+	MaxBytes int    // maximum size of the records in memory; the oldest parts are dropped first
 	Sink     Sink   // receives all chunks; nil: records are kept in memory only
-	// Triggers decides when a Recording is passed to OnTrigger. nil: never.
+	// Triggers decides when a Recording is passed to OnTrigger. If it is nil, none is.
 	Triggers Watcher
 	// OnTrigger receives the recording of a trigger. It must not block.
 	OnTrigger func(TriggerMatch, Recording)
 	// OnCrash receives what is in memory when the event loop panics. It is called by the event loop, not by the
-	// Recorder. nil: the recording is dropped.
+	// Recorder. If OnCrash is nil, the recording is dropped.
 	OnCrash func(Recording)
-	// Origin is the wall-clock time at which the Scheduler's clock reads 0. Zero: not known.
+	// Origin is the wall-clock time at which the Scheduler's clock reads 0. It is zero if that is not known.
 	Origin time.Time
 }
 
-// Chunk is a piece of a part for a Sink. It consists of whole frames. Nothing changes it after it was offered.
+// Chunk is a piece of a part for a Sink. It consists of whole frames, and it does not change after it was offered.
 type Chunk struct {
 	Head       *Head
 	Frames     []byte
@@ -33,7 +33,7 @@
 	Offer(Chunk) bool
 }
 
-// Watcher decides, by what is recorded, when a recording is worth keeping.
+// Watcher reads all records and decides when a recording is taken for a trigger.
 type Watcher interface {
 	// Add takes a record; now is the time of the event that it belongs to.
 	Add(r *Record, now time.Duration)
--- a/internal/capture/player.go
+++ b/internal/capture/player.go
@@ -13,25 +13,26 @@
 	Number  uint64 // number of the event since the Recorder's start, from 0
 	Event   *Record
 	Actions []Record // as recorded
-	// From is the state before the event, if it was taken from the capture: at its beginning and after a gap. Otherwise
-	// it is nil.
-	From *scheduler.Snapshot
+	// ResumedFrom is the state before the event if that was read from a snapshot of the capture, which is so for the
+	// first event and the first one after a gap. Otherwise it is nil.
+	ResumedFrom *scheduler.Snapshot
 }
 
 // Player replays a capture event by event on a Scheduler of this build.
 type Player struct {
-	// Gaps and Lost count the gaps so far and the records that were lost in them.
+	// Gaps is the number of gaps so far, and Lost is the number of records that were lost in them.
 	Gaps int
 	Lost int
 
 	reader    *Reader
-	pending   *Record // read ahead of its use; nil: none
+	pending   *Record // the record that was read ahead; nil: none
 	scheduler *scheduler.Scheduler
-	from      *scheduler.Snapshot // the snapshot that the next event is replayed from; nil: it follows another event
-	replayed  []Record            // actions of the last event
-	played    int                 // events so far
-	number    uint64              // number of the next event
-	before    []Record            // the last events, for a Difference
+	// resumedFrom is the snapshot from which the next event is replayed, or nil if that event follows another one.
+	resumedFrom     *scheduler.Snapshot
+	replayedActions []Record // the actions to which the last event led in the replay
+	replayedEvents  int      // number of events that were replayed
+	nextNumber      uint64   // number of the next event
+	lastEvents      []Record // the last events, for a Difference
 }
 
 // NewPlayer returns a Player that begins with the next record of a Reader. A replay must be able to begin there.
@@ -41,10 +42,10 @@
 func (p *Player) Scheduler() *scheduler.Scheduler { return p.scheduler }
 
 // Next replays the next event. It compares the actions with the recorded ones and the states with recorded snapshots,
-// byte for byte; of a log line it compares the place among the actions but not the text.
+// byte for byte. Of a log line, it compares the position among the actions but not the text.
 //
-// The error is io.EOF at the end of the capture and a *Difference if the replay differs. Any other error says where the
-// capture can't be read any further.
+// The error is io.EOF at the end of the capture and a *Difference if the replay differs. Any other error says where
+// the capture can't be read any further.
 func (p *Player) Next() (*Step, error) {
 	event, err := p.nextEvent()
 	if err != nil {
@@ -54,11 +55,11 @@
 	if p.scheduler == nil {
 		return nil, errNoSnapshot
 	}
-	step := &Step{Number: p.number, Event: event, From: p.from}
-	p.from = nil
-	p.played++
-	p.number++
-	p.replayed = p.replayed[:0]
+	step := &Step{Number: p.nextNumber, Event: event, ResumedFrom: p.resumedFrom}
+	p.resumedFrom = nil
+	p.replayedEvents++
+	p.nextNumber++
+	p.replayedActions = p.replayedActions[:0]
 	if err := Apply(p.scheduler, event); err != nil {
 		return nil, fmt.Errorf("event %d: %w", step.Number, err)
 	}
@@ -66,20 +67,21 @@
 		return step, err
 	}
 	err = p.compare(step)
-	p.before = append(p.before, *event)
-	if len(p.before) > maxEventsBefore {
-		p.before = p.before[1:]
+	p.lastEvents = append(p.lastEvents, *event)
+	if len(p.lastEvents) > maxEventsBefore {
+		p.lastEvents = p.lastEvents[1:]
 	}
 	return step, err
 }
 
-// Upcoming returns the number of the event that Next will replay. Scheduler then has the state before that event.
+// Upcoming returns the number of the event that Next replays next. After that, Scheduler returns the Scheduler in its
+// state before that event.
 func (p *Player) Upcoming() (uint64, error) {
 	_, err := p.nextEvent()
 	if err == nil && p.scheduler == nil {
 		err = errNoSnapshot
 	}
-	return p.number, err
+	return p.nextNumber, err
 }
 
 var errNoSnapshot = fmt.Errorf("%w: no snapshot before the first event", ErrDamaged)
@@ -102,7 +104,7 @@
 				return nil, err
 			}
 		default:
-			return nil, fmt.Errorf("%w: a %s that belongs to no event", ErrDamaged, record.Kind)
+			return nil, fmt.Errorf("%w: unexpected record of kind %q between two events", ErrDamaged, record.Kind)
 		}
 	}
 }
@@ -135,7 +137,7 @@
 	}
 }
 
-// handleGap notes that records are missing. The replay goes on at the next snapshot.
+// handleGap counts a gap of lost records. The replay goes on at the next snapshot.
 func (p *Player) handleGap(lost int) {
 	p.Gaps++
 	p.Lost += lost
@@ -144,14 +146,15 @@
 
 // handleSnapshot takes a recorded snapshot: the replay either resumes from it or must have reached the same state.
 func (p *Player) handleSnapshot(recorded *Record) error {
-	if p.scheduler != nil && recorded.Key > p.number { // a segment in between is missing
-		p.handleGap(int(recorded.Key - p.number))
+	if p.scheduler != nil && recorded.Key > p.nextNumber { // a segment in between is missing
+		p.handleGap(int(recorded.Key - p.nextNumber))
 	}
 	if p.scheduler == nil {
 		return p.resume(recorded)
 	}
-	if recorded.Key < p.number {
-		return fmt.Errorf("%w: after event %d stands what was before event %d", ErrDamaged, p.number, recorded.Key)
+	if recorded.Key < p.nextNumber {
+		return fmt.Errorf("%w: a snapshot taken before event %d stands before event %d",
+			ErrDamaged, recorded.Key, p.nextNumber)
 	}
 	reached := &Record{
 		Kind:  KindSnapshot,
@@ -160,30 +163,30 @@
 		State: p.scheduler.Snapshot(),
 	}
 	if !sameRecord(reached, recorded) {
-		return p.difference(p.number, recorded, recorded, reached)
+		return p.difference(p.nextNumber, recorded, recorded, reached)
 	}
 	return nil
 }
 
 // resume makes a Scheduler from a recorded snapshot.
 func (p *Player) resume(recorded *Record) error {
-	record := func(action Record) { p.replayed = append(p.replayed, action) }
+	record := func(action Record) { p.replayedActions = append(p.replayedActions, action) }
 	resumed, err := scheduler.Resume(p.reader.Head.Settings, recorded.State, RecordActions(record))
 	p.scheduler = resumed
-	p.number = recorded.Key
-	p.from = recorded.State
+	p.nextNumber = recorded.Key
+	p.resumedFrom = recorded.State
 	return err
 }
 
 // compare compares the actions of the replay with those that were recorded.
 func (p *Player) compare(step *Step) error {
-	for i := range max(len(step.Actions), len(p.replayed)) {
+	for i := range max(len(step.Actions), len(p.replayedActions)) {
 		var recorded, replayed *Record
 		if i < len(step.Actions) {
 			recorded = &step.Actions[i]
 		}
-		if i < len(p.replayed) {
-			replayed = &p.replayed[i]
+		if i < len(p.replayedActions) {
+			replayed = &p.replayedActions[i]
 		}
 		if recorded == nil || replayed == nil || !sameAction(recorded, replayed) {
 			return p.difference(step.Number, step.Event, recorded, replayed)
@@ -198,6 +201,6 @@
 		Input:    input,
 		Recorded: recorded,
 		Replayed: replayed,
-		Before:   p.before,
+		Before:   p.lastEvents,
 	}
 }
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -14,10 +14,10 @@
 
 // The errors that say why a capture can't be read.
 var (
-	ErrNotCapture = errors.New("this is no capture")
-	ErrVersion    = errors.New("the capture is of another version")
-	ErrDamaged    = errors.New("the capture is damaged")
-	ErrTruncated  = errors.New("the capture ends within its head")
+	ErrNotCapture = errors.New("capture: not a capture file")
+	ErrVersion    = errors.New("capture: unsupported format version")
+	ErrDamaged    = errors.New("capture: damaged file")
+	ErrTruncated  = errors.New("capture: file ends within its head")
 )
 
 // Reader reads the records of a capture from its beginning.
@@ -25,12 +25,12 @@
 	Head Head
 
 	input  *bufio.Reader
-	offset int64 // in the file, of the next frame
+	offset int64 // offset of the next frame in the file
 
 	// The block that is being read.
-	block      []byte // its remaining frames
-	blockSize  int    // bytes of all its frames
-	frameStart int64  // offset of the block, or of the last frame outside of a block
+	block      []byte // the remaining frames of the block, decompressed
+	blockSize  int    // length of all frames of the block in bytes
+	frameStart int64  // offset in the file of the block, or of the last frame outside of a block
 }
 
 // NewReader reads the head of a capture and returns a Reader for its records. It fails with ErrNotCapture, ErrVersion,
@@ -59,35 +59,35 @@
 	return nil
 }
 
-// readHead reads the first frame. It checks the version before anything else of the head, because the other fields may
-// be unknown in another version.
+// readHead reads the first frame. It checks the version before it decodes the other fields of the head, because
+// another version may have fields that this program does not know.
 func (r *Reader) readHead() error {
 	flags, body, err := r.readFrame(r.input)
 	switch {
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return ErrTruncated
 	case err != nil:
-		return fmt.Errorf("head: %w", err)
+		return fmt.Errorf("reading the head: %w", err)
 	case flags != 0:
-		return fmt.Errorf("head: %w: it is a block", ErrDamaged)
+		return fmt.Errorf("%w: the first frame is a block and not the head", ErrDamaged)
 	}
 	var versionOnly struct {
 		Version int `cbor:"1,keyasint"`
 	}
 	if err := cbor.Unmarshal(body, &versionOnly); err != nil {
-		return fmt.Errorf("head: %w: %w", ErrDamaged, err)
+		return fmt.Errorf("%w: decoding the head: %w", ErrDamaged, err)
 	}
 	if versionOnly.Version != Version {
-		return fmt.Errorf("%w: %d, this program reads %d", ErrVersion, versionOnly.Version, Version)
+		return fmt.Errorf("%w %d, this program reads version %d", ErrVersion, versionOnly.Version, Version)
 	}
 	if err := decoding.Unmarshal(body, &r.Head); err != nil {
-		return fmt.Errorf("head: %w: %w", ErrDamaged, err)
+		return fmt.Errorf("%w: decoding the head: %w", ErrDamaged, err)
 	}
 	return nil
 }
 
-// Next returns the next record, or io.EOF at the end. If the file was cut off within a frame, for instance by a loss of
-// power, the error is ErrDamaged with the offset of that frame. All records returned before are complete.
+// Next returns the next record, or io.EOF at the end. If the file was cut off within a frame, for instance by a loss
+// of power, the error is ErrDamaged with the offset of that frame. All records returned before are complete.
 func (r *Reader) Next() (*Record, error) {
 	for len(r.block) == 0 {
 		r.frameStart = r.offset
@@ -99,7 +99,7 @@
 			return r.decode(body)
 		}
 		if r.block, err = decompressor().DecodeAll(body, nil); err != nil {
-			return nil, fmt.Errorf("byte %d: %w: block: %w", r.frameStart, ErrDamaged, err)
+			return nil, fmt.Errorf("%w at byte %d: decompressing a block: %w", ErrDamaged, r.frameStart, err)
 		}
 		r.blockSize = len(r.block)
 	}
@@ -110,15 +110,17 @@
 	remaining := bytes.NewReader(r.block)
 	offset := r.offset
 	_, body, err := r.readFrame(remaining)
-	r.offset = offset // the offset in the file does not change within a block
+	r.offset = offset // frames within a block do not advance the offset in the file
 	if err != nil {
-		return nil, fmt.Errorf("block at byte %d, byte %d within: %w", r.frameStart, r.blockSize-len(r.block), err)
+		return nil, fmt.Errorf("block at byte %d, frame at byte %d of its decompressed content: %w",
+			r.frameStart, r.blockSize-len(r.block), err)
 	}
 	r.block = r.block[len(r.block)-remaining.Len():]
 	return r.decode(body)
 }
 
-// skipToPart skips frames until the next one at which a replay can begin. It returns false if there is none.
+// skipToPart skips frames up to the next one with which a part begins, so that a replay can begin there. It returns
+// false if there is none.
 func (r *Reader) skipToPart() (bool, error) {
 	r.block = nil
 	for {
@@ -127,7 +129,7 @@
 			if err == io.EOF && len(header) == 0 {
 				return false, nil
 			}
-			return false, fmt.Errorf("byte %d: %w: a frame's head", r.offset, ErrDamaged)
+			return false, fmt.Errorf("%w at byte %d: incomplete frame header", ErrDamaged, r.offset)
 		}
 		if word := binary.BigEndian.Uint32(header); word&flagStartsPart != 0 {
 			return true, nil
@@ -138,7 +140,7 @@
 	}
 }
 
-// seek moves to the frame at an offset of the file that the Reader reads.
+// seek makes the frame at an offset of the file the next one to read.
 func (r *Reader) seek(file io.ReadSeeker, offset int64) error {
 	if _, err := file.Seek(offset, io.SeekStart); err != nil {
 		return err
@@ -152,13 +154,13 @@
 func (r *Reader) decode(body []byte) (*Record, error) {
 	var record Record
 	if err := decoding.Unmarshal(body, &record); err != nil {
-		return nil, fmt.Errorf("byte %d: %w: %w", r.frameStart, ErrDamaged, err)
+		return nil, fmt.Errorf("%w at byte %d: decoding a record: %w", ErrDamaged, r.frameStart, err)
 	}
 	return &record, nil
 }
 
-// readFrame reads one frame. At the end of the input it returns io.EOF, within a frame io.ErrUnexpectedEOF as a part of
-// ErrDamaged.
+// readFrame reads one frame. It returns io.EOF if the input ends before the frame. If the input ends within the frame,
+// the error is ErrDamaged and wraps io.ErrUnexpectedEOF, too.
 func (r *Reader) readFrame(input io.Reader) (flags uint32, body []byte, err error) {
 	var header [frameHeaderLength]byte
 	n, err := io.ReadFull(input, header[:])
@@ -166,28 +168,30 @@
 		return 0, nil, io.EOF
 	}
 	if err != nil {
-		return 0, nil, fmt.Errorf("byte %d: %w: %d bytes of a frame's head: %w", r.offset, ErrDamaged, n, err)
+		return 0, nil, fmt.Errorf("%w at byte %d: %d of %d bytes of a frame header: %w",
+			ErrDamaged, r.offset, n, frameHeaderLength, err)
 	}
 	word := binary.BigEndian.Uint32(header[:4])
 	flags = word & (flagBlock | flagStartsPart)
 	size := word &^ flags
 	if size > MaxFrame {
-		return 0, nil, fmt.Errorf("byte %d: %w: a frame of %d bytes", r.offset, ErrDamaged, size)
+		return 0, nil, fmt.Errorf("%w at byte %d: frame body of %d bytes is longer than the limit of %d bytes",
+			ErrDamaged, r.offset, size, MaxFrame)
 	}
 	body = make([]byte, size)
 	if n, err := io.ReadFull(input, body); err != nil {
-		return 0, nil, fmt.Errorf("byte %d: %w: %d of a frame's %d bytes: %w",
-			r.offset, ErrDamaged, n, size, io.ErrUnexpectedEOF)
+		return 0, nil, fmt.Errorf("%w at byte %d: %d of %d bytes of a frame body: %w",
+			ErrDamaged, r.offset, n, size, io.ErrUnexpectedEOF)
 	}
 	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(header[4:]) {
-		return 0, nil, fmt.Errorf("byte %d: %w: a frame's checksum is wrong", r.offset, ErrDamaged)
+		return 0, nil, fmt.Errorf("%w at byte %d: wrong checksum of a frame", ErrDamaged, r.offset)
 	}
 	r.offset += frameHeaderLength + int64(size)
 	return flags, body, nil
 }
 
-// CompleteLength returns the length of the complete frames at the beginning of a file. What is beyond was cut off. It
-// fails if the file has no complete head.
+// CompleteLength returns the length in bytes of the complete frames at the beginning of a file. The bytes after them
+// are incomplete or damaged. It fails if the file has no complete head.
 func CompleteLength(input io.Reader) (int64, error) {
 	r, err := NewReader(input)
 	if err != nil {
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -29,10 +29,10 @@
 	KindWatch
 	kindFetch // retired: a call for the whole endpoint list
 	KindLog
-	KindGap        // records were lost here; what follows can be replayed from the next snapshot only
+	KindGap        // records were lost here; a replay goes on at the next snapshot only
 	KindSnapshot   // the Scheduler's state before the next event
 	KindRestored   // an event: the learned state of a previous incarnation
-	KindNote       // a remark of another component about that time; the Scheduler does not see it
+	KindNote       // a remark of another component, which the Scheduler does not see
 	KindRestricted // an event: a restriction of how an operation is handled
 )
 
@@ -90,7 +90,7 @@
 	Attempt int           `cbor:"5,keyasint,omitempty"`
 	// Duration is the timeout of a send, the Retry-After of a rejection, or the time after which a timer fires.
 	Duration time.Duration `cbor:"6,keyasint,omitempty" json:"Span"`
-	// Key is the key of a timer. Of a snapshot, it is the number of events that the Recorder recorded before it.
+	// Key is the key of a timer. For a snapshot, it is the number of events that the Recorder recorded before it.
 	Key         uint64                 `cbor:"7,keyasint,omitempty"`
 	Text        string                 `cbor:"8,keyasint,omitempty"`
 	Request     *scheduler.Request     `cbor:"9,keyasint,omitempty"`
@@ -106,7 +106,7 @@
 	Restriction *scheduler.Restriction  `cbor:"16,keyasint,omitempty" json:"Caution"`
 }
 
-// Head is what a replay needs beside the snapshots. It is the first frame of a capture.
+// Head holds what a replay needs in addition to the snapshots. It is the first frame of a capture.
 type Head struct {
 	Version  int                `cbor:"1,keyasint"`
 	Program  string             `cbor:"2,keyasint"` // version of the program that recorded, for readers of the capture
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -6,15 +6,24 @@
 	"reachpulley/scheduler"
 )
 
-// The sizes of parts and the times between chunks. Each part begins with a snapshot, from which it can be replayed
-// alone.
+// The sizes of parts and the times between chunks. Each part begins with a snapshot, so it can be replayed without the
+// parts before it.
 const (
-	minPartBytes     = 256 << 10 // bytes of events and actions in a part, unless the memory is too small for it
-	snapshotMultiple = 4         // and at least this multiple of its snapshot, so that snapshots stay below a fifth
-	partSlack        = 8 << 10   // bytes for the last event of a part with its actions, and for a growing snapshot
-	minPartsInMemory = 4         // so that dropping the oldest part drops a quarter of the history at most
-	chunkInterval    = time.Second
-	restartBackoff   = 10 * time.Second // between two tries to begin a part while the snapshot does not fit
+	// minPartBytes is the minimum size of a part's events and actions in bytes, unless the memory is too small for it.
+	minPartBytes = 256 << 10
+	// snapshotMultiple is the minimum size of a part's events and actions, in multiples of its snapshot's size. It
+	// keeps the snapshots below a fifth of all bytes.
+	snapshotMultiple = 4
+	// partSlack is the space in bytes for the last event of a part with its actions, and for a snapshot that is larger
+	// than the one before it.
+	partSlack = 8 << 10
+	// minPartsInMemory is the minimum number of parts that fit into memory. With four of them, dropping the oldest
+	// part drops a quarter of the history at most.
+	minPartsInMemory = 4
+	// chunkInterval is the time after which a chunk is offered to the sink.
+	chunkInterval = time.Second
+	// restartBackoff is the time between two attempts to begin a part while the snapshot does not fit into memory.
+	restartBackoff = 10 * time.Second
 )
 
 // Recorder is a Scheduler whose events and actions are recorded. It keeps the newest records in memory and offers
@@ -35,18 +44,19 @@
 	// The current part.
 	part          []byte        // its frames; bytes are only ever appended to it
 	snapshotBytes int           // length of the snapshot that it begins with
-	broken        bool          // a record is missing, so nothing is added until the next part begins
+	broken        bool          // a record of this part was lost, so nothing is added until the next part begins
 	restartAt     time.Duration // earliest time for the next part, if this one is broken
 	lost          int           // records that were lost because the part was broken
 
 	// What the sink has seen.
-	offeredBytes    int // bytes of the current part that were offered
-	offeredAt       time.Duration
-	newRecords      int  // records since the last chunk
-	sinkSkipsPart   bool // a chunk of this part was not taken, so the rest of the part can't be replayed there
-	sinkLostRecords int  // records that the sink did not take since the last chunk that it took
-
-	// The record that is being added and its data. They are fields so that recording allocates nothing for them.
+	offeredBytes    int           // bytes of the current part that were offered
+	offeredAt       time.Duration // time of the last chunk
+	newRecords      int           // records since the last chunk
+	sinkSkipsPart   bool          // the sink refused a chunk of this part, without which the rest can't be replayed
+	sinkLostRecords int           // records that the sink did not take since the last chunk that it took
+
+	// The record that is being added, its request and its outcome. They are fields so that recording does not allocate
+	// them.
 	scratch Record
 	request scheduler.Request
 	outcome scheduler.Outcome
@@ -122,7 +132,7 @@
 	r.newRecords++
 }
 
-// partCapacity returns for how many bytes of events and actions a part is made.
+// partCapacity returns the number of bytes of events and actions after which a part ends.
 func (r *Recorder) partCapacity() int {
 	return min(max(minPartBytes, snapshotMultiple*r.snapshotBytes), r.options.MaxBytes/minPartsInMemory)
 }
@@ -134,7 +144,7 @@
 		r.completed = append(r.completed, r.part)
 		r.completedBytes += cap(r.part)
 	} else {
-		// The snapshot of the part did not fit, so the next part takes its place.
+		// The snapshot of the current part did not fit, so the part is empty and the next one replaces it.
 		r.startedAt = r.startedAt[:len(r.completed)]
 	}
 	size := r.snapshotBytes + r.partCapacity() + partSlack
@@ -155,14 +165,14 @@
 func (r *Recorder) dropOldest(nextSize int) {
 	for len(r.completed) > 0 && r.completedBytes+nextSize > r.options.MaxBytes {
 		r.completedBytes -= cap(r.completed[0])
-		r.completed[0] = nil // the slice's array stays, the part must not
+		r.completed[0] = nil // the slice's array would keep the part in memory
 		r.completed = r.completed[1:]
 		r.startedAt = r.startedAt[1:]
 	}
 }
 
-// addSnapshot records the state before the next event. A state that does not fit into memory breaks the part.
-// Another try is made after a pause, because a snapshot at every event would hold up the event loop.
+// addSnapshot records the state before the next event. A state that does not fit into memory breaks the part. The next
+// part begins after a pause, because a snapshot at every event would hold up the event loop.
 func (r *Recorder) addSnapshot(now time.Duration) {
 	r.add(Record{Kind: KindSnapshot, At: now, Key: r.events, State: r.Scheduler.Snapshot()})
 	r.snapshotBytes = len(r.part)
@@ -177,7 +187,7 @@
 	}
 }
 
-// offerChunk offers the sink what was added to the part since the last chunk.
+// offerChunk offers to the sink what was added to the part since the last chunk.
 func (r *Recorder) offerChunk(now time.Duration) {
 	r.offeredAt = now
 	if r.options.Sink == nil || r.offeredBytes == len(r.part) {
@@ -200,5 +210,5 @@
 	r.newRecords = 0
 }
 
-// Flush offers the sink all that it has not seen yet. It is called at the end of the recording.
+// Flush offers to the sink all records that were not offered yet. It is called at the end of the recording.
 func (r *Recorder) Flush(now time.Duration) { r.offerChunk(now) }
--- a/internal/capture/recorder_events.go
+++ b/internal/capture/recorder_events.go
@@ -50,7 +50,7 @@
 	r.Scheduler.StreamStarted(now, id, attempt)
 }
 
-// Restore records the learned state of a previous incarnation and passes it on.
+// Restore records the learned state of the previous incarnation and passes it on.
 func (r *Recorder) Restore(now time.Duration, learned scheduler.LearnedState) {
 	r.addEvent(Record{Kind: KindRestored, At: now, Learned: &learned})
 	r.Scheduler.Restore(now, learned)
--- a/internal/capture/recording.go
+++ b/internal/capture/recording.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Recording is what a Recorder held at one time. It shares memory with the Recorder, which is safe because bytes
-// are only ever appended to a part. It holds that memory until it is released.
+// Recording holds the parts that a Recorder had in memory at one time. It shares their memory with the Recorder, which
+// is safe because a Recorder only appends to a part. The memory of a part that the Recorder has dropped is not freed
+// while a Recording refers to it.
 type Recording struct {
 	head  Head
 	parts [][]byte
 	lost  int // records that were lost after the last part
 }
 
-// Recording returns what is in memory now.
+// Recording returns the parts that are in memory now.
 func (r *Recorder) Recording() Recording {
 	parts := make([][]byte, 0, len(r.completed)+1)
 	parts = append(parts, r.completed...)
@@ -18,7 +19,7 @@
 	return Recording{head: r.head, parts: parts, lost: r.lost}
 }
 
-// recordingFrom returns the parts that hold the records from a time on.
+// recordingFrom returns a Recording of the parts that hold the records from a time on.
 func (r *Recorder) recordingFrom(from time.Duration) Recording {
 	recording := r.Recording()
 	for i := 1; i < len(r.startedAt) && r.startedAt[i] <= from; i++ {
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -10,10 +10,10 @@
 )
 
 // ErrGap says that records of a capture were lost.
-var ErrGap = errors.New("records were lost")
+var ErrGap = errors.New("capture: records were lost")
 
-// Replay replays a whole capture and returns the number of events. The error is a *Difference if the replay does
-// something else than was recorded, and ErrGap if it does not but records were lost.
+// Replay replays a whole capture and returns the number of events. The error is a *Difference if an action or a state
+// of the replay differs from the recorded one. If nothing differs but records were lost, the error is ErrGap.
 func Replay(r *Reader) (events int, err error) {
 	player := NewPlayer(r)
 	for {
@@ -24,16 +24,16 @@
 		if errors.Is(err, io.EOF) {
 			break
 		}
-		return player.played, err
+		return player.replayedEvents, err
 	}
 	if player.Gaps > 0 {
-		return player.played, fmt.Errorf("%w: %d gaps, %d records", ErrGap, player.Gaps, player.Lost)
+		return player.replayedEvents, fmt.Errorf("%w: %d gaps with %d records", ErrGap, player.Gaps, player.Lost)
 	}
-	return player.played, nil
+	return player.replayedEvents, nil
 }
 
-// At replays a capture up to a time, from the nearest snapshot before it, and returns the state at that time. It reads
-// the source twice.
+// At returns the state at a time. It replays the capture from the last snapshot up to that time, so it reads the
+// source twice: to find that snapshot, and to replay.
 func At(source io.ReadSeeker, at time.Duration) (*scheduler.Snapshot, error) {
 	reader, err := NewReader(source)
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 	start := reader.findLastStart(at)
 	if start < 0 {
-		return nil, fmt.Errorf("nothing is recorded by %v", at)
+		return nil, fmt.Errorf("capture: no snapshot at or before %v", at)
 	}
 	if err := reader.seek(source, start); err != nil {
 		return nil, err
@@ -49,8 +49,8 @@
 	return NewPlayer(reader).stateAt(at)
 }
 
-// findLastStart returns the offset of the last frame up to a time at which a replay can begin, or -1 if there is none.
-// Errors end the search: it does not matter if the file is damaged behind the place that is looked for.
+// findLastStart returns the offset of the last frame up to a time at which a replay can begin, or -1 if there is
+// none. An error ends the search and is ignored: damage after the frame that is looked for does not matter.
 func (r *Reader) findLastStart(at time.Duration) (offset int64) {
 	offset = -1
 	for {
@@ -70,7 +70,7 @@
 	}
 }
 
-// stateAt replays up to a time and returns the state then.
+// stateAt replays up to a time and returns the state at that time.
 func (p *Player) stateAt(at time.Duration) (*scheduler.Snapshot, error) {
 	for {
 		event, err := p.nextEvent()
@@ -84,7 +84,7 @@
 			return nil, err
 		}
 		if p.scheduler == nil {
-			return nil, fmt.Errorf("%w: no snapshot between the gap and %v", ErrGap, at)
+			return nil, fmt.Errorf("%w: no snapshot between the last gap and %v", ErrGap, at)
 		}
 		return p.scheduler.Snapshot(), nil
 	}
--- a/internal/capture/shrink/case.go
+++ b/internal/capture/shrink/case.go
@@ -86,7 +86,7 @@
 		records = append(records, actions...)
 		step := &capture.Step{Number: uint64(i), Event: event, Actions: actions}
 		if i == 0 {
-			step.From = c.Start
+			step.ResumedFrom = c.Start
 		}
 		held = held || p.holds(step, checker.Step(step))
 	}
--- a/internal/capture/trigger/watcher_test.go
+++ b/internal/capture/trigger/watcher_test.go
@@ -162,8 +162,8 @@
 		if err != nil {
 			return 0, 0, err
 		}
-		if step.From != nil {
-			first = step.From.Now
+		if step.ResumedFrom != nil {
+			first = step.ResumedFrom.Now
 		}
 		last = step.Event.At
 	}
