--- a/cmd/reachpulley/replay_test.go
+++ b/cmd/reachpulley/replay_test.go
@@ -43,7 +43,7 @@
 	{
 		args: []string{"replay", "--shrink", "--keep", "late", "--out", "$DIR/x", "$DIR/whole"},
 		code: exitUsage,
-		want: []string{`--keep: "late" is none of`},
+		want: []string{`--keep: property "late" is none of`},
 	},
 	{
 		args: []string{"replay", "--shrink", "--keep", "breach", "--out", "$DIR/x", "$DIR/whole"},
@@ -63,7 +63,7 @@
 	{
 		args: []string{"replay", "--why", "absent", "$DIR/whole"},
 		code: exitUsage,
-		want: []string{"holds nothing of this request"},
+		want: []string{`holds no record of the request "absent"`},
 	},
 	{
 		args: []string{"replay", "--why", "1", "--at", "1s", "$DIR/whole"},
--- a/internal/capture/capturetest/settings.go
+++ b/internal/capture/capturetest/settings.go
@@ -17,7 +17,7 @@
 	onceClass
 )
 
-// Settings have a class of each kind of idempotency, a plan with a limit, slow start, zones and retry budgets.
+// Settings have a class for each kind of idempotency, a plan with a limit, slow start, zones and retry budgets.
 var Settings = scheduler.Settings{
 	Siblings:       2,
 	Zones:          []string{"a", "b"},
--- a/internal/capture/capturetest/workload.go
+++ b/internal/capture/capturetest/workload.go
@@ -20,14 +20,14 @@
 	TimerFired(now time.Duration, key uint64)
 }
 
-// Workload is a random sequence of events that follows from its seed. It carries out the actions that a Scheduler calls
-// for: attempts end at some time, and timers fire.
+// Workload is a random sequence of events that follows from its seed. It carries out the actions that a Scheduler
+// calls for: attempts end at some time, and timers fire.
 type Workload struct {
 	random   *rand.Rand
 	now      time.Duration
-	inFlight []scheduler.Outcome // of attempts that have not ended
+	inFlight []scheduler.Outcome // incomplete outcomes of the attempts that have not ended
 	timers   []timer
-	attempts map[string]int // by request
+	attempts map[string]int // numbers of attempts that were sent, by request
 }
 
 type timer struct {
@@ -81,10 +81,10 @@
 // Log does nothing.
 func (w *Workload) Log(string) {}
 
-// Play gives a Scheduler random events: arrivals, disconnects, outcomes of every kind, changes of membership,
-// restrictions, and timers at the same instants.
+// Play gives random events to a Scheduler: arrivals, disconnects, outcomes of every kind, changes of membership,
+// restrictions, and timers at the same times as those.
 //
-// Recorded captures of tests depend on the order of the random draws.
+// The order of the random draws must not change, because recorded captures of tests depend on it.
 func (w *Workload) Play(s Scheduler, events int) {
 	for i := range events {
 		w.now += time.Duration(w.pick(8)) * ms * time.Duration(w.pick(3))
@@ -146,7 +146,7 @@
 // operations are the operations of requests. Requests of the first one have no description.
 var operations = [...]string{"", "GET /a", "PUT /b"}
 
-// request draws a request. The plan and the hosts of a volume are always the same.
+// request draws a request. A volume has the same plan and the same number of hosts in all requests.
 func (w *Workload) request(number int) scheduler.Request {
 	volume := w.pick(5)
 	return scheduler.Request{
@@ -180,7 +180,7 @@
 	return restriction
 }
 
-// endAttempt draws an attempt that is in flight and how it ends.
+// endAttempt draws an attempt that is in flight, and its outcome.
 func (w *Workload) endAttempt() scheduler.Outcome {
 	i := w.pick(len(w.inFlight))
 	outcome := w.inFlight[i]
--- a/internal/capture/invariants/checker.go
+++ b/internal/capture/invariants/checker.go
@@ -8,8 +8,8 @@
 	"reachpulley/scheduler"
 )
 
-// Checker follows a capture step by step and checks the rules. Its state is the open requests and those that ended
-// lately.
+// Checker follows a capture step by step and checks the rules. It keeps the open requests and, for a while, those that
+// were answered.
 type Checker struct {
 	// Checked counts how often each rule was checked.
 	Checked map[Rule]int
@@ -36,7 +36,7 @@
 	return c
 }
 
-// Step follows an event and its actions, and returns the violations of rules.
+// Step processes an event and its actions, and returns the violations of rules.
 func (c *Checker) Step(step *capture.Step) []Violation {
 	c.violations = nil
 	if step.ResumedFrom != nil {
@@ -98,7 +98,7 @@
 	previous := c.requests[arrived.ID]
 	duplicate := previous != nil && !previous.answered
 	if duplicate || arrived.Class < 0 || arrived.Class >= len(c.settings.Classes) {
-		return // it is not accepted
+		return // the scheduler does not accept it
 	}
 	c.budget.requestArrived(c.now)
 	arrived.Units = max(arrived.Units, 0)
@@ -126,8 +126,8 @@
 	}
 }
 
-// neverRan reports whether the outcome of an attempt shows that it did not run. A node's claim of overload does not
-// count if the operation's retries are restricted there.
+// neverRan reports whether the outcome of an attempt shows that it did not run. If the operation's retries are
+// restricted at the node, the node's claim of overload does not show that.
 func (c *Checker) neverRan(r *request, outcome *scheduler.Outcome) bool {
 	switch outcome.Result {
 	case scheduler.Overloaded:
@@ -148,7 +148,7 @@
 			c.answer(r, "rejected")
 		}
 	case capture.KindFail:
-		if r := c.requests[action.ID]; r != nil { // otherwise it was not accepted, and fails at once
+		if r := c.requests[action.ID]; r != nil { // otherwise the request was not accepted, and failed at once
 			c.answer(r, "failed")
 		}
 	}
@@ -161,7 +161,7 @@
 	if r == nil || n == nil {
 		return
 	}
-	c.check(RuleOneAnswer, !r.answered, id, nodeID, "sent after its answer")
+	c.check(RuleOneAnswer, !r.answered, id, nodeID, "sent after the request was answered")
 	c.check(RuleDraining, n.Phase == scheduler.Up, id, nodeID, "sent to a node that is draining or removed")
 	c.checkRetry(r, n)
 	c.checkKeyOrder(r)
--- a/internal/capture/invariants/key_order.go
+++ b/internal/capture/invariants/key_order.go
@@ -1,6 +1,6 @@
 package invariants
 
-// checkKeyOrder checks that all earlier requests of an ordered key have ended.
+// checkKeyOrder checks that all earlier requests of the same ordered key have ended when a request is sent.
 func (c *Checker) checkKeyOrder(r *request) {
 	if !r.class.Ordered {
 		return
@@ -10,6 +10,7 @@
 			return
 		}
 		ended := earlier.answered && len(earlier.inFlight) == 0
-		c.check(RuleKeyOrder, ended, r.ID, "", "sent before request %q of its key has ended", earlier.ID)
+		c.check(RuleKeyOrder, ended, r.ID, "",
+			"sent before the earlier request %q of the same data key has ended", earlier.ID)
 	}
 }
--- a/internal/capture/invariants/retries.go
+++ b/internal/capture/invariants/retries.go
@@ -2,7 +2,7 @@
 
 import "reachpulley/scheduler"
 
-// allowedRetries returns how far a request may be retried: as far as both its class and its description allow.
+// allowedRetries returns the retry policy of a request: what both its class and its description allow.
 func (c *Checker) allowedRetries(r scheduler.Request) scheduler.RetryPolicy {
 	class := c.settings.Classes[r.Class]
 	byClass := scheduler.RetryPolicy{
@@ -30,7 +30,7 @@
 	return both
 }
 
-// restriction returns the level of restriction of a request's operation at a node.
+// restriction returns the level at which a request's operation is restricted at a node.
 func (c *Checker) restriction(r *request, node string) scheduler.RestrictionLevel {
 	if r.Operation == "" {
 		return scheduler.Unrestricted
@@ -43,18 +43,21 @@
 // checkRetry checks that an attempt may follow those before it.
 func (c *Checker) checkRetry(r *request, n *node) {
 	if maxAttempts := c.settings.Allowed.MaxAttempts; maxAttempts > 0 {
-		c.check(RuleRetries, r.attempts < maxAttempts, r.ID, n.ID, "attempt %d of %d", r.attempts+1, maxAttempts)
+		c.check(RuleRetries, r.attempts < maxAttempts, r.ID, n.ID, "attempt %d, but only %d are allowed",
+			r.attempts+1, maxAttempts)
 	}
 	if r.attempts == 0 {
 		return
 	}
-	c.check(RuleRetries, len(r.inFlight) == 0, r.ID, n.ID, "a second attempt while one is in flight")
+	c.check(RuleRetries, len(r.inFlight) == 0, r.ID, n.ID, "sent while an earlier attempt is in flight")
 	for _, earlier := range r.mayHaveRun {
 		unrestricted := c.restriction(r, earlier.node) < scheduler.NoRetries &&
 			c.restriction(r, n.ID) < scheduler.NoRetries
-		c.check(RuleRetries, unrestricted, r.ID, n.ID, "a retry of %q, whose retries are restricted", r.Operation)
+		c.check(RuleRetries, unrestricted, r.ID, n.ID,
+			"retry of operation %q, whose retries are restricted", r.Operation)
 		c.check(RuleRetries, c.retryAllowed(r, earlier, n), r.ID, n.ID,
-			"an attempt %v earlier may have run, and class %q forbids this retry", c.now-earlier.sentAt, r.class.Name)
+			"an attempt %v earlier may have run, and class %q or the operation's description forbids this retry",
+			c.now-earlier.sentAt, r.class.Name)
 	}
 }
 
@@ -82,7 +85,8 @@
 	return false
 }
 
-// checkRejection checks a rejection, which promises to the client that a retry is safe.
+// checkRejection checks that a client may retry a request that was rejected. A rejection promises that a retry is
+// safe.
 func (c *Checker) checkRejection(r *request) {
 	allowed := r.allowedRetries
 	safe := len(r.mayHaveRun) == 0 ||
@@ -91,5 +95,5 @@
 	for _, earlier := range r.mayHaveRun {
 		safe = safe && c.restriction(r, earlier.node) < scheduler.NoRetries
 	}
-	c.check(RuleRetries, safe, r.ID, "", "rejected, though an attempt may have run")
+	c.check(RuleRetries, safe, r.ID, "", "rejected although an attempt may have run")
 }
--- a/internal/capture/invariants/retry_budget.go
+++ b/internal/capture/invariants/retry_budget.go
@@ -7,15 +7,15 @@
 
 // retryBudget holds the times that the budget of retries depends on.
 type retryBudget struct {
-	arrivedAt []time.Duration // arrivals within the budget's window
-	retriedAt []time.Duration // retries within it
+	arrivedAt []time.Duration // times of the arrivals within the budget's window
+	retriedAt []time.Duration // times of the retries within the budget's window
 }
 
 func (b *retryBudget) requestArrived(now time.Duration) {
 	b.arrivedAt = append(b.arrivedAt, now)
 }
 
-// dropBefore drops what left the window.
+// dropBefore drops the arrivals and retries up to the start of the window.
 func (b *retryBudget) dropBefore(start time.Duration) {
 	outside := func(at time.Duration) bool { return at <= start }
 	b.arrivedAt = slices.DeleteFunc(b.arrivedAt, outside)
@@ -37,5 +37,5 @@
 	retries := len(c.budget.retriedAt)
 	allowed := rules.RetryBudgetBase + rules.RetryBudgetShare*float64(len(c.budget.arrivedAt))
 	c.check(RuleRetryBudget, float64(retries) <= allowed, r.ID, "",
-		"%d retries within %v, %.1f are allowed", retries, window, allowed)
+		"%d retries within %v, but only %.1f are allowed", retries, window, allowed)
 }
--- a/internal/capture/invariants/slow_start.go
+++ b/internal/capture/invariants/slow_start.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// checkSlowStart checks that a node that has just started gets no more than it can take. It counts what this host
-// alone sent within the window, against what all hosts together may send. The scheduler keeps to this host's share
-// of that, which the checker does not know, so a violation is one for any division among the hosts.
+// checkSlowStart checks that a node that has just started gets no more units than slow start allows. It compares what
+// this host alone sent within the window with what all hosts together may send. The scheduler keeps to this host's
+// share of that, which the checker does not know. So whatever the shares of the hosts are, a reported violation is
+// one.
 func (c *Checker) checkSlowStart(r *request, n *node) {
 	rules := &c.settings.Rules
 	outside := func(s sentUnits) bool { return s.at <= c.now-rules.SlowStartWindow }
@@ -22,5 +23,6 @@
 	growth := (rules.SlowStartShare + (1-rules.SlowStartShare)*warmed) / rules.SlowStartShare
 	allowed := max(1, rules.SlowStartMultiple) * rules.SlowStartAllowance * growth
 	c.check(RuleSlowStart, units <= allowed, r.ID, n.ID,
-		"%.1f units within %v, %v after its start", units, rules.SlowStartWindow, sinceStart)
+		"%.1f units sent within %v, %v after the node's start, but only %.1f are allowed",
+		units, rules.SlowStartWindow, sinceStart, allowed)
 }
--- a/internal/capture/invariants/state.go
+++ b/internal/capture/invariants/state.go
@@ -7,17 +7,17 @@
 	"reachpulley/scheduler"
 )
 
-// request is a request that is open or was answered lately.
+// request is a request that is open or was answered recently.
 type request struct {
 	scheduler.Request
 	class          *scheduler.Class
-	allowedRetries scheduler.RetryPolicy // what class and description allow together
+	allowedRetries scheduler.RetryPolicy // what both class and description allow
 	arrivedAt      time.Duration
-	answered       bool // or its client disconnected
-	answeredAt     time.Duration
-	attempts       int             // sent so far
-	inFlight       map[int]bool    // attempts by number
-	mayHaveRun     map[int]attempt // attempts by number
+	answered       bool            // it was answered, or its client disconnected
+	answeredAt     time.Duration   // time of the answer or the disconnect
+	attempts       int             // number of attempts that were sent so far
+	inFlight       map[int]bool    // attempts in flight, by number
+	mayHaveRun     map[int]attempt // attempts that may have run, by number
 	charged        bool            // its units were taken from the volume's limit
 	overdue        bool            // its missing answer was reported
 	streamStarted  bool
@@ -34,18 +34,19 @@
 type node struct {
 	scheduler.Node
 	warmingSince time.Duration
-	recentSends  []sentUnits // within the window of slow start
+	recentSends  []sentUnits // units that were sent within the window of slow start
 }
 
+// sentUnits are the units of an attempt that was sent at a time.
 type sentUnits struct {
 	at    time.Duration
 	units float64
 }
 
-// restrictionKey names an operation at a node, or at all nodes if node is empty.
+// restrictionKey identifies a restriction: that of an operation at a node, or at all nodes if node is empty.
 type restrictionKey struct{ operation, node string }
 
-// reset forgets everything.
+// reset empties the state that is read from the capture.
 func (c *Checker) reset() {
 	c.nodes = map[string]*node{}
 	c.requests = map[string]*request{}
@@ -56,11 +57,11 @@
 	c.budget = retryBudget{}
 }
 
-// restore takes over what was open at a snapshot. What happened before it is not known.
+// restore replaces the state by that of a snapshot. What happened before the snapshot is not known.
 func (c *Checker) restore(from *scheduler.Snapshot) {
 	c.reset()
 	for i := range from.Nodes {
-		if i < from.Listed { // the others are gone
+		if i < from.Listed { // the other nodes were removed
 			c.restoreNode(&from.Nodes[i])
 		}
 	}
@@ -125,7 +126,7 @@
 }
 
 func (c *Checker) forgetRequest(r *request) {
-	if c.requests[r.ID] == r { // otherwise its ID was used again
+	if c.requests[r.ID] == r { // otherwise a later request has the same ID
 		delete(c.requests, r.ID)
 	}
 	if !r.class.Ordered || r.Key == "" {
@@ -139,7 +140,7 @@
 	c.orderedKeys[r.Key] = others
 }
 
-// membershipChanged follows the endpoint list. A whole list removes the nodes that it does not name.
+// membershipChanged applies a change of the endpoint list. A full list removes the nodes that it does not name.
 func (c *Checker) membershipChanged(membership *scheduler.Membership) {
 	if membership.Kind == scheduler.WatchFailed {
 		return
@@ -167,14 +168,16 @@
 	}
 }
 
-// The times of sweeps and of what they remove.
 const (
-	sweepInterval     = 50 * time.Millisecond // sweeping at every event would take most of the time
-	retainAnswered    = 10 * time.Second      // what is done for an answered request within this time is noticed
-	volumeSweepEvents = 10_000                // volumes are swept at events whose number is a multiple of this
+	// sweepInterval is the minimum time between two sweeps. A sweep at every event would take most of the time.
+	sweepInterval = 50 * time.Millisecond
+	// retainAnswered is the time for which an answered request is kept, so that later actions for it are noticed.
+	retainAnswered = 10 * time.Second
+	// volumeSweepEvents is the number of events from one sweep of the volumes to the next.
+	volumeSweepEvents = 10_000
 )
 
-// sweep reports overdue requests and forgets those that were answered long ago.
+// sweep reports overdue requests and forgets those that were answered more than retainAnswered ago.
 func (c *Checker) sweep() {
 	if c.now-c.sweptAt < sweepInterval {
 		return
--- a/internal/capture/invariants/volume_limit.go
+++ b/internal/capture/invariants/volume_limit.go
@@ -6,8 +6,8 @@
 	"reachpulley/scheduler"
 )
 
-// volume is the token bucket of a volume's limit. It holds the whole even share of burst and slack that this host has;
-// the scheduler keeps to less.
+// volume is the token bucket of a volume's limit. Its size is an equal share for each host of the plan's burst and
+// slack together. The scheduler keeps to less than that.
 type volume struct {
 	tokens     float64
 	rate       float64
@@ -19,10 +19,11 @@
 	return v.tokens + v.rate*(now-v.refilledAt).Seconds()
 }
 
-// limitTolerance allows for the error of floating-point sums, in units.
+// limitTolerance is the difference in units that is ignored, because sums of floating-point numbers are not exact.
 const limitTolerance = 1e-6
 
-// checkVolumeLimit checks that a request is within the limit of its volume. Retries are not charged again.
+// checkVolumeLimit checks that a request is within the limit of its volume. Retries are not charged to the limit
+// again.
 func (c *Checker) checkVolumeLimit(r *request) {
 	if r.charged || r.Plan < 0 || r.Plan >= len(c.settings.Plans) || c.settings.Plans[r.Plan].Limit <= 0 {
 		return
@@ -35,11 +36,11 @@
 	v.tokens = min(v.burst, v.tokensAt(c.now))
 	v.refilledAt = c.now
 	c.check(RuleVolumeLimit, v.tokens >= min(r.Units, v.burst)-limitTolerance, r.ID, "",
-		"%.2f units of volume %q with %.2f tokens left", r.Units, r.Volume, v.tokens)
+		"%.2f units sent for volume %q, of whose limit only %.2f tokens were left", r.Units, r.Volume, v.tokens)
 	v.tokens -= r.Units
 }
 
-// newVolume returns a full token bucket.
+// newVolume returns the full token bucket of a volume with a plan, whose limit is shared by a number of hosts.
 func newVolume(plan *scheduler.Plan, hosts float64, now time.Duration) *volume {
 	burst := (plan.Burst + plan.Slack) / hosts
 	return &volume{
@@ -50,8 +51,8 @@
 	}
 }
 
-// restoreVolume takes a volume over from a snapshot. The scheduler keeps half of burst and slack back, so the model has
-// that much more.
+// restoreVolume restores a volume from a snapshot. The scheduler holds back half of the host's share of burst and
+// slack, so that half is added to its tokens.
 func (c *Checker) restoreVolume(from *scheduler.SnapshotVolume) {
 	if !from.Indexed || from.Plan < 0 || c.settings.Plans[from.Plan].Limit <= 0 {
 		return
@@ -65,7 +66,7 @@
 	}
 }
 
-// forgetFullVolumes forgets the volumes whose token buckets are full again: they are as new.
+// forgetFullVolumes forgets the volumes whose token buckets are full again, because a new bucket is full, too.
 func (c *Checker) forgetFullVolumes() {
 	for name, v := range c.volumes {
 		if v.tokensAt(c.now) >= v.burst {
--- a/internal/capture/replaytest/replaytest.go
+++ b/internal/capture/replaytest/replaytest.go
@@ -48,8 +48,8 @@
 	return events
 }
 
-// WarmUp makes the compressor and the decompressor before the bubble of a test (testing/synctest) begins. What is made
-// within a bubble must not be used by another one.
+// WarmUp creates the compressor and the decompressor. A test calls it before its bubble (testing/synctest) begins,
+// because what is created within a bubble must not be used by another one.
 func WarmUp() {
 	header, err := capture.EncodeHeader(&capture.Head{Version: capture.Version})
 	if err != nil {
--- a/internal/capture/segment/names.go
+++ b/internal/capture/segment/names.go
@@ -7,13 +7,15 @@
 	"unicode"
 )
 
-// Names is the prefix of the file names of one gateway's segments. Gateways with different names may share a directory.
+// Names is the common prefix of the file names of one gateway's segments. Gateways with different names may share a
+// directory.
 type Names string
 
-// NamesOf returns the Names for a gateway's own name.
+// NamesOf returns the Names of the gateway with this name.
 func NamesOf(gateway string) Names { return Names("decisions-" + SafeName(gateway) + "-") }
 
-// SafeName returns a gateway's name as a part of a file name: only letters, digits and some signs stay.
+// SafeName returns a gateway's name in a form that can be part of a file name: every character other than an ASCII
+// letter, a digit, a dot or an underscore is replaced by an underscore.
 func SafeName(gateway string) string {
 	return strings.Map(func(r rune) rune {
 		if r < 128 && (unicode.IsLetter(r) || unicode.IsDigit(r) || strings.ContainsRune("._", r)) {
@@ -25,10 +27,11 @@
 
 const suffix = ".segment"
 
-// File returns the file name of a segment. File names sort as their numbers do.
+// File returns the file name of the segment with this number. File names sort in the order of their numbers.
 func (n Names) File(number uint64) string { return fmt.Sprintf("%s%012d%s", string(n), number, suffix) }
 
-// Number returns the number of a segment by its file name. It returns false for any other file.
+// Number returns the number of the segment with this file name. It returns false if the file is not a segment of the
+// gateway.
 func (n Names) Number(file string) (uint64, bool) {
 	digits, hasSuffix := strings.CutSuffix(file, suffix)
 	digits, hasPrefix := strings.CutPrefix(digits, string(n))
--- a/internal/capture/segment/retention.go
+++ b/internal/capture/segment/retention.go
@@ -8,9 +8,9 @@
 
 // Limits bound the segments on disk.
 type Limits struct {
-	Size  int64         // bytes of a segment, after which the next one begins
-	Age   time.Duration // time after which the next one begins
-	Total int64         // bytes of all segments; the oldest are removed first
+	Size  int64         // size in bytes at which a segment is full
+	Age   time.Duration // age at which a segment is full
+	Total int64         // maximum size of all segments in bytes; the oldest are removed first
 }
 
 // file is a segment on disk.
@@ -19,11 +19,11 @@
 	size   int64
 }
 
-// full reports whether a segment of this size and age ends. It is asked between two parts only, so that a segment holds
-// whole parts.
+// full reports whether a segment of this size in bytes and this age is full. It is called between two parts only, so
+// that a segment holds whole parts.
 func (l Limits) full(size int64, age time.Duration) bool { return size >= l.Size || age >= l.Age }
 
-// outdated returns the segments that must be removed so that another one fits, the oldest first.
+// outdated returns the segments that must be removed to make room for another one, the oldest first.
 func (l Limits) outdated(files []file) (outdated []file) {
 	byNumber := func(a, b file) int { return cmp.Compare(a.number, b.number) }
 	files = slices.SortedFunc(slices.Values(files), byNumber)
@@ -41,10 +41,11 @@
 	return outdated
 }
 
+// maxBackoff is the maximum pause after a failure.
 const maxBackoff = time.Minute
 
-// backoff returns how long nothing is written after so many failures in a row. It doubles with each, so that a full
-// disk is not tried every second.
+// backoff returns the time for which nothing is written after this number of failures in a row. It doubles with each
+// failure, so that a full disk is not tried every second.
 func backoff(failures int) time.Duration {
 	const maxDoublings = 10
 	return min(time.Second<<min(failures-1, maxDoublings), maxBackoff)
--- a/internal/capture/segment/writer.go
+++ b/internal/capture/segment/writer.go
@@ -1,6 +1,6 @@
-// Package segment writes captures to disk as segments: files that are only appended to, end by size or age, and are
-// removed when they are the oldest of too many. The recorder never waits for the disk: what is not written in time is
-// lost, and a gap in the capture stands for it.
+// Package segment writes captures to disk as segments. A segment is a file that is only appended to. It ends when it
+// reaches a size or an age, and the oldest segments are removed when the total size exceeds its limit. The recorder
+// never waits for the disk: records that are not written in time are lost, and a gap in the capture stands for them.
 package segment
 
 import (
@@ -16,13 +16,13 @@
 	"reachpulley/internal/filesystem"
 )
 
-// The bounds of what is queued for the disk.
+// The limits of the chunks that are queued for the disk.
 const (
 	maxQueuedChunks = 64
 	maxQueuedBytes  = 4 << 20
 )
 
-// Options are the surroundings of a Writer.
+// Options configure a Writer.
 type Options struct {
 	FS        filesystem.FS
 	Directory string
@@ -32,30 +32,31 @@
 	Log       *slog.Logger
 }
 
-// Writer is a capture.Sink that writes chunks to segments. Offer may be called from any goroutine, everything else
-// belongs to the goroutine of Run. The Writer owns the open segment and closes it when it is full, fails, or Run
-// ends.
+// Writer is a capture.Sink that writes chunks to segments. Offer may be called from any goroutine. Everything else
+// belongs to the goroutine that calls Run. The Writer owns the open segment. It closes it when the segment is full,
+// when a write fails, and when Run ends.
 type Writer struct {
 	options     Options
 	queue       chan capture.Chunk
 	queuedBytes atomic.Int64
 
 	files       []file // in the order of their numbers
-	lostRecords int    // records that were not written since the last that were
+	lostRecords int    // records that were lost since the last chunk that was written
 
-	// The open segment, the last of files.
+	newestNumber uint64 // number of the newest segment, open or not
+
+	// The open segment, which is the last of files.
 	open     filesystem.File // nil: none is open
-	number   uint64          // of the newest segment, open or not
 	size     int64           // bytes that were written and synced
 	openedAt time.Time
 
 	// The pause after failures.
-	failures int       // in a row
-	retryAt  time.Time // no segment is opened before
+	failures int       // number of failures in a row
+	retryAt  time.Time // no segment is opened before this time
 }
 
-// New returns a Writer that goes on behind the segments on disk. It truncates what the previous incarnation left
-// incomplete and removes the oldest segments beyond the limits.
+// New returns a Writer that continues after the segments on disk. It cuts off an incomplete end that the previous
+// incarnation left, and removes the oldest segments beyond the limits.
 func New(options Options) (*Writer, error) {
 	w := &Writer{
 		options: options,
@@ -68,7 +69,7 @@
 	for _, info := range list {
 		if number, ok := options.Names.Number(info.Name); ok {
 			w.files = append(w.files, file{number, info.Size})
-			w.number = max(w.number, number)
+			w.newestNumber = max(w.newestNumber, number)
 		}
 	}
 	if err := w.recoverNewest(); err != nil {
@@ -78,8 +79,8 @@
 }
 
 // recoverNewest truncates the newest segment to its complete frames. Earlier segments were complete when they were
-// closed. A file that is no capture or is of another version stays unchanged, because it may belong to somebody
-// else.
+// closed. A file that is not a capture or has another format version stays unchanged, because it may belong to
+// somebody else.
 func (w *Writer) recoverNewest() error {
 	if len(w.files) == 0 {
 		return nil
@@ -102,7 +103,7 @@
 	case complete == newest.size:
 		return nil
 	}
-	w.options.Log.Info("incomplete record truncated", "file", path, "bytes", newest.size-complete)
+	w.options.Log.Info("incomplete end of segment truncated", "file", path, "bytes", newest.size-complete)
 	newest.size = complete
 	return w.options.FS.Truncate(path, complete)
 }
@@ -127,7 +128,7 @@
 	}
 }
 
-// Run writes until ctx ends, then what was queued by then.
+// Run writes chunks until ctx ends, and then the chunks that are still queued.
 func (w *Writer) Run(ctx context.Context) {
 	defer w.closeSegment()
 	for {
@@ -141,7 +142,7 @@
 	}
 }
 
-// drain writes what is queued.
+// drain writes all queued chunks.
 func (w *Writer) drain() {
 	for {
 		select {
@@ -153,7 +154,7 @@
 	}
 }
 
-// write writes a chunk and syncs it. An error ends the segment, never the Writer.
+// write writes a chunk and syncs it. An error ends the open segment, and the Writer goes on after a pause.
 func (w *Writer) write(chunk capture.Chunk) {
 	w.queuedBytes.Add(-int64(len(chunk.Frames)))
 	w.lostRecords += chunk.Lost
@@ -162,12 +163,12 @@
 		w.lostRecords += chunk.Records
 	}
 	if err != nil {
-		w.fail(err)
+		w.pauseAfterFailure(err)
 		return
 	}
 	if written && w.failures > 0 {
 		w.failures = 0
-		w.options.Log.Info("recording to disk resumed", "file", w.path(w.number))
+		w.options.Log.Info("recording to disk resumed", "file", w.path(w.newestNumber))
 	}
 }
 
@@ -206,22 +207,22 @@
 	if err != nil {
 		return err
 	}
-	w.number++
-	created, err := w.options.FS.Create(w.path(w.number))
+	w.newestNumber++
+	created, err := w.options.FS.Create(w.path(w.newestNumber))
 	if err != nil {
 		return err
 	}
 	w.open = created
 	w.size = 0
 	w.openedAt = now
-	w.files = append(w.files, file{number: w.number})
+	w.files = append(w.files, file{number: w.newestNumber})
 	if err := w.appendAndSync(header); err != nil {
 		return err
 	}
 	return w.options.FS.SyncDirectory(w.options.Directory)
 }
 
-// appendChunk appends a chunk to the open segment, after a gap if records were lost before it.
+// appendChunk appends a chunk to the open segment. If records were lost before the chunk, a gap precedes it.
 func (w *Writer) appendChunk(chunk capture.Chunk) error {
 	frames := chunk.Frames
 	if w.lostRecords > 0 {
@@ -251,9 +252,9 @@
 	return nil
 }
 
-// fail ends the open segment and begins a pause. After a failed write or sync it is not known what of it reached
-// the disk, so the segment is truncated to what was synced before.
-func (w *Writer) fail(err error) {
+// pauseAfterFailure ends the open segment and begins a pause. After a failed write or sync it is not known which of
+// the bytes reached the disk, so the segment is truncated to the bytes that were synced before.
+func (w *Writer) pauseAfterFailure(err error) {
 	w.failures++
 	pause := backoff(w.failures)
 	w.retryAt = w.options.Now().Add(pause)
@@ -263,7 +264,7 @@
 	}
 	w.open.Close()
 	w.open = nil
-	path := w.path(w.number)
+	path := w.path(w.newestNumber)
 	if w.size == 0 {
 		w.files = w.files[:len(w.files)-1]
 		err = w.options.FS.Remove(path)
@@ -280,19 +281,19 @@
 		return
 	}
 	if err := w.open.Close(); err != nil {
-		w.options.Log.Warn("segment close failed", "err", err)
+		w.options.Log.Warn("segment close failed", "file", w.path(w.newestNumber), "err", err)
 	}
 	w.open = nil
 }
 
-// removeOutdated removes the oldest segments until another one fits.
+// removeOutdated removes the oldest segments to make room for another one.
 func (w *Writer) removeOutdated() error {
 	for _, outdated := range w.options.Limits.outdated(w.files) {
 		err := w.options.FS.Remove(w.path(outdated.number))
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
-		w.files = w.files[1:] // they are in the order of their numbers
+		w.files = w.files[1:] // the outdated segments are the first of files
 	}
 	return nil
 }
--- a/internal/capture/shrink/case.go
+++ b/internal/capture/shrink/case.go
@@ -10,14 +10,14 @@
 	"reachpulley/scheduler"
 )
 
-// Case is a state and the events that follow it.
+// Case is a state of a Scheduler and the events that follow it.
 type Case struct {
 	Head   capture.Head
 	Start  *scheduler.Snapshot
 	Events []capture.Record
 }
 
-// Read reads the first run of events without a gap of a capture.
+// Read reads the first events of a capture up to a gap, and the snapshot that they follow.
 func Read(reader *capture.Reader) (*Case, error) {
 	c := &Case{Head: reader.Head}
 	for {
@@ -36,13 +36,13 @@
 		}
 	}
 	if c.Start == nil || len(c.Events) == 0 {
-		return nil, errors.New("the capture holds no events after a snapshot")
+		return nil, errors.New("shrink: the capture holds no events after a snapshot")
 	}
 	return c, nil
 }
 
-// Holds replays the events and reports whether the property holds. Events that no longer have a cause, such as the
-// end of an attempt that was not sent, are replayed nevertheless: a Scheduler ignores them.
+// Holds replays the events and reports whether the property holds. It also replays events whose cause was left out,
+// such as the end of an attempt that was not sent. A Scheduler ignores them.
 func (c *Case) Holds(p Property) (bool, error) {
 	_, held, err := c.replay(p)
 	return held, err
@@ -58,7 +58,7 @@
 }
 
 // replay gives the events to a new Scheduler. It returns them with the actions that they lead to, and whether the
-// property held. A crash of the Scheduler is an error unless it is the property.
+// property held. A panic of the Scheduler is an error unless a crash is the property.
 func (c *Case) replay(p Property) (records []capture.Record, held bool, err error) {
 	var actions []capture.Record
 	record := func(action capture.Record) { actions = append(actions, action) }
@@ -70,7 +70,7 @@
 		if failure := recover(); failure != nil {
 			held = p.kind == kindCrash
 			if !held {
-				err = fmt.Errorf("the scheduler crashed: %v", failure)
+				err = fmt.Errorf("shrink: the scheduler panicked: %v", failure)
 			}
 		}
 	}()
--- a/internal/capture/shrink/gotest.go
+++ b/internal/capture/shrink/gotest.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSource returns the source of a Go test that reads a case from a file beside it and checks that the property does
-// not hold any more.
+// TestSource returns the source of a Go test. The test reads a case from a file in its directory and checks that the
+// property does not hold on it any more.
 func TestSource(name, file string, p Property) string {
 	return fmt.Sprintf(`package scheduler_test
 
@@ -19,7 +19,7 @@
 	"reachpulley/internal/capture/shrink"
 )
 
-// The capture was shrunk %s, when %q held on it.
+// The capture was shrunk on %s, when the property %q held on it.
 func Test%s(t *testing.T) {
 	file, err := os.ReadFile(%q)
 	if err != nil {
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	if held, err := shrunk.Holds(property); err != nil || held {
-		t.Errorf("%%v, %%s: %%v", err, property, held)
+		t.Errorf("property %%q holds: %%t, error: %%v", property, held, err)
 	}
 }
 `, time.Now().UTC().Format(time.DateOnly), p, name, file, p.text)
--- a/internal/capture/shrink/property.go
+++ b/internal/capture/shrink/property.go
@@ -9,12 +9,12 @@
 	"reachpulley/internal/capture/invariants"
 )
 
-// Property is what must still happen in a smaller capture.
+// Property says what must happen in a replay of a case, so that shrinking the case does not lose it.
 type Property struct {
-	text string
+	text string // the text from which it was parsed
 	kind string
-	id   string // of the request; of a violation, the rule: may be empty
-	node string // of an attempt that is sent; may be empty
+	id   string // ID of the request; for a violation, the name of the rule, or empty for any rule
+	node string // node to which an attempt is sent; empty: any node
 }
 
 // The kinds of properties, as operators write them.
@@ -33,7 +33,7 @@
 	switch kind {
 	case kindViolation:
 		if id != "" && !slices.Contains(invariants.Rules, invariants.Rule(id)) {
-			return p, fmt.Errorf("there is no rule %q; the rules are %q", id, invariants.Rules)
+			return p, fmt.Errorf("unknown rule %q: the rules are %q", id, invariants.Rules)
 		}
 		return p, nil
 	case kindCrash:
@@ -44,13 +44,14 @@
 			return p, nil
 		}
 	}
-	return p, fmt.Errorf("%q is none of breach, breach=RULE, refused=ID, failed=ID, sent=ID, sent=ID@NODE, crash", text)
+	return p, fmt.Errorf(
+		"property %q is none of breach, breach=RULE, refused=ID, failed=ID, sent=ID, sent=ID@NODE, crash", text)
 }
 
 // String returns the text that was parsed.
 func (p Property) String() string { return p.text }
 
-// holds reports whether a step, with its violations of rules, has the property.
+// holds reports whether the property holds at a step with these violations of rules.
 func (p Property) holds(step *capture.Step, violations []invariants.Violation) bool {
 	if p.kind == kindViolation {
 		return slices.ContainsFunc(violations, func(v invariants.Violation) bool {
--- a/internal/capture/shrink/shrink.go
+++ b/internal/capture/shrink/shrink.go
@@ -9,17 +9,18 @@
 	"reachpulley/internal/capture"
 )
 
-// Shrink returns a case of which no single event can be left out without losing the property, or the smallest that was
-// found within this many tries. It calls progress, which may be nil, with the number of events after each success.
-func (c *Case) Shrink(p Property, tries int, progress func(events int)) (*Case, error) {
+// Shrink returns a case from which no single event can be left out without losing the property. If that takes more
+// than maxReplays replays, it returns the smallest case that it has found until then. Each time it finds a smaller
+// case, it calls progress, which may be nil, with the number of events of that case.
+func (c *Case) Shrink(p Property, maxReplays int, progress func(events int)) (*Case, error) {
 	held, err := c.Holds(p)
 	if err != nil {
 		return nil, err
 	}
 	if !held {
-		return nil, fmt.Errorf("%s does not hold on the whole capture", p)
+		return nil, fmt.Errorf("shrink: property %q does not hold on the whole capture", p)
 	}
-	s := &shrinker{best: *c, property: p, tries: tries, progress: progress}
+	s := &shrinker{best: *c, property: p, replaysLeft: maxReplays, progress: progress}
 	s.cutEnd()
 	s.removeParts()
 	return &s.best, nil
@@ -27,18 +28,18 @@
 
 // shrinker holds the smallest case that was found so far.
 type shrinker struct {
-	best     Case
-	property Property
-	tries    int // that are left
-	progress func(events int)
+	best        Case
+	property    Property
+	replaysLeft int
+	progress    func(events int)
 }
 
-// try keeps fewer events if the property still holds on them.
+// try replays a smaller set of events. If the property holds on them, they become the best case.
 func (s *shrinker) try(events []capture.Record) bool {
-	if s.tries <= 0 {
+	if s.replaysLeft <= 0 {
 		return false
 	}
-	s.tries--
+	s.replaysLeft--
 	smaller := Case{Head: s.best.Head, Start: s.best.Start, Events: events}
 	if held, err := smaller.Holds(s.property); err != nil || !held {
 		return false
@@ -50,7 +51,7 @@
 	return true
 }
 
-// cutEnd cuts off what comes after the property first holds, by bisection.
+// cutEnd removes the events after the first one at which the property holds. It finds that event by bisection.
 func (s *shrinker) cutEnd() {
 	for low, high := 1, len(s.best.Events); low < high; {
 		middle := (low + high) / 2
@@ -62,10 +63,10 @@
 	}
 }
 
-// removeParts divides the events into parts, leaves out those that can be left out, and goes on with smaller parts
-// until each is a single event.
+// removeParts divides the events into parts and leaves out each part that the property does not need. It goes on with
+// smaller parts until each part is a single event.
 func (s *shrinker) removeParts() {
-	for parts := 2; len(s.best.Events) > 1 && s.tries > 0; {
+	for parts := 2; len(s.best.Events) > 1 && s.replaysLeft > 0; {
 		size := (len(s.best.Events) + parts - 1) / parts
 		switch {
 		case s.removeOnePart(size):
@@ -78,7 +79,8 @@
 	}
 }
 
-// removeOnePart leaves out the first part of this size that can be left out. It returns false if there is none.
+// removeOnePart leaves out the first part of this number of events that the property does not need. It returns false
+// if there is no such part.
 func (s *shrinker) removeOnePart(size int) bool {
 	events := s.best.Events
 	for from := 0; from < len(events); from += size {
--- a/internal/capture/summary/plot.go
+++ b/internal/capture/summary/plot.go
@@ -13,12 +13,13 @@
 	Summary *Summary
 }
 
+// The size of a plot.
 const (
-	plotHeight = 8
-	plotWidth  = 100
+	plotHeight = 8   // lines
+	plotWidth  = 100 // columns
 )
 
-// panels are the plots, each of one value by second.
+// panels are the plots. Each shows one value for each second.
 var panels = []struct {
 	title string
 	value func(*Second) float64
@@ -37,7 +38,7 @@
 	}},
 }
 
-// Plot draws the outcomes of requests and their mean latency by second, with a line for each series.
+// Plot draws the outcomes of requests and their mean latency for each second, with a line for each series.
 func Plot(w io.Writer, series []Series) {
 	first, last := spanOf(series)
 	if last < first {
@@ -63,7 +64,7 @@
 	}
 }
 
-// spanOf returns the first and the last second of all series. The last is before the first if there are none.
+// spanOf returns the first and the last second of all series. If there are no seconds, last is less than first.
 func spanOf(series []Series) (first, last int64) {
 	first, last = 1<<62, -1
 	for _, s := range series {
@@ -75,7 +76,7 @@
 	return first, last
 }
 
-// valuesOf returns a value for each second, 0 where nothing ended.
+// valuesOf returns the value of each second from first to last. It is 0 for a second in which no request ended.
 func valuesOf(s *Summary, first, last int64, value func(*Second) float64) []float64 {
 	values := make([]float64, 0, last-first+1)
 	for at := first; at <= last; at++ {
--- a/internal/capture/summary/summary.go
+++ b/internal/capture/summary/summary.go
@@ -15,19 +15,20 @@
 // The outcomes of requests.
 const (
 	InObjective  Outcome = iota // answered within the latency objective of its class
-	Late                        // answered after it
+	Late                        // answered after the latency objective of its class
 	Rejected                    // rejected; a retry is safe
 	Failed                      // failed; a retry may not be safe
 	Disconnected                // the client disconnected before an answer
 	outcomeCount
 )
 
-// Summary counts the requests that arrived within a capture. Other builds read it as JSON, so its names there stay.
+// Summary counts the requests that arrived within a capture. Other builds read it as JSON, so its JSON names do not
+// change.
 type Summary struct {
 	Classes []Class
-	Results map[string]map[scheduler.Result]int // results of attempts by node
-	Seconds map[int64]*Second
-	Open    int // requests that have not ended
+	Results map[string]map[scheduler.Result]int // numbers of attempts by node and result
+	Seconds map[int64]*Second                   // by second of the Scheduler's clock
+	Open    int                                 // requests that have not ended
 
 	settings scheduler.Settings
 	open     map[string]openRequest // by ID
@@ -38,9 +39,9 @@
 	Arrived   int
 	Ended     [outcomeCount]int
 	Attempts  int
-	Latencies []time.Duration // from arrival to answer, of those answered
-	// EarnedWeight is the priority weight of all answers, less for late ones. OfferedWeight is what it would be if all
-	// requests had been answered within the objective.
+	Latencies []time.Duration // times from arrival to answer of the answered requests
+	// EarnedWeight is the sum of the priority weights of the answered requests, of which late ones earn a share only.
+	// OfferedWeight is the sum that would have been earned if all requests had been answered within the objective.
 	EarnedWeight  float64 `json:"Worth"`
 	OfferedWeight float64 `json:"Asked"`
 }
@@ -48,7 +49,7 @@
 // Second counts the requests that ended within one second.
 type Second struct {
 	Ended      [outcomeCount]int
-	LatencySum time.Duration `json:"Sum"` // of those answered
+	LatencySum time.Duration `json:"Sum"` // sum of the latencies of the answered requests
 }
 
 // openRequest is a request that has not ended.
@@ -152,8 +153,8 @@
 	return s.Seconds[at]
 }
 
-// Quantile returns the latency within which this share of the answered requests was answered. It is 0 if there are
-// none.
+// Quantile returns the latency within which this share of the answered requests was answered. It is 0 if no request
+// was answered.
 func (c *Class) Quantile(share float64) time.Duration {
 	if len(c.Latencies) == 0 {
 		return 0
--- a/internal/capture/summary/table.go
+++ b/internal/capture/summary/table.go
@@ -11,7 +11,7 @@
 	"reachpulley/scheduler"
 )
 
-// Write writes a table of the classes, and one of the attempts by node if there were any.
+// Write writes a table of the classes and, if attempts ended, a table of their results by node.
 func (s *Summary) Write(w io.Writer) error {
 	if err := s.writeClasses(w); err != nil {
 		return err
--- a/internal/capture/timeline/clock.go
+++ b/internal/capture/timeline/clock.go
@@ -28,13 +28,13 @@
 }
 
 // Parse reads a time: a duration of the Scheduler's clock, a date and time, or a time of day (UTC). A time of day
-// is the first one that the capture reaches after begin.
+// means its first occurrence from begin on.
 func (c Clock) Parse(text string, begin time.Duration) (time.Duration, error) {
 	if d, err := time.ParseDuration(text); err == nil {
 		return d, nil
 	}
 	if c.origin.IsZero() {
-		return 0, fmt.Errorf("%q is no duration, and the capture does not say when it was recorded", text)
+		return 0, fmt.Errorf("%q is not a duration, and the capture does not say when it was recorded", text)
 	}
 	for _, layout := range []string{time.RFC3339Nano, "2006-01-02 15:04:05", "2006-01-02 15:04"} {
 		if t, err := time.Parse(layout, text); err == nil {
@@ -50,7 +50,7 @@
 		"nor a time of day (07:00:03)", text)
 }
 
-// nextTimeOfDay returns when the clock first shows a time of day, from begin on.
+// nextTimeOfDay returns the first time from begin on at which the clock shows a time of day.
 func (c Clock) nextTimeOfDay(t time.Time, begin time.Duration) time.Duration {
 	from := c.origin.Add(begin).UTC()
 	at := time.Date(from.Year(), from.Month(), from.Day(), t.Hour(), t.Minute(), t.Second(), t.Nanosecond(), time.UTC)
--- a/internal/capture/timeline/request.go
+++ b/internal/capture/timeline/request.go
@@ -1,4 +1,5 @@
-// Package timeline describes in words what a capture holds about one request, and the state at one time.
+// Package timeline describes what a capture holds about one request, and the state of the Scheduler at one time, as
+// text for operators.
 package timeline
 
 import (
@@ -15,8 +16,8 @@
 	"reachpulley/scheduler"
 )
 
-// ErrUnknown says that a capture holds nothing of a request.
-var ErrUnknown = errors.New("the capture holds nothing of this request")
+// ErrRequestNotFound says that a capture holds no record of a request.
+var ErrRequestNotFound = errors.New("timeline: the capture holds no record of the request")
 
 // WriteRequest writes the timeline of a request: when it arrived, what it waited for, to which nodes it was sent
 // and why, and how it ended. It reads the source twice: first for the events that concern the request, then for the
@@ -27,7 +28,7 @@
 		return err
 	}
 	if len(events) == 0 {
-		return ErrUnknown
+		return fmt.Errorf("%w %q", ErrRequestNotFound, id)
 	}
 	if _, err := source.Seek(0, io.SeekStart); err != nil {
 		return err
@@ -46,7 +47,7 @@
 		return err
 	}
 	if w.lines == 0 { // the only event is a disconnect of a client whose request never arrived
-		return ErrUnknown
+		return fmt.Errorf("%w %q", ErrRequestNotFound, id)
 	}
 	return nil
 }
@@ -88,8 +89,8 @@
 	settings  scheduler.Settings
 	request   *scheduler.Request // nil until its arrival is known
 	arrivedAt time.Duration
-	sends     int
-	lines     int
+	sends     int // attempts that were sent so far
+	lines     int // lines that were written
 }
 
 // writeEvents replays a capture up to the last of the events and writes each of them.
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// writeLine writes a line that begins with the time, and with the time since the arrival if that is known.
+// writeLine writes a line that begins with the time and, if the arrival is known, with the time since the arrival.
 func (w *requestWriter) writeLine(at time.Duration, format string, args ...any) {
 	sinceArrival := ""
 	if w.request != nil {
@@ -125,7 +126,7 @@
 	w.lines++
 }
 
-// writeStep writes what an event and its actions were for the request; before is the state before the event.
+// writeStep writes what an event and its actions meant for the request; before is the state before the event.
 func (w *requestWriter) writeStep(step *capture.Step, before *scheduler.Snapshot) {
 	if w.request == nil {
 		w.writeEarlierArrival(before)
@@ -145,7 +146,7 @@
 	return event.Kind == capture.KindRequestArrived && event.Request.ID == w.id
 }
 
-// writeEarlierArrival writes the arrival of a request that was open when the capture begins.
+// writeEarlierArrival writes the arrival of a request that was already open when the capture began.
 func (w *requestWriter) writeEarlierArrival(before *scheduler.Snapshot) {
 	for i := range before.Requests {
 		open := &before.Requests[i]
@@ -176,7 +177,7 @@
 	}
 }
 
-// describeRequest returns what a request asks for.
+// describeRequest describes the class, plan, volume, size, shard and timeout of a request.
 func describeRequest(request *scheduler.Request, settings scheduler.Settings) string {
 	plan := "no plan"
 	if request.Plan >= 0 && request.Plan < len(settings.Plans) {
@@ -235,7 +236,8 @@
 	}
 }
 
-// describeCause names the event that an attempt was sent at, if it is not about the request itself.
+// describeCause names the event that led to the sending of an attempt. It returns an empty text if that event is about
+// the request itself.
 func (w *requestWriter) describeCause(event *capture.Record) string {
 	if isAbout(event, w.id) {
 		return ""
@@ -247,7 +249,8 @@
 	return cause
 }
 
-// writeCandidates writes a table of the nodes that hold the request's data, as they stood before the event at a time.
+// writeCandidates writes a table of the nodes that hold the request's data, in their state before the event that took
+// place at a time.
 func (w *requestWriter) writeCandidates(before *scheduler.Snapshot, at time.Duration) {
 	state := *before
 	state.Now = max(before.Now, at)
@@ -279,8 +282,8 @@
 	table.Flush()
 }
 
-// holdsData reports whether a listed node holds the data of a request. If the state holds a request with the same
-// ID, that one counts, as it does for Scheduler.Explain.
+// holdsData reports whether a listed node holds the data of a request. If the state holds a request with the same ID,
+// the shard of that one is used, as Scheduler.Explain does.
 func holdsData(state *scheduler.Snapshot, nodeID string, request *scheduler.Request) bool {
 	shard := request.Shard
 	if i := findRequest(state, request.ID); i >= 0 {
--- a/internal/capture/timeline/request_test.go
+++ b/internal/capture/timeline/request_test.go
@@ -50,7 +50,7 @@
 			}
 		})
 	}
-	if err := WriteRequest(bytes.NewReader(file), "nobody", &strings.Builder{}); !errors.Is(err, ErrUnknown) {
+	if err := WriteRequest(bytes.NewReader(file), "nobody", &strings.Builder{}); !errors.Is(err, ErrRequestNotFound) {
 		t.Error(err)
 	}
 }
@@ -113,7 +113,7 @@
 	for id := 0; id < 1500; id += 13 {
 		var out strings.Builder
 		err := WriteRequest(bytes.NewReader(file), fmt.Sprint(id), &out)
-		if errors.Is(err, ErrUnknown) {
+		if errors.Is(err, ErrRequestNotFound) {
 			continue
 		}
 		if err != nil || !strings.Contains(out.String(), "Arrived") {
--- a/internal/capture/timeline/state.go
+++ b/internal/capture/timeline/state.go
@@ -11,7 +11,7 @@
 	"reachpulley/scheduler"
 )
 
-// Filter selects the nodes and volumes that are written, by name. An empty list selects none.
+// Filter selects by name the nodes and volumes that are written. An empty list selects none.
 type Filter struct{ Nodes, Volumes []string }
 
 // WriteState writes a table of the nodes and one of the volumes in a state: those that the filter selects, or all
@@ -58,7 +58,7 @@
 	for _, i := range node.Waiting {
 		waitingUnits += state.Requests[i].Request.Units
 	}
-	slowStart := time.Duration(0) // remaining
+	slowStart := time.Duration(0) // remaining time
 	if node.WarmingSince > 0 {
 		slowStart = max(0, settings.Rules.SlowStartDuration-(state.Now-node.WarmingSince))
 	}
@@ -117,7 +117,7 @@
 	return WriteState(state, clock, settings, filter, out)
 }
 
-// involved returns the IDs of the requests that a difference is about, and its nodes and volumes.
+// involved returns the IDs of the requests that a difference is about, and a filter for its nodes and volumes.
 func involved(difference *capture.Difference) (ids []string, filter *Filter) {
 	filter = &Filter{}
 	for _, r := range []*capture.Record{difference.Input, difference.Recorded, difference.Replayed} {
@@ -140,8 +140,8 @@
 
 var tierNames = [...]string{"within its volume's reserve", "beyond its volume's reserve"}
 
-// writePosition writes where a request stood in a state, if it was open: in flight, in the queue of a node, or
-// unassigned.
+// writePosition writes the position of an open request in a state: in flight, in the queue of a node, or not assigned
+// to a node. It writes nothing if the state does not hold the request.
 func writePosition(out io.Writer, state *scheduler.Snapshot, id string) {
 	index := findRequest(state, id)
 	if index < 0 {
--- a/internal/capture/trigger/watcher.go
+++ b/internal/capture/trigger/watcher.go
@@ -1,5 +1,5 @@
-// Package trigger decides when a recording is kept automatically: by conditions over what happened within a second,
-// in the expression language of the rules.
+// Package trigger decides when a recording is kept automatically. Its conditions are written in the expression
+// language of the rules and refer to the counts of one second.
 package trigger
 
 import (
@@ -10,30 +10,30 @@
 	"reachpulley/scheduler"
 )
 
-// Rule is a trigger: a condition, and which time around it is kept.
+// Rule is a trigger: a condition, and how much time before and after it is kept.
 type Rule struct {
 	Name      string
 	Condition *expression.Predicate[Second]
-	Before    time.Duration // kept of what came before, as far as the recorder's memory reaches
-	After     time.Duration // kept of what comes after
+	Before    time.Duration // time before the condition held that is kept, as far as the recorder's memory reaches
+	After     time.Duration // time after the condition held that is kept
 	Quiet     time.Duration // minimum time between two recordings of this trigger
 }
 
-// ruleState says whether a rule is armed, waits for the end of its recording, or is quiet.
+// ruleState says whether a rule can fire, waits for the end of its recording, or is quiet.
 type ruleState struct {
-	firedAt    time.Duration // 0: it has not fired, or its recording was taken
-	quietUntil time.Duration
+	firedAt    time.Duration // time at which the condition held; 0: the rule waits for no recording
+	quietUntil time.Duration // the rule does not fire before this time
 }
 
-// Watcher is a capture.Watcher that checks the conditions of rules every second. Its state is the open requests and the
-// listed nodes.
+// Watcher is a capture.Watcher that checks the conditions of rules every second. It keeps the open requests and
+// the listed nodes, and nothing of earlier seconds.
 type Watcher struct {
 	rules   []Rule
 	states  []ruleState // by rule
 	classes []scheduler.Class
 
-	second    Second        // the current second
-	startedAt time.Duration // of the current second; 0: there was no event yet
+	second    Second        // counts of the current second
+	startedAt time.Duration // start of the current second; 0: there was no event yet
 	requests  map[string]openRequest
 	nodes     map[string]*node
 }
@@ -42,7 +42,7 @@
 	class         int
 	arrivedAt     time.Duration
 	clientTimeout time.Duration
-	sent          bool
+	sent          bool // an attempt was sent
 }
 
 type node struct {
@@ -50,7 +50,7 @@
 	sent  bool // it got an attempt within the current second
 }
 
-// New returns a Watcher.
+// New returns a Watcher for captures with these settings.
 func New(rules []Rule, settings scheduler.Settings) *Watcher {
 	return &Watcher{
 		rules:    rules,
@@ -143,7 +143,7 @@
 	}
 }
 
-// answered takes the final answer of a request. It returns false if the request is not open.
+// answered removes a request that got its final answer, and returns it. It returns false if the request is not open.
 func (w *Watcher) answered(id string, now time.Duration) (request openRequest, open bool) {
 	request, open = w.requests[id]
 	if !open {
@@ -167,7 +167,7 @@
 			delete(w.nodes, listed.ID)
 			continue
 		}
-		// A node counts as unused from the next second on.
+		// Marking it as sent to keeps a new node from being counted as unused in this second.
 		w.nodes[listed.ID] = &node{phase: listed.Phase, sent: true}
 	}
 }
--- a/internal/capture/whatif/play.go
+++ b/internal/capture/whatif/play.go
@@ -10,12 +10,12 @@
 	"reachpulley/scheduler"
 )
 
-// settleTime is how long after the last event requests may still end.
+// settleTime is the time after the last event within which requests may still end.
 const settleTime = 5 * time.Second
 
-// Play gives the events to a Scheduler with other settings and returns how the requests would have ended.
+// Play gives the events to a Scheduler with other settings and returns how the requests would have ended with them.
 func (w *Workload) Play(settings scheduler.Settings) (*summary.Summary, error) {
-	p := &play{
+	p := &playback{
 		workload: w,
 		random:   rand.New(rand.NewPCG(w.Head.Seed, 1)),
 		attempts: map[string]int{},
@@ -31,21 +31,21 @@
 	return p.summary, nil
 }
 
-// play is the simulated time in which a workload is played.
-type play struct {
+// playback plays a workload in simulated time.
+type playback struct {
 	workload *Workload
 	random   *rand.Rand
-	now      time.Duration
-	pending  pendingQueue // the timers and the ends of attempts that are to come
-	sequence int          // of the last pending one
-	attempts map[string]int
-	units    map[string]float64
-	open     map[string]bool // requests without a final answer
+	now      time.Duration      // the simulated time
+	pending  pendingQueue       // the timers and the ends of attempts that are still to come
+	sequence int                // sequence number of the last event that was added to pending
+	attempts map[string]int     // numbers of attempts that were sent, by request
+	units    map[string]float64 // by request
+	open     map[string]bool    // requests without a final answer
 	summary  *summary.Summary
 }
 
 // run gives the events of the workload and the pending ones to a Scheduler, in the order of their times.
-func (p *play) run(s *scheduler.Scheduler) {
+func (p *playback) run(s *scheduler.Scheduler) {
 	events := p.workload.events
 	for len(events) > 0 || len(p.pending) > 0 {
 		if len(events) > 0 && (len(p.pending) == 0 || events[0].At <= p.pending[0].at) {
@@ -57,15 +57,15 @@
 		}
 		next := heap.Pop(&p.pending).(pendingEvent)
 		p.now = max(p.now, next.at)
-		if p.now > p.workload.last+settleTime {
+		if p.now > p.workload.lastEventAt+settleTime {
 			return
 		}
 		p.applyPending(s, next)
 	}
 }
 
-// applyEvent gives an event from outside to the Scheduler.
-func (p *play) applyEvent(s *scheduler.Scheduler, event capture.Record) {
+// applyEvent gives a recorded event to the Scheduler.
+func (p *playback) applyEvent(s *scheduler.Scheduler, event capture.Record) {
 	switch event.Kind {
 	case capture.KindRequestArrived:
 		p.open[event.Request.ID] = true
@@ -73,7 +73,7 @@
 		p.summary.Add(&event, p.now)
 		s.RequestArrived(p.now, *event.Request)
 	case capture.KindClientDisconnected:
-		if p.open[event.ID] { // otherwise the client would have had its answer by then
+		if p.open[event.ID] { // otherwise the client would have got its answer before
 			delete(p.open, event.ID)
 			p.summary.Add(&event, p.now)
 			s.ClientDisconnected(p.now, event.ID)
@@ -88,7 +88,7 @@
 }
 
 // applyPending gives a timer or the end of an attempt to the Scheduler.
-func (p *play) applyPending(s *scheduler.Scheduler, next pendingEvent) {
+func (p *playback) applyPending(s *scheduler.Scheduler, next pendingEvent) {
 	if next.outcome == nil {
 		s.TimerFired(p.now, next.timer)
 		return
@@ -105,7 +105,8 @@
 	s.AttemptEnded(p.now, outcome)
 }
 
-func (p *play) schedule(after time.Duration, timer uint64, outcome *scheduler.Outcome) {
+// schedule adds a timer, or the end of an attempt if outcome is not nil, to the pending events.
+func (p *playback) schedule(after time.Duration, timer uint64, outcome *scheduler.Outcome) {
 	p.sequence++
 	heap.Push(&p.pending, pendingEvent{
 		at:       p.now + max(0, after),
@@ -115,14 +116,14 @@
 	})
 }
 
-// end notes the final answer of a request.
-func (p *play) end(kind capture.Kind, id string) {
+// end counts the final answer of a request and closes the request.
+func (p *playback) end(kind capture.Kind, id string) {
 	delete(p.open, id)
 	p.summary.Add(&capture.Record{Kind: kind, ID: id}, p.now)
 }
 
-// actions implements scheduler.Actions. Attempts end as others near that time did in the capture.
-type actions struct{ *play }
+// actions implements scheduler.Actions. Attempts end as attempts that were sent near that time did in the capture.
+type actions struct{ *playback }
 
 func (a actions) Send(id, node string, _ time.Duration) {
 	outcome := a.workload.drawResponse(a.random, node, a.now, a.units[id]).outcome
@@ -158,15 +159,15 @@
 
 func (a actions) SetTimer(after time.Duration, key uint64) { a.schedule(after, key, nil) }
 
-// pendingEvent is a timer or the end of an attempt at a time to come.
+// pendingEvent is a timer or the end of an attempt that is still to come.
 type pendingEvent struct {
 	at       time.Duration
-	sequence int                // the order of those at the same time
-	timer    uint64             // the key of a timer, if outcome is nil
-	outcome  *scheduler.Outcome // of an attempt
+	sequence int                // orders the events at the same time
+	timer    uint64             // key of the timer, if outcome is nil
+	outcome  *scheduler.Outcome // outcome of the attempt; nil: the event is a timer
 }
 
-// pendingQueue implements heap.Interface in the order of time.
+// pendingQueue is a heap.Interface of pending events, of which the earliest is the first.
 type pendingQueue []pendingEvent
 
 func (q pendingQueue) Len() int { return len(q) }
--- a/internal/capture/whatif/workload.go
+++ b/internal/capture/whatif/workload.go
@@ -1,9 +1,10 @@
-// Package whatif replays the arrivals of a capture with other settings: what would have been decided and, as far as a
-// capture can tell, how the requests would have ended.
+// Package whatif replays the arrivals of a capture with other settings. It shows what would have been decided and, as
+// far as a capture can tell, how the requests would have ended.
 //
-// The loop is open. Clients arrive when they arrived, although other answers would have led to other retries, and a
-// node's response to an attempt is taken from its responses near that time, although another load would have
-// changed them. So the result tells how decisions differ, not what the day would have been.
+// The replay is an open loop: its results do not act on the clients and the nodes. Requests arrive when they were
+// recorded, although other answers would have led to other retries of the clients. A node's response to an attempt is
+// drawn from its recorded responses near that time, although another load would have changed them. So the result shows
+// how decisions differ, and not how the recorded time would really have passed.
 package whatif
 
 import (
@@ -19,26 +20,26 @@
 	"reachpulley/scheduler"
 )
 
-// Workload is what a capture tells about the surroundings of the Scheduler: the events from outside, and how nodes
-// responded.
+// Workload holds the inputs that a capture has recorded: the events that do not follow from decisions of the
+// Scheduler, and the responses of the nodes.
 type Workload struct {
 	Head     capture.Head
 	Recorded *summary.Summary // the outcomes of the requests as recorded
 
-	events    []capture.Record      // from outside: clients, membership, restored state, restrictions
-	responses map[string][]response // by node, in the order of sending
-	all       []response            // of all nodes, in the order of sending
-	last      time.Duration         // time of the last event
+	events       []capture.Record      // events of clients, membership, restored state and restrictions
+	responses    map[string][]response // by node, in the order in which the attempts were sent
+	allResponses []response            // of all nodes, in the order in which the attempts were sent
+	lastEventAt  time.Duration
 }
 
-// response is how an attempt ended.
+// response is the recorded outcome of an attempt.
 type response struct {
 	sentAt  time.Duration
-	units   float64
+	units   float64 // units of the request
 	outcome scheduler.Outcome
 }
 
-// Read reads a whole capture. What was open at its beginning is left out.
+// Read reads a whole capture. It leaves out the requests that were open at its beginning.
 func Read(reader *capture.Reader) (*Workload, error) {
 	w := &Workload{
 		Head:      reader.Head,
@@ -57,17 +58,17 @@
 		w.add(record, attempts)
 	}
 	w.sortResponses()
-	if len(w.all) == 0 {
-		return nil, errors.New("the capture holds no response of a node, so there is nothing to go by")
+	if len(w.allResponses) == 0 {
+		return nil, errors.New("whatif: the capture holds no response of a node to draw from")
 	}
 	return w, nil
 }
 
 func (w *Workload) add(record *capture.Record, attempts *attempts) {
 	if record.Kind.IsEvent() {
-		w.last = max(w.last, record.At)
+		w.lastEventAt = max(w.lastEventAt, record.At)
 	}
-	w.Recorded.Add(record, w.last)
+	w.Recorded.Add(record, w.lastEventAt)
 	switch record.Kind {
 	case capture.KindRequestArrived:
 		attempts.units[record.Request.ID] = record.Request.Units
@@ -75,7 +76,7 @@
 	case capture.KindClientDisconnected, capture.KindMembershipChanged, capture.KindRestored, capture.KindRestricted:
 		w.events = append(w.events, *record)
 	case capture.KindSend:
-		attempts.sent(record.ID, w.last)
+		attempts.sent(record.ID, w.lastEventAt)
 	case capture.KindAttemptEnded:
 		if response, ok := attempts.ended(record.Outcome); ok {
 			node := record.Outcome.Node
@@ -87,9 +88,9 @@
 func (w *Workload) sortResponses() {
 	for _, ofNode := range w.responses {
 		slices.SortStableFunc(ofNode, func(a, b response) int { return cmp.Compare(a.sentAt, b.sentAt) })
-		w.all = append(w.all, ofNode...)
+		w.allResponses = append(w.allResponses, ofNode...)
 	}
-	slices.SortStableFunc(w.all, func(a, b response) int {
+	slices.SortStableFunc(w.allResponses, func(a, b response) int {
 		return cmp.Or(
 			cmp.Compare(a.sentAt, b.sentAt),
 			cmp.Compare(a.outcome.ID, b.outcome.ID),
@@ -97,11 +98,11 @@
 	})
 }
 
-// attempts matches the ends of attempts with their sends.
+// attempts finds, for the end of an attempt, when it was sent and with how many units.
 type attempts struct {
 	sentAt map[attemptKey]time.Duration
-	units  map[string]float64 // by request
-	counts map[string]int     // by request
+	units  map[string]float64 // units by request
+	counts map[string]int     // numbers of attempts that were sent, by request
 }
 
 type attemptKey struct {
@@ -122,8 +123,8 @@
 	a.counts[id]++
 }
 
-// ended returns the response to an attempt. It returns false for an attempt of before the capture, and for outcomes
-// that follow from decisions of the scheduler and not from the node.
+// ended returns the response to an attempt. It returns false if the attempt was sent before the capture began, and if
+// its outcome follows from a decision of the scheduler and not from the node.
 func (a *attempts) ended(outcome *scheduler.Outcome) (response, bool) {
 	key := attemptKey{outcome.ID, outcome.Attempt}
 	sentAt, ok := a.sentAt[key]
@@ -138,7 +139,7 @@
 	}, true
 }
 
-// nearbyResponses is from how many of a node's responses near a time one is drawn.
+// nearbyResponses is the number of a node's responses near a time from which one is drawn.
 const nearbyResponses = 9
 
 // drawResponse draws one of a node's responses near a time and scales its latency to the units of a request. If
@@ -146,7 +147,7 @@
 func (w *Workload) drawResponse(random *rand.Rand, node string, at time.Duration, units float64) response {
 	responses := w.responses[node]
 	if len(responses) == 0 {
-		responses = w.all
+		responses = w.allResponses
 	}
 	middle, _ := slices.BinarySearchFunc(responses, at, func(r response, at time.Duration) int {
 		return cmp.Compare(r.sentAt, at)
