--- a/internal/capture/benchmark_test.go
+++ b/internal/capture/benchmark_test.go
@@ -10,7 +10,7 @@
 )
 
 // BenchmarkRecord plays a random workload without a recorder, with one that records to memory, and with one that
-// also has a sink. The ratio of two of them is the cost of recording.
+// also has a sink. The ratio of two results is the cost of recording.
 func BenchmarkRecord(b *testing.B) {
 	const events = 20_000
 	for name, options := range map[string]*Options{
@@ -44,7 +44,7 @@
 
 func (discardSink) Offer(Chunk) bool { return true }
 
-// BenchmarkSnapshot measures for how long the event loop is held up by the snapshot at the beginning of a part.
+// BenchmarkSnapshot measures for how long the snapshot at the beginning of a part holds up the event loop.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, volumes := range []int{10, 100, 1000, 10_000} {
 		b.Run(fmt.Sprint(volumes, " volumes"), func(b *testing.B) {
--- a/internal/capture/hash_test.go
+++ b/internal/capture/hash_test.go
@@ -21,10 +21,10 @@
 		hashed := hash(key)
 		events, err := replayFile(hashed)
 		if want, _ := replayFile(original); err != nil || events != want {
-			t.Errorf("seed %d: %d of %d events, %v", seed, events, want, err)
+			t.Errorf("seed %d: %d events of the hashed capture replayed, want %d; error: %v", seed, events, want, err)
 		}
 		if !bytes.Equal(hashed, hash(key)) || bytes.Equal(hashed, hash([]byte("another key, too"))) {
-			t.Error("the hashes do not follow from the key")
+			t.Errorf("seed %d: the same key gave other hashes, or another key the same ones", seed)
 		}
 		_, records := readFile(t, hashed)
 		for _, record := range records {
@@ -34,12 +34,12 @@
 			}
 			if strings.HasPrefix(request.Volume, "v") || len(request.ID) != hashLength ||
 				request.Volume == request.Key {
-				t.Fatalf("%+v", request)
+				t.Fatalf("seed %d: request is not hashed: %+v", seed, request)
 			}
 		}
 	}
 	if _, err := Hash(openFile(t, recordFile(t, 1, 20, 1<<20)), []byte("short")); err == nil {
-		t.Error("a short key was accepted")
+		t.Error("a key of 5 bytes was accepted")
 	}
 }
 
--- a/internal/capture/invariants/checker_test.go
+++ b/internal/capture/invariants/checker_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The scheduler keeps the rules on any workload, every rule is checked, and the checker's state does not grow with the
-// capture.
+// The scheduler keeps the rules on random workloads, every rule is checked, and the memory of the checker does not
+// grow with the length of the capture.
 func TestRandomWorkloadsKeepTheRules(t *testing.T) {
 	checked := map[Rule]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -23,7 +23,7 @@
 				t.Fatal(err)
 			}
 			if violations := checker.Step(step); len(violations) > 0 {
-				t.Fatal(violations)
+				t.Fatalf("violations of rules: %v", violations)
 			}
 		}
 		for rule, n := range checker.Checked {
@@ -32,17 +32,18 @@
 		requests, arrivals := len(checker.requests), len(checker.arrivals)
 		volumes, keys := len(checker.volumes), len(checker.orderedKeys)
 		if requests > 2500 || arrivals > 2500 || volumes > 5 || keys > 9 {
-			t.Fatalf("%d requests, %d arrivals, %d volumes, %d keys", requests, arrivals, volumes, keys)
+			t.Fatalf("the checker keeps too much: %d requests, %d arrivals, %d volumes, %d ordered keys",
+				requests, arrivals, volumes, keys)
 		}
 	})
 	for _, rule := range Rules {
 		if checked[rule] == 0 {
-			t.Errorf("%s was never checked", rule)
+			t.Errorf("rule %q was never checked", rule)
 		}
 	}
 }
 
-// BenchmarkModel measures a replay with and without the checker beside it.
+// BenchmarkModel measures a replay without the checker, and a replay of which the checker follows each step.
 func BenchmarkModel(b *testing.B) {
 	file := recordFile(b, 1, 20_000, 64<<20)
 	for name, withChecker := range map[string]bool{"replay": false, "replay and model": true} {
--- a/internal/capture/invariants/helpers_test.go
+++ b/internal/capture/invariants/helpers_test.go
@@ -57,7 +57,7 @@
 	once
 )
 
-// scenario is a sequence of events with their actions. It begins with an empty state.
+// scenario is a sequence of events with their actions, which begins with an empty state.
 type scenario struct{ steps []*capture.Step }
 
 // event adds an event at a time in milliseconds.
@@ -74,12 +74,12 @@
 // withNodes returns a scenario with two nodes that are up.
 func withNodes() *scenario { return new(scenario).event(0, members(scheduler.Up, 0)) }
 
-// sendOf adds the arrival of a request at 1 ms, which is sent to the first node.
-func (s *scenario) sendOf(id string, class int) *scenario {
+// arriveAndSend adds the arrival of a request at 1 ms and its sending to the first node.
+func (s *scenario) arriveAndSend(id string, class int) *scenario {
 	return s.event(1, arrived(id, class, 1), send(id, "n"))
 }
 
-// members is the whole list of two nodes: one of this phase and start, and one in another zone and shard.
+// members returns a full list of two nodes: "n" with this phase and start time, and "far" in another zone and shard.
 func members(phase scheduler.Phase, startedAt time.Duration) capture.Record {
 	return capture.Record{
 		Kind: capture.KindMembershipChanged,
@@ -93,6 +93,7 @@
 	}
 }
 
+// noMembers returns a full list without nodes.
 func noMembers() capture.Record {
 	return capture.Record{
 		Kind:       capture.KindMembershipChanged,
@@ -116,7 +117,7 @@
 	}
 }
 
-// arrivedNonIdempotent is a read whose description forbids retries.
+// arrivedNonIdempotent returns the arrival of a read whose description forbids retries.
 func arrivedNonIdempotent(id string) capture.Record {
 	r := arrived(id, read, 1)
 	r.Request.RetryPolicy.Idempotency = scheduler.NonIdempotent
@@ -159,10 +160,10 @@
 
 func reject(id string) capture.Record { return capture.Record{Kind: capture.KindReject, ID: id} }
 
-// scenarioTest is a scenario and the rule that it violates first or last; empty: none.
+// scenarioTest is a scenario and the rule that it must violate.
 type scenarioTest struct {
 	scenario *scenario
-	want     Rule
+	want     Rule // rule of the first or the last violation; empty: there must be no violation
 }
 
 func checkScenarios(t *testing.T, tests map[string]scenarioTest) {
@@ -176,11 +177,11 @@
 			}
 			switch {
 			case test.want == "" && len(found) > 0:
-				t.Error(found)
+				t.Errorf("violations %v, want none", found)
 			case test.want != "" && len(found) == 0:
-				t.Errorf("no violation, want %q", test.want)
+				t.Errorf("no violation, want one of rule %q", test.want)
 			case test.want != "" && found[0].Rule != test.want && found[len(found)-1].Rule != test.want:
-				t.Errorf("%v, want %q", found, test.want)
+				t.Errorf("violations %v, want one of rule %q", found, test.want)
 			}
 		})
 	}
--- a/internal/capture/invariants/rules_test.go
+++ b/internal/capture/invariants/rules_test.go
@@ -12,12 +12,12 @@
 func TestOneAnswerInTime(t *testing.T) {
 	checkScenarios(t, map[string]scenarioTest{
 		"served": {
-			withNodes().sendOf("a", read).
+			withNodes().arriveAndSend("a", read).
 				event(9, ended("a", 0, scheduler.Served)),
 			"",
 		},
 		"answered twice": {
-			withNodes().sendOf("a", read).
+			withNodes().arriveAndSend("a", read).
 				event(9, ended("a", 0, scheduler.Served)).
 				event(10, timerFired, reject("a")),
 			RuleOneAnswer,
@@ -42,7 +42,7 @@
 			"",
 		},
 		"long stream": {
-			withNodes().sendOf("a", read).
+			withNodes().arriveAndSend("a", read).
 				event(9, streamStarted("a")).
 				event(5000, ended("a", 0, scheduler.Served)),
 			"",
@@ -60,7 +60,7 @@
 		"sent to a draining node": {
 			new(scenario).
 				event(0, members(scheduler.Draining, 0)).
-				sendOf("a", read),
+				arriveAndSend("a", read),
 			RuleDraining,
 		},
 		"sent to a removed node": {
@@ -90,29 +90,29 @@
 			RuleRetries,
 		},
 		"idempotent, after an error": {
-			withNodes().sendOf("a", read).
+			withNodes().arriveAndSend("a", read).
 				event(9, ended("a", 0, scheduler.Errored), send("a", "far")).
 				event(10, timerFired, reject("a")),
 			"",
 		},
 		"with a key, to another shard": {
-			withNodes().sendOf("a", write).
+			withNodes().arriveAndSend("a", write).
 				event(9, ended("a", 0, scheduler.ConnectionReset), send("a", "far")),
 			RuleRetries,
 		},
 		"with a key, to another shard, never ran": {
-			withNodes().sendOf("a", write).
+			withNodes().arriveAndSend("a", write).
 				event(9, ended("a", 0, scheduler.ConnectFailed), send("a", "far")).
 				event(10, ended("a", 1, scheduler.Served)),
 			"",
 		},
 		"non-idempotent": {
-			withNodes().sendOf("a", once).
+			withNodes().arriveAndSend("a", once).
 				event(9, ended("a", 0, scheduler.TimedOut), send("a", "n")),
 			RuleRetries,
 		},
 		"non-idempotent, rejected after it may have run": {
-			withNodes().sendOf("a", once).
+			withNodes().arriveAndSend("a", once).
 				event(9, ended("a", 0, scheduler.Errored), reject("a")),
 			RuleRetries,
 		},
@@ -130,21 +130,21 @@
 		"no retries": {
 			withNodes().
 				event(0, restricted(scheduler.NoRetries)).
-				sendOf("a", read).
+				arriveAndSend("a", read).
 				event(9, ended("a", 0, scheduler.Errored), send("a", "far")),
 			RuleRetries,
 		},
 		"no retries, and a claim of overload does not count": {
 			withNodes().
 				event(0, restricted(scheduler.NoRetries)).
-				sendOf("a", read).
+				arriveAndSend("a", read).
 				event(9, ended("a", 0, scheduler.Overloaded), reject("a")),
 			RuleRetries,
 		},
 		"no hedging": {
 			withNodes().
 				event(0, restricted(scheduler.NoHedging)).
-				sendOf("a", read).
+				arriveAndSend("a", read).
 				event(9, ended("a", 0, scheduler.Errored), send("a", "far")).
 				event(10, timerFired, reject("a")),
 			"",
@@ -155,7 +155,7 @@
 func TestOrderLimitAndSlowStart(t *testing.T) {
 	checkScenarios(t, map[string]scenarioTest{
 		"out of order": {
-			withNodes().sendOf("a", once).
+			withNodes().arriveAndSend("a", once).
 				event(2, arrived("b", once, 1), send("b", "n")),
 			RuleKeyOrder,
 		},
@@ -196,7 +196,8 @@
 			continue
 		}
 		if violations[0].Rule != RuleRetryBudget || i < 20 {
-			t.Fatal(i, violations)
+			t.Fatalf("step %d: violations %v, want the first at step 20 or later, of rule %q",
+				i, violations, RuleRetryBudget)
 		}
 		return
 	}
@@ -207,6 +208,6 @@
 func TestRuleNames(t *testing.T) {
 	want := []Rule{"one answer", "drain", "repeat", "order", "limit", "cold start", "budget", "known names"}
 	if !slices.Equal(Rules, want) {
-		t.Errorf("%q, want %q", Rules, want)
+		t.Errorf("names of rules %q, want %q", Rules, want)
 	}
 }
--- a/internal/capture/reader_test.go
+++ b/internal/capture/reader_test.go
@@ -12,20 +12,20 @@
 	"reachpulley/scheduler"
 )
 
-// What was read can be written again, and nothing of a record is lost on the way.
+// Records that were read can be written again, and no part of a record is lost by that.
 func TestRewrittenCaptureIsTheSame(t *testing.T) {
 	head, records := readFile(t, recordFile(t, 5, 500, 16<<20))
 	if diff := cmp.Diff(settings, head.Settings); diff != "" {
-		t.Error(diff)
+		t.Errorf("settings of the head (-want +got):\n%s", diff)
 	}
 	second := writeFile(t, head, records)
 	_, recordsAgain := readFile(t, second)
 	third := writeFile(t, head, recordsAgain)
 	if len(recordsAgain) != len(records) || !bytes.Equal(second, third) {
-		t.Errorf("%d and %d records", len(records), len(recordsAgain))
+		t.Errorf("rewritten capture differs: %d records, then %d", len(records), len(recordsAgain))
 	}
 	if events, err := replayFile(third); err != nil || events == 0 {
-		t.Errorf("%d events, %v", events, err)
+		t.Errorf("%d events of the rewritten capture replayed, error: %v", events, err)
 	}
 }
 
@@ -38,7 +38,7 @@
 		reader, err := NewReader(bytes.NewReader(whole[:length]))
 		if err != nil {
 			if !errors.Is(err, ErrTruncated) {
-				t.Fatalf("cut off at %d: %v", length, err)
+				t.Fatalf("cut off at byte %d: NewReader: %v, want %v", length, err, ErrTruncated)
 			}
 			continue
 		}
@@ -51,15 +51,16 @@
 		if err == io.EOF {
 			cleanEnds++
 		} else if !errors.Is(err, ErrDamaged) {
-			t.Fatalf("cut off at %d: %v", length, err)
+			t.Fatalf("cut off at byte %d: Next: %v, want %v", length, err, ErrDamaged)
 		}
 		if count < lastCount {
-			t.Fatalf("cut off at %d: %d records, %d before", length, count, lastCount)
+			t.Fatalf("cut off at byte %d: %d records, but %d when cut off one byte earlier", length, count, lastCount)
 		}
 		lastCount = count
 	}
 	if cleanEnds != lastCount+1 {
-		t.Errorf("%d clean ends of %d records", cleanEnds, lastCount)
+		t.Errorf("%d lengths end without an error, want %d: one after the head and after each record",
+			cleanEnds, lastCount+1)
 	}
 }
 
@@ -80,7 +81,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := replayFile(test.file); !errors.Is(err, test.want) {
-				t.Errorf("%v, want %v", err, test.want)
+				t.Errorf("error %v, want %v", err, test.want)
 			}
 		})
 	}
@@ -92,8 +93,8 @@
 	f.Fuzz(func(t *testing.T, file []byte) { replayFile(file) })
 }
 
-// A state whose indexes are valid, but which is otherwise of any content, must not crash the Scheduler that is resumed
-// from it.
+// A Scheduler that is resumed from a state must not panic, whatever the state contains, if the indexes in it are
+// valid.
 func FuzzSnapshot(f *testing.F) {
 	for seed := range uint64(3) {
 		state := record(f, seed, 200, 16<<20).Scheduler.Snapshot()
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -10,7 +10,7 @@
 	"reachpulley/scheduler"
 )
 
-// Beyond its bound a recorder keeps the newest parts, and they can be replayed without the older ones.
+// When its memory is full, a recorder keeps the newest parts, and they can be replayed without the older ones.
 func TestRecorderKeepsTheNewestParts(t *testing.T) {
 	const maxBytes = 300_000
 	r := record(t, 2, 20_000, maxBytes)
@@ -19,16 +19,18 @@
 		held += cap(part)
 	}
 	if held > maxBytes || len(r.completed) == 0 {
-		t.Errorf("%d bytes in %d parts", held, len(r.completed))
+		t.Errorf("%d bytes in memory, of which %d are allowed, with %d complete parts",
+			held, maxBytes, len(r.completed))
 	}
 	allEvents, _ := replayFile(recordFile(t, 2, 20_000, 64<<20))
 	events, err := replayFile(fileOf(t, r))
 	if err != nil || events == 0 || events >= allEvents {
-		t.Errorf("%d of %d events, %v", events, allEvents, err)
+		t.Errorf("%d of %d events replayed, want some but not all; error: %v", events, allEvents, err)
 	}
 }
 
-// A state that outgrows the memory ends the recording. It goes on once the state fits again, and the loss is a gap.
+// A state that does not fit into the memory ends the recording. The recording goes on once the state fits again, and a
+// gap stands for the lost records.
 func TestRecorderPausesWhileTheStateExceedsItsMemory(t *testing.T) {
 	const maxBytes = 30_000
 	r, err := NewRecorder(settings, 1, Options{MaxBytes: maxBytes}, capturetest.NewWorkload(1))
@@ -38,7 +40,7 @@
 	now := time.Hour
 	r.MembershipChanged(now, scheduler.Membership{Kind: scheduler.FullList})
 	requestID := func(i int) string { return fmt.Sprint("waits-", i) }
-	for i := range 1000 { // there is no node, so they wait
+	for i := range 1000 { // there is no node, so the requests wait
 		now += time.Millisecond
 		r.RequestArrived(now, scheduler.Request{
 			ID:            requestID(i),
@@ -48,11 +50,11 @@
 			Hosts:         1,
 		})
 		if held := r.completedBytes + cap(r.part); held > 2*maxBytes {
-			t.Fatalf("%d bytes are held of %d", held, maxBytes)
+			t.Fatalf("%d bytes in memory, more than twice the limit of %d", held, maxBytes)
 		}
 	}
 	if !r.broken || r.lost == 0 {
-		t.Error("the state still fits")
+		t.Errorf("the state still fits into %d bytes", maxBytes)
 	}
 	for i := range 1000 {
 		r.ClientDisconnected(now, requestID(i))
@@ -63,7 +65,8 @@
 	}
 	events, err := replayFile(fileOf(t, r))
 	if r.broken || events == 0 || err != nil && !errors.Is(err, ErrGap) {
-		t.Errorf("%d events, %v", events, err)
+		t.Errorf("recording did not go on: current part broken: %t, %d events replayed, error: %v",
+			r.broken, events, err)
 	}
 }
 
@@ -80,7 +83,7 @@
 	}
 	file := fileOf(t, r)
 	if events, err := replayFile(file); err != nil || events < 500 {
-		t.Errorf("%d events, %v", events, err)
+		t.Errorf("%d events replayed, want at least 500; error: %v", events, err)
 	}
 	notes := 0
 	_, records := readFile(t, file)
@@ -90,12 +93,12 @@
 		}
 	}
 	if notes != 20 {
-		t.Errorf("%d notes", notes)
+		t.Errorf("%d notes in the capture, want 20", notes)
 	}
 }
 
-// recordOutgrowingState records a state that does not fit into the memory, over a time in which several parts are begun
-// in vain.
+// recordOutgrowingState records a state that does not fit into the memory. It does so for long enough that the
+// recorder tries several times in vain to begin a part.
 func recordOutgrowingState(t *testing.T, options Options) (r *Recorder, now time.Duration) {
 	t.Helper()
 	r, err := NewRecorder(settings, 1, options, capturetest.NewWorkload(1))
@@ -123,13 +126,13 @@
 func TestRecordingWhileTheStateExceedsTheMemory(t *testing.T) {
 	r, now := recordOutgrowingState(t, Options{MaxBytes: 30_000})
 	if !r.broken || r.lost == 0 {
-		t.Fatal("the state still fits")
+		t.Fatal("the state still fits into the recorder's memory")
 	}
 	file, err := r.recordingFrom(now).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, records := readFile(t, file); len(records) == 0 || records[len(records)-1].Kind != KindGap {
-		t.Errorf("%d records, the last is not the gap", len(records))
+		t.Errorf("the last of %d records is not a gap", len(records))
 	}
 }
--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -13,14 +13,14 @@
 	"reachpulley/scheduler"
 )
 
-// The same events lead to the same actions, byte for byte, however often they are replayed: no decision depends on
-// the order of a map or on a clock. Go iterates over a map in another order each time.
+// The same events lead to the same actions, byte for byte, however often they are replayed. A decision that depends
+// on a clock or on the order of a map would break this, since Go iterates over a map in another order each time.
 func TestRandomWorkloadsReplayEqually(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		file := recordFile(t, rapid.Uint64().Draw(t, "seed"), 600, 16<<20)
 		for range 3 {
 			if events, err := replayFile(file); err != nil || events < 300 {
-				t.Fatalf("%d events: %v", events, err)
+				t.Fatalf("%d events replayed, want at least 300; error: %v", events, err)
 			}
 		}
 	})
@@ -32,7 +32,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := record(t, rapid.Uint64().Draw(t, "seed"), 1500, 160_000)
 		if len(r.completed) == 0 {
-			t.Fatal("there is only one part")
+			t.Fatal("the recorder holds only one part")
 		}
 		all := r.Recording()
 		for i := range r.completed {
@@ -41,7 +41,7 @@
 				t.Fatal(err)
 			}
 			if _, err := replayFile(file); err != nil {
-				t.Fatalf("from part %d of %d: %v", i, len(r.completed), err)
+				t.Fatalf("replay from part %d of %d: %v", i, len(all.parts), err)
 			}
 		}
 	})
@@ -58,16 +58,17 @@
 	_, err := replayFile(writeFile(t, head, records))
 	var difference *Difference
 	if !errors.As(err, &difference) {
-		t.Fatal(err)
+		t.Fatalf("error %v, want a *Difference", err)
 	}
 	recorded, replayed := difference.Recorded, difference.Replayed
 	if recorded.Node != "elsewhere" || replayed.Kind != KindSend || replayed.ID != recorded.ID ||
 		len(difference.Before) != maxEventsBefore {
-		t.Error(err)
+		t.Errorf("%v, after %d events; want a changed send after %d events",
+			err, len(difference.Before), maxEventsBefore)
 	}
 }
 
-// change changes the records of a capture.
+// change is a modification of the records of a capture.
 type change func(records []Record) []Record
 
 func edit(i int, apply func(*Record)) change {
@@ -98,8 +99,8 @@
 	return replayFile(writeFile(t, head, change(slices.Clone(records))))
 }
 
-// findLogAction returns the index of a log action that has other actions of the same event before and after it, so that
-// it can be moved in both directions.
+// findLogAction returns the index of a log action that has other actions of the same event before and after it, so
+// that it can be moved in both directions.
 func findLogAction(t *testing.T, records []Record) int {
 	t.Helper()
 	movable := func(r Record) bool { return r.Kind.isAction() && r.Kind != KindLog }
@@ -117,7 +118,7 @@
 	t.Helper()
 	i := slices.IndexFunc(records, func(r Record) bool { return r.Kind == kind })
 	if i < 0 {
-		t.Fatalf("the workload leads to no %s", kind)
+		t.Fatalf("the workload leads to no record of kind %q", kind)
 	}
 	return i
 }
@@ -134,7 +135,7 @@
 		"unchanged":    func(records []Record) []Record { return records },
 		"another text": edit(log, func(r *Record) { r.Text = "worded otherwise" }),
 		"no text":      edit(log, func(r *Record) { r.Text = "" }),
-		"every text is another": func(records []Record) []Record {
+		"another text everywhere": func(records []Record) []Record {
 			for i := range records {
 				if records[i].Kind == KindLog {
 					records[i].Text = "worded otherwise"
@@ -189,7 +190,8 @@
 	}
 }
 
-// The state at a time is the same whether it was replayed from the beginning or from the nearest snapshot.
+// The state at a time is the same whether the capture is replayed from its beginning or from the last snapshot before
+// that time.
 func TestStateAtATimeEqualsTheReplayedOne(t *testing.T) {
 	file := recordFile(t, 4, 6000, 64<<20)
 	player := NewPlayer(openFile(t, file))
@@ -207,15 +209,15 @@
 		got, err := At(bytes.NewReader(file), step.Event.At)
 		diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(scheduler.Snapshot{}))
 		if err != nil || diff != "" {
-			t.Fatalf("%v %s", err, diff)
+			t.Fatalf("state at %v: error: %v, difference (-want +got):\n%s", step.Event.At, err, diff)
 		}
 		compared++
 	}
 	if compared < 2 {
-		t.Errorf("%d times were compared", compared)
+		t.Errorf("states at %d times were compared, want at least 2", compared)
 	}
 	if _, err := At(bytes.NewReader(file), -1); err == nil {
-		t.Error("there is a state before the beginning")
+		t.Error("At returned a state for a time before the beginning of the capture")
 	}
 }
 
@@ -226,6 +228,6 @@
 		t.Fatal(err)
 	}
 	if state, err := At(bytes.NewReader(file), 1<<62); err == nil || state != nil {
-		t.Errorf("state %v, error %v", state, err)
+		t.Errorf("state %v, error %v; want no state and an error", state, err)
 	}
 }
--- a/internal/capture/segment/helpers_test.go
+++ b/internal/capture/segment/helpers_test.go
@@ -36,7 +36,7 @@
 	},
 }
 
-// discardActions carries no action out.
+// discardActions does not carry out any action.
 var discardActions = capture.RecordActions(func(capture.Record) {})
 
 func newRecorder(t *testing.T, maxBytes int, sink capture.Sink) *capture.Recorder {
@@ -65,14 +65,14 @@
 	return writer
 }
 
-// fixture is a recorder with a writer on the disk of a test.
+// fixture is a recorder whose sink is a writer on an in-memory file system.
 type fixture struct {
 	fs       *filesystemtest.FS
 	writer   *Writer
 	recorder *capture.Recorder
 	now      time.Duration
 	log      bytes.Buffer
-	requests int
+	requests int // number of requests that were recorded
 }
 
 func newFixture(t *testing.T, fs *filesystemtest.FS, limits Limits) *fixture {
@@ -84,7 +84,8 @@
 	return f
 }
 
-// record records this many events, twenty a second, and has the writer write what it was offered after each two.
+// record records this number of events, twenty in a second. After every two events, the writer writes the chunks that
+// it was offered.
 func (f *fixture) record(events int) {
 	for range events / 2 {
 		f.now += 100 * time.Millisecond
@@ -106,14 +107,14 @@
 	f.recorder.ClientDisconnected(f.now, id)
 }
 
-// finish writes all that was recorded and closes the segment.
+// finish writes all recorded events that were not written yet, and closes the segment.
 func (f *fixture) finish() {
 	f.recorder.Flush(f.now)
 	f.writer.drain()
 	f.writer.closeSegment()
 }
 
-// list returns the files on a disk.
+// list returns the files of a file system.
 func list(t testing.TB, fs *filesystemtest.FS) []filesystem.Info {
 	t.Helper()
 	files, err := fs.List(directory)
@@ -123,7 +124,7 @@
 	return files
 }
 
-// replayAll replays all segments on a disk as one capture.
+// replayAll replays all segments of a file system as one capture.
 func replayAll(t *testing.T, fs *filesystemtest.FS) (events, gaps int) {
 	t.Helper()
 	file := joinSegments(t, fs)
@@ -141,13 +142,13 @@
 			return events, player.Gaps
 		}
 		if err != nil {
-			t.Fatalf("after %d events: %v", events, err)
+			t.Fatalf("replay after %d events: %v", events, err)
 		}
 		events++
 	}
 }
 
-// joinSegments returns all segments on a disk as one capture with the header of the first.
+// joinSegments returns all segments of a file system as one capture with the header of the first segment.
 func joinSegments(t *testing.T, fs *filesystemtest.FS) (file []byte) {
 	t.Helper()
 	for i, info := range list(t, fs) {
@@ -155,7 +156,7 @@
 		if i > 0 {
 			reader, err := capture.NewReader(bytes.NewReader(content))
 			if err != nil {
-				t.Fatal(info.Name, err)
+				t.Fatalf("segment %q: %v", info.Name, err)
 			}
 			header, err := capture.EncodeHeader(&reader.Head)
 			if err != nil {
@@ -174,6 +175,6 @@
 	content := fs.Content(directory + "/" + segment.Name)
 	complete, err := capture.CompleteLength(bytes.NewReader(content))
 	if err != nil || complete != segment.Size {
-		t.Errorf("%s: %d of %d bytes are complete, %v", segment.Name, complete, segment.Size, err)
+		t.Errorf("segment %q: %d of %d bytes are complete frames, error: %v", segment.Name, complete, segment.Size, err)
 	}
 }
--- a/internal/capture/segment/recovery_test.go
+++ b/internal/capture/segment/recovery_test.go
@@ -20,16 +20,16 @@
 	return true
 }
 
-// Wherever the power fails, the segments on the disk can be replayed from their beginning, and the next incarnation
-// goes on behind them.
+// After a power loss at any byte, the segments on the disk can be replayed from their beginning, and the next
+// incarnation continues after them.
 func TestPowerLossAtEveryByte(t *testing.T) {
 	limits := Limits{Size: 1500, Age: time.Hour, Total: 1 << 20}
 	const recordedEvents = 70
 	chunks := recordChunks(t, recordedEvents, limits)
 	events, segments := 0, 0
-	for killAt := 0; events < recordedEvents; killAt++ {
+	for lossAt := 0; events < recordedEvents; lossAt++ {
 		fs := filesystemtest.New()
-		fs.PowerLossAfter = killAt
+		fs.PowerLossAfter = lossAt
 		writer := newPowerLossWriter(t, fs, limits)
 		for _, chunk := range chunks {
 			writer.write(chunk)
@@ -37,13 +37,13 @@
 		for _, unsyncedBytes := range []int{0, 30} {
 			restarted := fs.Restart(unsyncedBytes)
 			checkRecovery(t, restarted, limits)
-			if killAt%50 > 0 { // replays take most of the time
+			if lossAt%50 > 0 { // replaying each time would take most of the test's time
 				continue
 			}
-			name := fmt.Sprintf("killed at %d, %d unsynced bytes kept", killAt, unsyncedBytes)
+			name := fmt.Sprintf("power loss after byte %d, %d unsynced bytes kept", lossAt, unsyncedBytes)
 			found, files := continueRecording(t, name, restarted, limits)
 			if found < events {
-				t.Fatalf("%s: %d events, %d before", name, found, events)
+				t.Fatalf("%s: %d events, but %d after an earlier power loss", name, found, events)
 			}
 			if unsyncedBytes == 0 {
 				events, segments = found, files
@@ -51,7 +51,7 @@
 		}
 	}
 	if segments < 2 {
-		t.Errorf("there is only one segment")
+		t.Errorf("%d segments after the last power loss, want at least 2", segments)
 	}
 }
 
@@ -72,7 +72,7 @@
 	return newWriter(t, fs, limits, now, slog.New(slog.DiscardHandler))
 }
 
-// checkRecovery starts a writer after a power loss and checks that the newest segment is complete then.
+// checkRecovery starts a writer after a power loss and checks that the newest segment then ends with a complete frame.
 func checkRecovery(t *testing.T, fs *filesystemtest.FS, limits Limits) {
 	t.Helper()
 	newPowerLossWriter(t, fs, limits)
@@ -84,15 +84,15 @@
 	}
 }
 
-// continueRecording checks that the segments on a disk can be replayed without a gap, and that the next incarnation
-// records behind them. It returns the events and the segments that it found.
+// continueRecording checks that the segments of a file system can be replayed without a gap, and that the next
+// incarnation records after them. It returns the numbers of events and of segments that it found.
 func continueRecording(t *testing.T, name string, fs *filesystemtest.FS, limits Limits) (events, segments int) {
 	t.Helper()
 	segments = len(list(t, fs))
 	next := newFixture(t, fs, limits)
 	events, gaps := replayAll(t, fs)
 	if gaps > 0 {
-		t.Fatalf("%s: %d gaps", name, gaps)
+		t.Fatalf("%s: %d gaps, want none", name, gaps)
 	}
 	next.record(100)
 	next.finish()
@@ -102,7 +102,7 @@
 	return events, segments
 }
 
-// Files that are no segments, or can't be read, stay unchanged.
+// Files that are not segments, and files with the name of a segment that can't be read, stay unchanged.
 func TestForeignFilesStayUnchanged(t *testing.T) {
 	fs := filesystemtest.New()
 	fs.Put(pathOf(7), []byte("something that somebody else has put here"))
@@ -112,9 +112,10 @@
 	f.finish()
 	if string(fs.Content(directory+"/notes.txt")) != "mine" ||
 		len(fs.Content(pathOf(7))) == 0 || len(fs.Content(pathOf(8))) == 0 {
-		t.Error(fs.List(directory))
+		files, err := fs.List(directory)
+		t.Errorf("a file was changed, or no new segment was written; files: %v, error: %v", files, err)
 	}
 	if !strings.Contains(f.log.String(), "unreadable segment left unchanged") {
-		t.Error(f.log.String())
+		t.Errorf("the unreadable segment is not logged:\n%s", f.log.String())
 	}
 }
--- a/internal/capture/segment/retention_test.go
+++ b/internal/capture/segment/retention_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// The oldest segments are outdated, as many as must be removed and no more.
+// The outdated segments are the oldest ones, and no more than must be removed to keep the limit.
 func TestOutdatedSegments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
@@ -28,7 +28,7 @@
 			}
 		}
 		if left > limits.Total && len(outdated) < len(files) {
-			t.Fatalf("%d bytes are left", left)
+			t.Fatalf("%d bytes are left, more than the limit of %d", left, limits.Total)
 		}
 		if len(outdated) > 0 && left+outdated[len(outdated)-1].size <= limits.Total {
 			t.Fatal("more segments are removed than necessary")
@@ -39,7 +39,7 @@
 func TestBackoffIsBounded(t *testing.T) {
 	for failures := 1; failures < 100; failures++ {
 		if pause := backoff(failures); pause <= 0 || pause > maxBackoff {
-			t.Errorf("%d failures: %v", failures, pause)
+			t.Errorf("pause of %v after %d failures, want one of at most %v", pause, failures, maxBackoff)
 		}
 	}
 }
@@ -58,6 +58,6 @@
 		}
 	}
 	if number, ok := names.Number(names.File(123)); !ok || number != 123 {
-		t.Error(number, ok)
+		t.Errorf("number %d, %t; want 123, true", number, ok)
 	}
 }
--- a/internal/capture/segment/writer_test.go
+++ b/internal/capture/segment/writer_test.go
@@ -23,13 +23,14 @@
 			f.finish()
 			events, gaps := replayAll(t, f.fs)
 			if len(f.writer.files) < 3 || events != 3000 || gaps > 0 {
-				t.Errorf("%d segments, %d events, %d gaps", len(f.writer.files), events, gaps)
+				t.Errorf("%d segments with %d events and %d gaps, want at least 3 with 3000 events and no gap",
+					len(f.writer.files), events, gaps)
 			}
 		})
 	}
 }
 
-// The oldest segments are removed first. What is left stays within the bound and can be replayed.
+// The oldest segments are removed first. The remaining ones stay within the limit and can be replayed.
 func TestTotalSizeIsBounded(t *testing.T) {
 	f := newFixture(t, filesystemtest.New(), Limits{Size: 3000, Age: time.Hour, Total: 20_000})
 	f.record(6000)
@@ -39,23 +40,24 @@
 	for _, info := range segments {
 		total += info.Size
 	}
-	// A segment ends at the first part after its size, so each may be longer by a part.
+	// A segment ends at the first part that begins beyond its size, so each may be longer by one part.
 	const maxTotal = 30_000
 	events, gaps := replayAll(t, f.fs)
 	if events == 0 || events >= 6000 || gaps > 0 || total > maxTotal || segments[0].Name == names.File(1) {
-		t.Errorf("%d events, %d gaps, %d bytes, from %s", events, gaps, total, segments[0].Name)
+		t.Errorf("%d events, %d gaps and %d bytes from segment %q on; want the newest events without a gap in %d bytes",
+			events, gaps, total, segments[0].Name, maxTotal)
 	}
 }
 
-// A full disk pauses the recording with a log line and is tried seldom. When it has space again, the recording goes on
-// after a gap.
+// A full disk pauses the recording with a log line. The writer rarely tries again. When the disk has space again, the
+// recording goes on after a gap.
 func TestFullDisk(t *testing.T) {
 	fs := filesystemtest.New()
 	fs.Capacity = 6000
 	f := newFixture(t, fs, Limits{Size: 1 << 20, Age: time.Hour, Total: 1 << 21})
 	f.record(3000)
 	if lines := strings.Count(f.log.String(), "recording to disk paused"); lines == 0 || lines > 20 {
-		t.Errorf("%d lines: %s", lines, f.log.String())
+		t.Errorf("%d log lines about the pause, want 1 to 20:\n%s", lines, f.log.String())
 	}
 	eventsWhileFull, _ := replayAll(t, fs)
 	fs.Capacity = 0
@@ -64,11 +66,13 @@
 	events, gaps := replayAll(t, fs)
 	if eventsWhileFull == 0 || events <= eventsWhileFull || gaps == 0 ||
 		!strings.Contains(f.log.String(), "recording to disk resumed") {
-		t.Errorf("%d events, then %d with %d gaps", eventsWhileFull, events, gaps)
+		t.Errorf("%d events while the disk was full, then %d with %d gaps; want more events after a gap; log:\n%s",
+			eventsWhileFull, events, gaps, f.log.String())
 	}
 }
 
-// After a failed sync it is not known what the segment holds, so it ends with what was synced before.
+// After a failed sync it is not known which bytes reached the disk, so the segment ends with those that were synced
+// before.
 func TestFailedSync(t *testing.T) {
 	for failing := 1; failing < 40; failing++ {
 		t.Run(fmt.Sprint("sync ", failing), func(t *testing.T) {
@@ -79,7 +83,7 @@
 			f.finish()
 			restarted := fs.Restart(0)
 			if events, _ := replayAll(t, restarted); events < 500 {
-				t.Errorf("%d events", events)
+				t.Errorf("%d events replayed, want at least 500", events)
 			}
 			for _, info := range list(t, restarted) {
 				checkComplete(t, restarted, info)
@@ -88,7 +92,7 @@
 	}
 }
 
-// A writer that does not keep up costs records and never the recorder's time. Gaps stand for what is lost.
+// A writer that does not keep up loses records but never blocks the recorder. Gaps stand for the lost records.
 func TestSlowDisk(t *testing.T) {
 	f := newFixture(t, filesystemtest.New(), Limits{Size: 1 << 20, Age: time.Hour, Total: 1 << 24})
 	for range 3000 {
@@ -96,17 +100,18 @@
 		f.recordRequest(0)
 	}
 	if len(f.writer.queue) > maxQueuedChunks || f.writer.queuedBytes.Load() > maxQueuedBytes {
-		t.Errorf("%d chunks of %d bytes are queued", len(f.writer.queue), f.writer.queuedBytes.Load())
+		t.Errorf("%d chunks with %d bytes are queued, want at most %d with %d bytes",
+			len(f.writer.queue), f.writer.queuedBytes.Load(), maxQueuedChunks, maxQueuedBytes)
 	}
 	f.writer.drain()
 	if left := f.writer.queuedBytes.Load(); left != 0 {
-		t.Errorf("%d bytes are still counted", left)
+		t.Errorf("the empty queue counts %d bytes", left)
 	}
 	f.record(2000)
 	f.finish()
 	events, gaps := replayAll(t, f.fs)
 	if gaps == 0 || events < 1500 || events >= 8000 {
-		t.Errorf("%d events, %d gaps", events, gaps)
+		t.Errorf("%d events and %d gaps, want 1500 to 7999 events and at least one gap", events, gaps)
 	}
 }
 
@@ -127,11 +132,11 @@
 	cancel()
 	<-done
 	if events, gaps := replayAll(t, f.fs); events != 30 || gaps > 0 {
-		t.Errorf("%d events, %d gaps", events, gaps)
+		t.Errorf("%d events and %d gaps, want 30 events and no gap", events, gaps)
 	}
 }
 
-// BenchmarkRecover measures a start that finds a segment of the default size with an incomplete end.
+// BenchmarkRecover measures the start of a writer after a segment of the default size with an incomplete end.
 func BenchmarkRecover(b *testing.B) {
 	segment, err := capture.EncodeHeader(&capture.Head{Version: capture.Version, Settings: settings})
 	if err != nil {
--- a/internal/capture/shrink/shrink_test.go
+++ b/internal/capture/shrink/shrink_test.go
@@ -53,7 +53,7 @@
 	return p
 }
 
-// findProperties returns some properties that hold on a case.
+// findProperties returns up to maxCount properties that hold on a case.
 func findProperties(t *testing.T, c *Case, maxCount int) (found []Property) {
 	t.Helper()
 	for id := range 400 {
@@ -72,7 +72,7 @@
 	whole := recordCase(t, 1)
 	properties := findProperties(t, whole, 12)
 	if len(properties) < 5 {
-		t.Errorf("%d properties", len(properties))
+		t.Errorf("%d properties hold on the case, want at least 5", len(properties))
 	}
 	for _, p := range properties {
 		t.Run(p.String(), func(t *testing.T) {
@@ -81,7 +81,8 @@
 				t.Fatal(err)
 			}
 			if held, err := shrunk.Holds(p); err != nil || !held || len(shrunk.Events) > 16 {
-				t.Errorf("%v, %v, %d events", held, err, len(shrunk.Events))
+				t.Errorf("property holds on the shrunk case: %t, error: %v, %d events of at most 16",
+					held, err, len(shrunk.Events))
 			}
 			checkMinimal(t, shrunk, p)
 			file, err := shrunk.Capture()
@@ -89,13 +90,13 @@
 				t.Fatal(err)
 			}
 			if events, err := capture.Replay(openFile(t, file)); err != nil || events != len(shrunk.Events) {
-				t.Errorf("%d of %d events, %v", events, len(shrunk.Events), err)
+				t.Errorf("%d of %d events of the shrunk case replayed, error: %v", events, len(shrunk.Events), err)
 			}
 		})
 	}
 	_, err := whole.Shrink(parse(t, "breach"), 100, nil)
 	if err == nil || !strings.Contains(err.Error(), "does not hold") {
-		t.Error(err)
+		t.Errorf("error %v, want one that says that the property does not hold", err)
 	}
 }
 
@@ -111,8 +112,9 @@
 	}
 }
 
-// A request with class 0 and plan 0, inserted among the events, crashes nothing: a crash is no property of the case.
-func TestNoCrash(t *testing.T) {
+// A request with class 0 and plan 0 that is inserted among the events does not crash the Scheduler, so a crash is not
+// a property of the case.
+func TestInsertedRequestCausesNoCrash(t *testing.T) {
 	c := recordCase(t, 2)
 	unexpected := capture.Record{
 		Kind:    capture.KindRequestArrived,
@@ -121,7 +123,7 @@
 	}
 	c.Events = slices.Insert(c.Events, 50, unexpected)
 	if held, err := c.Holds(parse(t, "crash")); held || err != nil {
-		t.Error(held, err)
+		t.Errorf("crash: %t, error: %v; want neither", held, err)
 	}
 }
 
@@ -129,12 +131,12 @@
 	for _, text := range []string{"", "sent", "sent=", "refused=a@b", "breach=nothing", "late=5"} {
 		t.Run(text, func(t *testing.T) {
 			if _, err := Parse(text); err == nil {
-				t.Error("it was accepted")
+				t.Errorf("property %q was accepted", text)
 			}
 		})
 	}
 	if _, err := Parse("breach=drain"); err != nil {
-		t.Error(err)
+		t.Errorf("a valid property was rejected: %v", err)
 	}
 }
 
@@ -142,6 +144,6 @@
 	source := TestSource("NobodyIsSentTwice", "testdata/a.capture", parse(t, "sent=7@n1"))
 	_, err := parser.ParseFile(token.NewFileSet(), "x_test.go", source, 0)
 	if err != nil || !strings.Contains(source, "func TestNobodyIsSentTwice(") {
-		t.Errorf("%v\n%s", err, source)
+		t.Errorf("generated test is not valid or has another name; error: %v\n%s", err, source)
 	}
 }
--- a/internal/capture/summary/summary_test.go
+++ b/internal/capture/summary/summary_test.go
@@ -43,18 +43,18 @@
 	wantEnded := [outcomeCount]int{InObjective: 1, Late: 1, Rejected: 1, Failed: 1, Disconnected: 1}
 	if class.Arrived != 6 || class.Ended != wantEnded || class.Attempts != 5 || s.Open != 1 ||
 		class.EarnedWeight != 3 || class.OfferedWeight != 18 {
-		t.Errorf("%+v, %d open", class, s.Open)
+		t.Errorf("class read: %+v, %d open requests", class, s.Open)
 	}
 	if class.Quantile(0.4) != 20*ms || class.Quantile(0.99) != 301*ms || (&Class{}).Quantile(0.5) != 0 {
-		t.Error(class.Latencies)
+		t.Errorf("wrong quantiles of the latencies %v", class.Latencies)
 	}
 	if s.Seconds[1].Ended[Failed] != 1 || s.Seconds[0].Ended[InObjective] != 1 ||
 		s.Results["n"][scheduler.Served] != 3 {
-		t.Errorf("%+v %+v", s.Seconds, s.Results)
+		t.Errorf("wrong counts by second or node: seconds %+v, results %+v", s.Seconds, s.Results)
 	}
 	var out strings.Builder
 	if err := s.Write(&out); err != nil || !strings.Contains(out.String(), "3 of 18") {
-		t.Error(err, out.String())
+		t.Errorf("\"3 of 18\" is missing in the table, error: %v\n%s", err, out.String())
 	}
 }
 
@@ -69,13 +69,13 @@
 		`"Open":1}`
 	got, err := json.Marshal(summarizeOutcomes())
 	if err != nil || string(got) != want {
-		t.Errorf("%v\n%s\nwant\n%s", err, got, want)
+		t.Errorf("error: %v, JSON\n%s\nwant\n%s", err, got, want)
 	}
 	again := New(capturetest.Settings)
 	if err := json.Unmarshal(got, again); err != nil {
 		t.Fatal(err)
 	}
 	if rewritten, err := json.Marshal(again); err != nil || string(rewritten) != want {
-		t.Errorf("%v: read and written again:\n%s", err, rewritten)
+		t.Errorf("error: %v, JSON that was read and written again\n%s\nwant\n%s", err, rewritten, want)
 	}
 }
--- a/internal/capture/timeline/clock_test.go
+++ b/internal/capture/timeline/clock_test.go
@@ -17,14 +17,14 @@
 	} {
 		t.Run(text, func(t *testing.T) {
 			if got, err := clock.Parse(text, time.Hour); err != nil || got != want {
-				t.Errorf("%v, %v, want %v", got, err, want)
+				t.Errorf("time %v, error: %v; want %v", got, err, want)
 			}
 		})
 	}
 	if _, err := clock.Parse("soon", 0); err == nil || !strings.Contains(err.Error(), `"soon" is neither`) {
-		t.Error(err)
+		t.Errorf("error %v, want one that names the text", err)
 	}
 	if _, err := (Clock{}).Parse("07:00", 0); err == nil {
-		t.Error("a time of day without an origin was accepted")
+		t.Error("a time of day was accepted for a capture without an origin")
 	}
 }
--- a/internal/capture/timeline/helpers_test.go
+++ b/internal/capture/timeline/helpers_test.go
@@ -12,11 +12,11 @@
 
 const ms = time.Millisecond
 
-// afterHour returns the time this many milliseconds after an hour.
+// afterHour returns the time of one hour and this number of milliseconds on the Scheduler's clock.
 func afterHour(milliseconds int) time.Duration { return time.Hour + time.Duration(milliseconds)*ms }
 
-// recordOneNode records a node that first refuses connections, then serves, then has more requests than it can take. A
-// second node drains.
+// recordOneNode records a node that first refuses a connection, then serves a request, and then gets more requests
+// than it can serve at once. A second node is draining.
 func recordOneNode(t *testing.T) []byte {
 	t.Helper()
 	settings := capturetest.Settings
--- a/internal/capture/timeline/request_test.go
+++ b/internal/capture/timeline/request_test.go
@@ -51,7 +51,7 @@
 		})
 	}
 	if err := WriteRequest(bytes.NewReader(file), "nobody", &strings.Builder{}); !errors.Is(err, ErrRequestNotFound) {
-		t.Error(err)
+		t.Errorf("error %v, want %v", err, ErrRequestNotFound)
 	}
 }
 
@@ -83,7 +83,7 @@
 			}
 			_, table, found := strings.Cut(out.String(), "blocked by\n")
 			if !found {
-				t.Fatal(out.String())
+				t.Fatalf("there is no table of candidates in\n%s", out.String())
 			}
 			var got []string
 			for line := range strings.Lines(table) {
@@ -93,14 +93,14 @@
 			}
 			slices.Sort(got)
 			if !slices.Equal(got, nodes) {
-				t.Errorf("%v, want %v in\n%s", got, nodes, out.String())
+				t.Errorf("candidates %v, want %v in\n%s", got, nodes, out.String())
 			}
 		})
 	}
 }
 
-// Writing a timeline does not change what it is about: every request of a random workload has a timeline, and the
-// workload still replays.
+// Every request of a random workload that the capture holds has a timeline. WriteRequest replays the capture for it,
+// so making snapshots and resuming from them in between must not change what the replay does.
 func TestEveryRequestHasATimeline(t *testing.T) {
 	workload := capturetest.NewWorkload(3)
 	r, err := capture.NewRecorder(capturetest.Settings, 3, capture.Options{MaxBytes: 400_000}, workload)
@@ -117,11 +117,11 @@
 			continue
 		}
 		if err != nil || !strings.Contains(out.String(), "Arrived") {
-			t.Fatalf("%d: %v\n%s", id, err, out.String())
+			t.Fatalf("request %d: error: %v, timeline\n%s", id, err, out.String())
 		}
 		written++
 	}
 	if written < 20 {
-		t.Errorf("%d timelines", written)
+		t.Errorf("%d requests have a timeline, want at least 20", written)
 	}
 }
--- a/internal/capture/timeline/state_test.go
+++ b/internal/capture/timeline/state_test.go
@@ -23,11 +23,11 @@
 		!strings.HasPrefix(lines[2], "n ") ||
 		!strings.HasPrefix(lines[3], "m ") || !strings.Contains(lines[3], "draining") ||
 		!strings.HasPrefix(lines[6], "v ") || !strings.Contains(lines[6], "gold") {
-		t.Error(out.String())
+		t.Errorf("a line of the state is wrong or in another place:\n%s", out.String())
 	}
 }
 
-// The context of a difference consists of the states that it is about, and no others.
+// The context of a difference shows the requests, nodes and volumes that the difference is about, and no others.
 func TestContextOfADifference(t *testing.T) {
 	state, err := capture.At(bytes.NewReader(recordOneNode(t)), afterHour(20))
 	if err != nil {
@@ -52,6 +52,6 @@
 		}
 	}
 	if strings.Contains(out.String(), "\nm ") {
-		t.Error(out.String())
+		t.Errorf("node \"m\" is not part of the difference, but is listed in\n%s", out.String())
 	}
 }
--- a/internal/capture/trigger/second_test.go
+++ b/internal/capture/trigger/second_test.go
@@ -10,7 +10,8 @@
 	"reachpulley/internal/rules/expression"
 )
 
-func TestConditions(t *testing.T) {
+// An invalid condition is rejected with an error that names the fault, and a valid one is evaluated.
+func TestCompileConditions(t *testing.T) {
 	for condition, want := range map[string]string{
 		"refusd > 1":               "refusd",
 		"refused +":                "",
@@ -27,13 +28,13 @@
 			_, err := expression.CompilePredicate[Second](condition)
 			var sourceError *expression.SourceError
 			if !errors.As(err, &sourceError) || !strings.Contains(err.Error(), want) {
-				t.Error(err)
+				t.Errorf("error %v, want one that contains %q", err, want)
 			}
 		})
 	}
 	condition, err := expression.CompilePredicate[Second]("refused / arrived > 0.5 and left_out == 0")
 	if err != nil || !condition.Holds(Second{Arrived: 2, Rejected: 2}) || condition.Holds(Second{}) {
-		t.Error(err)
+		t.Errorf("a valid condition was rejected or gave a wrong result; error: %v", err)
 	}
 }
 
@@ -49,6 +50,6 @@
 	}
 	slices.Sort(got)
 	if !slices.Equal(got, want) {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("names %q, want %q", got, want)
 	}
 }
--- a/internal/capture/trigger/watcher_test.go
+++ b/internal/capture/trigger/watcher_test.go
@@ -31,11 +31,11 @@
 	}
 }
 
-// workload gives a Watcher events and notes when its rules are due.
+// workload gives events to a Watcher and records when its rules are due.
 type workload struct {
 	t       *testing.T
 	watcher *Watcher
-	due     map[string][]time.Duration // by name of the rule
+	due     map[string][]time.Duration // times by name of the rule
 }
 
 func (w *workload) add(now time.Duration, records ...capture.Record) {
@@ -45,7 +45,7 @@
 	for _, match := range w.watcher.Due(now) {
 		w.due[match.Name] = append(w.due[match.Name], now)
 		if before := now - match.From; before < 3*time.Second || before > 4*time.Second {
-			w.t.Errorf("%v: from %v", now, match.From)
+			w.t.Errorf("recording of rule %q at %v begins %v earlier, want 3s to 4s", match.Name, now, before)
 		}
 	}
 }
@@ -70,8 +70,9 @@
 		})
 }
 
-// A rule is due once its time after the event has passed, and not again while it is quiet. For twenty seconds, twenty
-// requests a second arrive. From second 5 to 13 they are rejected, and from second 17 on node b gets nothing.
+// A rule is due once the time that it keeps after its condition held has passed, and not again while it is quiet. For
+// twenty seconds, twenty requests a second arrive. From second 5 to 13 they are rejected, and from second 17 on node b
+// gets no attempt.
 func TestRulesFireAndStayQuiet(t *testing.T) {
 	rules := []Rule{
 		newRule(t, "rejections", "refused * 5 > arrived and arrived >= 10"),
@@ -105,20 +106,22 @@
 	rejections := w.due["rejections"]
 	if len(rejections) != 2 || rejections[0] < time.Hour+6*time.Second || rejections[0] > time.Hour+8*time.Second ||
 		rejections[1]-rejections[0] < 5*time.Second {
-		t.Error(rejections)
+		t.Errorf("rule \"rejections\" was due at %v, want twice, first 6s to 8s after the start and at least 5s apart",
+			rejections)
 	}
 	if unused := w.due["unused"]; len(unused) != 1 || unused[0] < time.Hour+18*time.Second {
-		t.Error(unused)
+		t.Errorf("rule \"unused\" was due at %v, want once, at least 18s after the start", unused)
 	}
 	if near := w.due["near"]; len(near) != 0 {
-		t.Error(near)
+		t.Errorf("rule \"near\" was due at %v, want never", near)
 	}
 	if len(w.watcher.requests) > 0 || len(w.watcher.nodes) != 2 {
-		t.Errorf("%d open requests, %d nodes", len(w.watcher.requests), len(w.watcher.nodes))
+		t.Errorf("the watcher keeps %d open requests and %d nodes, want none and 2",
+			len(w.watcher.requests), len(w.watcher.nodes))
 	}
 }
 
-// The recording of a trigger reaches back to its time before the event, begins with a snapshot, and can be replayed.
+// The recording of a trigger reaches back as far as the rule asks for, begins with a snapshot, and can be replayed.
 func TestRecordingOfATrigger(t *testing.T) {
 	recordings := 0
 	workload := capturetest.NewWorkload(3)
@@ -133,7 +136,8 @@
 			}
 			first, last, err := replaySpan(file)
 			if err != nil || first > match.From || last < match.From+2*time.Second {
-				t.Errorf("from %v to %v, want from %v: %v", first, last, match.From, err)
+				t.Errorf("recording from %v to %v, want from %v at the latest to %v at the earliest; error: %v",
+					first, last, match.From, match.From+2*time.Second, err)
 			}
 		},
 	}
--- a/internal/capture/whatif/whatif_test.go
+++ b/internal/capture/whatif/whatif_test.go
@@ -33,7 +33,7 @@
 	return workload
 }
 
-// With its own settings, a workload has the recorded arrivals, and every play has the same result.
+// Played with its own settings, a workload has the recorded arrivals, and each time the same result.
 func TestPlayIsDeterministic(t *testing.T) {
 	workload := readWorkload(t, 4000)
 	var results [][]byte
@@ -44,7 +44,8 @@
 		}
 		for i, class := range played.Classes {
 			if recorded := workload.Recorded.Classes[i]; class.Arrived != recorded.Arrived || class.Arrived == 0 {
-				t.Errorf("class %d: %d requests arrived, %d were recorded", i, class.Arrived, recorded.Arrived)
+				t.Errorf("class %d: %d requests arrived, want the recorded number %d",
+					i, class.Arrived, recorded.Arrived)
 			}
 		}
 		result, err := json.Marshal(played)
@@ -54,7 +55,7 @@
 		results = append(results, result)
 	}
 	if !bytes.Equal(results[0], results[1]) {
-		t.Errorf("%s\n%s", results[0], results[1])
+		t.Errorf("results of two plays differ:\n%s\n%s", results[0], results[1])
 	}
 }
 
@@ -69,6 +70,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Read(reader); err == nil {
-		t.Error("it was accepted")
+		t.Error("a capture without responses was accepted")
 	}
 }
