--- a/internal/capture/difference.go
+++ b/internal/capture/difference.go
@@ -24,15 +24,16 @@
 		d.Event, d.Input.Kind, d.Input.At, describe(d.Recorded), describe(d.Replayed))
 }
 
+// describe describes the recorded or the replayed side of a difference.
 func describe(r *Record) string {
 	if r == nil {
 		return "nothing"
 	}
 	if r.Kind == KindSnapshot {
-		return "another state"
+		return "a state that differs"
 	}
 	encoded, err := encoding.Marshal(r)
-	return fmt.Sprintf("%s %s%s (%x, %v)", r.Kind, r.ID, r.Node, encoded, err)
+	return fmt.Sprintf("%s (request %q, node %q, encoded as %x, error: %v)", r.Kind, r.ID, r.Node, encoded, err)
 }
 
 // sameAction compares a recorded action with a replayed one, except for the text of a log line. The text is written
--- a/internal/capture/frame.go
+++ b/internal/capture/frame.go
@@ -67,7 +67,7 @@
 	return mode
 }()
 
-// decoding rejects fields that this program does not know, because it would lose them.
+// decoding rejects fields that this program does not know, because they would be lost if the record is written again.
 var decoding = func() cbor.DecMode {
 	options := cbor.DecOptions{
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
--- a/internal/capture/invariants/volume_limit.go
+++ b/internal/capture/invariants/volume_limit.go
@@ -6,8 +6,8 @@
 	"reachpulley/scheduler"
 )
 
-// volume is the token bucket of a volume's limit. Its size is an equal share for each host of the plan's burst and
-// slack together. The scheduler keeps to less than that.
+// volume is the token bucket of a volume's limit. Its size is this host's share of the plan's burst and slack,
+// which are divided equally among the hosts. The scheduler keeps to less than that.
 type volume struct {
 	tokens     float64
 	rate       float64
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -33,7 +33,7 @@
 	head    Head
 	options Options
 
-	events uint64        // recorded so far
+	events uint64        // number of events that were recorded so far
 	now    time.Duration // time of the last event
 
 	// The parts in memory.
--- a/internal/capture/trigger/second.go
+++ b/internal/capture/trigger/second.go
@@ -13,7 +13,7 @@
 	Rejected     int `expr:"refused"`
 	Failed       int `expr:"failed"`
 	Disconnected int `expr:"left"` // the client disconnected before an answer
-	Open         int `expr:"open"` // without an answer at the end of the second
+	Open         int `expr:"open"` // requests without an answer at the end of the second
 	// MinTimeLeft is the minimum, over all final answers, of the time that was left until the client timeout, in
 	// milliseconds. It is noAnswer if there was no final answer.
 	MinTimeLeft float64 `expr:"tightest"`
