--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -10,17 +10,17 @@
 	"reachpulley/scheduler"
 )
 
-// listCount is the number of endpoint lists that the simulator may declare. The wire calls them banks.
+// listCount is the number of endpoint lists that the simulator may declare. The protocol calls them banks.
 const listCount = 16
 
-// Decoder reads batches.
+// Decoder reads batches of events.
 type Decoder struct {
 	reader     *bufio.Reader
 	lineNumber int
 	lists      [listCount]endpointList
 }
 
-// endpointList is an endpoint list that was declared before the events that refer to it.
+// endpointList is one of the numbered endpoint lists. Events can only refer to a list that was declared before them.
 type endpointList struct {
 	declared bool
 	nodes    []scheduler.Node
@@ -33,28 +33,28 @@
 
 // Next reads one batch. Its error is io.EOF if the input ends between batches; any other error names the line.
 func (d *Decoder) Next() (Batch, error) {
-	batch, err := d.batch()
+	batch, err := d.readBatch()
 	if err != nil && err != io.EOF {
 		err = fmt.Errorf("line %d: %w", d.lineNumber, err)
 	}
 	return batch, err
 }
 
-func (d *Decoder) batch() (Batch, error) {
+func (d *Decoder) readBatch() (Batch, error) {
 	var batch Batch
-	tag, fields, err := d.line()
+	tag, fields, err := d.readLine()
 	if err != nil {
 		return batch, err
 	}
 	if tag != "round" {
-		return batch, fmt.Errorf("want round, got %q", tag)
+		return batch, fmt.Errorf("want tag \"round\" at the beginning of a batch, got %q", tag)
 	}
 	batch.Now = fields.duration("tsMs")
 	if fields.err != nil {
 		return batch, fields.err
 	}
 	for {
-		tag, fields, err := d.line()
+		tag, fields, err := d.readLine()
 		if err == io.EOF {
 			return batch, errors.New("input ends within a batch")
 		}
@@ -75,17 +75,17 @@
 			continue
 		}
 		batch.Events = append(batch.Events, Event{})
-		if err := d.event(&batch.Events[len(batch.Events)-1], decode, fields); err != nil {
+		if err := d.decodeEvent(&batch.Events[len(batch.Events)-1], decode, fields); err != nil {
 			return batch, fmt.Errorf("%s: %w", tag, err)
 		}
 	}
 }
 
-// line reads the next line and splits it into its tag and fields. The error is io.EOF if there is none.
-func (d *Decoder) line() (string, *fields, error) {
+// readLine reads the next line and splits it into its tag and its fields. The error is io.EOF if no line is left.
+func (d *Decoder) readLine() (string, *fields, error) {
 	text, err := d.reader.ReadString('\n')
 	if err == io.EOF && text != "" {
-		err = errors.New("line without an end")
+		err = errors.New("last line does not end with a line break")
 	}
 	if err != nil {
 		return "", nil, err
@@ -98,12 +98,12 @@
 func (d *Decoder) listNumber(f *fields) (int, error) {
 	n := f.integer("bank")
 	if f.err == nil && (n < 0 || n >= listCount) {
-		return 0, fmt.Errorf("bank %d is out of range", n)
+		return 0, fmt.Errorf("bank %d is out of range: want 0 to %d", n, listCount-1)
 	}
 	return int(n), f.err
 }
 
-// declareList reads an endpoint list, the entries of which are the lines that follow.
+// declareList reads an endpoint list. Each of the lines that follow the declaration holds one entry of the list.
 func (d *Decoder) declareList(f *fields) error {
 	number, err := d.listNumber(f)
 	count := f.integer("membersList")
@@ -115,9 +115,9 @@
 	}
 	list := endpointList{declared: true}
 	for i := int64(0); i < count; i++ {
-		tag, fields, err := d.line()
+		tag, fields, err := d.readLine()
 		if err == io.EOF || (err == nil && tag != "item") {
-			return fmt.Errorf("catalog: want %d items, got %d", count, i)
+			return fmt.Errorf("catalog: want %d lines with tag \"item\", got %d", count, i)
 		}
 		if err != nil {
 			return err
@@ -141,7 +141,7 @@
 func decodeNode(f *fields) (scheduler.Node, error) {
 	phase, known := phases[f.value("phase")]
 	if !known {
-		return scheduler.Node{}, errors.New("unknown phase")
+		return scheduler.Node{}, fmt.Errorf("unknown phase %q", f.value("phase"))
 	}
 	node := scheduler.Node{
 		ID:        f.required("node"),
@@ -154,23 +154,23 @@
 	return node, f.err
 }
 
-// eventDecoder reads the fields of an event of one tag, but for the instance.
+// eventDecoder decodes the fields of a line into an event. It sets all fields that the event's kind has but Instance.
 type eventDecoder func(*Decoder, *Event, *fields) error
 
-// eventDecoders are the decoders by tag. Lines of other tags are skipped.
+// eventDecoders maps the tag of a line to the decoder of its event. Lines with other tags are skipped.
 var eventDecoders = map[string]eventDecoder{
-	"init":      (*Decoder).instanceStarted,
-	"power_off": (*Decoder).instanceStopped,
-	"announce":  (*Decoder).membershipChanged,
-	"ingress":   (*Decoder).requestArrived,
-	"echo":      (*Decoder).probeEnded,
-	"ack_first": (*Decoder).streamStarted,
-	"vanished":  (*Decoder).clientDisconnected,
-	"response":  (*Decoder).attemptEnded,
-	"alarm":     (*Decoder).timerFired,
+	"init":      (*Decoder).decodeInstanceStarted,
+	"power_off": (*Decoder).decodeInstanceStopped,
+	"announce":  (*Decoder).decodeMembershipChanged,
+	"ingress":   (*Decoder).decodeRequestArrived,
+	"echo":      (*Decoder).decodeProbeEnded,
+	"ack_first": (*Decoder).decodeStreamStarted,
+	"vanished":  (*Decoder).decodeClientDisconnected,
+	"response":  (*Decoder).decodeAttemptEnded,
+	"alarm":     (*Decoder).decodeTimerFired,
 }
 
-func (d *Decoder) event(event *Event, decode eventDecoder, f *fields) error {
+func (d *Decoder) decodeEvent(event *Event, decode eventDecoder, f *fields) error {
 	if err := decode(d, event, f); err != nil {
 		return err
 	}
@@ -178,14 +178,14 @@
 	return f.err
 }
 
-func (*Decoder) instanceStarted(event *Event, f *fields) (err error) {
+func (*Decoder) decodeInstanceStarted(event *Event, f *fields) (err error) {
 	event.Kind = InstanceStarted
 	event.Seed = f.unsigned("initSeed")
 	event.Settings, err = ParseSettings([]byte(f.value("conf")))
 	return err
 }
 
-func (*Decoder) instanceStopped(event *Event, _ *fields) error {
+func (*Decoder) decodeInstanceStopped(event *Event, _ *fields) error {
 	event.Kind = InstanceStopped
 	return nil
 }
@@ -197,11 +197,11 @@
 	"refused":    scheduler.WatchFailed,
 }
 
-func (d *Decoder) membershipChanged(event *Event, f *fields) error {
+func (d *Decoder) decodeMembershipChanged(event *Event, f *fields) error {
 	event.Kind = MembershipChanged
 	kind, known := membershipKinds[f.value("mode")]
 	if !known {
-		return errors.New("unknown mode")
+		return fmt.Errorf("unknown mode %q", f.value("mode"))
 	}
 	event.Membership.Kind = kind
 	if kind == scheduler.WatchFailed {
@@ -212,13 +212,13 @@
 		return err
 	}
 	if !d.lists[number].declared {
-		return fmt.Errorf("bank %d was not declared", number)
+		return fmt.Errorf("bank %d was not declared by a catalog line", number)
 	}
 	event.Membership.Nodes = d.lists[number].nodes
 	return nil
 }
 
-func (*Decoder) requestArrived(event *Event, f *fields) error {
+func (*Decoder) decodeRequestArrived(event *Event, f *fields) error {
 	event.Kind = RequestArrived
 	event.Request = scheduler.Request{
 		ID:            f.required("opId"),
@@ -234,24 +234,24 @@
 	return nil
 }
 
-func (*Decoder) probeEnded(event *Event, f *fields) error {
+func (*Decoder) decodeProbeEnded(event *Event, f *fields) error {
 	event.Kind = ProbeEnded
 	event.Probe = scheduler.ProbeResult{
 		Node:    f.required("node"),
 		Served:  f.value("status") == "completed",
 		Latency: f.duration("rttMs"),
-		Load:    f.load("stats"),
+		Load:    f.loadReport("stats"),
 	}
 	return nil
 }
 
-func (*Decoder) streamStarted(event *Event, f *fields) error {
+func (*Decoder) decodeStreamStarted(event *Event, f *fields) error {
 	event.Kind = StreamStarted
-	event.Outcome = f.attempt()
+	event.Outcome = f.attemptOutcome()
 	return nil
 }
 
-func (*Decoder) clientDisconnected(event *Event, f *fields) error {
+func (*Decoder) decodeClientDisconnected(event *Event, f *fields) error {
 	event.Kind = ClientDisconnected
 	event.ID = f.required("opId")
 	return nil
@@ -268,23 +268,23 @@
 	"superseded":   scheduler.NotSent,
 }
 
-func (*Decoder) attemptEnded(event *Event, f *fields) error {
+func (*Decoder) decodeAttemptEnded(event *Event, f *fields) error {
 	event.Kind = AttemptEnded
-	event.Outcome = f.attempt()
+	event.Outcome = f.attemptOutcome()
 	result, known := results[f.value("status")]
 	if !known {
 		return fmt.Errorf("unknown status %q", f.value("status"))
 	}
 	event.Outcome.Result = result
 	event.Outcome.Concluded = f.value("doneFlag") == "1"
-	// On the wire, 0 is unknown and 1 is no use; each further 1 is a hundredth of the plan's rate.
+	// The field is 0 if the use is unknown, and otherwise 1 plus the percentage of the plan's rate that is in use.
 	event.Outcome.VolumeUse = (f.numberOr("metered", 0) - 1) / 100
 	event.Outcome.OtherUnits = f.numberOr("delta", 0)
-	event.Outcome.Load = f.load("stats")
+	event.Outcome.Load = f.loadReport("stats")
 	return nil
 }
 
-func (*Decoder) timerFired(event *Event, f *fields) error {
+func (*Decoder) decodeTimerFired(event *Event, f *fields) error {
 	event.Kind = TimerFired
 	event.Timer = f.unsigned("keyBack")
 	return nil
--- a/internal/simprotocol/decoder_test.go
+++ b/internal/simprotocol/decoder_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// everyEvent has all kinds of events in its second batch.
+// everyEvent is an input of two batches, the second of which holds events of all kinds.
 const everyEvent = "round\ttsMs=1.5\nflush\n" +
 	"round\ttsMs=8412.25\textra=1\n" +
 	"init\twho=3\tinitSeed=42\tconf=" + settingsText + "\n" +
@@ -52,7 +52,7 @@
 	"power_off\twho=3\n" +
 	"flush\n"
 
-// everyDecodedEvent is the second batch of everyEvent after the start of the instance.
+// everyDecodedEvent holds the events of the second batch of everyEvent except for the first, which starts the instance.
 var everyDecodedEvent = []Event{
 	{
 		Kind:     MembershipChanged,
@@ -148,7 +148,7 @@
 	}
 }
 
-// checkStart checks an event that starts an instance with settingsText.
+// checkStart checks an event that starts an instance with the settings in settingsText.
 func checkStart(t *testing.T, event Event) {
 	t.Helper()
 	settings := event.Settings
@@ -190,18 +190,18 @@
 
 func TestMalformedInputNamesTheLine(t *testing.T) {
 	for text, want := range map[string]string{
-		"flush\n":                  "line 1: want round",
+		"flush\n":                  "line 1: want tag \"round\"",
 		"round\n":                  "line 1: tsMs",
 		"round\ttsMs=x\nflush\n":   "line 1: tsMs",
 		"round\ttsMs=1\n":          "line 1: input ends",
-		"round\ttsMs=1\nflush":     "line 1: line without",
+		"round\ttsMs=1\nflush":     "line 1: last line does not end",
 		"round\ttsMs=NaN\nflush\n": "line 1: tsMs",
 		"round\ttsMs=1\nalarm\twho=1\tkeyBack=-4\nflush\n":                    "line 2: alarm: keyBack",
 		"round\ttsMs=1\nalarm\tkeyBack=4\nflush\n":                            "line 2: alarm: who",
 		"round\ttsMs=1\nannounce\twho=1\tmode=all\tbank=3\nflush\n":           "line 2: announce: bank 3",
-		"round\ttsMs=1\nannounce\twho=1\tmode=odd\tbank=3\nflush\n":           "line 2: announce: unknown mode",
+		"round\ttsMs=1\nannounce\twho=1\tmode=odd\tbank=3\nflush\n":           "line 2: announce: unknown mode \"odd\"",
 		"round\ttsMs=1\ncatalog\tbank=16\tmembersList=0\nflush\n":             "line 2: catalog: bank 16",
-		"round\ttsMs=1\ncatalog\tbank=1\tmembersList=2\nflush\n":              "line 3: catalog: want 2 items",
+		"round\ttsMs=1\ncatalog\tbank=1\tmembersList=2\nflush\n":              "line 3: catalog: want 2 lines with",
 		"round\ttsMs=1\ninit\twho=1\tinitSeed=1\tconf={\nflush\n":             "line 2: init: conf",
 		"round\ttsMs=1\nresponse\twho=1\topId=a\tn=0\tnode=b\tstatus=so\n":    "line 2: response: unknown status",
 		"round\ttsMs=1\ningress\twho=1\tpriority=0\tpatienceLeftMs=1\n":       "line 2: ingress: opId",
@@ -210,7 +210,7 @@
 		"round\ttsMs=1\necho\twho=1\tnode=b\trttMs=1\tstats=q:1e300\nflush\n": "line 2: echo: stats",
 	} {
 		if _, err := decodeAll(text); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%q: got %v, want %s", text, err, want)
+			t.Errorf("%q: got error %v, want one that begins with %q", text, err, want)
 		}
 	}
 }
@@ -222,11 +222,11 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		first, err := decodeAll(text)
 		if err != nil && !strings.HasPrefix(err.Error(), "line ") {
-			t.Fatalf("error names no line: %v", err)
+			t.Fatalf("error does not name a line: %v", err)
 		}
 		second, _ := decodeAll(text)
 		if a, b := mustJSON(t, first), mustJSON(t, second); a != b {
-			t.Fatalf("decoded differently:\n%s\n%s", a, b)
+			t.Fatalf("the same input was decoded to different batches:\n%s\n%s", a, b)
 		}
 	})
 }
--- a/internal/simprotocol/encoder.go
+++ b/internal/simprotocol/encoder.go
@@ -10,7 +10,7 @@
 	"reachpulley/scheduler"
 )
 
-// Encoder writes replies. Errors of the writer are kept until Flush.
+// Encoder writes replies. It buffers them, and only Flush returns errors of the writer.
 type Encoder struct{ w *bufio.Writer }
 
 // NewEncoder makes an Encoder that writes to w.
@@ -18,19 +18,19 @@
 	return &Encoder{bufio.NewWriterSize(w, bufferSize)}
 }
 
-// Flush ends the reply to a batch.
+// Flush ends the reply to a batch and writes it out. It returns the first error of the writer.
 func (e *Encoder) Flush() error {
 	e.w.WriteString("ack\n")
 	return e.w.Flush()
 }
 
-// Fault reports that an instance cannot go on.
+// Fault reports to the simulator that an instance cannot continue, and why.
 func (e *Encoder) Fault(instance int, text string) {
-	e.line("fatal", instance, "msg", oneLine(text))
+	e.writeLine("fatal", instance, "msg", oneLine(text))
 }
 
-// line writes a line with its tag, the instance and pairs of names and values.
-func (e *Encoder) line(tag string, instance int, pairs ...string) {
+// writeLine writes a line: its tag, the number of the instance, and name=value fields from pairs of names and values.
+func (e *Encoder) writeLine(tag string, instance int, pairs ...string) {
 	e.w.WriteString(tag)
 	e.w.WriteString("\twho=")
 	e.w.WriteString(strconv.Itoa(instance))
@@ -51,7 +51,7 @@
 
 func oneLine(text string) string { return lineBreaks.Replace(text) }
 
-// Instance writes the actions of one instance of the scheduler.
+// Instance writes the actions of one instance of the scheduler. It implements scheduler.Actions.
 type Instance struct {
 	Encoder *Encoder
 	Number  int
@@ -59,42 +59,42 @@
 
 var _ scheduler.Actions = Instance{}
 
-// Send starts an attempt.
+// Send writes the action that starts an attempt. A timeout of 0 is left out.
 func (i Instance) Send(id, node string, timeout time.Duration) {
 	if timeout == 0 {
-		i.Encoder.line("deliver", i.Number, "opId", id, "node", node)
+		i.Encoder.writeLine("deliver", i.Number, "opId", id, "node", node)
 		return
 	}
-	i.Encoder.line("deliver", i.Number, "opId", id, "node", node, "limitMs", formatMillis(timeout))
+	i.Encoder.writeLine("deliver", i.Number, "opId", id, "node", node, "limitMs", formatMillis(timeout))
 }
 
-// Cancel cancels an attempt.
+// Cancel writes the action that cancels an attempt.
 func (i Instance) Cancel(id string, attempt int) {
-	i.Encoder.line("cancel", i.Number, "opId", id, "n", strconv.Itoa(attempt))
+	i.Encoder.writeLine("cancel", i.Number, "opId", id, "n", strconv.Itoa(attempt))
 }
 
-// Reject ends a request that the client may safely send again.
+// Reject writes the action that ends a request that the client may safely send again. A retryAfter of 0 is left out.
 func (i Instance) Reject(id string, retryAfter time.Duration) {
 	if retryAfter == 0 {
-		i.Encoder.line("busy", i.Number, "opId", id)
+		i.Encoder.writeLine("busy", i.Number, "opId", id)
 		return
 	}
-	i.Encoder.line("busy", i.Number, "opId", id, "waitMs", formatMillis(retryAfter))
+	i.Encoder.writeLine("busy", i.Number, "opId", id, "waitMs", formatMillis(retryAfter))
 }
 
-// Fail ends a request without a promise that it did not run.
-func (i Instance) Fail(id string) { i.Encoder.line("give_up", i.Number, "opId", id) }
+// Fail writes the action that ends a request that may have run.
+func (i Instance) Fail(id string) { i.Encoder.writeLine("give_up", i.Number, "opId", id) }
 
-// Probe asks a node for its load.
-func (i Instance) Probe(node string) { i.Encoder.line("touch", i.Number, "node", node) }
+// Probe writes the action that asks a node for its load.
+func (i Instance) Probe(node string) { i.Encoder.writeLine("touch", i.Number, "node", node) }
 
-// SetTimer asks for a timer event.
+// SetTimer writes the action that requests a timer event with a key after the given time.
 func (i Instance) SetTimer(after time.Duration, key uint64) {
-	i.Encoder.line("schedule", i.Number, "waitMs", formatMillis(after), "keyBack", strconv.FormatUint(key, 10))
+	i.Encoder.writeLine("schedule", i.Number, "waitMs", formatMillis(after), "keyBack", strconv.FormatUint(key, 10))
 }
 
-// Watch subscribes to changes of the endpoint list.
-func (i Instance) Watch() { i.Encoder.line("stream_changes", i.Number, "want", "1") }
+// Watch writes the action that subscribes to changes of the endpoint list.
+func (i Instance) Watch() { i.Encoder.writeLine("stream_changes", i.Number, "want", "1") }
 
-// Log adds a line to the simulator's report.
-func (i Instance) Log(text string) { i.Encoder.line("trace", i.Number, "msg", oneLine(text)) }
+// Log writes the action that adds a line to the simulator's report.
+func (i Instance) Log(text string) { i.Encoder.writeLine("trace", i.Number, "msg", oneLine(text)) }
--- a/internal/simprotocol/encoder_test.go
+++ b/internal/simprotocol/encoder_test.go
@@ -38,6 +38,6 @@
 ack
 `
 	if output.String() != want {
-		t.Fatalf("got\n%s", output.String())
+		t.Fatalf("got\n%s\nwant\n%s", output.String(), want)
 	}
 }
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -1,6 +1,6 @@
 // Package simprotocol translates between the scheduler and the tab-separated lines of the simulator. A Decoder reads
-// batches of events, an Encoder writes the actions that the scheduler answers them with, and ParseSettings reads the
-// settings of an instance. The package decides nothing.
+// batches of events, an Encoder writes the actions with which the scheduler answers them, and ParseSettings reads the
+// settings of an instance. The package makes no scheduling decisions.
 package simprotocol
 
 import (
@@ -9,10 +9,11 @@
 	"reachpulley/scheduler"
 )
 
-// EventKind says what happened, and which fields of an Event are set besides Kind and Instance.
+// EventKind is the kind of an Event. It determines which fields are set besides Kind and Instance.
 type EventKind int
 
-// The kinds of Event. But for the first two, they are named after the methods of scheduler.Scheduler.
+// The kinds of Event, each with the fields that are set. All but the first two are named after the method of
+// scheduler.Scheduler that takes the event.
 const (
 	InstanceStarted    EventKind = iota // Seed, Settings
 	InstanceStopped                     // none
@@ -25,25 +26,25 @@
 	TimerFired                          // Timer
 )
 
-// Event is one thing that happened to one instance of the scheduler.
+// Event is an event for one instance of the scheduler.
 type Event struct {
 	Kind       EventKind
-	Instance   int
+	Instance   int // number of the instance
 	Seed       uint64
 	Settings   scheduler.Settings
 	Membership scheduler.Membership
 	Request    scheduler.Request
 	Probe      scheduler.ProbeResult
-	ID         string
+	ID         string // of a request
 	Outcome    scheduler.Outcome
-	Timer      uint64
+	Timer      uint64 // key of a timer
 }
 
-// Batch is what happened at one time. Every batch is answered by one reply.
+// Batch holds the events of one point in simulated time. Every batch is answered by one reply.
 type Batch struct {
 	Now    time.Duration
 	Events []Event
 }
 
-// bufferSize is the size of the buffers of Decoder and Encoder.
+// bufferSize is the size in bytes of the buffers of Decoder and Encoder.
 const bufferSize = 1 << 20
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -10,16 +10,17 @@
 	"reachpulley/scheduler"
 )
 
-// maxNumber bounds the magnitude of numbers that are read.
+// maxNumber is the largest magnitude of a number that is accepted.
 const maxNumber = 1e12
 
-// fields are the name=value parts of a line. Reading goes on after a fault; err keeps the first one.
+// fields holds the name=value parts of a line. Its methods record the first error in err, so that a caller can read
+// several fields and check err once.
 type fields struct {
 	text string
 	err  error
 }
 
-// value returns the value of a field, empty if it is absent.
+// value returns the value of a field, or "" if the field is absent.
 func (f *fields) value(name string) string {
 	rest := f.text
 	for rest != "" {
@@ -32,31 +33,32 @@
 	return ""
 }
 
-// fault keeps the first error.
-func (f *fields) fault(format string, args ...any) {
+// recordError records an error unless there was one before.
+func (f *fields) recordError(format string, args ...any) {
 	if f.err == nil {
 		f.err = fmt.Errorf(format, args...)
 	}
 }
 
-// required returns a value that must not be absent or empty.
+// required returns the value of a field that must not be absent or empty.
 func (f *fields) required(name string) string {
 	value := f.value(name)
 	if value == "" {
-		f.fault("%s is missing", name)
+		f.recordError("%s is missing", name)
 	}
 	return value
 }
 
 func (f *fields) number(name string) float64 {
-	number, ok := parseNumber(f.required(name))
+	text := f.required(name)
+	number, ok := parseNumber(text)
 	if !ok {
-		f.fault("%s is not a usable number", name)
+		f.recordError("%s: %q is not a number of a magnitude up to %g", name, text, maxNumber)
 	}
 	return number
 }
 
-// numberOr returns a number, or a default if the field is absent.
+// numberOr returns the number in a field, or a default if the field is absent.
 func (f *fields) numberOr(name string, absent float64) float64 {
 	if f.value(name) == "" {
 		return absent
@@ -65,26 +67,28 @@
 }
 
 func (f *fields) integer(name string) int64 {
-	integer, err := strconv.ParseInt(f.required(name), 10, 64)
+	text := f.required(name)
+	integer, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		f.fault("%s is not a whole number", name)
+		f.recordError("%s: %q is not a 64-bit integer", name, text)
 	}
 	return integer
 }
 
 func (f *fields) unsigned(name string) uint64 {
-	unsigned, err := strconv.ParseUint(f.required(name), 10, 64)
+	text := f.required(name)
+	unsigned, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		f.fault("%s is not a whole number from 0", name)
+		f.recordError("%s: %q is not an unsigned 64-bit integer", name, text)
 	}
 	return unsigned
 }
 
-// duration returns a number of milliseconds.
+// duration returns the duration in a field that holds milliseconds.
 func (f *fields) duration(name string) time.Duration { return millis(f.number(name)) }
 
-// attempt returns the fields that the reports of an attempt have in common.
-func (f *fields) attempt() scheduler.Outcome {
+// attemptOutcome returns the fields that all events of an attempt have in common.
+func (f *fields) attemptOutcome() scheduler.Outcome {
 	return scheduler.Outcome{
 		ID:        f.required("opId"),
 		Attempt:   int(f.integer("n")),
@@ -94,8 +98,8 @@
 	}
 }
 
-// load returns a load report such as rif:7,q:3; nil if it is absent.
-func (f *fields) load(name string) *scheduler.Load {
+// loadReport returns a load report such as rif:7,q:3, or nil if it is absent.
+func (f *fields) loadReport(name string) *scheduler.Load {
 	text := f.value(name)
 	if text == "" {
 		return nil
@@ -105,7 +109,7 @@
 		key, value, _ := strings.Cut(pair, ":")
 		number, ok := parseNumber(value)
 		if !ok {
-			f.fault("%s: %q is not a usable number", name, value)
+			f.recordError("%s: %s: %q is not a number of a magnitude up to %g", name, key, value, maxNumber)
 			return nil
 		}
 		switch key {
@@ -120,12 +124,13 @@
 	return load
 }
 
+// parseNumber parses a number. It rejects NaN and numbers of a magnitude above maxNumber.
 func parseNumber(text string) (number float64, ok bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	return number, err == nil && !math.IsNaN(number) && math.Abs(number) <= maxNumber
 }
 
-// millis converts the milliseconds of the wire, to the nearest microsecond.
+// millis converts milliseconds to a duration, rounded to the nearest microsecond.
 func millis(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -7,7 +7,7 @@
 	"reachpulley/scheduler"
 )
 
-// wireSettings is the settings object of an init event. Keys that it does not name are ignored. Times are in
+// wireSettings is the JSON object with the settings in an init event. Other keys in it are ignored. All times are in
 // milliseconds.
 type wireSettings struct {
 	Callers        struct{}     `json:"callers"` // only checked to be an object
@@ -67,9 +67,9 @@
 	RetryBudgetWindow     float64 `json:"resendSpanMs"`
 }
 
-// wireRequests describes the family of requests.
+// wireRequests describes the requests that all clients send.
 type wireRequests struct {
-	Writes             []bool  `json:"changesData"` // by class
+	Writes             []bool  `json:"changesData"` // by class, in the order of wireSettings.Classes
 	SpareWeight        float64 `json:"idleWorth"`
 	MeanUnits          float64 `json:"meanUnits"`
 	MaxUnits           float64 `json:"mostUnits"`
@@ -108,7 +108,8 @@
 	}
 )
 
-// ParseSettings reads the settings object of an init event. A gateway has the same object in its configuration.
+// ParseSettings parses the JSON object with the settings in an init event. The configuration of a gateway contains an
+// object of the same form.
 func ParseSettings(text []byte) (scheduler.Settings, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(text, &wire); err != nil {
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -15,7 +15,7 @@
 	`"policies":[{"baseRate":3.6,"cap":7.2,"guaranteed":1.8,"limitSlack":0.5,"mostAtOnce":9,"name":"p",` +
 	`"price":0.8,"proportion":3.0}],"report":{"fields":["rif"],"via":"on_probe"}}`
 
-func TestSettingsOfWrongTypeAreRejected(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, change := range []struct{ from, to string }{
 		{`"siblings":3`, `"siblings":"three"`},
 		{`"ask"`, `"guess"`},
@@ -24,7 +24,7 @@
 		{`"on_probe"`, `"by_post"`},
 	} {
 		if _, err := ParseSettings([]byte(strings.Replace(settingsText, change.from, change.to, 1))); err == nil {
-			t.Errorf("%s was accepted", change.to)
+			t.Errorf("settings with %s in place of %s were accepted", change.to, change.from)
 		}
 	}
 }
