--- a/internal/configfile/decode.go
+++ b/internal/configfile/decode.go
@@ -13,6 +13,7 @@
 	"github.com/go-viper/mapstructure/v2"
 )
 
+// tagName is the struct tag that holds the key of a field.
 const tagName = "toml"
 
 // Decode fills the struct that into points to, by its toml tags, and returns all values of a wrong type and all
@@ -36,10 +37,11 @@
 	return append(faults, d.unknownKeys("", d.tree, reflect.TypeOf(into).Elem())...)
 }
 
-// mapKey matches a key of a map as the decoder writes it. Faults write it dotted, as any other key.
+// mapKey matches a map key in an error of the decoder, which writes it in brackets. Faults join it with a dot instead,
+// like all other keys. Indices of lists consist of digits only and do not match.
 var mapKey = regexp.MustCompile(`\[([^\]]*[^\]0-9][^\]]*)\]`)
 
-// decodeFault converts an error of the decoder.
+// decodeFault converts an error of the decoder to a Fault.
 func (d *Document) decodeFault(err error) Fault {
 	var decodeError *mapstructure.DecodeError
 	if !errors.As(err, &decodeError) {
@@ -49,8 +51,8 @@
 	return d.Fault(key, "%s", decodeMessage(decodeError.Unwrap()))
 }
 
-// unknownKeys returns a fault for each key within a value for which its type has no field. The decoder reports unknown
-// keys only if it finds no other fault.
+// unknownKeys returns a fault for each key within a value for which valueType has no field. The decoder's own check is
+// not used because it reports unknown keys only if it finds no other fault.
 func (d *Document) unknownKeys(path string, value any, valueType reflect.Type) Faults {
 	for valueType.Kind() == reflect.Pointer {
 		valueType = valueType.Elem()
@@ -71,6 +73,7 @@
 	return faults
 }
 
+// unknownTableKeys is unknownKeys for a table that is decoded into a struct.
 func (d *Document) unknownTableKeys(path string, table map[string]any, structType reflect.Type) Faults {
 	fieldTypes := map[string]reflect.Type{}
 	for i := range structType.NumField() {
@@ -90,7 +93,7 @@
 	return faults
 }
 
-// DidYouMean returns the end of a message that suggests the name closest to a word, or nothing if no name is close.
+// DidYouMean returns the end of a message that suggests the name closest to a word, or "" if no name is similar to it.
 func DidYouMean(word string, names []string) string {
 	closest := ""
 	maxDistance := 1 + len(word)/3
@@ -107,7 +110,7 @@
 	return fmt.Sprintf("; did you mean %q?", closest)
 }
 
-// splitErrors returns the single errors of joined ones.
+// splitErrors returns all errors that are joined in err, at any depth.
 func splitErrors(err error) []error {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		var all []error
@@ -124,7 +127,7 @@
 	return []error{err}
 }
 
-// decodeMessage says what is wrong with a value, in the terms of the file.
+// decodeMessage describes an error of the decoder in terms of TOML, not of Go types.
 func decodeMessage(err error) string {
 	var wrongType *mapstructure.UnconvertibleTypeError
 	if errors.As(err, &wrongType) {
@@ -133,6 +136,7 @@
 	return err.Error()
 }
 
+// typeName describes the TOML values that a Go type accepts.
 func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
@@ -149,6 +153,7 @@
 	return "a whole number"
 }
 
+// valueName describes a value. Tables and lists are not written out.
 func valueName(value any) string {
 	switch reflect.ValueOf(value).Kind() {
 	case reflect.Map:
--- a/internal/configfile/doc.go
+++ b/internal/configfile/doc.go
@@ -1,3 +1,3 @@
-// Package configfile reads the operator's TOML files. One reading finds all faults of a file, and each fault names
-// the file, the line, the column and the key.
+// Package configfile reads the operator's TOML files. It reports all faults of a file at once, each with the file, the
+// line, the column and the key.
 package configfile
--- a/internal/configfile/document.go
+++ b/internal/configfile/document.go
@@ -11,10 +11,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxBytes bounds the size of a file. A file of 10,000 rules takes about a third of it.
+// MaxBytes is the largest size of a file. A file of 10,000 rules has about a third of it.
 const MaxBytes = 8 << 20
 
-// Document is a file that is syntactically valid TOML. It knows where each of its keys stands.
+// Document is a parsed TOML file with the position of each key.
 type Document struct {
 	Path       string
 	text       []byte
@@ -23,7 +23,7 @@
 	spans      map[string]span // by dotted key
 }
 
-// Read parses the file at path.
+// Read reads and parses the file at path.
 func Read(path string) (*Document, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return Parse(path, text)
 }
 
-// Parse parses text; faults name the file as path.
+// Parse parses text. Its faults name path as their file.
 func Parse(path string, text []byte) (*Document, error) {
 	d := &Document{
 		Path:       path,
@@ -61,7 +61,7 @@
 	return d, nil
 }
 
-// syntaxFault converts an error of the TOML parser.
+// syntaxFault converts an error of the TOML parser to a Fault.
 func syntaxFault(path string, text []byte, err error) Fault {
 	fault := Fault{File: path, Message: strings.TrimPrefix(err.Error(), "toml: ")}
 	var decodeError *toml.DecodeError
@@ -79,7 +79,8 @@
 // Text returns the file's text. The caller must not change it.
 func (d *Document) Text() []byte { return d.text }
 
-// Fault returns a fault at a key. If the key is missing, the fault points at the closest table around it.
+// Fault returns a fault at a key. If the file does not contain the key, the position is that of the innermost table or
+// list that would contain it.
 func (d *Document) Fault(key, format string, args ...any) Fault {
 	fault := Fault{File: d.Path, Key: key, Message: fmt.Sprintf(format, args...)}
 	if s, ok := d.enclosingSpan(key); ok {
@@ -88,7 +89,7 @@
 	return fault
 }
 
-// FaultWithin returns a fault at an offset in bytes within the decoded value of a string.
+// FaultWithin returns a fault within the string value of a key. The offset is in bytes of the decoded value.
 func (d *Document) FaultWithin(key string, offset int, format string, args ...any) Fault {
 	fault := d.Fault(key, format, args...)
 	if s, ok := d.spans[key]; ok && s.end > s.value {
@@ -98,7 +99,8 @@
 	return fault
 }
 
-// enclosingSpan returns the span of a key or, if it is missing, of the closest table or list around it.
+// enclosingSpan returns the span of a key or, if the file does not contain it, of the innermost table or list that
+// would contain it.
 func (d *Document) enclosingSpan(key string) (span, bool) {
 	for {
 		if s, ok := d.spans[key]; ok {
@@ -112,10 +114,10 @@
 	}
 }
 
-// position returns the line and the column, both from 1, of a byte of the text, and the text of that line.
+// position returns the line and the column of an offset in bytes, both counted from 1, and the text of that line.
 func (d *Document) position(offset int) (line, column int, lineText string) {
 	offset = min(max(offset, 0), len(d.text))
-	line, _ = slices.BinarySearch(d.lineStarts, offset+1) // the number of lines that begin at offset or before it
+	line, _ = slices.BinarySearch(d.lineStarts, offset+1) // number of lines that begin at or before offset
 	start := d.lineStarts[line-1]
 	end := len(d.text)
 	if line < len(d.lineStarts) {
--- a/internal/configfile/document_test.go
+++ b/internal/configfile/document_test.go
@@ -24,7 +24,7 @@
 	} `toml:"list"`
 }
 
-func TestDecodeReportsAllFaultsWithTheirPlaces(t *testing.T) {
+func TestDecodeReportsAllFaultsWithTheirPositions(t *testing.T) {
 	document, err := Parse("f.toml", []byte(`name = 5
 wait = 7
 count = 3.5
@@ -61,7 +61,7 @@
 		t.Error(diff)
 	}
 	if decoded.Share != 1 {
-		t.Errorf("share %v", decoded.Share)
+		t.Errorf("share is %v, want 1", decoded.Share)
 	}
 }
 
@@ -69,19 +69,19 @@
 	_, err := Parse("f.toml", []byte("a = 1\nb = [1,\nc = 2\n"))
 	var faults Faults
 	if !errors.As(err, &faults) || faults[0].Line != 3 || !strings.HasPrefix(err.Error(), "f.toml:3:") {
-		t.Errorf("%v", err)
+		t.Errorf("got %v, want faults of which the first is at f.toml:3", err)
 	}
 }
 
-// Whatever kind of string it is, a fault within it points at the exact character.
+// A fault within a string points at the exact character, for each kind of TOML string.
 func TestFaultWithinStringPointsAtCharacter(t *testing.T) {
 	for name, text := range map[string]string{
-		"basic":               `k = "ab@"`,
-		"escaped":             `k = "\"\u0062@"`,
-		"literal":             `k = 'ab@'`,
-		"many lines":          "k = '''\nab@'''",
-		"a backslashed break": "k = \"\"\"\\\n   ab@\"\"\"",
-		"in a table":          "k = 'ab@'",
+		"basic string":                              `k = "ab@"`,
+		"escape sequences":                          `k = "\"\u0062@"`,
+		"literal string":                            `k = 'ab@'`,
+		"multi-line literal string":                 "k = '''\nab@'''",
+		"multi-line string with escaped line break": "k = \"\"\"\\\n   ab@\"\"\"",
+		"in a table":                                "k = 'ab@'",
 	} {
 		t.Run(name, func(t *testing.T) {
 			document, err := Parse("f", []byte(text))
@@ -91,11 +91,11 @@
 			fault := document.FaultWithin("k", 2, "here")
 			line := strings.Split(text, "\n")[fault.Line-1]
 			if []rune(line)[fault.Column-1] != '@' {
-				t.Errorf("points at %d:%d of %q", fault.Line, fault.Column, text)
+				t.Errorf("fault points at %d:%d of %q, want the @", fault.Line, fault.Column, text)
 			}
 			shown := strings.Split(fault.Snippet(), "\n")
 			if strings.IndexByte(shown[1], '@') != strings.IndexByte(shown[2], '^') {
-				t.Errorf("the caret is misplaced:\n%s", fault.Snippet())
+				t.Errorf("the caret is not below the @:\n%s", fault.Snippet())
 			}
 		})
 	}
@@ -115,7 +115,7 @@
 		}
 		for key := range document.spans {
 			if fault := document.FaultWithin(key, offset, "x"); fault.Line < 1 || fault.Column < 1 {
-				t.Errorf("%s is at %d:%d", key, fault.Line, fault.Column)
+				t.Errorf("fault within key %q is at %d:%d", key, fault.Line, fault.Column)
 			}
 		}
 	})
--- a/internal/configfile/fault.go
+++ b/internal/configfile/fault.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong in a file, and where.
+// Fault is an error in a file, with its position.
 type Fault struct {
 	File    string `json:"file"`
-	Line    int    `json:"line"`          // from 1; 0 if the fault has no place in the file
-	Column  int    `json:"column"`        // from 1, in characters; 0 if only the line is known
+	Line    int    `json:"line"`          // counted from 1; 0 if the fault has no position
+	Column  int    `json:"column"`        // in characters, counted from 1; 0 if only the line is known
 	Key     string `json:"key,omitempty"` // dotted, as in unit[0].lun
 	Message string `json:"message"`
-	Text    string `json:"text,omitempty"` // of the line
+	Text    string `json:"text,omitempty"` // text of the line
 }
 
 // Error returns one line: FILE:LINE:COLUMN: KEY: MESSAGE.
@@ -37,7 +37,8 @@
 // Position returns FILE:LINE.
 func (f Fault) Position() string { return fmt.Sprintf("%s:%d", f.File, f.Line) }
 
-// Snippet returns the fault, the line in which it stands and a caret that points at its place.
+// Snippet returns the error, the line of the file, and a third line with a caret below the fault's column. If the line
+// is unknown, it returns only the error.
 func (f Fault) Snippet() string {
 	if f.Text == "" {
 		return f.Error()
@@ -45,8 +46,8 @@
 	return fmt.Sprintf("%s\n    %s\n    %s^", f.Error(), f.Text, blank(firstRunes(f.Text, f.Column-1)))
 }
 
-// blank replaces all characters by spaces except for tabs, so that a caret after them stands under its place however
-// wide tabs are.
+// blank replaces all characters except tabs by spaces. A caret after the result is aligned with the text above it at
+// any tab width.
 func blank(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r == '\t' {
@@ -56,6 +57,7 @@
 	}, text)
 }
 
+// firstRunes returns the first count characters of text.
 func firstRunes(text string, count int) string {
 	for i := range text {
 		if count <= 0 {
@@ -66,10 +68,10 @@
 	return text
 }
 
-// Faults are all faults of a file, or of several that belong together, as one error.
+// Faults holds all faults of one file, or of several files that belong together, as one error.
 type Faults []Fault
 
-// Error returns all faults, one a line.
+// Error returns all faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -78,7 +80,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err sorts the faults by their places and returns them as an error, or nil if there is none.
+// Err sorts the faults by position and returns them as an error, or nil if there are none.
 func (f Faults) Err() error {
 	if len(f) == 0 {
 		return nil
--- a/internal/configfile/index.go
+++ b/internal/configfile/index.go
@@ -7,19 +7,19 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// span is where a key and its value stand: offsets in bytes. For a table, value and end are 0.
+// span holds the positions of a key and its value, as offsets in bytes.
 type span struct {
-	key   int
-	value int
-	end   int
+	key   int // first byte of the key
+	value int // first byte of the value; 0 for a table
+	end   int // first byte after the value; 0 for a table
 }
 
-// indexKeys records where each key stands. The text is valid by now, so the parser has no errors left to report.
+// indexKeys records the position of each key. It does not check for parser errors, as the text has been parsed before.
 func (d *Document) indexKeys() {
 	parser := unstable.Parser{}
 	parser.Reset(d.text)
 	prefix := ""
-	elements := map[string]int{} // elements of each list of tables so far
+	elements := map[string]int{} // number of elements so far, by key of the list of tables
 	for parser.NextExpression() {
 		expression := parser.Expression()
 		switch expression.Kind {
@@ -33,7 +33,8 @@
 	}
 }
 
-// indexTable records a table's header and returns its dotted key, in which elements of lists are numbered.
+// indexTable records the position of a table's header and returns the table's dotted key, with indices for elements of
+// lists.
 func (d *Document) indexTable(header *unstable.Node, elements map[string]int, isElement bool) string {
 	path := ""
 	offset := -1
@@ -53,6 +54,7 @@
 	return path
 }
 
+// indexKeyValue records the positions of a key, of each part of it if it is dotted, and of all keys in its value.
 func (d *Document) indexKeyValue(prefix string, keyValue *unstable.Node) {
 	path := prefix
 	offset := -1
@@ -66,6 +68,7 @@
 	d.indexValue(path, offset, keyValue.Value())
 }
 
+// indexValue records the position of a value and of all keys and elements in it.
 func (d *Document) indexValue(path string, keyOffset int, value *unstable.Node) {
 	s := span{key: keyOffset}
 	if value.Raw.Length > 0 {
@@ -83,6 +86,7 @@
 	}
 }
 
+// indexArray records the positions of an array's elements and of all keys in them.
 func (d *Document) indexArray(path string, keyOffset int, array *unstable.Node) {
 	index := 0
 	for it := array.Children(); it.Next(); {
@@ -99,7 +103,7 @@
 	}
 }
 
-// recordFirst records where a key stands, unless an earlier place is recorded already.
+// recordFirst records the position of a key unless an earlier position is recorded.
 func (d *Document) recordFirst(path string, s span) {
 	if _, ok := d.spans[path]; !ok {
 		d.spans[path] = s
@@ -113,8 +117,8 @@
 	return prefix + "." + key
 }
 
-// rawOffset converts an offset within a string's decoded value to one within its TOML form, quotes and escapes
-// included.
+// rawOffset converts an offset in a string's decoded value to an offset in its TOML source, which has quotes and escape
+// sequences.
 func rawOffset(raw string, offset int) int {
 	isLiteral := strings.HasPrefix(raw, "'")
 	at := contentStart(raw)
@@ -131,8 +135,8 @@
 	return min(at, len(raw)-1)
 }
 
-// contentStart returns the offset of a string's first character. A line break right after three quotes is not a part
-// of the value.
+// contentStart returns the offset of the first character of a string's value in its TOML source. A line break directly
+// after three opening quotes is not part of the value.
 func contentStart(raw string) int {
 	if !strings.HasPrefix(raw, `"""`) && !strings.HasPrefix(raw, "'''") {
 		return 1
@@ -143,7 +147,7 @@
 	return len(raw) - len(content)
 }
 
-// escapeSize returns how many bytes the escape sequence at the beginning of text takes, and how many it stands for.
+// escapeSize returns the size in bytes of the escape sequence at the beginning of text, and that of its decoded value.
 func escapeSize(text string) (rawSize, decodedSize int) {
 	switch text[1] {
 	case 'x':
@@ -152,7 +156,7 @@
 		return 6, 1
 	case 'U':
 		return 10, 1
-	case ' ', '\t', '\r', '\n': // a backslash at the end of a line skips all white space up to the next character
+	case ' ', '\t', '\r', '\n': // a backslash at the end of a line removes all white space up to the next character
 		following := strings.TrimLeft(text[1:], " \t\r\n")
 		return len(text) - len(following), 0
 	}
--- a/internal/filesystem/filesystem.go
+++ b/internal/filesystem/filesystem.go
@@ -1,5 +1,6 @@
-// Package filesystem is the part of a file system that stored state needs, behind an interface: OS is the file system
-// of the machine, and package filesystemtest has one that loses unsynced data, runs out of space and fails to sync.
+// Package filesystem defines the file system operations that stored state needs, as the interface FS. OS implements it
+// with the machine's file system. Package filesystemtest implements it in memory and can simulate the loss of unsynced
+// data, lack of space and failing syncs.
 package filesystem
 
 import (
@@ -10,64 +11,64 @@
 	"path/filepath"
 )
 
-// FS is a file system. Names are paths, and directories exist.
+// FS is a file system. Names are paths. The directories in them must exist already.
 type FS interface {
-	// Create creates a file to append to. It fails with fs.ErrExist if the name is taken.
+	// Create creates a file and opens it for appending. It fails with fs.ErrExist if the file exists.
 	Create(name string) (File, error)
 	// Open opens a file for reading.
 	Open(name string) (io.ReadCloser, error)
-	// Truncate cuts a file to a size and syncs it.
+	// Truncate shortens a file to a size in bytes and syncs it.
 	Truncate(name string, size int64) error
 	// Remove removes a file.
 	Remove(name string) error
-	// Rename renames a file and replaces the one that had the new name, if any.
+	// Rename renames a file. It replaces an existing file with the new name.
 	Rename(from, to string) error
-	// List returns the regular files of a directory, ordered by name.
+	// List returns the regular files in a directory, sorted by name.
 	List(directory string) ([]Info, error)
 	// SyncDirectory makes the creations, removals and renames in a directory durable.
 	SyncDirectory(directory string) error
 }
 
-// File is a file that is written.
+// File is a file that is open for writing.
 type File interface {
 	io.WriteCloser
-	// Sync makes what was written durable. After an error it is unknown what is durable: the file is not to be used any
-	// more.
+	// Sync makes all written data durable. After an error it is unknown which data is durable, and the file must not be
+	// used any more.
 	Sync() error
 }
 
 // Info describes a file.
 type Info struct {
 	Name string // without the directory
-	Size int64
+	Size int64  // in bytes
 }
 
-// partSuffix marks files that are not complete.
-const partSuffix = ".part"
+// temporarySuffix marks files that may be incomplete.
+const temporarySuffix = ".part"
 
-// ReplaceFile replaces a file, or creates it, completely or not at all: the content is written under another name,
-// synced, and renamed.
+// ReplaceFile creates a file or replaces its content atomically: it writes the content to a temporary file, syncs that
+// file and renames it.
 func ReplaceFile(f FS, name string, content []byte) error {
-	part := name + partSuffix
-	// A previous incarnation may have left one.
-	if err := f.Remove(part); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	temporary := name + temporarySuffix
+	// An earlier process may have stopped before it renamed or removed the temporary file.
+	if err := f.Remove(temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	out, err := f.Create(part)
+	out, err := f.Create(temporary)
 	if err != nil {
 		return err
 	}
 	err = writeSynced(out, content)
 	if err == nil {
-		err = f.Rename(part, name)
+		err = f.Rename(temporary, name)
 	}
 	if err != nil {
-		return errors.Join(err, f.Remove(part)) // an incomplete file only takes space
+		return errors.Join(err, f.Remove(temporary)) // the incomplete file is of no use and takes up space
 	}
 	return f.SyncDirectory(filepath.Dir(name))
 }
 
-// writeSynced writes a file, syncs and closes it.
+// writeSynced writes the content to a file, syncs it and closes it.
 func writeSynced(out File, content []byte) error {
 	_, err := out.Write(content)
 	if err == nil {
@@ -80,9 +81,9 @@
 }
 
 // ErrTooLarge means that a file is larger than its reader allows.
-var ErrTooLarge = errors.New("the file is too large")
+var ErrTooLarge = errors.New("file is too large")
 
-// ReadFile returns the content of a file. It fails with ErrTooLarge if that is more than maxBytes.
+// ReadFile returns the content of a file. It fails with ErrTooLarge if the file has more than maxBytes bytes.
 func ReadFile(f FS, name string, maxBytes int64) ([]byte, error) {
 	in, err := f.Open(name)
 	if err != nil {
@@ -91,7 +92,7 @@
 	defer in.Close()
 	content, err := io.ReadAll(io.LimitReader(in, maxBytes+1))
 	if err == nil && int64(len(content)) > maxBytes {
-		err = fmt.Errorf("%w: more than %d bytes", ErrTooLarge, maxBytes)
+		err = fmt.Errorf("read %q: %w: more than %d bytes", name, ErrTooLarge, maxBytes)
 	}
 	return content, err
 }
--- a/internal/filesystem/filesystem_test.go
+++ b/internal/filesystem/filesystem_test.go
@@ -13,8 +13,9 @@
 	"reachpulley/internal/filesystem/filesystemtest"
 )
 
-// Whenever the power is lost while a file is replaced, either the former content or the new one is found.
-func TestReplaceFileIsCompleteOrNotDone(t *testing.T) {
+// If the power is lost at any time while a file is replaced, the file has either its former or its new content
+// afterwards.
+func TestReplaceFileIsAtomicUnderPowerLoss(t *testing.T) {
 	before := []byte("former content")
 	after := []byte("new content")
 	for writtenBytes := range len(after) + 2 {
@@ -23,38 +24,38 @@
 		disk.PowerLossAfter = writtenBytes
 		err := filesystem.ReplaceFile(disk, "d/file", after)
 		if lost := writtenBytes <= len(after); errors.Is(err, filesystemtest.ErrPower) != lost {
-			t.Errorf("power lost after %d bytes: %v", writtenBytes, err)
+			t.Errorf("power lost after %d bytes: error is %v", writtenBytes, err)
 		}
 		found := disk.Restart(0).Content("d/file")
 		if !bytes.Equal(found, before) && (err != nil || !bytes.Equal(found, after)) {
-			t.Errorf("power lost after %d bytes: %q is found, error %v", writtenBytes, found, err)
+			t.Errorf("power lost after %d bytes: the file contains %q after error %v", writtenBytes, found, err)
 		}
 	}
 }
 
-// A replacement that fails leaves no incomplete file.
-func TestReplaceFileRemovesItsPart(t *testing.T) {
+// A replacement that fails leaves no temporary file behind.
+func TestFailedReplaceFileRemovesTemporaryFile(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		fail func(*filesystemtest.FS)
 	}{
-		{"full", func(f *filesystemtest.FS) { f.Capacity = 3 }},
+		{"disk full", func(f *filesystemtest.FS) { f.Capacity = 3 }},
 		{"sync fails", func(f *filesystemtest.FS) { f.FailSync = 1 }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			disk := filesystemtest.New()
 			test.fail(disk)
 			if err := filesystem.ReplaceFile(disk, "d/file", []byte("content")); err == nil {
-				t.Error("no error")
+				t.Error("ReplaceFile returned no error")
 			}
 			if files, err := disk.List("d"); err != nil || len(files) > 0 {
-				t.Errorf("left: %v, %v", files, err)
+				t.Errorf("files left in the directory: %v; error %v", files, err)
 			}
 		})
 	}
 }
 
-func TestReadFileIsBounded(t *testing.T) {
+func TestReadFileLimitsSize(t *testing.T) {
 	disk := filesystemtest.New()
 	disk.Put("d/file", []byte("12345"))
 	if content, err := filesystem.ReadFile(disk, "d/file", 5); err != nil || string(content) != "12345" {
@@ -68,7 +69,7 @@
 	}
 }
 
-// The file system of the machine does what the one in memory does.
+// The file system of the machine behaves as the one in memory.
 func TestOS(t *testing.T) {
 	directory := t.TempDir()
 	path := func(name string) string { return filepath.Join(directory, name) }
--- a/internal/filesystem/filesystemtest/filesystemtest.go
+++ b/internal/filesystem/filesystemtest/filesystemtest.go
@@ -1,4 +1,5 @@
-// Package filesystemtest is a file system in memory for tests, which fails as disks do.
+// Package filesystemtest provides an in-memory file system for tests. It can simulate full disks, failing syncs and
+// loss of power.
 package filesystemtest
 
 import (
@@ -16,39 +17,39 @@
 	"reachpulley/internal/filesystem"
 )
 
-// Failures of an FS.
+// Errors of simulated failures.
 var (
-	// ErrSync is the error of a sync that FailSync lets fail.
+	// ErrSync is the error of the sync that FailSync selects.
 	ErrSync = errors.New("filesystemtest: sync failed")
-	// ErrPower is the error of all changes after the power is lost.
+	// ErrPower is the error of all changes after the simulated loss of power.
 	ErrPower = errors.New("filesystemtest: power lost")
 )
 
-// FS is a file system in memory. Unsynced content is lost with the power, and so are names unless their directory was
-// synced.
+// FS is an in-memory file system. A loss of power loses unsynced content, and all creations, removals and renames since
+// the last SyncDirectory.
 type FS struct {
 	mu        sync.Mutex
 	files     map[string]*file
-	durable   map[string]*file // names as of the last SyncDirectory
+	durable   map[string]*file // files by name as of the last SyncDirectory
 	used      int              // bytes
 	powerLost bool
 
-	Capacity       int // bytes that fit; 0: any number
-	FailSync       int // number of the sync that fails, counted from now; 0: none
-	PowerLossAfter int // bytes written from now until the power is lost; -1: it is not
+	Capacity       int // in bytes; 0: unlimited
+	FailSync       int // number of the sync that fails, 1 for the next; 0: none
+	PowerLossAfter int // bytes that are still written before the power is lost; -1: it is not lost
 }
 
 var _ filesystem.FS = (*FS)(nil)
 
 type file struct{ written, synced []byte }
 
-// New makes an empty FS.
+// New returns an empty FS.
 func New() *FS {
 	return &FS{files: map[string]*file{}, durable: map[string]*file{}, PowerLossAfter: -1}
 }
 
-// Restart returns the file system as it is after the power was lost. Of each file's unsynced content, so many bytes
-// have survived.
+// Restart returns the file system as it is found after a loss of power. Of each file's unsynced content, the first
+// unsyncedBytes bytes have survived.
 func (f *FS) Restart(unsyncedBytes int) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,7 +67,7 @@
 	return next
 }
 
-// Put makes a durable file.
+// Put creates a file whose name and content are durable.
 func (f *FS) Put(name string, content []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,7 +76,7 @@
 	f.used += len(content)
 }
 
-// Content returns the content of a file, or nil if there is none.
+// Content returns the content of a file, or nil if the file does not exist.
 func (f *FS) Content(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +100,7 @@
 	return &handle{fs: f, file: f.files[name]}, nil
 }
 
-// Open implements filesystem.FS. The reader has the content at this time.
+// Open implements filesystem.FS. The reader does not see later changes of the content.
 func (f *FS) Open(name string) (io.ReadCloser, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -109,7 +110,7 @@
 	return io.NopCloser(bytes.NewReader(bytes.Clone(f.files[name].written))), nil
 }
 
-// existing returns a file that is to be changed. The lock is held.
+// existing returns an existing file that is to be changed. The caller holds f.mu.
 func (f *FS) existing(name string) (*file, error) {
 	switch {
 	case f.powerLost:
@@ -187,7 +188,7 @@
 	return nil
 }
 
-// countSync returns the error that a sync has now, or nil. The lock is held.
+// countSync counts a sync towards FailSync and returns the error with which it fails, or nil. The caller holds f.mu.
 func (f *FS) countSync() error {
 	if f.powerLost {
 		return ErrPower
@@ -208,7 +209,7 @@
 	file *file
 }
 
-// Write writes what fits and what is written before the power is lost.
+// Write writes the bytes for which there is space and power.
 func (h *handle) Write(p []byte) (int, error) {
 	f := h.fs
 	f.mu.Lock()
@@ -216,14 +217,15 @@
 	if f.powerLost {
 		return 0, ErrPower
 	}
-	n, err := f.writable(len(p))
+	n, err := f.takeWritable(len(p))
 	h.file.written = append(h.file.written, p[:n]...)
 	f.used += n
 	return n, err
 }
 
-// writable returns how many of n bytes can be written, and why not all of them. The lock is held.
-func (f *FS) writable(n int) (int, error) {
+// takeWritable returns how many of n bytes can be written, and the error if that is not all of them. It counts the
+// bytes towards PowerLossAfter. The caller holds f.mu.
+func (f *FS) takeWritable(n int) (int, error) {
 	var err error
 	if f.Capacity > 0 && f.used+n > f.Capacity {
 		n = max(0, f.Capacity-f.used)
@@ -252,5 +254,5 @@
 	return nil
 }
 
-// Close does nothing: unsynced content can still be lost.
+// Close does nothing. In particular, it does not sync the file.
 func (h *handle) Close() error { return nil }
--- a/internal/filesystem/os.go
+++ b/internal/filesystem/os.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// OS is the file system of the machine.
+// OS implements FS with the file system of the machine.
 type OS struct{}
 
 var _ FS = OS{}
@@ -40,7 +40,7 @@
 // Rename implements FS.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
-// List implements FS. It leaves out files that vanish meanwhile.
+// List implements FS. It leaves out files that are removed while it reads the directory.
 func (OS) List(directory string) (files []Info, err error) {
 	entries, err := os.ReadDir(directory)
 	for _, entry := range entries {
