--- a/internal/apitest/api_test.go
+++ b/internal/apitest/api_test.go
@@ -29,6 +29,7 @@
 	asyncAPIPath = "../../api/asyncapi.yaml"
 )
 
+// objectPath is the path of an object: its volume and its piece of data.
 const objectPath = "/api/00000003b4d60021/7f3a9c21e0b4d655"
 
 var testSettings = scheduler.Settings{
@@ -36,12 +37,13 @@
 	Plans:   []scheduler.Plan{{Name: "gold"}},
 }
 
-// fixedAnswer is an event loop that gives every request the same answer.
+// fixedAnswer replaces the event loop. It gives every request the same answer.
 type fixedAnswer exchange.Answer
 
 func (a fixedAnswer) Open(x *exchange.Exchange) { x.Finish(exchange.Answer(a)) }
 
-// newRequest returns a valid request, changed by pairs of a header's name and value. An empty value removes the header.
+// newRequest returns a valid request with changed headers, given as pairs of a name and a value. An empty value removes
+// the header.
 func newRequest(method, target string, headers ...string) *http.Request {
 	r := httptest.NewRequest(method, target, nil)
 	if method == http.MethodPut {
@@ -70,7 +72,8 @@
 	return r
 }
 
-func writeOfLongBody() *http.Request {
+// oversizedWrite returns a write whose body is one byte over the limit of 64 KiB.
+func oversizedWrite() *http.Request {
 	r := httptest.NewRequest("PUT", objectPath, strings.NewReader(strings.Repeat("x", 64<<10+1)))
 	r.Header = newRequest("PUT", objectPath).Header
 	return r
@@ -82,7 +85,7 @@
 	return r
 }
 
-// newRouter returns a router that finds the description of a request's operation.
+// newRouter returns a router that finds the operation of a request in the OpenAPI description.
 func newRouter(t *testing.T) routers.Router {
 	t.Helper()
 	description, err := openapi3.NewLoader().LoadFromFile(openAPIPath)
@@ -96,8 +99,8 @@
 	return router
 }
 
-// describe returns what the validation of a request by its description needs.
-func describe(t *testing.T, router routers.Router, r *http.Request) *openapi3filter.RequestValidationInput {
+// validationInput returns the input for the validation of a request against the description of its operation.
+func validationInput(t *testing.T, router routers.Router, r *http.Request) *openapi3filter.RequestValidationInput {
 	t.Helper()
 	route, params, err := router.FindRoute(r)
 	if err != nil {
@@ -106,7 +109,7 @@
 	return &openapi3filter.RequestValidationInput{Request: r, Route: route, PathParams: params}
 }
 
-// validateResponse validates a response to a described request.
+// validateResponse validates a response against the description of the request's operation.
 func validateResponse(
 	t *testing.T, request *openapi3filter.RequestValidationInput, w *httptest.ResponseRecorder) error {
 	t.Helper()
@@ -118,7 +121,7 @@
 	return openapi3filter.ValidateResponse(t.Context(), response.SetBodyBytes(w.Body.Bytes()))
 }
 
-// A request over a rate limit gets status 429 as described, with a Retry-After.
+// A request over a rate limit gets status 429 with a Retry-After header, as the description says.
 func TestRateLimitConformsToDescription(t *testing.T) {
 	const text = "[[limit]]\nname = 'all'\nkey = '\"\"'\nrate = 1\nburst = 1\n"
 	ruleSet, err := rules.Parse("rules", []byte(text), testSettings)
@@ -139,17 +142,17 @@
 	})
 	for _, want := range []int{http.StatusOK, http.StatusTooManyRequests} {
 		r := newRequest("GET", objectPath)
-		request := describe(t, router, r)
+		request := validationInput(t, router, r)
 		w := httptest.NewRecorder()
 		frontend.ServeHTTP(w, r)
 		if w.Code != want {
 			t.Errorf("status %d, want %d: %v", w.Code, want, w.Header())
 		}
 		if want == http.StatusOK {
-			continue // the reply is not what a node would send
+			continue // the reply is empty, unlike that of a node, so it is not validated
 		}
 		if w.Header().Get("Retry-After") == "" {
-			t.Errorf("no Retry-After: %v", w.Header())
+			t.Errorf("no Retry-After header: %v", w.Header())
 		}
 		if err := validateResponse(t, request, w); err != nil {
 			t.Error(err)
@@ -174,7 +177,7 @@
 		answer  fixedAnswer
 		request *http.Request
 		status  int
-		invalid bool // by the description, too
+		invalid bool // whether the request violates the description
 	}{
 		{"ready", served, newRequest("GET", "/ready"), 200, false},
 		{"read", served, read(), 200, false},
@@ -185,7 +188,7 @@
 		{"rejected without Retry-After", rejected, read(), 503, false},
 		{"failed", failed, read(), 502, false},
 		{"chunked body", served, chunkedWrite(), 411, false},
-		{"body too long", served, writeOfLongBody(), 413, true},
+		{"body too long", served, oversizedWrite(), 413, true},
 		{"HTTP/1.0", served, http10Read(), 505, false},
 		{"no id", served, read(httpmsg.IDHeader, ""), 400, true},
 		{"no class", served, read(httpmsg.ClassHeader, ""), 400, true},
@@ -197,9 +200,9 @@
 		{"units not a number", served, read(httpmsg.PlacementHeader, "units=x,shard=0,hosts=1"), 400, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			request := describe(t, router, test.request)
+			request := validationInput(t, router, test.request)
 			if err := openapi3filter.ValidateRequest(t.Context(), request); (err != nil) != test.invalid {
-				t.Errorf("by the description: %v", err)
+				t.Errorf("validation of the request: error %v, want one: %v", err, test.invalid)
 			}
 			frontend := httpfrontend.New(httpfrontend.Options{
 				Settings: testSettings,
@@ -218,7 +221,7 @@
 	}
 }
 
-// The parser of endpoint lists accepts what the descriptions allow, and nothing else.
+// The parser of endpoint lists accepts exactly the lists that the descriptions allow.
 func TestListsAreParsedAsDescribed(t *testing.T) {
 	for _, path := range []string{openAPIPath, asyncAPIPath} {
 		schema := Schemas(t, path)("List")
@@ -242,7 +245,7 @@
 			want := []bool{test.valid, test.valid}
 			got := []bool{schema.Validate(value) == nil, parseErr == nil}
 			if diff := cmp.Diff(want, got); diff != "" {
-				t.Errorf("%s: %s: %s", path, test.line, diff)
+				t.Errorf("%s: %s: valid by schema and by parser (-want +got):\n%s", path, test.line, diff)
 			}
 		}
 	}
--- a/internal/apitest/apitest.go
+++ b/internal/apitest/apitest.go
@@ -11,10 +11,10 @@
 	"go.yaml.in/yaml/v4"
 )
 
-// resourceName is the name under which the compiler of schemas knows the description.
+// resourceName is the name under which the description is added to the schema compiler.
 const resourceName = "api.json"
 
-// Schemas returns a function that returns a schema of the description at a path by the schema's name.
+// Schemas reads the API description at a path and returns a function that compiles the schema with a given name in it.
 func Schemas(t *testing.T, path string) func(name string) *jsonschema.Schema {
 	t.Helper()
 	text, err := os.ReadFile(path)
--- a/internal/scenariotest/actor.go
+++ b/internal/scenariotest/actor.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"strings"
@@ -15,42 +14,43 @@
 )
 
 const (
-	// end is what an actor receives when a connection ends.
+	// end is the text that an actor receives when a connection ends.
 	end = "end"
-	// nothing is what an actor expects if it must have received nothing.
+	// nothing is the text of an expectation that the actor has received no message.
 	nothing = "nothing"
 )
 
 const (
-	// expectTimeout is how long an actor waits for what it expects.
+	// expectTimeout is the time that an actor waits for an expected message.
 	expectTimeout = 20 * time.Second
-	// maxReceived limits the messages that an actor has received and not expected yet.
+	// maxReceived is the number of received messages that an actor holds until the script expects them.
 	maxReceived = 1024
 )
 
-// actor is a client or a stand-in for a server. It receives the messages of all its connections in one order.
+// actor is a client or a fake server. It puts the messages of all its connections into one queue.
 type actor struct {
-	stage    *Scenario
-	speech   Codec
-	address  string       // a client's: to which it connects when it first sends
-	listener net.Listener // a server's
+	scenario *Scenario
+	codec    Codec
+	address  string       // of a client: where it connects to when it first sends
+	listener net.Listener // of a server
 	received chan message
-	current  net.Conn // on which it last received or sent
+	current  net.Conn // connection on which it last sent or received
 
 	mu     sync.Mutex
 	conns  []net.Conn
-	closed net.Conn // the last that the actor has closed itself, whose end it does not receive
+	closed net.Conn // connection that the actor closed last; it does not receive the end of it
 }
 
+// message is a received message.
 type message struct {
-	conn  net.Conn
-	words string
+	conn net.Conn
+	text string // in the notation of scripts
 }
 
-func newActor(stage *Scenario, address string, speech Codec) *actor {
+func newActor(scenario *Scenario, address string, codec Codec) *actor {
 	return &actor{
-		stage:    stage,
-		speech:   speech,
+		scenario: scenario,
+		codec:    codec,
 		address:  address,
 		received: make(chan message, maxReceived),
 	}
@@ -67,43 +67,44 @@
 	}
 }
 
-// add receives from a connection until it ends.
+// add starts a goroutine that receives the messages of a connection until it ends.
 func (a *actor) add(c net.Conn) {
 	a.mu.Lock()
 	a.conns = append(a.conns, c)
 	a.mu.Unlock()
-	a.stage.readers.Go(func() { a.read(c) })
+	a.scenario.readers.Go(func() { a.read(c) })
 }
 
+// read receives the messages of a connection until it ends.
 func (a *actor) read(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
-		words, err := a.speech.Read(r)
+		text, err := a.codec.Read(r)
 		if err != nil {
 			a.mu.Lock()
-			closedItself := a.closed == c
+			closedByActor := a.closed == c
 			a.mu.Unlock()
-			if !closedItself {
+			if !closedByActor {
 				a.received <- message{c, end}
 			}
 			return
 		}
-		a.received <- message{c, words}
+		a.received <- message{c, text}
 	}
 }
 
-// send sends a message on the current connection.
-func (a *actor) send(words string) error {
+// send sends a message on the current connection. A client without one connects first.
+func (a *actor) send(text string) error {
 	if a.current == nil {
-		c, err := a.stage.Network.Dial(context.Background(), "tcp", a.address)
+		c, err := a.scenario.Network.Dial(context.Background(), "tcp", a.address)
 		if err != nil {
 			return err
 		}
 		a.current = c
 		a.add(c)
 	}
-	err := a.speech.Write(a.current, words)
-	synctest.Wait() // what the message causes is done before the next line, so that all runs are alike
+	err := a.codec.Write(a.current, text)
+	synctest.Wait() // the effects of the message are complete before the next line, so that all runs are alike
 	return err
 }
 
@@ -130,13 +131,14 @@
 	}
 }
 
-// expect compares the next message with words. The connection of that message becomes the current one.
-func (a *actor) expect(words string) error {
+// expect compares the next received message with text, ignoring differences in white space. The connection of the
+// message becomes the current one.
+func (a *actor) expect(text string) error {
 	synctest.Wait()
-	if words == nothing {
+	if text == nothing {
 		select {
 		case m := <-a.received:
-			return fmt.Errorf("received %q", m.words)
+			return fmt.Errorf("received %q", m.text)
 		default:
 			return nil
 		}
@@ -144,14 +146,14 @@
 	select {
 	case m := <-a.received:
 		a.current = m.conn
-		if words == end {
+		if text == end {
 			a.current = nil
 		}
-		if diff := cmp.Diff(strings.Fields(words), strings.Fields(m.words)); diff != "" {
-			return fmt.Errorf("received %q (-want +got):\n%s", m.words, diff)
+		if diff := cmp.Diff(strings.Fields(text), strings.Fields(m.text)); diff != "" {
+			return fmt.Errorf("received %q (-want +got):\n%s", m.text, diff)
 		}
 		return nil
 	case <-time.After(expectTimeout):
-		return errors.New("received nothing")
+		return fmt.Errorf("received no message within %v", expectTimeout)
 	}
 }
--- a/internal/scenariotest/h2.go
+++ b/internal/scenariotest/h2.go
@@ -13,36 +13,37 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// HTTP2 is the Speech of HTTP/2. A message is a frame, so that a script can violate the protocol, too:
+// HTTP2 is the Codec of HTTP/2. Each message is a frame, so scripts can also violate the protocol:
 //
-//	preface                            the client's, with its SETTINGS
+//	preface                            the client connection preface, with SETTINGS
 //	headers 1 end GET /path name=value HEADERS; without end, more frames follow on the stream
 //	data 1 end text                    DATA
 //	rst 1 CANCEL                       RST_STREAM
-//	window 1 100                       WINDOW_UPDATE; stream 0 is the connection
+//	window 1 100                       WINDOW_UPDATE; stream 0 stands for the connection
 //	settings window=0 frame=16384      SETTINGS
 //	ping                               PING
 //	goaway 0 NO_ERROR                  GOAWAY
 //
-// A frame that is received has the same words. SETTINGS, WINDOW_UPDATE and acknowledgements are skipped. Of a
-// response's fields, it has the status and those in Shows. H2 is used by pointer, as it keeps the HPACK state of each
-// connection.
+// Received frames have the same notation. SETTINGS, WINDOW_UPDATE and other types of frames are skipped. HEADERS of a
+// response contain the status and the fields in VisibleFields. HTTP2 must be used as a pointer because it keeps the
+// HPACK state of each connection.
 type HTTP2 struct {
-	VisibleFields []string // names of fields, in lower case
+	VisibleFields []string // names of header fields, in lower case
 
 	mu      sync.Mutex
 	framers map[*bufio.Reader]*http2.Framer
 }
 
-var settingIDs = map[string]http2.SettingID{
+// settingIDsByName maps the names of settings in scripts to their identifiers.
+var settingIDsByName = map[string]http2.SettingID{
 	"window":  http2.SettingInitialWindowSize,
 	"frame":   http2.SettingMaxFrameSize,
 	"table":   http2.SettingHeaderTableSize,
 	"streams": http2.SettingMaxConcurrentStreams,
 }
 
-// errorCodes are the error codes of HTTP/2 by name.
-var errorCodes = func() map[string]http2.ErrCode {
+// errorCodesByName maps the name of an HTTP/2 error code to the code.
+var errorCodesByName = func() map[string]http2.ErrCode {
 	codes := map[string]http2.ErrCode{}
 	for code := http2.ErrCodeNo; code <= http2.ErrCodeHTTP11Required; code++ {
 		codes[code.String()] = code
@@ -50,7 +51,7 @@
 	return codes
 }()
 
-// frame is a frame in words.
+// frame is the parsed text of a frame.
 type frame struct {
 	name      string
 	stream    uint32
@@ -58,8 +59,8 @@
 	arguments []string
 }
 
-func parseFrame(words string) frame {
-	parts := strings.Fields(words)
+func parseFrame(text string) frame {
+	parts := strings.Fields(text)
 	f := frame{name: parts[0], arguments: parts[1:]}
 	if len(f.arguments) > 0 {
 		if stream, err := strconv.ParseUint(f.arguments[0], 10, 32); err == nil {
@@ -75,8 +76,8 @@
 }
 
 // Write sends a frame.
-func (h *HTTP2) Write(w io.Writer, words string) error {
-	f := parseFrame(words)
+func (h *HTTP2) Write(w io.Writer, text string) error {
+	f := parseFrame(text)
 	framer := http2.NewFramer(w, nil)
 	framer.AllowIllegalWrites = true
 	switch f.name {
@@ -95,7 +96,7 @@
 	case "data":
 		return framer.WriteData(f.stream, f.end, []byte(strings.Join(f.arguments, " ")))
 	case "rst":
-		return framer.WriteRSTStream(f.stream, errorCodes[f.arguments[0]])
+		return framer.WriteRSTStream(f.stream, errorCodesByName[f.arguments[0]])
 	case "window":
 		increment, err := strconv.ParseUint(f.arguments[0], 10, 31)
 		if err != nil {
@@ -111,11 +112,12 @@
 	case "ping":
 		return framer.WritePing(false, [8]byte{})
 	case "goaway":
-		return framer.WriteGoAway(f.stream, errorCodes[f.arguments[0]], nil)
+		return framer.WriteGoAway(f.stream, errorCodesByName[f.arguments[0]], nil)
 	}
 	return fmt.Errorf("unknown frame %q", f.name)
 }
 
+// parseSettings parses words of the form NAME=NUMBER.
 func parseSettings(words []string) ([]http2.Setting, error) {
 	var settings []http2.Setting
 	for _, word := range words {
@@ -124,12 +126,13 @@
 		if err != nil {
 			return nil, err
 		}
-		settings = append(settings, http2.Setting{ID: settingIDs[name], Val: uint32(number)})
+		settings = append(settings, http2.Setting{ID: settingIDsByName[name], Val: uint32(number)})
 	}
 	return settings, nil
 }
 
-// fieldBlock encodes METHOD PATH name=value ... without a dynamic table, so that no block depends on those before it.
+// fieldBlock encodes the words METHOD PATH name=value ... with HPACK. It uses no dynamic table, so no block depends on
+// earlier ones.
 func fieldBlock(words []string) []byte {
 	var block bytes.Buffer
 	encoder := hpack.NewEncoder(&block)
@@ -175,7 +178,7 @@
 	}
 }
 
-// framer returns the framer of a connection, which has its HPACK state.
+// framer returns the framer of a connection, which holds the connection's HPACK state.
 func (h *HTTP2) framer(r *bufio.Reader) *http2.Framer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/scenariotest/http.go
+++ b/internal/scenariotest/http.go
@@ -10,31 +10,31 @@
 	"strings"
 )
 
-// testHost is the Host of requests.
+// testHost is the Host header of requests.
 const testHost = "origin.svc"
 
-// HTTP is the Speech of HTTP/1.1. A request is "GET /path Header=value ... body", a response "200 Header=value ...
-// body". Names of headers begin with a capital; a word that is not a header is the body. "raw ..." sends text as it is,
-// with \n for the end of a line. "nothing" connects and sends nothing.
+// HTTP is the Codec of HTTP/1.1. A request is "GET /path Header=value ... body", a response "200 Header=value ...
+// body". Names of headers begin with a capital letter. A word that is not a header is the body. "raw ..." sends the
+// text unchanged, with \n for the end of a line. "nothing" connects without sending anything.
 //
-// A message that is received has the headers in Shows and no others.
+// The text of a received message contains the headers in VisibleHeaders and no others.
 type HTTP struct {
 	VisibleHeaders []string
 }
 
 // Write sends a request or a response.
-func (h HTTP) Write(w io.Writer, words string) error {
-	if raw, ok := strings.CutPrefix(words, "raw "); ok {
+func (h HTTP) Write(w io.Writer, text string) error {
+	if raw, ok := strings.CutPrefix(text, "raw "); ok {
 		_, err := io.WriteString(w, strings.ReplaceAll(raw, `\n`, "\r\n"))
-		if errors.Is(err, io.ErrClosedPipe) { // a malformed message may be cut off; the script's next line will show it
+		if errors.Is(err, io.ErrClosedPipe) { // the peer may close early on a malformed message; the next line shows it
 			return nil
 		}
 		return err
 	}
-	if words == nothing {
+	if text == nothing {
 		return nil
 	}
-	parts := strings.Fields(words)
+	parts := strings.Fields(text)
 	var b bytes.Buffer
 	if isStatus(parts[0]) {
 		fmt.Fprintf(&b, "HTTP/1.1 %s stand-in\r\n", parts[0])
@@ -56,6 +56,7 @@
 	return err
 }
 
+// isStatus reports whether a word is a status code.
 func isStatus(word string) bool { return word[0] >= '1' && word[0] <= '9' }
 
 // Read receives a request or a response.
@@ -90,14 +91,14 @@
 	return h.words([]string{request.Method, request.RequestURI}, request.Header, request.Body)
 }
 
-// words adds the headers that are shown and the body to a message's words.
+// words appends the visible headers and the body to the words of a message and returns the message's text.
 func (h HTTP) words(words []string, header http.Header, body io.Reader) (string, error) {
 	for _, name := range h.VisibleHeaders {
 		if value := header.Get(name); value != "" {
 			words = append(words, name+"="+value)
 		}
 	}
-	text, err := io.ReadAll(body)
-	words = append(words, strings.TrimSpace(string(text)))
+	content, err := io.ReadAll(body)
+	words = append(words, strings.TrimSpace(string(content)))
 	return strings.Join(words, " "), err
 }
--- a/internal/scenariotest/iscsi.go
+++ b/internal/scenariotest/iscsi.go
@@ -12,22 +12,22 @@
 	"reachpulley/internal/proto/iscsi"
 )
 
-// ISCSI is the Speech of iSCSI. A message is a PDU: the name of its opcode and name=value words for the fields of its
+// ISCSI is the Codec of iSCSI. A message is a PDU: the name of its opcode and name=value words for the fields of its
 // header. Further words are
 //
 //	cdb=HEX                            the command descriptor block
-//	read=LBA+BLOCKS, write=LBA+BLOCKS  a command of blocks of 512 bytes
+//	read=LBA+BLOCKS, write=LBA+BLOCKS  a read or write command, for blocks of 512 bytes
 //	lun=N                              the logical unit
-//	text=KEY=VALUE;KEY=VALUE           the data of a login
+//	text=KEY=VALUE;KEY=VALUE           the text parameters of a login, as data
 //	data=TEXT, data=COUNT*LETTER       other data
 //	imm                                the immediate delivery flag
-//	cut=N                              only the first N bytes are sent
+//	cut=N                              sends only the first N bytes of the PDU
 //
-// A PDU that is received has the words that matter for its opcode.
+// The text of a received PDU contains only the words that matter for its opcode.
 type ISCSI struct{}
 
-// opcodes are the opcodes by name.
-var opcodes = func() map[string]iscsi.Opcode {
+// opcodesByName maps the name of an opcode to the opcode.
+var opcodesByName = func() map[string]iscsi.Opcode {
 	names := map[string]iscsi.Opcode{}
 	for op := iscsi.Opcode(0); op <= iscsi.Reject; op++ {
 		names[op.String()] = op
@@ -35,7 +35,7 @@
 	return names
 }()
 
-// headerFields are the fields of four bytes.
+// headerFields maps the names of header fields of four bytes to the fields.
 var headerFields = map[string]iscsi.Field{
 	"tag":     iscsi.TaskTag,
 	"expects": iscsi.ExpectedLength,
@@ -49,7 +49,7 @@
 	"length":  iscsi.DesiredLength,
 }
 
-// headerBytes are the offsets of the fields of one byte.
+// headerBytes maps the names of header fields of one byte to their offsets.
 var headerBytes = map[string]int{
 	"flags":   1,
 	"status":  3,
@@ -58,8 +58,8 @@
 	"ahs":     4,
 }
 
-// shownFields are the fields of four bytes that a received PDU has in words, by opcode.
-var shownFields = map[iscsi.Opcode][]string{
+// visibleFields maps an opcode to the names of the four-byte fields that the text of a received PDU contains.
+var visibleFields = map[iscsi.Opcode][]string{
 	iscsi.R2T:            {"tag", "ttt", "offset", "length"},
 	iscsi.NopIn:          {"tag", "ttt"},
 	iscsi.DataIn:         {"tag", "offset"},
@@ -72,14 +72,14 @@
 }
 
 const (
-	blockSize      = 512
-	maxDataSegment = 1 << 20
+	blockSize      = 512     // bytes
+	maxDataSegment = 1 << 20 // bytes
 )
 
 // Write sends a PDU.
-func (ISCSI) Write(w io.Writer, words string) error {
-	parts := strings.Fields(words)
-	opcode, ok := opcodes[parts[0]]
+func (ISCSI) Write(w io.Writer, text string) error {
+	parts := strings.Fields(text)
+	opcode, ok := opcodesByName[parts[0]]
 	if !ok {
 		return fmt.Errorf("unknown opcode %q", parts[0])
 	}
@@ -107,7 +107,7 @@
 	return err
 }
 
-// setWord sets what the word name=value stands for.
+// setWord applies the word name=value to a PDU.
 func setWord(p *iscsi.PDU, name, value string) error {
 	switch name {
 	case "imm":
@@ -129,7 +129,7 @@
 	return setField(p, name, value)
 }
 
-// setCommand makes a PDU that of a transfer of LBA+BLOCKS.
+// setCommand makes a PDU a read or write command for a transfer of the form LBA+BLOCKS.
 func setCommand(p *iscsi.PDU, write bool, transfer string) error {
 	command := iscsi.Command{Write: write, BlockSize: blockSize}
 	if _, err := fmt.Sscanf(transfer, "%d+%d", &command.LBA, &command.Blocks); err != nil {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// setField sets a field of the header to a number.
+// setField sets a header field to a number.
 func setField(p *iscsi.PDU, name, value string) error {
 	number, err := strconv.ParseUint(value, 0, 32)
 	if offset, ok := headerBytes[name]; ok {
@@ -187,17 +187,17 @@
 		return "", err
 	}
 	words := []string{p.Op().String()}
-	for _, name := range shownFields[p.Op()] {
+	for _, name := range visibleFields[p.Op()] {
 		words = append(words, fmt.Sprintf("%s=%d", name, p.Get(headerFields[name])))
 	}
 	words = append(words, opcodeWords(p)...)
-	if showsData(p) {
+	if isDataVisible(p) {
 		words = append(words, "data="+formatData(p.Data))
 	}
 	return strings.Join(words, " "), nil
 }
 
-// opcodeWords returns the words that only PDUs of one opcode have.
+// opcodeWords returns the words for fields that are specific to the PDU's opcode.
 func opcodeWords(p *iscsi.PDU) []string {
 	switch p.Op() {
 	case iscsi.LoginResponse:
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// showsData reports whether a received PDU's data is shown as such.
-func showsData(p *iscsi.PDU) bool {
+// isDataVisible reports whether the text of a received PDU contains its data in a data word.
+func isDataVisible(p *iscsi.PDU) bool {
 	if len(p.Data) == 0 {
 		return false
 	}
--- a/internal/scenariotest/network.go
+++ b/internal/scenariotest/network.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// errConnectionRefused is the error of a dial to an address at which nothing listens.
+// errConnectionRefused is the error of dialing an address without a listener.
 var errConnectionRefused = errors.New("connection refused")
 
-// Network connects the parts of a test within the process. Its zero value is ready to use. Dial takes the place of that
-// of a net.Dialer in the parts under test.
+// Network is a network within the process. Its zero value is ready to use. In the code under test, Dial takes the place
+// of the dial function of a net.Dialer.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	Delay     time.Duration // time until a connection is up
+	Delay     time.Duration // time that Dial takes
 }
 
-// Dial connects to the listener at an address. It fails if there is none.
+// Dial connects to the listener at an address. It fails if no listener has the address.
 func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	if n.Delay > 0 {
 		select {
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// roundTripTime is the time to a node and back.
+	// roundTripTime is the network latency from a gateway to a node and back.
 	roundTripTime = 2 * time.Millisecond
-	// connectTimeout is the time after which a connect to an unreachable node fails.
+	// connectTimeout is the time after which connecting to an unreachable node fails.
 	connectTimeout = 250 * time.Millisecond
-	// establishedShare is the share of attempts at an unreachable node that are sent on an established connection, and
-	// so get no answer instead of a failed connect.
+	// establishedShare is the share of attempts at an unreachable node that are sent on an established connection. They
+	// get no response, whereas the others fail to connect.
 	establishedShare = 0.7
 )
 
-// Scheduler is what decides for a gateway; *scheduler.Scheduler is one.
+// Scheduler makes the decisions of a gateway. *scheduler.Scheduler implements it.
 type Scheduler interface {
 	RequestArrived(now time.Duration, request scheduler.Request)
 	MembershipChanged(now time.Duration, membership scheduler.Membership)
@@ -27,20 +27,20 @@
 	TimerFired(now time.Duration, key uint64)
 }
 
-// Verdict is how a request ended for its client.
+// Verdict is the outcome of a request for its client.
 type Verdict int
 
 // The values of Verdict.
 const (
 	Served   Verdict = iota
-	Rejected         // a retry is harmless
-	Failed           // whether the request ran is unknown
+	Rejected         // the request did not run and may be retried
+	Failed           // it is unknown whether the request ran
 )
 
-// Answer is what a client gets for a request.
+// Answer is the answer to a client's request.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter time.Duration
+	RetryAfter time.Duration // delay before a retry of a rejected request
 }
 
 // Gateway carries out a scheduler's actions in simulated time. It implements scheduler.Actions.
@@ -48,38 +48,39 @@
 	Simulation  *Simulation
 	Nodes       map[string]*Node
 	Scheduler   Scheduler
-	Partitioned map[int]bool                                // zones that the gateway does not reach
-	OnAttempt   func(request scheduler.Request, node *Node) // called with each attempt; nil: no calls
-	Sent        int                                         // attempts
+	Partitioned map[int]bool                                // zones that the gateway cannot reach
+	OnAttempt   func(request scheduler.Request, node *Node) // called for each attempt; may be nil
+	Sent        int                                         // number of attempts
 
-	requests int                  // submitted
-	open     map[string]*exchange // by request id; not answered yet, or with an outstanding attempt
+	requests int                  // number of submitted requests
+	open     map[string]*exchange // by request id: those without an answer or with an outstanding attempt
 }
 
-// exchange is a request at a gateway.
+// exchange is a request at a gateway with its attempts.
 type exchange struct {
 	request     scheduler.Request
 	deadline    time.Duration
-	answer      func(Answer)
+	answer      func(Answer) // called once
 	answered    bool
 	attempts    []*attempt
-	outstanding int // attempts
+	outstanding int // number of attempts that have not ended
 }
 
+// attempt is an attempt of a request at a node.
 type attempt struct {
 	node  *Node
-	job   *job // nil until the attempt has arrived at the node
+	job   *job // nil until the attempt arrives at the node
 	ended bool
 }
 
-// NewGateway returns a gateway that knows all nodes and decides by a scheduler with the settings.
+// NewGateway returns a gateway that knows all nodes and uses a new scheduler with the settings.
 func NewGateway(s *Simulation, settings scheduler.Settings, nodes []*Node) (*Gateway, error) {
 	g := &Gateway{
 		Simulation: s,
 		Nodes:      map[string]*Node{},
 		open:       map[string]*exchange{},
 	}
-	decisions, err := scheduler.New(settings, s.Random.Uint64(), g)
+	newScheduler, err := scheduler.New(settings, s.Random.Uint64(), g)
 	if err != nil {
 		return nil, err
 	}
@@ -88,12 +89,12 @@
 		g.Nodes[n.ID] = n
 		membership.Nodes = append(membership.Nodes, n.Node)
 	}
-	g.Scheduler = decisions
-	decisions.MembershipChanged(s.Now, membership)
+	g.Scheduler = newScheduler
+	newScheduler.MembershipChanged(s.Now, membership)
 	return g, nil
 }
 
-// Submit submits a client's request and returns the id that the gateway gives it. Answer is called once.
+// Submit submits a client's request and returns the id that the gateway assigns to it. The gateway calls answer once.
 func (g *Gateway) Submit(request scheduler.Request, answer func(Answer)) (id string) {
 	g.requests++
 	request.ID = fmt.Sprintf("%p-%d", g, g.requests)
@@ -106,7 +107,7 @@
 	return request.ID
 }
 
-// answer answers a request, once.
+// answer answers a request unless it was answered before.
 func (g *Gateway) answer(id string, answer Answer) {
 	x := g.open[id]
 	if x == nil || x.answered {
@@ -117,6 +118,7 @@
 	g.forgetIfDone(x)
 }
 
+// forgetIfDone removes a request that is answered and has no outstanding attempts.
 func (g *Gateway) forgetIfDone(x *exchange) {
 	if x.answered && x.outstanding == 0 {
 		delete(g.open, x.request.ID)
@@ -156,10 +158,11 @@
 	})
 }
 
-// unreachable reports whether the gateway and a node get nothing from each other.
+// unreachable reports whether no message between the gateway and a node arrives.
 func (g *Gateway) unreachable(n *Node) bool { return n.Unresponsive || g.Partitioned[n.Zone] }
 
-// endAttempt reports the end of an attempt to the scheduler, once, and answers the request if it was served.
+// endAttempt reports the end of an attempt to the scheduler, and answers the request if the attempt was served. It does
+// nothing if the attempt has ended before.
 func (g *Gateway) endAttempt(x *exchange, number int, result scheduler.Result, latency time.Duration) {
 	a := x.attempts[number]
 	if a.ended {
@@ -194,16 +197,16 @@
 			a.node.Cancel(a.job)
 			return
 		}
-		g.endAttempt(x, number, scheduler.Canceled, 0) // whether the node gets to know of it or not
+		g.endAttempt(x, number, scheduler.Canceled, 0) // whether or not the node learns of it
 	})
 }
 
-// Reject answers a request that may be retried after a delay.
+// Reject answers a request that did not run and may be retried after a delay.
 func (g *Gateway) Reject(id string, retryAfter time.Duration) {
 	g.answer(id, Answer{Verdict: Rejected, RetryAfter: retryAfter})
 }
 
-// Fail answers a request of which it is unknown whether it ran.
+// Fail answers a request that may have run.
 func (g *Gateway) Fail(id string) { g.answer(id, Answer{Verdict: Failed}) }
 
 // Probe probes a node. An unreachable node does not respond.
@@ -220,13 +223,13 @@
 	})
 }
 
-// SetTimer notifies the scheduler after a delay.
+// SetTimer schedules a call of Scheduler.TimerFired with the key after a delay.
 func (g *Gateway) SetTimer(after time.Duration, key uint64) {
 	g.Simulation.After(after, func() { g.Scheduler.TimerFired(g.Simulation.Now, key) })
 }
 
-// Watch does nothing: the gateway has the complete membership from the beginning, and scenarios report changes of it.
+// Watch does nothing: the gateway has the complete membership from the beginning, and scenarios report all changes.
 func (g *Gateway) Watch() {}
 
-// Log does nothing.
+// Log discards the text.
 func (g *Gateway) Log(string) {}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -8,31 +8,31 @@
 )
 
 // Node is a storage node: a number of workers behind one queue. A request that has waited for longer than MaxWait is
-// still processed and then ends as an error, as in servers that check their timeouts too late. This is what lets an
-// overload sustain itself.
+// still processed and then ends with an error, as in servers that check their timeouts too late. This wasted work lets
+// an overload sustain itself.
 type Node struct {
 	scheduler.Node
 	Simulation  *Simulation
 	Workers     int
-	MaxQueue    int             // requests that may wait; more are rejected and not run
-	ServiceTime time.Duration   // of a unit at a worker
-	MaxWait     time.Duration   // longest wait of a request that is still served; 0: any
-	Speed       float64         // current share of its full speed
-	Shared      *SharedResource // called by each request; nil: none
+	MaxQueue    int             // number of requests that may wait; further ones are rejected without being run
+	ServiceTime time.Duration   // time in which a worker processes one unit
+	MaxWait     time.Duration   // longest wait after which a request is still served; 0: unlimited
+	Speed       float64         // as a share of full speed
+	Shared      *SharedResource // called once for each request; nil: none
 
-	Started      time.Duration // when its slow start began; 0: long ago
+	Started      time.Duration // time at which its slow start began; 0: long ago
 	SlowStart    SlowStart
-	Unresponsive bool // it sends nothing; what it receives is lost
-	Crashed      bool // by too much load in its slow start; it stays down
+	Unresponsive bool // it sends nothing, and what it receives is lost
+	Crashed      bool // it crashed under too much load in its slow start, and stays down
 
-	Executions map[string]int // by request, how often it ran; nil: not counted
-	Wasted     int            // requests that were processed and ended as errors
+	Executions map[string]int // number of executions by request id; nil: not counted
+	Wasted     int            // number of requests that were processed and ended with an error
 
 	waiting     []*job
 	running     []*job
-	arrivals    []arrival // within SlowStart.Window
-	busy        int       // workers
-	incarnation int       // the work of a previous one never ends
+	arrivals    []arrival // those within the last SlowStart.Window
+	busy        int       // number of workers that process a request
+	incarnation int       // number of resets; work that began before the last reset never completes
 }
 
 // job is an attempt at a node.
@@ -44,10 +44,11 @@
 	done      func(scheduler.Result)
 }
 
-// Rate returns how many units a second the node can do at full speed.
+// Rate returns the number of units per second that the node can process at full speed.
 func (n *Node) Rate() float64 { return float64(n.Workers) / n.ServiceTime.Seconds() }
 
-// Accept takes an attempt. The first call of done reports its result; an unresponsive node makes none until Reset.
+// Accept receives an attempt. The first call of done reports its result. An unresponsive node does not call done until
+// it is reset.
 func (n *Node) Accept(id string, units float64, done func(scheduler.Result)) *job {
 	j := &job{
 		id:        id,
@@ -69,7 +70,7 @@
 	return j
 }
 
-// Cancel ends an attempt; one that waits never runs.
+// Cancel cancels an attempt. An attempt that is still queued never runs.
 func (n *Node) Cancel(j *job) {
 	if j.ended {
 		return
@@ -81,14 +82,15 @@
 	n.Simulation.After(0, func() { j.done(scheduler.Canceled) })
 }
 
-// Restart restarts the node: its slow start begins, and its attempts are lost.
+// Restart restarts the node. Its slow start begins, and all attempts at it end.
 func (n *Node) Restart() {
 	n.Started = n.Simulation.Now
 	n.arrivals = nil
 	n.Reset()
 }
 
-// Reset ends all attempts at the node, as a machine that returns resets the connections that it no longer knows.
+// Reset ends all attempts at the node with a connection reset, as a machine that is reachable again resets connections
+// that it does not know any more.
 func (n *Node) Reset() {
 	for _, j := range append(n.waiting, n.running...) {
 		if !j.ended {
@@ -102,7 +104,7 @@
 	n.incarnation++
 }
 
-// dispatch lets idle workers run the requests that wait.
+// dispatch assigns queued requests to idle workers.
 func (n *Node) dispatch() {
 	for n.busy < n.Workers && len(n.waiting) > 0 && !n.Unresponsive {
 		j := n.waiting[0]
@@ -111,7 +113,7 @@
 	}
 }
 
-// run lets a worker process a request.
+// run starts the processing of a request by an idle worker.
 func (n *Node) run(j *job) {
 	n.running = append(n.running, j)
 	n.busy++
@@ -131,11 +133,11 @@
 	})
 }
 
-// complete ends a request that was processed, and lets the worker run the next.
+// complete reports the result of a processed request and frees its worker for the next one.
 func (n *Node) complete(j *job, failed bool) {
 	n.busy--
 	n.running = slices.DeleteFunc(n.running, func(other *job) bool { return other == j })
-	if n.Unresponsive { // the response is lost, and Reset will end the attempt
+	if n.Unresponsive { // the response is lost; the attempt waits until Reset ends it
 		n.waiting = append(n.waiting, j)
 		return
 	}
--- a/internal/simulation/passthrough.go
+++ b/internal/simulation/passthrough.go
@@ -6,8 +6,8 @@
 	"reachpulley/scheduler"
 )
 
-// passthrough is the Scheduler of a proxy that ignores load: it sends each request at once, and retries it at once
-// after any result but Served, until its attempts or its time are used up.
+// passthrough is the Scheduler of a proxy that ignores load. It sends each request at once, and retries it at once
+// after any result other than Served, until the maximum number of attempts or the client timeout is reached.
 type passthrough struct {
 	simulation  *Simulation
 	actions     scheduler.Actions
@@ -15,12 +15,13 @@
 	maxAttempts int
 	open        map[string]*passthroughRequest // by request id
 	lastTimer   uint64
-	timers      map[uint64]string // request id by key
+	timers      map[uint64]string // request id by timer key
 }
 
+// passthroughRequest is a request that has not ended yet.
 type passthroughRequest struct {
 	scheduler.Request
-	attempts int
+	attempts int // number of attempts so far
 	deadline time.Duration
 }
 
@@ -39,6 +40,7 @@
 	return p
 }
 
+// send starts an attempt at the node of the request's shard, or at a random node if any shard will do.
 func (p *passthrough) send(r *passthroughRequest) {
 	r.attempts++
 	shard := r.Shard
--- a/internal/simulation/retry_storm.go
+++ b/internal/simulation/retry_storm.go
@@ -8,42 +8,42 @@
 )
 
 // Storm is a retry storm, a metastable failure (N. Bronson et al., "Metastable failures in distributed systems", HotOS
-// 2021): the nodes slow down for a short time, and then the retries of what failed meanwhile, by gateways and by
-// clients, are load enough to keep requests failing.
+// 2021): the nodes slow down for a short time, and afterwards gateways and clients retry so many failed requests that
+// the load of the retries alone keeps requests failing.
 type Storm struct {
 	Seed             uint64
 	Gateways         int
 	Nodes            int
-	Clients          int           // each waits for an answer before its next request
-	Think            time.Duration // mean time between an answer and the client's next request
-	Tries            int           // of a client for one request
-	SlowdownStart    time.Duration // when the slowdown begins
-	SlowdownDuration time.Duration // duration of the slowdown
-	Speed            float64       // share of the full speed during the slowdown
-	Length           time.Duration
+	Clients          int           // each waits for the answer to a request before its next request
+	MeanThinkTime    time.Duration // mean time between an answer and the client's next request
+	Tries            int           // how often a client submits one request at most
+	SlowdownStart    time.Duration // from the start of the storm
+	SlowdownDuration time.Duration
+	SlowdownSpeed    float64       // during the slowdown, as a share of full speed
+	Length           time.Duration // simulated time
 	Retry            retrybudget.Settings
-	SharedRate       float64 // calls per second of a resource that all nodes share; 0: they share none
-	Passthrough      bool    // gateways retry at once, up to the settings' limit, without package scheduler
+	SharedRate       float64 // calls per second that the resource shared by all nodes can process; 0: none is shared
+	Passthrough      bool    // gateways do not use package scheduler but retry at once, up to MaxAttempts
 }
 
-// NodeStorm is a storm of nodes that slow down themselves, under two thirds of the load that they can take.
+// NodeStorm returns a storm in which the nodes themselves slow down. The load is about two thirds of their capacity.
 func NodeStorm(seed uint64) Storm {
 	return Storm{
 		Seed:             seed,
 		Gateways:         3,
 		Nodes:            8,
 		Clients:          300,
-		Think:            time.Second,
+		MeanThinkTime:    time.Second,
 		Tries:            3,
 		SlowdownStart:    20 * time.Second,
 		SlowdownDuration: 4 * time.Second,
-		Speed:            0.15,
+		SlowdownSpeed:    0.15,
 		Length:           120 * time.Second,
 	}
 }
 
-// SharedStorm is a storm of a slow resource that all nodes share, under less than half of the load that it can take. It
-// fails as fast as it responds, so that no latency shows the failure.
+// SharedStorm returns a storm in which a resource that all nodes share slows down. The load is less than half of its
+// capacity. A failed call takes no longer than a slow successful one, so latencies do not show the failure.
 func SharedStorm(seed uint64) Storm {
 	s := NodeStorm(seed)
 	s.SharedRate = 500
@@ -54,19 +54,20 @@
 
 // StormSecond is the outcome of one second of a storm.
 type StormSecond struct {
-	Submitted, Served, Rejected, Failed int // by clients' tries
-	Sent, Wasted                        int // attempts; those that nodes processed and ended as errors
+	Submitted, Served, Rejected, Failed int // number of requests as clients see them; each retry counts
+	Sent                                int // number of attempts that gateways sent to nodes
+	Wasted                              int // number of attempts that nodes processed and ended with an error
 }
 
 // StormResult is the outcome of a storm.
 type StormResult struct {
 	Seconds      []StormSecond
-	ServedBefore float64       // served per second before the slowdown
-	Recovered    time.Duration // from the slowdown's end until about as many were served as before; -1: never
+	ServedBefore float64       // requests served per second before the slowdown
+	Recovered    time.Duration // time from the end of the slowdown until recovery; -1: no recovery
 }
 
-// A storm has recovered when recoveredShare of what was served before the slowdown is served in each of
-// recoveredSeconds in a row.
+// A storm has recovered when the requests served per second are at least recoveredShare of those before the slowdown,
+// for recoveredSeconds seconds in a row.
 const (
 	recoveredShare   = 0.9
 	recoveredSeconds = 5
@@ -97,7 +98,7 @@
 	storm      Storm
 	simulation *Simulation
 	began      time.Duration
-	shared     *SharedResource // nil: none
+	shared     *SharedResource // nil if there is none
 	nodes      []*Node
 	gateways   []*Gateway
 	result     StormResult
@@ -108,18 +109,18 @@
 	run := &stormRun{storm: s, simulation: New(s.Seed)}
 	run.began = run.simulation.Now
 	seconds := int(s.Length / time.Second)
-	run.result.Seconds = make([]StormSecond, seconds+1) // one more for what happens at the very end
+	run.result.Seconds = make([]StormSecond, seconds+1) // one more for events at the end of the last second
 	run.addNodes()
 	if err := run.addGateways(); err != nil {
 		return StormResult{}, err
 	}
 	for i := range s.Clients {
 		c := &stormClient{run: run, gateway: run.gateways[i%len(run.gateways)]}
-		run.simulation.After(time.Duration(run.simulation.Random.Float64()*float64(s.Think)), c.try)
+		run.simulation.After(time.Duration(run.simulation.Random.Float64()*float64(s.MeanThinkTime)), c.try)
 	}
-	run.simulation.After(s.SlowdownStart, func() { run.setSpeed(s.Speed) })
+	run.simulation.After(s.SlowdownStart, func() { run.setSpeed(s.SlowdownSpeed) })
 	run.simulation.After(s.SlowdownStart+s.SlowdownDuration, func() { run.setSpeed(1) })
-	run.play(seconds)
+	run.advance(seconds)
 	run.result.Seconds = run.result.Seconds[:seconds]
 	run.result.ServedBefore = run.servedBefore()
 	run.result.Recovered = run.recovered()
@@ -182,8 +183,8 @@
 	}
 }
 
-// play lets the time of the storm pass and counts the attempts of each second.
-func (r *stormRun) play(seconds int) {
+// advance runs the simulation for the given time and counts the attempts in each second.
+func (r *stormRun) advance(seconds int) {
 	sentBefore, wastedBefore := 0, 0
 	for i := range seconds {
 		r.simulation.Run(time.Second)
@@ -200,7 +201,7 @@
 	}
 }
 
-// servedBefore returns how many tries were served per second in the second half of the time before the slowdown.
+// servedBefore returns the number of requests served per second in the second half of the time before the slowdown.
 func (r *stormRun) servedBefore() float64 {
 	begin := int(r.storm.SlowdownStart / time.Second)
 	mean := 0.0
@@ -210,7 +211,8 @@
 	return mean
 }
 
-// recovered returns the time from the end of the slowdown until the storm has recovered, or -1.
+// recovered returns the time from the end of the slowdown until the first second of the recovery, or -1 if there is no
+// recovery.
 func (r *stormRun) recovered() time.Duration {
 	end := int((r.storm.SlowdownStart + r.storm.SlowdownDuration) / time.Second)
 	inRow := 0
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -20,8 +20,8 @@
 	return result
 }
 
-// A shared resource fails calls and processes them all the same. Without retry budgets, the retries that a slowdown
-// leaves behind keep it failing until the end; with them, as many requests are served as before within seconds.
+// A slow shared resource fails calls but still processes them. Without retry budgets, the retries that a slowdown
+// causes keep the resource overloaded until the end. With budgets, the storm recovers within 15 s.
 func TestRetryBudgetsEndStorm(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		s := SharedStorm(seed)
@@ -31,14 +31,14 @@
 		with := runStorm(t, s)
 		recovered := with.Recovered >= 0 && with.Recovered <= 15*time.Second
 		if without.Recovered >= 0 || !recovered || without.ServedBefore < 150 {
-			t.Errorf("seed %d: recovered after %v with budgets, %v without; %.0f served a second before",
+			t.Errorf("seed %d: recovered after %v with budgets and %v without (-1ns: never); %.0f served per second before",
 				seed, with.Recovered, without.Recovered, without.ServedBefore)
 		}
 	}
 }
 
-// If the nodes slow down themselves, the scheduler's limits end the storm without budgets, and a proxy without those
-// limits never recovers.
+// If the nodes themselves slow down, the scheduler's limits end the storm even without retry budgets. With a proxy that
+// lacks those limits, the storm never ends.
 func TestSchedulerEndsStormOfSlowNodes(t *testing.T) {
 	for seed := uint64(1); seed <= 2; seed++ {
 		s := NodeStorm(seed)
@@ -48,18 +48,18 @@
 		passthrough := runStorm(t, s)
 		recovered := scheduled.Recovered >= 0 && scheduled.Recovered <= 10*time.Second
 		if !recovered || passthrough.Recovered >= 0 {
-			t.Errorf("seed %d: recovered after %v, and %v as a passthrough proxy",
+			t.Errorf("seed %d: recovered after %v with the scheduler and %v with a passthrough proxy (-1ns: never)",
 				seed, scheduled.Recovered, passthrough.Recovered)
 		}
 	}
 }
 
-func TestStormFollowsFromSeed(t *testing.T) {
+func TestSameSeedGivesSameStorm(t *testing.T) {
 	s := SharedStorm(7)
 	s.Length = 30 * time.Second
 	s.Retry = testRetryBudget
 	if diff := cmp.Diff(runStorm(t, s), runStorm(t, s)); diff != "" {
-		t.Errorf("two runs of a seed differ: %s", diff)
+		t.Errorf("two runs with the same seed differ (-first +second):\n%s", diff)
 	}
 }
 
@@ -72,6 +72,6 @@
 		answered += second.Served + second.Rejected + second.Failed
 	}
 	if waiting := submitted - answered; waiting < 0 || waiting > s.Clients {
-		t.Errorf("%d submitted, %d answered", submitted, answered)
+		t.Errorf("%d requests submitted by %d clients, %d answered", submitted, s.Clients, answered)
 	}
 }
--- a/internal/simulation/shared_resource.go
+++ b/internal/simulation/shared_resource.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// minSpeed keeps what is slowed down from standing still.
+// minSpeed is the lowest speed of nodes and shared resources, as a share of full speed. At 0, no request would end.
 const minSpeed = 0.01
 
-// SharedResource is what all nodes depend on, such as a disk array. It processes one call after another, including
-// calls whose callers have stopped waiting.
+// SharedResource is a resource that all nodes depend on, such as a disk array. It processes one call at a time,
+// including calls whose callers have stopped waiting.
 type SharedResource struct {
 	Rate       float64       // calls per second at full speed
-	Speed      float64       // current share of the full speed
-	Timeout    time.Duration // after which a caller stops waiting
-	MaxBacklog time.Duration // of calls that wait; further calls are not taken
+	Speed      float64       // as a share of full speed
+	Timeout    time.Duration // time after which a caller stops waiting
+	MaxBacklog time.Duration // while accepted calls need longer than this, further ones are not accepted
 
-	busyUntil time.Duration // when all calls that were taken will be done
+	busyUntil time.Duration // time at which all accepted calls will be done
 }
 
-// call makes a call and returns for how long its caller waits, and whether the call fails. A nil resource does nothing
-// and takes no time.
+// call makes a call and returns how long its caller waits and whether the call fails. A call of a nil resource takes no
+// time and does not fail.
 func (r *SharedResource) call(now time.Duration) (wait time.Duration, failed bool) {
 	if r == nil {
 		return 0, false
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,11 +1,12 @@
-// Package simulation runs gateways, storage nodes and clients in simulated time. It is a discrete-event simulation:
-// nodes queue, slow down and fail, gateways decide by package scheduler, and clients wait for their answers and retry.
+// Package simulation is a discrete-event simulation of gateways, storage nodes and clients. Nodes queue requests, slow
+// down and fail. Gateways make their decisions with package scheduler. Clients wait for answers and retry.
 //
 // The package has two scenarios. Storm is a retry storm, a metastable failure that outlives its cause. ZoneScenario is
 // the loss and return of whole zones of nodes.
 //
-// A simulation runs in the goroutine of its caller, and its results follow from its seed alone. They depend on the
-// order of random draws and of the calls of Simulation.After: a change of either changes the results of every seed.
+// A simulation runs in the goroutine of its caller and is deterministic: the same seed gives the same results. They
+// depend on the order of random draws and of calls of Simulation.After, so changing either order changes the results of
+// every seed.
 package simulation
 
 import (
@@ -14,10 +15,12 @@
 	"time"
 )
 
-// startTime is when the clock of a simulation begins: a Scheduler takes a time of 0 for one that is long past.
+// startTime is the time at which the clock of a simulation begins. It is not 0 because a Scheduler takes a time of 0
+// for one that is long past.
 const startTime = time.Hour
 
-// randomStream separates the random draws of simulations from others with the same seed.
+// randomStream is the stream of the random generator. It makes the draws of simulations independent of other draws with
+// the same seed.
 const randomStream = 11
 
 // Simulation is the simulated clock, the source of random draws and the queue of future events.
@@ -26,7 +29,7 @@
 	Random *rand.Rand
 
 	events   eventQueue
-	sequence uint64 // of the last event
+	sequence uint64 // of the event that was scheduled last
 }
 
 // New returns a simulation without events.
@@ -37,8 +40,8 @@
 	}
 }
 
-// After schedules a function call after a delay. Calls that are due at the same time run in the order in which they
-// were scheduled.
+// After schedules a call of run after a delay. A negative delay counts as 0. Calls that are due at the same time are
+// made in the order in which they were scheduled.
 func (s *Simulation) After(delay time.Duration, run func()) {
 	s.sequence++
 	heap.Push(&s.events, event{
@@ -59,6 +62,7 @@
 	s.Now = end
 }
 
+// event is a scheduled function call.
 type event struct {
 	at       time.Duration
 	sequence uint64
@@ -85,8 +89,8 @@
 	return x
 }
 
-// secondAt returns the element of the second in which a time since the simulation's begin lies. What comes after the
-// last second counts for the last.
+// secondAt returns the element for the second that contains an elapsed time since the start of the simulation. Times
+// after the last second belong to the last second.
 func secondAt[T any](seconds []T, elapsed time.Duration) *T {
 	return &seconds[min(int(elapsed/time.Second), len(seconds)-1)]
 }
--- a/internal/simulation/slow_start.go
+++ b/internal/simulation/slow_start.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// SlowStart describes how a node performs after a start: its caches are cold, and too much load crashes it.
+// SlowStart describes the performance of a node after a start. While its caches are cold, it is slower, and too much
+// load crashes it.
 type SlowStart struct {
-	StartShare float64       // share of its full speed with which it starts
-	Duration   time.Duration // after which it has its full speed
-	Multiple   float64       // of what it can do at the time, received within Window, that crashes it; 0: nothing does
-	Window     time.Duration
+	StartShare float64       // share of full speed at the start
+	Duration   time.Duration // time until full speed
+	Multiple   float64       // multiple of its current capacity above which the load crashes it; 0: no load does
+	Window     time.Duration // time over which the load is measured
 }
 
-// arrival is a request's units and when they arrived.
+// arrival is the number of units of a request and the time at which they arrived.
 type arrival struct {
 	at    time.Duration
 	units float64
 }
 
-// SpeedShare returns the share of its full speed that a node has now. It grows linearly during the slow start.
+// SpeedShare returns the node's current speed as a share of full speed. It grows linearly during the slow start.
 func (n *Node) SpeedShare() float64 {
 	elapsed := n.Simulation.Now - n.Started
 	if n.Started == 0 || n.SlowStart.Duration == 0 || elapsed >= n.SlowStart.Duration {
@@ -25,8 +26,8 @@
 	return n.SlowStart.StartShare + (1-n.SlowStart.StartShare)*elapsed.Seconds()/n.SlowStart.Duration.Seconds()
 }
 
-// SlowStartCapacity returns how many units a node can receive within SlowStart.Window now without a crash. 0 means any
-// number.
+// SlowStartCapacity returns the number of units that the node can currently receive within SlowStart.Window without a
+// crash. 0 means any number.
 func (n *Node) SlowStartCapacity() float64 {
 	if n.SpeedShare() >= 1 || n.SlowStart.Multiple == 0 {
 		return 0
@@ -34,7 +35,7 @@
 	return n.SlowStart.Multiple * n.SpeedShare() * n.Rate() * n.SlowStart.Window.Seconds()
 }
 
-// WindowUnits returns how many units the node has received within SlowStart.Window.
+// WindowUnits returns the number of units that the node has received within the last SlowStart.Window.
 func (n *Node) WindowUnits() float64 {
 	sum := 0.0
 	for _, a := range n.arrivals {
@@ -45,7 +46,7 @@
 	return sum
 }
 
-// recordArrival counts received units. If they are more than a node in slow start can take, the node crashes.
+// recordArrival records received units. The node crashes if it is in slow start and has received more than it can take.
 func (n *Node) recordArrival(units float64) {
 	if n.SlowStart.Window == 0 {
 		return
--- a/internal/simulation/storm_client.go
+++ b/internal/simulation/storm_client.go
@@ -7,20 +7,20 @@
 )
 
 // stormClient submits a request and waits for the answer. If the request was not served, it retries at once or after
-// the answer's RetryAfter. It thinks before its next request.
+// the answer's RetryAfter. Before its next request, it waits for a random think time.
 type stormClient struct {
 	run     *stormRun
 	gateway *Gateway
-	tries   int // of the current request
+	tries   int // how often the current request was submitted
 	shard   int // of the current request
 }
 
-// second returns the current second of the result.
+// second returns the result's element for the current second.
 func (c *stormClient) second() *StormSecond {
 	return secondAt(c.run.result.Seconds, c.run.simulation.Now-c.run.began)
 }
 
-// try submits the current request, or a new one after the last has ended.
+// try submits the current request again, or a new request if the last one has ended.
 func (c *stormClient) try() {
 	s := c.run.simulation
 	if c.tries == 0 {
@@ -52,10 +52,10 @@
 	})
 }
 
-// newKey returns a key for each try, so that the scheduler does not take two requests for retries of one.
+// newKey returns a random key. Each try has its own, so that the scheduler does not recognize it as a retry.
 func (c *stormClient) newKey() string { return string(rune(c.run.simulation.Random.IntN(1 << 20))) }
 
-// end counts how a try ended and schedules the next.
+// end counts the outcome of a try and schedules the next one.
 func (c *stormClient) end(answer Answer) {
 	switch answer.Verdict {
 	case Served:
@@ -71,5 +71,5 @@
 		return
 	}
 	c.tries = 0
-	s.After(time.Duration(s.Random.ExpFloat64()*float64(c.run.storm.Think)), c.try)
+	s.After(time.Duration(s.Random.ExpFloat64()*float64(c.run.storm.MeanThinkTime)), c.try)
 }
--- a/internal/simulation/zone_checks.go
+++ b/internal/simulation/zone_checks.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	// lastSpan is the span at the end of a scenario for which attempts are counted by node.
-	lastSpan = 10 * time.Second
-	// probingPerNode is the number of attempts per second at lost nodes that count as probing, for each node there is.
+	// lastAttemptsSpan is the span at the end of a scenario in which ZoneResult.LastAttemptsByNode counts attempts.
+	lastAttemptsSpan = 10 * time.Second
+	// probingPerNode, multiplied by the number of all nodes, is the number of attempts per second at lost nodes that
+	// count as probing.
 	probingPerNode = 3
-	// maxViolations limits the violations that are reported.
+	// maxViolations is the number of violations after which further ones are not reported.
 	maxViolations = 20
 )
 
-// detection follows how long attempts are sent to lost nodes.
+// detection measures how long gateways send more attempts to lost nodes than they need for probing.
 type detection struct {
-	lostAt      time.Duration // of the first loss; 0: none
-	lastBurst   time.Duration // the last time that more attempts were sent to lost nodes than probing explains
-	windowBegan time.Duration
-	attempts    int // in the current window
+	lostAt      time.Duration // time of the first loss; 0: none
+	lastBurst   time.Duration // last time at which the current window had more attempts than count as probing
+	windowBegan time.Duration // begin of the current window of 1 second
+	attempts    int           // number of attempts at lost nodes in the current window
 }
 
-// recordAttempt follows each attempt of a gateway in a zone.
+// recordAttempt records an attempt of a gateway in a zone in the result, the spillover and the detection of losses.
 func (r *zoneRun) recordAttempt(gatewayZone int, request scheduler.Request, node *Node) {
 	now := r.simulation.Now
-	if now > r.began+r.scenario.Length-lastSpan {
-		r.result.ToNode[node.ID]++
+	if now > r.began+r.scenario.Length-lastAttemptsSpan {
+		r.result.LastAttemptsByNode[node.ID]++
 	}
 	if request.Shard == scheduler.AnyShard && node.Zone != gatewayZone {
 		r.spillover[gatewayZone] = append(r.spillover[gatewayZone], arrival{at: now, units: request.Units})
@@ -39,7 +40,7 @@
 	}
 }
 
-// recordAttempt counts an attempt at a lost node. Up to maxProbing attempts in a second count as probing.
+// recordAttempt records an attempt at a lost node. Up to maxProbing attempts in a window count as probing.
 func (d *detection) recordAttempt(now time.Duration, maxProbing int) {
 	if now-d.windowBegan > time.Second {
 		d.windowBegan = now
@@ -51,7 +52,7 @@
 	}
 }
 
-// sampleSlowStart records the load of nodes in slow start.
+// sampleSlowStart records the highest current load of a node in slow start.
 func (r *zoneRun) sampleSlowStart() {
 	for _, n := range r.nodes {
 		if capacity := n.SlowStartCapacity(); capacity > 0 && !n.Unresponsive {
@@ -61,14 +62,15 @@
 	}
 }
 
-func (r *zoneRun) violation(format string, args ...any) {
+// recordViolation records a violation of what must hold in each scenario.
+func (r *zoneRun) recordViolation(format string, args ...any) {
 	if len(r.result.Violations) < maxViolations {
 		r.result.Violations = append(r.result.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// conclude completes the result after the scenario has ended.
-func (r *zoneRun) conclude() *ZoneResult {
+// finish completes the result after the end of the scenario.
+func (r *zoneRun) finish() *ZoneResult {
 	r.result.Seconds = r.result.Seconds[:len(r.result.Seconds)-1]
 	for _, n := range r.nodes {
 		if n.Crashed {
@@ -87,24 +89,24 @@
 	return r.result
 }
 
-// checkExecutions checks that no request ran at two nodes: only the nodes of the first node's shard recognize the retry
-// of a write by its key.
+// checkExecutions checks that no request ran at two nodes. Only the nodes in the shard of the first node recognize the
+// retry of a write by its key, and here each node has a shard of its own.
 func (r *zoneRun) checkExecutions() {
 	ranAt := map[string]string{}
 	for _, n := range r.nodes {
 		for id := range n.Executions {
 			if other := ranAt[id]; other != "" {
-				r.violation("%s ran at %s and %s", id, other, n.ID)
+				r.recordViolation("%s ran at %s and %s", id, other, n.ID)
 			}
 			ranAt[id] = n.ID
 		}
 	}
 }
 
-// excessSpillover returns by how much the spilled units exceeded their limit, a token bucket, in the worst of all time
-// spans; 0 if they never did. Let the balance be the units spilled so far minus the tokens gained so far. A span
-// exceeds the limit by the rise of the balance minus the burst, so one pass that remembers the lowest balance finds the
-// worst span.
+// excessSpillover returns the number of units by which the spillover exceeded its limit, a token bucket, in the worst
+// of all time spans, or 0 if it never did. Let the balance be the units spilled so far minus the tokens gained so far.
+// A span exceeds the limit by the rise of the balance in it minus the burst, so one pass that keeps the lowest balance
+// finds the worst span.
 func (r *zoneRun) excessSpillover(spilled []arrival) float64 {
 	worst, lowest, sum := 0.0, 0.0, 0.0
 	for i, a := range spilled {
--- a/internal/simulation/zone_run.go
+++ b/internal/simulation/zone_run.go
@@ -7,20 +7,20 @@
 	"reachpulley/scheduler"
 )
 
-// Classes of requests, by their place in zoneSettings.
+// Indices of the classes in zoneSettings.
 const (
 	readClass  = 0 // reads of objects, which only the nodes of their shard can serve
 	writeClass = 1 // writes of new objects, which any node can take
 )
 
 const (
-	volumes   = 40
-	maxUnits  = 3 // of a request, drawn evenly from 1
-	meanUnits = 2
+	volumes   = 40 // number of volumes
+	maxUnits  = 3  // a request has from 1 to maxUnits units, all equally likely
+	meanUnits = 2  // of a request
 
-	// answerTolerance is how much later than the client timeout an answer may come.
+	// answerTolerance is the longest time after the client timeout at which an answer is still in time.
 	answerTolerance = 20 * time.Millisecond
-	// missingAfter is how long after the client timeout an answer counts as missing.
+	// missingAfter is the time after the client timeout at which an answer counts as missing.
 	missingAfter = 30 * time.Millisecond
 )
 
@@ -31,9 +31,9 @@
 	began      time.Duration
 	nodes      []*Node // zone by zone
 	gateways   []*Gateway
-	rate       float64 // units per second that all clients request
+	rate       float64 // units per second that all clients together request
 	result     *ZoneResult
-	spillover  map[int][]arrival // by zone of the gateway
+	spillover  map[int][]arrival // by zone of the gateway that sent them
 	detection  detection
 }
 
@@ -44,10 +44,10 @@
 		simulation: s,
 		began:      s.Now,
 		result: &ZoneResult{
-			// One second more for what happens at the very end.
-			Seconds:       make([]ZoneSecond, int(scenario.Length/time.Second)+1),
-			ToNode:        map[string]int{},
-			DetectedAfter: -1,
+			// One more for events at the end of the last second.
+			Seconds:            make([]ZoneSecond, int(scenario.Length/time.Second)+1),
+			LastAttemptsByNode: map[string]int{},
+			DetectedAfter:      -1,
 		},
 		spillover: map[int][]arrival{},
 	}
@@ -98,12 +98,13 @@
 	return nil
 }
 
-// second returns the current second of the result.
+// second returns the result's element for the current second.
 func (r *zoneRun) second() *ZoneSecond {
 	return secondAt(r.result.Seconds, r.simulation.Now-r.began)
 }
 
-// scheduleRequest has clients submit requests to a gateway at random times until the scenario's end.
+// scheduleRequest schedules the next request of clients to a gateway, at a random time. Each request schedules the next
+// one until the scenario ends.
 func (r *zoneRun) scheduleRequest(g *Gateway) {
 	requestRate := r.rate / float64(len(r.gateways)) / meanUnits
 	delay := time.Duration(r.simulation.Random.ExpFloat64() / requestRate * float64(time.Second))
@@ -115,7 +116,7 @@
 	})
 }
 
-// newRequest draws a request.
+// newRequest returns a random request.
 func (r *zoneRun) newRequest() scheduler.Request {
 	random := r.simulation.Random
 	request := scheduler.Request{
@@ -134,8 +135,8 @@
 	return request
 }
 
-// submit submits a request. If it is not served, its client submits another one in place of a retry, up to the given
-// number of times.
+// submit submits a random request. If it is not served, its client submits another random request instead of a retry,
+// up to the given number of times.
 func (r *zoneRun) submit(g *Gateway, retries int) {
 	s := r.simulation
 	request := r.newRequest()
@@ -145,11 +146,11 @@
 	id = g.Submit(request, func(answer Answer) {
 		answers++
 		if answers > 1 {
-			r.violation("%s has %d answers", id, answers)
+			r.recordViolation("%s has %d answers", id, answers)
 		}
 		latency := s.Now - submitted
 		if late := latency - request.ClientTimeout; late > answerTolerance {
-			r.violation("%s is answered %v late", id, late)
+			r.recordViolation("%s is answered %v late", id, late)
 		}
 		r.countAnswer(request, answer, latency)
 		if answer.Verdict != Served && retries > 0 && latency < request.ClientTimeout {
@@ -158,11 +159,12 @@
 	})
 	s.After(request.ClientTimeout+missingAfter, func() {
 		if answers == 0 {
-			r.violation("%s has no answer", id)
+			r.recordViolation("%s has no answer", id)
 		}
 	})
 }
 
+// countAnswer counts an answer in the current second.
 func (r *zoneRun) countAnswer(request scheduler.Request, answer Answer, latency time.Duration) {
 	second := r.second()
 	switch answer.Verdict {
@@ -181,7 +183,7 @@
 	}
 }
 
-// apply lets an event happen.
+// apply carries out an event.
 func (r *zoneRun) apply(event ZoneEvent) {
 	if event.Gateway >= 0 {
 		r.gateways[event.Gateway%len(r.gateways)].Partitioned[event.Zone] = event.Unavailable
@@ -193,7 +195,7 @@
 	}
 	first := event.Zone * r.scenario.Nodes
 	for _, n := range r.nodes[first : first+count] {
-		if n.Crashed || n.Unresponsive == event.Unavailable { // only what was lost can return
+		if n.Crashed || n.Unresponsive == event.Unavailable { // crashed for good, or in the wanted state already
 			continue
 		}
 		n.Unresponsive = event.Unavailable
@@ -212,7 +214,7 @@
 	}
 }
 
-// announceRestart notifies each gateway of a node's restart after a delay of its own.
+// announceRestart notifies each gateway of a node's restart, each after another random delay.
 func (r *zoneRun) announceRestart(n *Node) {
 	for _, g := range r.gateways {
 		delay := time.Duration(r.simulation.Random.Float64() * float64(r.scenario.MembershipDelay))
--- a/internal/simulation/zone_scenario.go
+++ b/internal/simulation/zone_scenario.go
@@ -8,54 +8,54 @@
 	"reachpulley/scheduler"
 )
 
-// ZoneScenario is the loss and return of zones of nodes.
+// ZoneScenario is a scenario in which zones of nodes are lost and return.
 type ZoneScenario struct {
 	Seed             uint64
 	Zones            int
 	Nodes            int     // in each zone
 	Gateways         int     // spread over the zones in rotation
-	Load             float64 // share of what all nodes can do
+	Load             float64 // as a share of the capacity of all nodes
 	NewObjectShare   float64 // share of the requests that write new objects, which any node can take
 	Events           []ZoneEvent
-	Length           time.Duration
-	Settings         zonefailover.Settings // without tiers, siblings and membership delay, which the scenario sets
+	Length           time.Duration         // simulated time
+	Settings         zonefailover.Settings // the scenario sets Tiers, Siblings and MembershipDelay
 	FailoverDisabled bool                  // gateways ignore zones
-	Passthrough      bool                  // gateways retry at once, without package scheduler
+	Passthrough      bool                  // gateways do not use package scheduler but retry at once
 	MembershipDelay  time.Duration         // longest time until a gateway learns that a node has restarted
 
 	probesDisabled bool // gateways may not probe nodes
 }
 
-// ZoneEvent is the loss or return of a zone, or of the network path between it and one gateway.
+// ZoneEvent is the loss or return of a zone's nodes, or of the network path between one gateway and the zone.
 type ZoneEvent struct {
 	At          time.Duration
 	Zone        int
 	NodeShare   float64 // share of the zone's nodes; 0: all
-	Gateway     int     // the only one whose path to the zone is concerned; -1: the nodes themselves are
-	Unavailable bool    // lost; otherwise returned
-	Restarted   bool    // the nodes that return have restarted
+	Gateway     int     // number of the gateway whose path to the zone is affected; -1: the nodes are affected
+	Unavailable bool    // true: loss; false: return
+	Restarted   bool    // the returning nodes have restarted
 }
 
 // ZoneSecond is the outcome of one second of a scenario.
 type ZoneSecond struct {
-	Served, Rejected, Failed int     // answers
-	Late                     int     // served after the latency objective
-	NewObjectsLost           int     // requests for new objects that failed
-	SpilledUnits             float64 // units of new objects that were sent to a zone other than the gateway's
-	SlowStartLoad            float64 // highest load of a node in slow start, as a share of the load that crashes it
+	Served, Rejected, Failed int     // number of answers
+	Late                     int     // number of requests served after the latency objective
+	NewObjectsLost           int     // number of writes of new objects that failed
+	SpilledUnits             float64 // units of new objects sent to zones other than the gateway's
+	SlowStartLoad            float64 // highest load of a node in slow start, as a share of the load above which it crashes
 }
 
 // ZoneResult is the outcome of a scenario.
 type ZoneResult struct {
-	Seconds        []ZoneSecond
-	Crashed        []string       // nodes that crashed in slow start
-	DetectedAfter  time.Duration  // from the first loss until only probing attempts were sent there; -1: no loss
-	Violations     []string       // of what must hold in each scenario
-	ToNode         map[string]int // attempts at each node in the last ten seconds
-	WorstSpillover float64        // highest excess of the spillover from a zone over its limit; 0: none
+	Seconds            []ZoneSecond
+	Crashed            []string       // ids of the nodes that crashed in slow start
+	DetectedAfter      time.Duration  // time from the first loss until lost nodes got only probing attempts; -1: no loss
+	Violations         []string       // violations of what must hold in each scenario
+	LastAttemptsByNode map[string]int // number of attempts by node id in the last 10 seconds
+	WorstSpillover     float64        // units by which the spillover from a zone exceeded its limit at most; 0: never
 }
 
-// SlowdownDuration start of nodes, which the gateways' settings match.
+// The slow start of nodes. The gateways' settings have the same values.
 const (
 	slowStartShare    = 0.18
 	slowStartDuration = 17 * time.Second
@@ -64,10 +64,11 @@
 	slowStartMargin   = 0.8 // share of a node's capacity in slow start that all gateways together may use
 )
 
-// samplingInterval is the time between two samples of the load of nodes in slow start, as the operators sample it.
+// samplingInterval is the time between two samples of the load of nodes in slow start. The operators sample it at the
+// same interval.
 const samplingInterval = 10 * time.Millisecond
 
-// zoneSettings are the settings of the operators' deployment, with two of its classes.
+// zoneSettings are the settings of the operators' deployment, reduced to two of its classes.
 var zoneSettings = scheduler.Settings{
 	Tick: time.Millisecond,
 	Classes: []scheduler.Class{
@@ -123,10 +124,10 @@
 		run.simulation.Run(samplingInterval)
 		run.sampleSlowStart()
 	}
-	return run.conclude(), nil
+	return run.finish(), nil
 }
 
-// settings returns the settings of the gateways in a zone.
+// settings returns the settings of the gateways in a zone, given the capacity of a node in units per second.
 func (s ZoneScenario) settings(zone int, nodeRate float64) scheduler.Settings {
 	settings := zoneSettings
 	settings.Siblings = s.Gateways
@@ -147,5 +148,5 @@
 	return settings
 }
 
-// nodeID returns the id of a zone's node: a0, a1, b0, b1 and so on.
+// nodeID returns the id of a node in a zone: a0, a1 and so on for the first zone, b0, b1 and so on for the second.
 func nodeID(zone, number int) string { return fmt.Sprintf("%c%d", 'a'+zone, number) }
--- a/internal/simulation/zone_scenario_test.go
+++ b/internal/simulation/zone_scenario_test.go
@@ -13,13 +13,14 @@
 
 func init() {
 	flag.Set("rapid.seed", "1")
-	flag.Set("rapid.checks", "10") // scenarios are long, and longer under the race detector
+	flag.Set("rapid.checks", "10") // scenarios take long, even longer under the race detector
 }
 
-// settleTime is the time from the last event until all nodes get their share of the load again: the longest quiet
-// period that is required of a zone that has flapped, the delay of the membership, and the slow start.
+// settleTime is the time from the last event until all nodes get their share of the load again. It covers the longest
+// stable period that is required of a zone after flapping, the membership delay and the slow start.
 const settleTime = 70 * time.Second
 
+// runZones runs a scenario.
 func runZones(t interface{ Fatal(...any) }, scenario ZoneScenario) *ZoneResult {
 	result, err := scenario.Run()
 	if err != nil {
@@ -28,7 +29,8 @@
 	return result
 }
 
-// zoneLoss is a scenario in which a zone is unavailable for 20 s. A share of its nodes returns, restarted or not.
+// zoneLoss returns a scenario in which a zone is unavailable for 20 s. Then a share of its nodes returns, restarted or
+// not; a share of 0 means all nodes.
 func zoneLoss(seed uint64, restarted bool, returningShare float64) ZoneScenario {
 	return ZoneScenario{
 		Seed:            seed,
@@ -47,7 +49,7 @@
 	}
 }
 
-// checkInvariants checks what must hold in every scenario.
+// checkInvariants checks what must hold in every scenario: no crash, no violation and no spillover over its limit.
 func checkInvariants(t interface{ Errorf(string, ...any) }, result *ZoneResult) {
 	if len(result.Crashed) > 0 || len(result.Violations) > 0 || result.WorstSpillover > 1e-6 {
 		t.Errorf("crashed: %v; violations: %v; spillover %.1f units over the limit",
@@ -55,8 +57,8 @@
 	}
 }
 
-// A zone is lost and returns: new objects spill over within the limit, few are lost, and no node is overloaded in its
-// slow start.
+// When a zone is lost and returns, new objects spill over within the limit, few of them are lost, and no node crashes
+// in its slow start.
 func TestZoneLossAndReturn(t *testing.T) {
 	for _, test := range []struct {
 		name           string
@@ -82,7 +84,7 @@
 				}
 			}
 			if lost > 40 || spilled < 300 || rejected == 0 || result.DetectedAfter > time.Second {
-				t.Errorf("%d new objects lost, %.0f units spilled over, %d rejected, loss detected after %v",
+				t.Errorf("%d new objects lost, %.0f units spilled over, %d requests rejected, loss detected after %v",
 					lost, spilled, rejected, result.DetectedAfter)
 			}
 			returning := scenario.Nodes
@@ -90,17 +92,17 @@
 				returning = int(test.returningShare * float64(scenario.Nodes))
 			}
 			for i := range scenario.Nodes {
-				attempts := result.ToNode[nodeID(0, i)]
+				attempts := result.LastAttemptsByNode[nodeID(0, i)]
 				if i < returning && attempts < 50 || i >= returning && attempts > 60 {
-					t.Errorf("%s got %d attempts at the end", nodeID(0, i), attempts)
+					t.Errorf("%s got %d attempts in the last 10 s", nodeID(0, i), attempts)
 				}
 			}
 		})
 	}
 }
 
-// Many gateways under twice the load that all nodes can take do not overload a zone in its slow start. Passthrough
-// proxies in their place crash all of it.
+// Many gateways under a load of twice the capacity of all nodes do not crash a zone in its slow start. Passthrough
+// proxies in their place crash all its nodes.
 func TestManyGatewaysDoNotCrashReturningZone(t *testing.T) {
 	scenario := zoneLoss(1, true, 0)
 	scenario.Gateways = 120
@@ -114,26 +116,28 @@
 		highest = max(highest, second.SlowStartLoad)
 	}
 	if highest > 0.6 {
-		t.Errorf("a node in slow start took up to %.2f of the load that crashes it", highest)
+		t.Errorf("a node in slow start got up to %.2f of the load that crashes it, want at most 0.6", highest)
 	}
 	scenario.Passthrough = true
 	if result := runZones(t, scenario); len(result.Crashed) != scenario.Nodes {
-		t.Errorf("crashed with passthrough proxies: %v", result.Crashed)
+		t.Errorf("nodes that crashed with passthrough proxies: %v, want all %d of the zone", result.Crashed, scenario.Nodes)
 	}
 }
 
-// If no probes are allowed, requests that would be rejected find out whether a node has returned.
+// If no probes are allowed, gateways detect the return of a node by sending it requests that they would reject
+// otherwise.
 func TestReturnIsDetectedWithoutProbes(t *testing.T) {
 	scenario := zoneLoss(2, true, 0)
 	scenario.probesDisabled = true
 	result := runZones(t, scenario)
 	checkInvariants(t, result)
-	if result.ToNode[nodeID(0, 0)] < 50 {
-		t.Errorf("%v", result.ToNode)
+	if result.LastAttemptsByNode[nodeID(0, 0)] < 50 {
+		t.Errorf("node %s got too few attempts in the last 10 s: %v", nodeID(0, 0), result.LastAttemptsByNode)
 	}
 }
 
-// One gateway loses its path to a zone: it spills over its own part and no more, and the others go on as before.
+// If one gateway loses its path to a zone, only its own share of new objects spills over, and the other gateways
+// continue as before.
 func TestOneGatewayLosesPathToZone(t *testing.T) {
 	scenario := zoneLoss(3, false, 0)
 	for i := range scenario.Events {
@@ -142,11 +146,11 @@
 	result := runZones(t, scenario)
 	checkInvariants(t, result)
 	if second := result.Seconds[25]; second.SpilledUnits > 30 || second.Served < 100 {
-		t.Errorf("%+v", second)
+		t.Errorf("second 25: %+v", second)
 	}
 }
 
-// Without a spillover rate in the settings, what the zone itself cannot serve is rejected.
+// Without a spillover rate in the settings, nothing spills over: what the zone itself cannot serve is rejected.
 func TestNoSpilloverWithoutRate(t *testing.T) {
 	scenario := zoneLoss(4, true, 0)
 	scenario.Settings = zonefailover.Settings{}
@@ -154,14 +158,14 @@
 	checkInvariants(t, result)
 	for i, second := range result.Seconds {
 		if second.SpilledUnits > 0 {
-			t.Fatalf("second %d: %+v", i, second)
+			t.Fatalf("units spilled over in second %d: %+v", i, second)
 		}
 	}
 }
 
-// Zones are lost and return in whole or in part, flapping, for one gateway only, or with a late membership. In all such
-// scenarios each request has one answer in time, no node crashes in its slow start, spillover stays within its limit,
-// and after the settle time all nodes get a share of the load.
+// Zones are lost and return, in whole or in part, repeatedly, for one gateway only, or with a delayed membership. In
+// all such scenarios each request gets one answer in time, no node crashes in its slow start, spillover stays within
+// its limit, and after settleTime all nodes get a share of the load.
 func TestRandomScenarios(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scenario := drawScenario(t)
@@ -169,14 +173,15 @@
 		checkInvariants(t, result)
 		for zone := range scenario.Zones {
 			for i := range scenario.Nodes {
-				if id := nodeID(zone, i); result.ToNode[id] == 0 {
-					t.Fatalf("%s gets nothing at the end: %v", id, result.ToNode)
+				if id := nodeID(zone, i); result.LastAttemptsByNode[id] == 0 {
+					t.Fatalf("node %s got no attempt in the last 10 s: %v", id, result.LastAttemptsByNode)
 				}
 			}
 		}
 	})
 }
 
+// drawScenario returns a random scenario.
 func drawScenario(t *rapid.T) ZoneScenario {
 	scenario := ZoneScenario{
 		Seed:            rapid.Uint64().Draw(t, "seed"),
@@ -219,15 +224,15 @@
 	return scenario
 }
 
-// The invariants can fail: a request that ran at two nodes is a violation.
+// The check for a request that ran at two nodes reports a violation.
 func TestRequestAtTwoNodesIsViolation(t *testing.T) {
 	run := newZoneRun(ZoneScenario{})
 	run.nodes = []*Node{
 		{Node: scheduler.Node{ID: "a0"}, Executions: map[string]int{"r": 1}},
 		{Node: scheduler.Node{ID: "b0"}, Executions: map[string]int{"r": 1, "s": 1}},
 	}
-	result := run.conclude()
+	result := run.finish()
 	if len(result.Violations) != 1 || result.Violations[0] != "r ran at a0 and b0" {
-		t.Error(result.Violations)
+		t.Errorf("violations: %q", result.Violations)
 	}
 }
