--- a/internal/configfile/document.go
+++ b/internal/configfile/document.go
@@ -30,7 +30,7 @@
 		return nil, err
 	}
 	if info.Size() > MaxBytes {
-		message := fmt.Sprintf("the file has %d bytes, more than %d", info.Size(), MaxBytes)
+		message := fmt.Sprintf("file has %d bytes, more than the limit of %d", info.Size(), MaxBytes)
 		return nil, Faults{{File: path, Message: message}}
 	}
 	text, err := os.ReadFile(path)
--- a/internal/simulation/zone_run.go
+++ b/internal/simulation/zone_run.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	volumes   = 40 // number of volumes
-	maxUnits  = 3  // a request has from 1 to maxUnits units, all equally likely
-	meanUnits = 2  // of a request
+	volumeCount = 40
+	maxUnits    = 3 // a request has from 1 to maxUnits units, all equally likely
+	meanUnits   = 2 // of a request
 
 	// answerTolerance is the longest time after the client timeout at which an answer is still in time.
 	answerTolerance = 20 * time.Millisecond
@@ -120,7 +120,7 @@
 func (r *zoneRun) newRequest() scheduler.Request {
 	random := r.simulation.Random
 	request := scheduler.Request{
-		Volume: fmt.Sprint("v", random.IntN(volumes)),
+		Volume: fmt.Sprint("v", random.IntN(volumeCount)),
 		Key:    fmt.Sprint(random.IntN(1 << 30)),
 		Units:  float64(1 + random.IntN(maxUnits)),
 		Shard:  random.IntN(len(r.nodes)),
