--- a/internal/frontend/h2frontend/conn.go
+++ b/internal/frontend/h2frontend/conn.go
@@ -17,31 +17,35 @@
 )
 
 const (
-	streamReceiveWindow = httpmsg.MaxRequestBody  // for each stream: a body of allowed size never waits for the window
-	connReceiveWindow   = 4 * streamReceiveWindow // for the bodies of all streams that are arriving at once
-
-	initialConnWindow   = 64<<10 - 1 // RFC 9113, section 6.9.2
-	maxWindow           = 1<<31 - 1  // RFC 9113, section 6.9.1
-	defaultMaxFrameSize = 16 << 10   // RFC 9113, section 6.5.2
-	headerTableSize     = 4 << 10    // RFC 9113, section 6.5.2
-
-	maxControlFrames = 512 // queued frames other than responses
+	// streamReceiveWindow is the receive window of each stream, in bytes. A body of the maximum size fits into it, so
+	// no body waits for a WINDOW_UPDATE of its stream.
+	streamReceiveWindow = httpmsg.MaxRequestBody
+	// connReceiveWindow is the receive window of a connection, in bytes, for the bodies of all its streams.
+	connReceiveWindow = 4 * streamReceiveWindow
+
+	initialWindow       = 64<<10 - 1 // bytes; of streams and connections (RFC 9113, section 6.9.2)
+	maxWindow           = 1<<31 - 1  // bytes (RFC 9113, section 6.9.1)
+	maxStreamID         = 1<<31 - 1  // RFC 9113, section 5.1.1
+	defaultMaxFrameSize = 16 << 10   // bytes (RFC 9113, section 6.5.2)
+	headerTableSize     = 4 << 10    // bytes (RFC 9113, section 6.5.2)
+
+	maxControlFrames = 512 // maximum number of queued frames that are not part of a response
 )
 
-// conn is a client's connection. Its reading goroutine, serve, owns the reading side of the framer; its writing
-// goroutine, write, owns the writing side and the encoder.
+// conn is a client's connection. Its reading goroutine runs serve and owns the reading side of the framer. Its writing
+// goroutine runs write and owns the writing side of the framer and the encoder.
 type conn struct {
-	server  *Server
-	netConn net.Conn
-	id      admission.ConnectionID
-	client  string // address without the port
-	reader  *bufio.Reader
-	writer  *bufio.Writer
-	framer  *http2.Framer
-	encoder *hpack.Encoder  // writes to headerBlock
-	ctx     context.Context // ends with the connection
-	cancel  context.CancelFunc
-	wait    sync.WaitGroup // the writing goroutine, and those of streams
+	server     *Server
+	netConn    net.Conn
+	id         admission.ConnectionID
+	client     string // the client's address without the port
+	reader     *bufio.Reader
+	writer     *bufio.Writer
+	framer     *http2.Framer
+	encoder    *hpack.Encoder  // writes to headerBlock
+	ctx        context.Context // canceled when the connection ends
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup // all goroutines of the connection and its streams, except the reading one
 
 	headerBlock bytes.Buffer
 
@@ -49,26 +53,26 @@
 	wake *sync.Cond // wakes the writing goroutine
 
 	streams       map[uint32]*stream
-	highestStream uint32 // highest ID that the client has used
-	idleSince     time.Time
+	highestStream uint32    // highest stream ID that the client has used
+	idleSince     time.Time // when the connection began or a stream last ended
 
-	controlFrames   []func() error // to be written before responses
-	controlOverflow bool           // controlFrames grew too long; no more are queued
-	settingsSent    bool           // the client's preface has arrived
+	controlFrames   []func() error // functions that write the queued control frames, which go before responses
+	controlOverflow bool           // controlFrames has grown too long, and no more frames are queued
+	settingsSent    bool           // the client's preface has arrived, and the server's SETTINGS are queued
 	ended           bool           // the writing goroutine stops when it has written everything
-	writeCount      uint64         // counts parts of responses
+	writeCount      uint64         // number of response parts taken by the writing goroutine
 
-	sendWindow              int64 // for the bodies of responses
-	initialStreamSendWindow int64 // from the client's settings
-	maxFrameSize            int   // from the client's settings
+	sendWindow              int64 // bytes of response bodies that may still be sent
+	initialStreamSendWindow int64 // bytes, from the client's settings
+	maxFrameSize            int   // bytes, from the client's settings
 
-	receiveWindow      int  // bytes of bodies that the client may still send
+	receiveWindow      int  // bytes of request bodies that the client may still send
 	unreturnedWindow   int  // bytes of receiveWindow that have been used and not yet been returned
 	windowUpdateQueued bool // a WINDOW_UPDATE that returns unreturnedWindow is in controlFrames
-	incompleteBytes    int  // bytes of bodies that have not arrived completely
+	incompleteBytes    int  // bytes that have arrived of request bodies that are not complete yet
 
-	goAwayAt   time.Time // when the first GOAWAY was queued; zero: not yet
-	rejectsNew bool      // the second GOAWAY is queued: new streams are ignored
+	goAwayAt          time.Time // when the first GOAWAY was queued; zero if it was not
+	ignoresNewStreams bool      // the second GOAWAY is queued, so new streams are ignored
 }
 
 func newConn(s *Server, netConn net.Conn, id admission.ConnectionID) *conn {
@@ -81,8 +85,8 @@
 		writer:                  bufio.NewWriterSize(netConn, 8<<10),
 		streams:                 map[uint32]*stream{},
 		idleSince:               time.Now(),
-		sendWindow:              initialConnWindow,
-		initialStreamSendWindow: initialConnWindow,
+		sendWindow:              initialWindow,
+		initialStreamSendWindow: initialWindow,
 		maxFrameSize:            defaultMaxFrameSize,
 		receiveWindow:           connReceiveWindow,
 	}
@@ -98,7 +102,7 @@
 
 // serve reads from the connection until it ends, and releases everything that belongs to it.
 func (c *conn) serve() {
-	c.wait.Go(c.write)
+	c.goroutines.Go(c.write)
 	code, reason := c.read()
 	c.mu.Lock()
 	if code != http2.ErrCodeNo {
@@ -110,33 +114,34 @@
 	c.ended = true
 	c.wake.Broadcast()
 	c.mu.Unlock()
-	c.cancel() // the client of every stream has disconnected
-	c.wait.Wait()
+	c.cancel() // ends the requests of all streams: their client has disconnected
+	c.goroutines.Wait()
 	c.netConn.Close()
 	c.server.removeConn(c)
 }
 
-// connError ends a connection with a GOAWAY.
+// connError is an error that ends a connection with a GOAWAY.
 type connError struct {
 	code   http2.ErrCode
-	reason string // debug data of the GOAWAY
+	reason string // sent to the client as debug data of the GOAWAY
 }
 
-// Error returns the reason.
+// Error returns the reason that the client is sent.
 func (e *connError) Error() string { return e.reason }
 
-// errConnClosed is returned by a control frame after which the writing goroutine closes the connection.
+// errConnClosed is returned by the function that writes a control frame if the writing goroutine has to close the
+// connection after that frame.
 var errConnClosed = errors.New("connection closed by the server")
 
-// recordViolation reports a violation by the client to admission.
+// recordViolation reports to admission that the client did something that is tolerated only now and then.
 func (c *conn) recordViolation(violation admission.Violation) {
-	c.server.decide(func(a *admission.Controller, now time.Duration) []admission.Action {
+	c.server.notifyAdmission(func(a *admission.Controller, now time.Duration) []admission.Action {
 		return a.RecordViolation(now, c.id, violation)
 	})
 }
 
-// checkTimeouts resets streams whose request does not arrive, and ends connections that are idle or have left. It is
-// called with the server's lock.
+// checkTimeouts resets streams whose request has not arrived in time, sends the second GOAWAY when it is due, and ends
+// a connection that is idle or that has no streams left after the second GOAWAY. The caller holds the server's lock.
 func (c *conn) checkTimeouts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,25 +152,25 @@
 		}
 	}
 	switch {
-	case !c.goAwayAt.IsZero() && !c.rejectsNew && now.Sub(c.goAwayAt) >= goAwayInterval:
-		c.rejectsNew = true
+	case !c.goAwayAt.IsZero() && !c.ignoresNewStreams && now.Sub(c.goAwayAt) >= goAwayInterval:
+		c.ignoresNewStreams = true
 		lastStream := c.highestStream
 		c.queueControlLocked(func() error { return c.framer.WriteGoAway(lastStream, http2.ErrCodeNo, nil) })
 	case len(c.streams) == 0 && now.Sub(c.idleSince) >= idleTimeout:
 		c.netConn.Close()
 	}
-	if c.rejectsNew && len(c.streams) == 0 {
-		c.ended = true // the writing goroutine writes what is queued and closes the connection
+	if c.ignoresNewStreams && len(c.streams) == 0 {
+		c.ended = true // the writing goroutine writes the queued frames and closes the connection
 		c.wake.Broadcast()
 	}
 }
 
-// apply carries out an action of the admission controller. It is called with the server's lock.
+// apply carries out an action of the admission controller. The caller holds the server's lock.
 func (c *conn) apply(action admission.Action) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	st := c.streams[uint32(action.Stream)]
-	if !c.settingsSent && st == nil { // no frames can be sent before the client's preface
+	if !c.settingsSent && st == nil { // no frames may be sent before the client's preface has arrived
 		if action.Kind == admission.GoAway || action.Kind == admission.CloseConnection {
 			c.netConn.Close()
 		}
@@ -173,8 +178,8 @@
 	}
 	switch action.Kind {
 	case admission.StartStream:
-		if st != nil && !c.ended { // nobody waits for the responses of a connection that has ended
-			c.wait.Go(func() { c.handleRequest(st) })
+		if st != nil && !c.ended { // a connection that has ended needs no responses
+			c.goroutines.Go(func() { c.handleRequest(st) })
 		}
 	case admission.RejectStream:
 		if st != nil {
@@ -190,7 +195,7 @@
 	case admission.GoAway:
 		c.goAwayAt = time.Now()
 		c.queueControlLocked(func() error {
-			return c.framer.WriteGoAway(maxWindow, http2.ErrCodeNo, []byte(action.Reason))
+			return c.framer.WriteGoAway(maxStreamID, http2.ErrCodeNo, []byte(action.Reason))
 		})
 	case admission.CloseConnection:
 		c.controlFrames = append(c.controlFrames, c.closingGoAwayLocked(action.Reason))
@@ -198,7 +203,8 @@
 	}
 }
 
-// closingGoAwayLocked returns a control frame that says why the connection is closed, and closes it.
+// closingGoAwayLocked returns a control frame, a GOAWAY with the reason why the connection is closed. The writing
+// goroutine closes the connection after it has written this frame.
 func (c *conn) closingGoAwayLocked(reason string) func() error {
 	lastStream := c.highestStream
 	return func() error {
--- a/internal/frontend/h2frontend/read.go
+++ b/internal/frontend/h2frontend/read.go
@@ -13,10 +13,10 @@
 	"reachpulley/internal/admission"
 )
 
-// minWindowUpdate is the increment, in bytes, below which a WINDOW_UPDATE counts as a violation.
-const minWindowUpdate = 64
+// minWindowIncrement is the increment, in bytes, below which a WINDOW_UPDATE counts as a violation.
+const minWindowIncrement = 64
 
-// wrongProtocolResponse answers clients that speak HTTP/1 or ask for an upgrade from it.
+// wrongProtocolResponse is sent to clients that speak HTTP/1 or ask for an upgrade from it.
 var wrongProtocolResponse = func() string {
 	const reason = "This port speaks HTTP/2 with prior knowledge, neither HTTP/1 nor an upgrade from it.\n"
 	return "HTTP/1.1 505 HTTP Version Not Supported\r\n" +
@@ -25,8 +25,8 @@
 		fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(reason), reason)
 }()
 
-// read reads frames until the connection ends. Code and reason are those of the GOAWAY that ends it; ErrCodeNo if
-// none is to be sent.
+// read reads frames until the connection ends. It returns the error code and the debug data of the GOAWAY to send then,
+// or ErrCodeNo if none is to be sent.
 func (c *conn) read() (code http2.ErrCode, reason string) {
 	if !c.readPreface() {
 		return http2.ErrCodeNo, ""
@@ -36,8 +36,9 @@
 	c.framer.SetMaxReadFrameSize(defaultMaxFrameSize)
 	c.sendSettings()
 	for first := true; ; first = false {
-		// The first frame has to arrive within the time of the preface. Later ones may take any time to begin, but
-		// not to end: otherwise a field section without end would hold the connection.
+		// The first frame must begin before the deadline that readPreface set. Later frames may begin at any time, but
+		// once begun they must arrive within requestTimeout: otherwise an endless field section would occupy the
+		// connection forever.
 		if !first {
 			c.netConn.SetReadDeadline(time.Time{})
 		}
@@ -54,14 +55,14 @@
 		}
 		var streamError http2.StreamError
 		if !errors.As(err, &streamError) {
-			return goAwayOf(err)
+			return goAwayFor(err)
 		}
-		c.resetByServer(streamError.StreamID, streamError.Code)
+		c.resetForError(streamError.StreamID, streamError.Code)
 	}
 }
 
-// readPreface reads the client's connection preface and reports whether it is that of HTTP/2. Clients of HTTP/1 are
-// told what is wrong.
+// readPreface reads the client's connection preface and reports whether it is that of HTTP/2. It queues
+// wrongProtocolResponse for clients that speak HTTP/1.
 func (c *conn) readPreface() bool {
 	c.netConn.SetReadDeadline(time.Now().Add(requestTimeout))
 	preface := make([]byte, len(http2.ClientPreface))
@@ -80,15 +81,16 @@
 	return false
 }
 
-// isHTTP1 reports whether a connection begins like one of HTTP/1.
-func isHTTP1(begin []byte) bool {
-	if strings.Contains(string(begin), "HTTP/1") {
+// isHTTP1 reports whether the first bytes of a connection look like an HTTP/1 request.
+func isHTTP1(start []byte) bool {
+	if strings.Contains(string(start), "HTTP/1") {
 		return true
 	}
-	return len(begin) > 3 && strings.HasPrefix("GET PUT POST", string(begin[:3]))
+	return len(start) > 3 && strings.HasPrefix("GET PUT POST", string(start[:3]))
 }
 
-// sendSettings queues the server's connection preface.
+// sendSettings queues the server's connection preface: its SETTINGS, and a WINDOW_UPDATE that raises the connection's
+// receive window to connReceiveWindow.
 func (c *conn) sendSettings() {
 	options := &c.server.options
 	settings := []http2.Setting{
@@ -102,27 +104,28 @@
 	c.settingsSent = true
 	c.queueControlLocked(func() error {
 		err := c.framer.WriteSettings(settings...)
-		return errors.Join(err, c.framer.WriteWindowUpdate(0, connReceiveWindow-initialConnWindow))
+		return errors.Join(err, c.framer.WriteWindowUpdate(0, connReceiveWindow-initialWindow))
 	})
 }
 
-// goAwayOf returns the code and the reason of the GOAWAY for an error of the connection; ErrCodeNo if none is to be
-// sent.
-func goAwayOf(err error) (code http2.ErrCode, reason string) {
-	var own *connError
-	var framing http2.ConnectionError
+// goAwayFor returns the error code and the debug data of the GOAWAY that answers a connection error, or ErrCodeNo if
+// none is to be sent.
+func goAwayFor(err error) (code http2.ErrCode, reason string) {
+	var connErr *connError
+	var framerErr http2.ConnectionError
 	switch {
-	case errors.As(err, &own):
-		return own.code, own.reason
-	case errors.As(err, &framing):
-		return http2.ErrCode(framing), ""
+	case errors.As(err, &connErr):
+		return connErr.code, connErr.reason
+	case errors.As(err, &framerErr):
+		return http2.ErrCode(framerErr), ""
 	case errors.Is(err, http2.ErrFrameTooLarge):
 		return http2.ErrCodeFrameSize, "a frame is longer than SETTINGS allow"
 	}
-	return http2.ErrCodeNo, "" // the connection broke
+	return http2.ErrCodeNo, "" // reading from the connection failed
 }
 
-// handleFrame handles a frame. An http2.StreamError resets its stream; any other error ends the connection.
+// handleFrame processes a frame. If it returns an http2.StreamError, the caller resets the stream. Any other error ends
+// the connection.
 func (c *conn) handleFrame(frame http2.Frame, first bool) error {
 	settings, isSettings := frame.(*http2.SettingsFrame)
 	if first && (!isSettings || settings.IsAck()) {
@@ -143,7 +146,7 @@
 	case *http2.WindowUpdateFrame:
 		return c.handleWindowUpdate(frame)
 	case *http2.RSTStreamFrame:
-		return c.resetByClient(frame.StreamID)
+		return c.handleRSTStream(frame.StreamID)
 	case *http2.PriorityFrame:
 		c.recordViolation(admission.PriorityChange)
 	case *http2.PriorityUpdateFrame:
@@ -151,11 +154,12 @@
 	case *http2.PushPromiseFrame:
 		return &connError{http2.ErrCodeProtocol, "clients don't push"}
 	}
-	// After a GOAWAY the client closes the connection by itself. Unknown frames are ignored (RFC 9113, section 5.5).
+	// A GOAWAY needs no action, since the client that sends it also closes the connection. Unknown frames are ignored
+	// (RFC 9113, section 5.5).
 	return nil
 }
 
-// handlePing answers a PING.
+// handlePing acknowledges a PING, which counts as a violation.
 func (c *conn) handlePing(frame *http2.PingFrame) {
 	if frame.IsAck() {
 		return
@@ -165,8 +169,8 @@
 	c.recordViolation(admission.UnsolicitedPing)
 }
 
-// handlePriorityUpdate changes the urgency of a stream (RFC 9218, section 7.1). For a stream that is not open it is
-// ignored.
+// handlePriorityUpdate changes the urgency of a stream (RFC 9218, section 7.1). An update for a stream that is not open
+// is ignored.
 func (c *conn) handlePriorityUpdate(frame *http2.PriorityUpdateFrame) {
 	c.recordViolation(admission.PriorityChange)
 	c.mu.Lock()
@@ -189,6 +193,7 @@
 	return err
 }
 
+// applySettingLocked applies a setting of the client. A new initial window also changes the windows of open streams.
 func (c *conn) applySettingLocked(setting http2.Setting) error {
 	if err := setting.Valid(); err != nil {
 		return err
@@ -215,9 +220,9 @@
 	return nil
 }
 
-// handleWindowUpdate raises the window of a stream or of the connection (RFC 9113, section 6.9).
+// handleWindowUpdate raises the send window of a stream or of the connection (RFC 9113, section 6.9).
 func (c *conn) handleWindowUpdate(frame *http2.WindowUpdateFrame) error {
-	if frame.Increment < minWindowUpdate {
+	if frame.Increment < minWindowIncrement {
 		c.recordViolation(admission.SmallWindowUpdate)
 	}
 	c.mu.Lock()
@@ -235,7 +240,7 @@
 		if frame.StreamID > c.highestStream {
 			return &connError{http2.ErrCodeProtocol, "WINDOW_UPDATE on an idle stream"}
 		}
-		return nil // the stream has ended in the meantime
+		return nil // the stream ended before the WINDOW_UPDATE arrived
 	}
 	st.sendWindow += int64(frame.Increment)
 	if st.sendWindow > maxWindow {
--- a/internal/frontend/h2frontend/request.go
+++ b/internal/frontend/h2frontend/request.go
@@ -17,7 +17,7 @@
 	"reachpulley/internal/proto/httpmsg"
 )
 
-// hopByHopFields are the fields of one connection, which HTTP/2 does not have (RFC 9113, section 8.2.2).
+// hopByHopFields are the connection-specific fields, which HTTP/2 forbids (RFC 9113, section 8.2.2).
 var hopByHopFields = map[string]bool{
 	"Connection":        true,
 	"Proxy-Connection":  true,
@@ -26,7 +26,7 @@
 	"Upgrade":           true,
 }
 
-// handleHeaders handles the field section of a new request, or the trailers of one.
+// handleHeaders processes a field section: that of a new request, or the trailers of an open one.
 func (c *conn) handleHeaders(frame *http2.MetaHeadersFrame) error {
 	if frame.Truncated {
 		c.recordViolation(admission.OversizedHeader)
@@ -46,7 +46,7 @@
 	return c.openStream(frame)
 }
 
-// handleTrailers handles the end of a request whose body has arrived (RFC 9113, section 8.1). Trailers are ignored.
+// handleTrailers completes the request that the trailers end (RFC 9113, section 8.1). It ignores their fields.
 func (c *conn) handleTrailers(st *stream, frame *http2.MetaHeadersFrame) error {
 	if !frame.StreamEnded() || len(frame.PseudoFields()) > 0 {
 		return http2.StreamError{StreamID: st.id, Code: http2.ErrCodeProtocol}
@@ -54,19 +54,20 @@
 	return c.completeRequest(st)
 }
 
-// openStream opens a stream, unless the client may not have another one.
+// openStream opens a stream for a new request, unless the server ignores new streams, the client already has as many as
+// it may have, or the field section is too long or malformed.
 func (c *conn) openStream(frame *http2.MetaHeadersFrame) error {
 	id := frame.StreamID
 	c.mu.Lock()
 	c.highestStream = id
-	ignored := c.rejectsNew
-	full := len(c.streams) >= c.server.options.Admission.Streams
+	ignored := c.ignoresNewStreams
+	tooMany := len(c.streams) >= c.server.options.Admission.Streams
 	c.mu.Unlock()
 	switch {
-	case ignored: // the second GOAWAY has told the client that streams beyond it are not processed
+	case ignored: // the second GOAWAY has told the client that later streams are not processed
 		c.recordViolation(admission.RejectedStream)
 		return nil
-	case full:
+	case tooMany:
 		c.recordViolation(admission.RejectedStream)
 		return http2.StreamError{StreamID: id, Code: http2.ErrCodeRefusedStream}
 	case frame.Truncated:
@@ -99,25 +100,26 @@
 	return nil
 }
 
-// malformedError says what is wrong with a request (RFC 9113, section 8.1.1). The client gets a reset only.
+// malformedError says what is wrong with a request (RFC 9113, section 8.1.1). It is not sent to the client, which gets
+// only a reset of the stream.
 type malformedError string
 
-// Error returns what is wrong.
+// Error describes the malformed request.
 func (e malformedError) Error() string { return "malformed request: " + string(e) }
 
-// buildRequest converts a field section. It checks what the framer has not checked (RFC 9113, sections 8.2 and 8.3).
-// The content length is -1 if the client states none.
+// buildRequest converts a field section to a request. It makes the checks that the framer does not make (RFC 9113,
+// sections 8.2 and 8.3). The content length is -1 if the client does not state one.
 func (c *conn) buildRequest(frame *http2.MetaHeadersFrame) (r *http.Request, contentLength int, err error) {
 	pseudo := map[string]string{}
 	for _, field := range frame.PseudoFields() {
 		if _, duplicate := pseudo[field.Name]; duplicate {
-			return nil, 0, malformedError("duplicate " + field.Name)
+			return nil, 0, malformedError("duplicate pseudo-header " + field.Name)
 		}
 		pseudo[field.Name] = field.Value
 	}
 	method, path := pseudo[":method"], pseudo[":path"]
 	if method == "" || path == "" || pseudo[":scheme"] == "" || method == http.MethodConnect {
-		return nil, 0, malformedError("missing pseudo-header, or CONNECT")
+		return nil, 0, malformedError("missing :method, :scheme or :path, or the method is CONNECT")
 	}
 	u, err := url.ParseRequestURI(path)
 	if err != nil || path[0] != '/' && (path != "*" || method != http.MethodOptions) {
@@ -137,20 +139,20 @@
 	return r, contentLength, err
 }
 
-// addFields adds the regular fields to a request.
+// addFields adds the regular fields of a field section to a request. The content length is -1 if there is none.
 func addFields(r *http.Request, frame *http2.MetaHeadersFrame) (contentLength int, err error) {
 	contentLength = -1
 	for _, field := range frame.RegularFields() {
 		name := http.CanonicalHeaderKey(field.Name)
 		switch {
 		case hopByHopFields[name] || name == "Te" && field.Value != "trailers":
-			return 0, malformedError("connection-specific field " + field.Name)
+			return 0, malformedError("forbidden connection-specific field " + field.Name)
 		case !httpguts.ValidHeaderFieldValue(field.Value):
-			return 0, malformedError("invalid value of " + field.Name)
+			return 0, malformedError("invalid value of field " + field.Name)
 		case name == "Content-Length":
 			n, err := strconv.ParseUint(field.Value, 10, 31)
 			if err != nil || contentLength >= 0 && contentLength != int(n) {
-				return 0, malformedError("invalid content-length")
+				return 0, malformedError("invalid or conflicting content-length")
 			}
 			contentLength = int(n)
 		case name == "Host" && r.Host == "":
@@ -164,7 +166,8 @@
 	return contentLength, nil
 }
 
-// parseUrgency reads the urgency of a Priority field (RFC 9218, section 4.1). An invalid one is the default.
+// parseUrgency returns the urgency in the value of a Priority field (RFC 9218, section 4.1), or the default if there is
+// none or it is invalid.
 func parseUrgency(field string) int {
 	for parameter := range strings.SplitSeq(field, ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(parameter), "u=")
@@ -175,9 +178,9 @@
 	return admission.DefaultUrgency
 }
 
-// handleData adds a part to the body of a request.
+// handleData appends the content of a DATA frame to the body of a request.
 func (c *conn) handleData(frame *http2.DataFrame) error {
-	size := int(frame.Length) // padding counts, too
+	size := int(frame.Length) // the padding uses up the window, too
 	c.mu.Lock()
 	c.receiveWindow -= size
 	exceeded := c.receiveWindow < 0
@@ -190,7 +193,7 @@
 		return &connError{http2.ErrCodeFlowControl, "more DATA than the connection's window"}
 	case st == nil && frame.StreamID > highest:
 		return &connError{http2.ErrCodeProtocol, "DATA on an idle stream"}
-	case st == nil || responding: // sent before the client knew of the reset or the response
+	case st == nil || responding: // the client sent it before it received the reset or the response
 		c.returnWindow(size)
 		return nil
 	case st.requestComplete:
@@ -201,7 +204,7 @@
 	if len(data) == 0 && !frame.StreamEnded() {
 		c.recordViolation(admission.EmptyFrame)
 	}
-	c.countIncomplete(st, len(data))
+	c.addIncompleteBytes(st, len(data))
 	c.returnWindow(size)
 	if len(st.body)+len(data) > httpmsg.MaxRequestBody {
 		c.respondBodyTooLong(st)
@@ -217,8 +220,9 @@
 	return nil
 }
 
-// countIncomplete counts bytes of a body that has not arrived completely.
-func (c *conn) countIncomplete(st *stream, size int) {
+// addIncompleteBytes adds size bytes to those that have arrived of incomplete request bodies, unless the stream has
+// ended.
+func (c *conn) addIncompleteBytes(st *stream, size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.streams[st.id] == st {
@@ -227,8 +231,8 @@
 	}
 }
 
-// returnWindow lets the client send as many bytes again as have arrived. If too many bytes of incomplete bodies have
-// arrived, this waits until some of the bodies are complete.
+// returnWindow gives size bytes of the connection's receive window back to the client. If more bytes of incomplete
+// bodies have arrived than a connection may hold in memory, it keeps them back until some of the bodies are complete.
 func (c *conn) returnWindow(size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -236,9 +240,9 @@
 	c.returnWindowLocked()
 }
 
-// returnWindowLocked queues a WINDOW_UPDATE unless one is queued. It returns all that is unreturned when it is
-// written: one WINDOW_UPDATE for each DATA would fill the queue when a client sends its body byte by byte and faster
-// than it reads, and end its connection.
+// returnWindowLocked queues a WINDOW_UPDATE unless one is queued already. When it is written, it returns the whole
+// unreturned window. With a WINDOW_UPDATE for each DATA frame instead, a client that sends its body byte by byte, and
+// faster than it reads, would fill the queue of control frames and so lose its connection.
 func (c *conn) returnWindowLocked() {
 	if c.unreturnedWindow == 0 || c.windowUpdateQueued {
 		return
@@ -261,7 +265,7 @@
 	})
 }
 
-// completeRequest passes a request that has arrived completely to admission.
+// completeRequest passes a request to admission once it has arrived completely.
 func (c *conn) completeRequest(st *stream) error {
 	if st.contentLength >= 0 && len(st.body) != st.contentLength {
 		return http2.StreamError{StreamID: st.id, Code: http2.ErrCodeProtocol}
@@ -269,7 +273,7 @@
 	st.request.ContentLength = int64(len(st.body))
 	st.request.Body = io.NopCloser(bytes.NewReader(st.body))
 	c.mu.Lock()
-	if c.streams[st.id] != st { // the request timed out in this very moment
+	if c.streams[st.id] != st { // the request has just timed out, which reset its stream
 		c.mu.Unlock()
 		return nil
 	}
@@ -282,7 +286,7 @@
 	c.mu.Lock()
 	urgency := st.urgency
 	c.mu.Unlock()
-	c.server.decide(func(a *admission.Controller, now time.Duration) []admission.Action {
+	c.server.notifyAdmission(func(a *admission.Controller, now time.Duration) []admission.Action {
 		return a.Arrive(now, c.id, admission.StreamID(st.id), client, urgency)
 	})
 	return nil
--- a/internal/frontend/h2frontend/server.go
+++ b/internal/frontend/h2frontend/server.go
@@ -12,42 +12,47 @@
 	"reachpulley/internal/admission"
 )
 
-// Handler answers requests.
+// Handler identifies the clients of requests and answers them.
 type Handler interface {
-	// Handle answers a request whose body is in memory. The request's context ends when its client disconnects.
+	// Handle answers a request whose body is in memory. The body of the response is in memory, too. The context of
+	// the request is canceled when its client disconnects or its stream is reset.
 	Handle(r *http.Request) *http.Response
-	// ClientID returns who sent a request. Admission shares capacity fairly among clients.
+	// ClientID identifies the client that sent a request. Admission shares the capacity fairly among clients.
 	ClientID(r *http.Request) string
 }
 
-// Options configure a Server.
+// Options configures a Server.
 type Options struct {
 	Handler        Handler
 	Admission      admission.Config
-	Seed           uint64 // of the admission controller
-	MaxHeaderBytes int    // limit of a request's field section (RFC 9113, section 6.5.2)
+	Seed           uint64 // seed of the admission controller's random numbers
+	MaxHeaderBytes int    // maximum size of a request's field section (RFC 9113, section 6.5.2)
 	Log            *slog.Logger
 }
 
 const (
-	requestTimeout   = 2 * time.Second        // for a request to arrive, header and body
-	writeTimeout     = 10 * time.Second       // for a frame to be written to the socket
-	idleTimeout      = 5 * time.Minute        // for a connection without streams
-	tickInterval     = 250 * time.Millisecond // between two checks of timeouts
-	goAwayInterval   = 500 * time.Millisecond // between the two GOAWAYs: requests that cross the first are still served
-	acceptRetryDelay = 50 * time.Millisecond  // after a failure to accept a connection
+	requestTimeout = 2 * time.Second        // time within which a preface, a frame or a whole request must arrive
+	writeTimeout   = 10 * time.Second       // time within which a frame must be written to the socket
+	idleTimeout    = 5 * time.Minute        // time after which a connection without streams is closed
+	tickInterval   = 250 * time.Millisecond // interval between two checks of the timeouts
+
+	// goAwayInterval separates the two GOAWAYs that a connection gets. Requests that the client sends before it
+	// receives the first one are still served.
+	goAwayInterval = 500 * time.Millisecond
+
+	acceptRetryDelay = 50 * time.Millisecond // pause after a connection could not be accepted
 )
 
-// Server accepts and serves connections. It owns them: each one is released at the end of conn.serve.
+// Server accepts, serves and owns connections. Each connection is released at the end of conn.serve.
 type Server struct {
-	options   Options
-	startedAt time.Time
-	wait      sync.WaitGroup // one for each connection
+	options    Options
+	startedAt  time.Time
+	goroutines sync.WaitGroup // the goroutine of conn.serve of each connection
 
-	mu         sync.Mutex // guards the fields below; taken before that of a connection
+	mu         sync.Mutex // guards the fields below; locked before the mutex of a connection
 	controller *admission.Controller
 	conns      map[admission.ConnectionID]*conn
-	lastID     admission.ConnectionID
+	lastID     admission.ConnectionID // ID of the latest connection
 }
 
 // New returns a Server. The error says which option is invalid.
@@ -64,7 +69,7 @@
 	}, nil
 }
 
-// Serve accepts connections until the listener is closed, and then waits until they have ended.
+// Serve accepts and serves connections until the listener is closed, and then waits until all of them have ended.
 func (s *Server) Serve(l net.Listener) {
 	done := make(chan struct{})
 	var ticker sync.WaitGroup
@@ -74,7 +79,7 @@
 	for {
 		netConn, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			s.wait.Wait() // timeouts have to be checked until the last connection has ended
+			s.goroutines.Wait() // the ticker checks timeouts until the last connection has ended
 			return
 		}
 		if err != nil {
@@ -82,17 +87,17 @@
 			continue
 		}
 		if c := s.addConn(netConn); c != nil {
-			s.wait.Go(c.serve)
+			s.goroutines.Go(c.serve)
 		} else {
 			netConn.Close()
 		}
 	}
 }
 
-// now returns the time of the admission controller.
+// now returns the time since the server started, which is the clock of the admission controller.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// addConn registers a connection; nil if it is not admitted.
+// addConn registers a connection. It returns nil if admission rejects the connection.
 func (s *Server) addConn(netConn net.Conn) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +110,7 @@
 	return c
 }
 
-// removeConn forgets a connection.
+// removeConn removes a connection from the table and notifies admission.
 func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,14 +118,15 @@
 	s.applyLocked(s.controller.Disconnect(s.now(), c.id))
 }
 
-// decide passes an event to the admission controller and applies the resulting actions.
-func (s *Server) decide(event func(c *admission.Controller, now time.Duration) []admission.Action) {
+// notifyAdmission passes an event to the admission controller and applies the resulting actions.
+func (s *Server) notifyAdmission(event func(c *admission.Controller, now time.Duration) []admission.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.applyLocked(event(s.controller, s.now()))
 }
 
-// applyLocked passes actions to their connections.
+// applyLocked has each connection carry out the actions that concern it. Actions for connections that have ended are
+// dropped.
 func (s *Server) applyLocked(actions []admission.Action) {
 	for _, action := range actions {
 		c := s.conns[action.Connection]
@@ -145,7 +151,7 @@
 			return
 		case <-ticker.C:
 		}
-		s.decide((*admission.Controller).Tick)
+		s.notifyAdmission((*admission.Controller).Tick)
 		s.mu.Lock()
 		for _, c := range s.conns {
 			c.checkTimeouts()
@@ -154,16 +160,17 @@
 	}
 }
 
-// Drain asks all clients to leave: at once by a GOAWAY that still allows new streams, and after goAwayInterval by one
-// that does not. The listener must be closed before.
-func (s *Server) Drain() { s.decide((*admission.Controller).Drain) }
+// Drain asks all clients to leave. They get a GOAWAY at once that still allows new streams, and a second one after
+// goAwayInterval that does not. The caller must have closed the listener.
+func (s *Server) Drain() { s.notifyAdmission((*admission.Controller).Drain) }
 
-// Shutdown drains and waits until all connections have ended. When ctx ends, it closes those that are left.
+// Shutdown drains the server and waits until all connections have ended. When ctx is done, it closes those that are
+// left.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.Drain()
 	ended := make(chan struct{})
 	go func() {
-		s.wait.Wait()
+		s.goroutines.Wait()
 		close(ended)
 	}()
 	select {
--- a/internal/frontend/h2frontend/stream.go
+++ b/internal/frontend/h2frontend/stream.go
@@ -13,35 +13,36 @@
 	"reachpulley/internal/proto/httpmsg"
 )
 
-// stream is one request and its response. It is in its connection's table until its response is written or it is
-// reset; removeLocked removes it in both cases.
+// stream is a request and its response. It stays in the stream table of its connection until its response is written or
+// it is reset. In both cases removeLocked removes it.
 type stream struct {
 	id        uint32
 	startedAt time.Time // when its HEADERS arrived
 
-	// The request. The connection's reading goroutine owns these fields until requestComplete.
+	// The following fields hold the request. The connection's reading goroutine owns them until requestComplete is
+	// set.
 
 	request       *http.Request
-	cancel        context.CancelFunc // ends the request's context: its client has disconnected
-	contentLength int                // -1: not stated
+	cancel        context.CancelFunc // cancels the context of the request
+	contentLength int                // bytes, or -1 if the client does not state it
 	body          []byte
 
-	// The fields below are guarded by the connection's lock.
+	// The connection's lock guards the fields below.
 
 	requestComplete bool
-	incompleteBytes int  // bytes of body that count in conn.incompleteBytes
-	registered      bool // admission knows the stream
-	urgency         int  // RFC 9218: 0 is most urgent
-
-	responding  bool           // the response is known
-	header      *http.Response // the response until its header is written
-	unsent      []byte         // of the response's body
-	sendWindow  int64
-	lastWritten uint64 // conn.writeCount when a part of the response was last written
-	stalled     bool   // the response waits for the client to raise a window
+	incompleteBytes int  // bytes of the body that are counted in conn.incompleteBytes
+	registered      bool // the stream is passed to admission, which has to be notified of its end
+	urgency         int  // from 0, the most urgent, to 7 (RFC 9218)
+
+	responding   bool           // the response is known, and its parts may be written
+	unsentHeader *http.Response // the response, or nil once its header is written
+	unsentBody   []byte         // the part of the response's body that is not written yet
+	sendWindow   int64          // bytes of the response's body that may still be sent
+	lastWritten  uint64         // conn.writeCount when a part of the response was last written
+	stalled      bool           // the response waits for the client to raise a flow-control window
 }
 
-// addStream adds a new stream to the table.
+// addStream adds a new stream to the connection's table.
 func (c *conn) addStream(st *stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,19 +50,20 @@
 	c.streams[st.id] = st
 }
 
-// handleRequest has the Handler answer a stream's request.
+// handleRequest lets the Handler answer a stream's request. It passes on the response if admission reserves memory for
+// the body, and resets the stream otherwise.
 func (c *conn) handleRequest(st *stream) {
 	resp := c.server.options.Handler.Handle(st.request)
-	body, _ := io.ReadAll(resp.Body) // already in memory
+	body, _ := io.ReadAll(resp.Body) // the body is in memory, so reading it cannot fail
 	if st.request.Context().Err() != nil {
-		return // the stream was reset, and removed then
+		return // the stream was reset, which also removed it
 	}
 	var err error
-	c.server.decide(func(a *admission.Controller, now time.Duration) (actions []admission.Action) {
+	c.server.notifyAdmission(func(a *admission.Controller, now time.Duration) (actions []admission.Action) {
 		actions, err = a.Reserve(now, c.id, admission.StreamID(st.id), len(body))
 		return actions
 	})
-	if err != nil { // there is no memory in which the response could wait for the client
+	if err != nil { // no memory is left for a response that waits for its client
 		c.mu.Lock()
 		if c.streams[st.id] == st {
 			c.resetLocked(st, http2.ErrCodeEnhanceYourCalm)
@@ -73,7 +75,8 @@
 	c.respond(st, resp, body)
 }
 
-// respond passes a stream's response to the writing goroutine.
+// respond passes a stream's response to the writing goroutine. It does nothing if the stream has ended or already has a
+// response.
 func (c *conn) respond(st *stream, resp *http.Response, body []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,32 +85,32 @@
 	}
 	resp.ContentLength = int64(len(body))
 	st.responding = true
-	st.header = resp
-	st.unsent = body
+	st.unsentHeader = resp
+	st.unsentBody = body
 	c.wake.Signal()
 }
 
-// respondError answers a request that is not passed to admission.
+// respondError answers a request that is not passed to admission with an error status and a reason as text.
 func (c *conn) respondError(st *stream, status int, reason string) {
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	c.respond(st, &http.Response{StatusCode: status, Header: header}, []byte(reason+"\n"))
 }
 
-// respondBodyTooLong answers a request whose body is, or will be, too long.
+// respondBodyTooLong answers a request whose body is too long, by its content-length or by the bytes that have arrived.
 func (c *conn) respondBodyTooLong(st *stream) {
 	limit := strconv.Itoa(httpmsg.MaxRequestBody)
 	c.respondError(st, http.StatusRequestEntityTooLarge, "the body is longer than "+limit+" bytes")
 }
 
-// rejectRequest answers a request whose field section cannot be used.
+// rejectRequest answers a request whose field section cannot be used, on a new stream without a request.
 func (c *conn) rejectRequest(id uint32, status int, reason string) {
 	st := &stream{id: id, startedAt: time.Now(), cancel: func() {}}
 	c.addStream(st)
 	c.respondError(st, status, reason)
 }
 
-// resetByClient handles RST_STREAM: the client does not want the response any more.
-func (c *conn) resetByClient(id uint32) error {
+// handleRSTStream removes the stream that the client has reset. Its response is no longer wanted.
+func (c *conn) handleRSTStream(id uint32) error {
 	c.mu.Lock()
 	st := c.streams[id]
 	if st == nil {
@@ -124,8 +127,8 @@
 	return nil
 }
 
-// resetByServer resets a stream for an error that the client has made.
-func (c *conn) resetByServer(id uint32, code http2.ErrCode) {
+// resetForError resets a stream because of an error made by the client. The stream need not be open.
+func (c *conn) resetForError(id uint32, code http2.ErrCode) {
 	c.mu.Lock()
 	st := c.streams[id]
 	if st == nil {
@@ -140,14 +143,14 @@
 	c.reportEnd(st, true)
 }
 
-// resetLocked removes a stream and sends RST_STREAM. The caller reports the end to admission, unless admission has
-// caused it.
+// resetLocked removes a stream and queues an RST_STREAM. The caller calls reportEnd, unless admission has asked for the
+// reset.
 func (c *conn) resetLocked(st *stream, code http2.ErrCode) {
 	c.removeLocked(st)
 	c.queueControlLocked(func() error { return c.framer.WriteRSTStream(st.id, code) })
 }
 
-// removeLocked removes a stream from the table and ends its request.
+// removeLocked removes a stream from the connection's table and cancels the context of its request.
 func (c *conn) removeLocked(st *stream) {
 	if c.streams[st.id] != st {
 		return
@@ -161,12 +164,13 @@
 	c.idleSince = time.Now()
 }
 
-// reportEnd notifies admission that a stream has ended, by a reset or by its response.
+// reportEnd notifies admission that a stream has ended, either by a reset or because its response is written. Admission
+// does not know streams that are not registered.
 func (c *conn) reportEnd(st *stream, reset bool) {
 	if !st.registered {
 		return
 	}
-	c.server.decide(func(a *admission.Controller, now time.Duration) []admission.Action {
+	c.server.notifyAdmission(func(a *admission.Controller, now time.Duration) []admission.Action {
 		return a.End(now, c.id, admission.StreamID(st.id), reset)
 	})
 }
--- a/internal/frontend/h2frontend/write.go
+++ b/internal/frontend/h2frontend/write.go
@@ -12,15 +12,16 @@
 	"reachpulley/internal/admission"
 )
 
-// queueControl queues a frame that is not part of a response.
+// queueControl queues a control frame, which is a frame that is not part of a response. The writing goroutine calls
+// write to write the frame.
 func (c *conn) queueControl(write func() error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queueControlLocked(write)
 }
 
-// queueControlLocked queues a frame that is not part of a response. A client that causes more frames than it reads is
-// sent a GOAWAY in place of all queued frames, and its connection is closed.
+// queueControlLocked does the work of queueControl. If a client causes control frames faster than it reads them, a
+// GOAWAY takes the place of all that are queued, and its connection is closed.
 func (c *conn) queueControlLocked(write func() error) {
 	if c.controlOverflow {
 		return
@@ -34,33 +35,33 @@
 	c.wake.Signal()
 }
 
-// responsePart is what is written of a response at once: its header or a piece of its body.
+// responsePart is the part of a response that is written at once: its header or a piece of its body.
 type responsePart struct {
-	stream *stream
-	header *http.Response // nil: body
-	body   []byte
-	last   bool // the stream ends with this part
+	stream    *stream
+	header    *http.Response // the response whose header is written, or nil if body is written
+	body      []byte
+	endStream bool // the stream ends with this part
 }
 
-// pendingWrite is what the writing goroutine does next: it writes the control frames, or else the part, or else
-// flushes.
+// pendingWrite tells the writing goroutine what to do next. It writes the control frames if there are any, or else the
+// part of a response if there is one, or else flushes the buffer.
 type pendingWrite struct {
 	controlFrames []func() error
-	part          responsePart // without a stream: none
-	maxFrameSize  int
+	part          responsePart // its stream is nil if there is nothing to write
+	maxFrameSize  int          // bytes
 	connEnded     bool
 }
 
 // write writes frames until the connection ends.
 func (c *conn) write() {
-	defer c.netConn.Close() // ends the reading goroutine, too
+	defer c.netConn.Close() // makes the reading goroutine return, too
 	for {
 		next := c.awaitWrite()
 		c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		var err error
 		switch {
 		case len(next.controlFrames) > 0:
-			err = writeAll(next.controlFrames)
+			err = writeControlFrames(next.controlFrames)
 		case next.part.stream != nil:
 			err = c.writePart(next.part, next.maxFrameSize)
 		default:
@@ -76,8 +77,8 @@
 	}
 }
 
-// awaitWrite waits until there is something to write, to flush, or until the connection has ended. Control frames go
-// first, then responses by their urgency.
+// awaitWrite waits until there is something to write or to flush, or the connection has ended. Control frames are
+// written first, and then responses in the order of their urgency.
 func (c *conn) awaitWrite() (next pendingWrite) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,8 +100,8 @@
 	return next
 }
 
-// writeAll writes control frames up to the first error.
-func writeAll(frames []func() error) error {
+// writeControlFrames writes control frames until one returns an error.
+func writeControlFrames(frames []func() error) error {
 	for _, write := range frames {
 		if err := write(); err != nil {
 			return err
@@ -109,11 +110,12 @@
 	return nil
 }
 
-// nextStreamLocked returns the stream whose response is written next: the most urgent, and among equally urgent ones
-// the one that was written to least recently. It notifies admission of responses that cannot be written.
+// nextStreamLocked returns the stream whose response is written next, or nil if none can be written. It is the most
+// urgent one, and among equally urgent ones that to which a part was written least recently. nextStreamLocked notifies
+// admission of responses that have to wait for a flow-control window.
 func (c *conn) nextStreamLocked() (next *stream) {
 	for _, st := range c.streams {
-		blocked := st.header == nil && len(st.unsent) > 0 && (st.sendWindow <= 0 || c.sendWindow <= 0)
+		blocked := st.unsentHeader == nil && len(st.unsentBody) > 0 && (st.sendWindow <= 0 || c.sendWindow <= 0)
 		if !st.responding || blocked {
 			c.setStalledLocked(st, st.responding)
 			continue
@@ -136,53 +138,53 @@
 	return st.id < other.id
 }
 
-// setStalledLocked notes whether a response waits for a window, and notifies admission of a change. It does so from a
-// goroutine of its own, as the server's lock must be taken before the connection's.
+// setStalledLocked records whether a response waits for a flow-control window, and notifies admission of a change. The
+// notification needs a goroutine of its own, since the server's lock must be taken before the connection's.
 func (c *conn) setStalledLocked(st *stream, stalled bool) {
 	if st.stalled == stalled || !st.registered {
 		return
 	}
 	st.stalled = stalled
-	c.wait.Go(func() {
+	c.goroutines.Go(func() {
 		c.server.mu.Lock()
 		defer c.server.mu.Unlock()
 		c.server.controller.Progress(c.server.now(), c.id, admission.StreamID(st.id), !stalled)
 	})
 }
 
-// nextPartLocked takes the next part from a response.
+// nextPartLocked takes the next part from a response. Parts of the body, but not the header, use up the send windows.
 func (c *conn) nextPartLocked(st *stream) responsePart {
 	c.writeCount++
 	st.lastWritten = c.writeCount
-	if header := st.header; header != nil {
-		st.header = nil
-		return responsePart{stream: st, header: header, last: len(st.unsent) == 0}
+	if header := st.unsentHeader; header != nil {
+		st.unsentHeader = nil
+		return responsePart{stream: st, header: header, endStream: len(st.unsentBody) == 0}
 	}
 	c.setStalledLocked(st, false)
-	size := min(int64(len(st.unsent)), int64(c.maxFrameSize), st.sendWindow, c.sendWindow)
-	body := st.unsent[:size]
-	st.unsent = st.unsent[size:]
+	size := min(int64(len(st.unsentBody)), int64(c.maxFrameSize), st.sendWindow, c.sendWindow)
+	body := st.unsentBody[:size]
+	st.unsentBody = st.unsentBody[size:]
 	st.sendWindow -= size
 	c.sendWindow -= size
-	return responsePart{stream: st, body: body, last: len(st.unsent) == 0}
+	return responsePart{stream: st, body: body, endStream: len(st.unsentBody) == 0}
 }
 
-// writePart writes a part of a response. The stream ends with the last part.
+// writePart writes a part of a response. It removes the stream after the last part.
 func (c *conn) writePart(part responsePart, maxFrameSize int) error {
 	st := part.stream
 	var err error
 	if part.header != nil {
-		err = c.writeHeader(st.id, part.header, part.last, maxFrameSize)
+		err = c.writeHeader(st.id, part.header, part.endStream, maxFrameSize)
 	} else {
-		err = c.framer.WriteData(st.id, part.last, part.body)
+		err = c.framer.WriteData(st.id, part.endStream, part.body)
 	}
-	if err != nil || !part.last {
+	if err != nil || !part.endStream {
 		return err
 	}
 	c.mu.Lock()
 	requestComplete := st.requestComplete
 	c.mu.Unlock()
-	if !requestComplete { // the rest of the request is not wanted any more (RFC 9113, section 8.1)
+	if !requestComplete { // the client need not send the rest of the request (RFC 9113, section 8.1)
 		err = c.framer.WriteRSTStream(st.id, http2.ErrCodeNo)
 	}
 	c.mu.Lock()
@@ -211,7 +213,7 @@
 	return err
 }
 
-// encodeHeader returns the field section of a response. It is valid until the next call.
+// encodeHeader returns the encoded field section of a response. The bytes are valid until the next call.
 func (c *conn) encodeHeader(resp *http.Response) []byte {
 	c.headerBlock.Reset()
 	c.encodeField(":status", strconv.Itoa(resp.StatusCode))
@@ -227,6 +229,7 @@
 	return c.headerBlock.Bytes()
 }
 
+// encodeField appends a field to headerBlock.
 func (c *conn) encodeField(name, value string) {
 	c.encoder.WriteField(hpack.HeaderField{Name: name, Value: value})
 }
