--- a/internal/frontend/h2frontend/attack_test.go
+++ b/internal/frontend/h2frontend/attack_test.go
@@ -9,11 +9,11 @@
 	"golang.org/x/net/http2"
 )
 
-// attacks flood the server over one connection. The event is one that the attacker must see.
+// attacks are floods of frames that a client sends over one connection.
 var attacks = []struct {
 	name   string
 	attack func(c *rawClient)
-	want   string
+	want   string // an event that the attacker must receive, in the form of rawClient.expect
 }{
 	{
 		name: "PING",
@@ -30,7 +30,7 @@
 		want: "goaway 0 ENHANCE_YOUR_CALM",
 	},
 	{
-		name: "windows raised by one byte",
+		name: "WINDOW_UPDATE by one byte",
 		attack: func(c *rawClient) {
 			c.request(1, "GET", "/slow", true)
 			repeat(5000, func() error { return c.framer.WriteWindowUpdate(1, 1) })
@@ -54,8 +54,8 @@
 		want: "goaway 0 ENHANCE_YOUR_CALM",
 	},
 	{
-		// CVE-2024-27316: a field section that never ends must not be collected without a limit.
-		name: "CONTINUATION without end",
+		// CVE-2024-27316: a server that collects an endless field section without a limit runs out of memory.
+		name: "endless CONTINUATION",
 		attack: func(c *rawClient) {
 			c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x82}})
 			field := []byte{0x00, 0x01, 'a', 0x7f, 0x81, 0x7e}
@@ -65,34 +65,34 @@
 		want: "goaway",
 	},
 	{
-		// A few bytes on the wire refer to the same long field many times.
+		// Each request refers to the same long field many times, in a few bytes on the wire.
 		name: "HPACK bomb",
 		attack: func(c *rawClient) {
 			var fields []string
 			for range 100 {
 				fields = append(fields, "x-bomb", strings.Repeat("x", 3000))
 			}
-			repeatStreams(200, func(id uint32) error { return c.request(id, "GET", "/", true, fields...) })
+			forEachStreamID(200, func(id uint32) error { return c.request(id, "GET", "/", true, fields...) })
 		},
 		want: "goaway",
 	},
 	{
-		name: "streams that are refused",
+		name: "more streams than allowed",
 		attack: func(c *rawClient) {
-			repeatStreams(4000, func(id uint32) error { return c.request(id, "GET", "/slow", true) })
+			forEachStreamID(4000, func(id uint32) error { return c.request(id, "GET", "/slow", true) })
 		},
 		want: "goaway",
 	},
 	{
 		name: "malformed requests",
 		attack: func(c *rawClient) {
-			repeatStreams(4000, func(id uint32) error { return c.request(id, "GET", "/", true, "connection", "x") })
+			forEachStreamID(4000, func(id uint32) error { return c.request(id, "GET", "/", true, "connection", "x") })
 		},
 		want: "goaway",
 	},
 }
 
-// repeat calls write n times or until it fails.
+// repeat calls write n times, but stops when it fails.
 func repeat(n int, write func() error) {
 	for range n {
 		if write() != nil {
@@ -101,8 +101,8 @@
 	}
 }
 
-// repeatStreams calls write for each client's stream ID below a limit, or until it fails.
-func repeatStreams(limit uint32, write func(id uint32) error) {
+// forEachStreamID calls write for each stream ID of a client, which is odd, below a limit. It stops when write fails.
+func forEachStreamID(limit uint32, write func(id uint32) error) {
 	for id := uint32(1); id < limit; id += 2 {
 		if write(id) != nil {
 			return
@@ -110,7 +110,8 @@
 	}
 }
 
-// The connection of an attacker is closed, and an honest client beside it is served all the while.
+// TestAttacks checks that the connection of an attacker is closed, and that an honest client is served during the
+// attack.
 func TestAttacks(t *testing.T) {
 	for _, c := range attacks {
 		t.Run(c.name, func(t *testing.T) {
@@ -122,9 +123,10 @@
 					close(done)
 				}()
 				honest := s.client()
+				const want = "200 PUT gate/a 5"
 				for i := range 5 {
-					if got := get(honest, "PUT", "/a", "hello"); got != "200 PUT gate/a 5" {
-						s.t.Errorf("request %d beside the attack: %s", i, got)
+					if got := doRequest(honest, "PUT", "/a", "hello"); got != want {
+						s.t.Errorf("request %d during the attack: got %q, want %q", i, got, want)
 					}
 				}
 				honest.CloseIdleConnections()
@@ -136,12 +138,12 @@
 	}
 }
 
-// A client that resets every stream at once (CVE-2023-44487) gets few requests to the handler before its connection
-// is closed.
-func TestRapidResetIsCut(t *testing.T) {
+// TestRapidResetClosesConnection checks that a client that resets each stream as soon as it has opened it loses its
+// connection before many of its requests reach the handler (CVE-2023-44487).
+func TestRapidResetClosesConnection(t *testing.T) {
 	runWithServer(t, nil, func(s *testServer) {
 		c := s.rawClient()
-		repeatStreams(20_000, func(id uint32) error {
+		forEachStreamID(20_000, func(id uint32) error {
 			if err := c.request(id, "GET", "/slow", true); err != nil {
 				return err
 			}
@@ -150,35 +152,37 @@
 		c.expect("end")
 		synctest.Wait()
 		if n := s.handler.handled["/slow"]; n > 50 {
-			s.t.Errorf("%d requests were handled", n)
+			s.t.Errorf("%d requests reached the handler, want at most 50", n)
 		}
 	})
 }
 
-// Ten clients that never raise their windows ask for 100 responses of 256 KiB, while 4 MiB may be held. Their streams
-// are reset, and a client that reads is served.
-func TestReadersByTheHundredThatDoNotRead(t *testing.T) {
+// TestUnreadResponsesAreReset has ten clients ask for 100 responses of 256 KiB in total, while the server may hold
+// 4 MiB. The windows of their streams are 0 and are never raised. Their streams must be reset, and a client that reads
+// its responses must be served.
+func TestUnreadResponsesAreReset(t *testing.T) {
 	runWithServer(t, nil, func(s *testServer) {
 		var stalled []*rawClient
 		for range 10 {
 			c := s.rawClient()
 			c.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
-			repeatStreams(20, func(id uint32) error { return c.request(id, "GET", "/big", true) })
+			forEachStreamID(20, func(id uint32) error { return c.request(id, "GET", "/big", true) })
 			stalled = append(stalled, c)
 		}
 		synctest.Wait()
 		c := s.client()
 		defer c.CloseIdleConnections()
+		const want = "200 GET gate/big 262144"
 		for range 10 {
-			if got := get(c, "GET", "/big", ""); got != "200 GET gate/big 262144" {
-				s.t.Error(got)
+			if got := doRequest(c, "GET", "/big", ""); got != want {
+				s.t.Errorf("response of the client that reads: %q, want %q", got, want)
 			}
 		}
 		time.Sleep(6 * time.Second)
 		for i, client := range stalled {
 			client.expect("rst")
 			if client.received("data") {
-				s.t.Errorf("connection %d was sent more than its window", i)
+				s.t.Errorf("client %d received DATA beyond its window of 0 bytes", i)
 			}
 		}
 	})
--- a/internal/frontend/h2frontend/bench_test.go
+++ b/internal/frontend/h2frontend/bench_test.go
@@ -24,20 +24,21 @@
 	"reachpulley/scheduler"
 )
 
-// Keys by which keyedLoop chooses its answer, and the path to them.
+// The keys by which fakeEventLoop chooses its answer, and the part of the path before the key.
 const (
 	volumePath    = "/api/00000003b4d60021/"
-	smallKey      = "7f3a9c21e0b4d655" // 512 bytes
-	bigKey        = "bf3a9c21e0b4d655" // a megabyte
+	smallKey      = "7f3a9c21e0b4d655" // answered with smallBody
+	bigKey        = "bf3a9c21e0b4d655" // answered with a body of 1 MiB
 	unansweredKey = "cf3a9c21e0b4d655"
 )
 
+// smallBody is a response body of 512 bytes.
 var smallBody = []byte(strings.Repeat("d", 512))
 
-// keyedLoop answers at once, except for the unanswered key.
-type keyedLoop struct{}
+// fakeEventLoop answers each exchange at once, except those for unansweredKey, which it never answers.
+type fakeEventLoop struct{}
 
-func (keyedLoop) Open(x *exchange.Exchange) {
+func (fakeEventLoop) Open(x *exchange.Exchange) {
 	body := smallBody
 	switch x.Request.Key {
 	case unansweredKey:
@@ -49,7 +50,7 @@
 	x.Finish(exchange.Answer{Verdict: exchange.Served, Reply: reply})
 }
 
-// benchHeaders are the platform's headers of all requests but for the ID.
+// benchHeaders are the platform's header fields that all requests have, apart from the request ID.
 var benchHeaders = []struct{ name, value string }{
 	{httpmsg.ClassHeader, "read"},
 	{httpmsg.PlanHeader, "gold"},
@@ -57,7 +58,7 @@
 	{httpmsg.PlacementHeader, "units=2,shard=5,hosts=3"},
 }
 
-// benchAdmission hardly limits anything.
+// benchAdmission has limits so high that the benchmarks hardly reach them.
 var benchAdmission = admission.Config{
 	MaxInFlight:      100_000,
 	PerConnection:    200,
@@ -70,14 +71,14 @@
 	Stall:            time.Minute,
 }
 
-// startFrontends starts the HTTP/1.1 and the HTTP/2 frontend on loopback addresses, with the same event loop.
+// startFrontends starts the HTTP/1.1 and the HTTP/2 frontend on loopback addresses, in front of the same event loop.
 func startFrontends(b *testing.B) (http1Address, http2Address string, stop func()) {
 	log := slog.New(slog.DiscardHandler)
 	settings := scheduler.Settings{
 		Classes: []scheduler.Class{{Name: "read", Deadline: time.Minute}},
 		Plans:   []scheduler.Plan{{Name: "gold"}},
 	}
-	frontend := httpfrontend.New(httpfrontend.Options{Loop: keyedLoop{}, Log: log, Settings: settings})
+	frontend := httpfrontend.New(httpfrontend.Options{Loop: fakeEventLoop{}, Log: log, Settings: settings})
 	listener1, listener2 := listen(b), listen(b)
 	server1 := httpfrontend.NewServer(frontend, listener1, 10_000, httpfrontend.DefaultMaxHeaderBytes, log)
 	server2, err := New(Options{
@@ -102,6 +103,7 @@
 	}
 }
 
+// listen returns a listener on a free loopback port.
 func listen(b *testing.B) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -110,10 +112,10 @@
 	return l
 }
 
-// benchClient returns the HTTP/2 client of x/net, without the connection pool of net/http: recorded figures contain
-// its work.
+// benchClient returns the HTTP/2 client of x/net, without the connection pool of net/http. Recorded results include the
+// work of this client.
 func benchClient() *http.Client {
-	//lint:ignore SA1019 http.Transport allocates more for each request, so figures would not compare with recorded ones
+	//lint:ignore SA1019 http.Transport allocates more for each request, so recorded results could not be compared
 	return &http.Client{Transport: &http2.Transport{
 		AllowHTTP:          true,
 		DisableCompression: true,
@@ -124,7 +126,7 @@
 }
 
 // call sends a request for a small body and reads the response.
-func call(b *testing.B, c *http.Client, address string) {
+func requestSmallBody(b *testing.B, c *http.Client, address string) {
 	r, err := http.NewRequest("GET", "http://"+address+volumePath+smallKey, nil)
 	if err != nil {
 		b.Fatal(err)
@@ -142,7 +144,7 @@
 	resp.Body.Close()
 }
 
-// writeRequest writes the frame of a request for a key.
+// writeRequest writes the HEADERS frame of a request for a key.
 func writeRequest(w *frameWriter, id uint32, key string) {
 	fields := []string{strings.ToLower(httpmsg.IDHeader), fmt.Sprint(id)}
 	for _, header := range benchHeaders {
@@ -151,9 +153,9 @@
 	w.request(id, "GET", volumePath+key, true, fields...)
 }
 
-// BenchmarkFronts measures a request over loopback, by HTTP/1.1 on as many connections as are needed and by HTTP/2 on
-// one. It includes the client's work.
-func BenchmarkFronts(b *testing.B) {
+// BenchmarkFrontends measures requests over loopback: by HTTP/1.1 on as many connections as they need, and by HTTP/2 on
+// one connection. The results include the client's work.
+func BenchmarkFrontends(b *testing.B) {
 	http1Address, http2Address, stop := startFrontends(b)
 	defer stop()
 	http1Client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000}}
@@ -170,7 +172,7 @@
 			b.SetParallelism(8)
 			b.RunParallel(func(p *testing.PB) {
 				for p.Next() {
-					call(b, c.client, c.address)
+					requestSmallBody(b, c.client, c.address)
 				}
 			})
 			c.client.CloseIdleConnections()
@@ -178,7 +180,8 @@
 	}
 }
 
-// measureP99 returns the p99 duration, in nanoseconds, of 10,000 requests on one connection, 20 at a time.
+// measureP99 sends 10,000 requests on one connection, 20 at a time, and returns the p99 of their durations in
+// nanoseconds.
 func measureP99(b *testing.B, address string) float64 {
 	c := benchClient()
 	defer c.CloseIdleConnections()
@@ -188,9 +191,9 @@
 	for range 20 {
 		callers.Go(func() {
 			for range 500 {
-				began := time.Now()
-				call(b, c, address)
-				took := time.Since(began)
+				startedAt := time.Now()
+				requestSmallBody(b, c, address)
+				took := time.Since(startedAt)
 				mu.Lock()
 				durations = append(durations, took)
 				mu.Unlock()
@@ -202,20 +205,21 @@
 	return float64(durations[len(durations)*99/100])
 }
 
-// reportP99 reports the p99 durations without and with a disturbance, and their ratio.
+// reportP99 reports the p99 durations, given in nanoseconds, without and with the load of other clients, and their
+// ratio.
 func reportP99(b *testing.B, without, with float64) {
 	b.ReportMetric(without/1e3, "us-p99-without")
 	b.ReportMetric(with/1e3, "us-p99-with")
 	b.ReportMetric(with/without, "ratio")
 }
 
-// BenchmarkRapidReset measures the p99 of requests beside a client that resets all its requests and connects again
-// whenever its connection is closed, relative to the p99 without that client.
+// BenchmarkRapidReset measures the p99 duration of requests without and with another client, which resets all its
+// requests and connects again whenever its connection is closed.
 func BenchmarkRapidReset(b *testing.B) {
 	_, address, stop := startFrontends(b)
 	defer stop()
 	for b.Loop() {
-		measureP99(b, address) // warms up
+		measureP99(b, address) // warm-up
 		without := measureP99(b, address)
 		ctx, cancel := context.WithCancel(b.Context())
 		var attack sync.WaitGroup
@@ -227,8 +231,8 @@
 	}
 }
 
-// attackByResets sends requests and resets them until ctx ends or the server no longer accepts its address. The
-// address differs from that of other clients, since the server bans it after some violations.
+// attackByResets sends requests and resets them until ctx is done or it cannot connect any more. Its source address
+// differs from that of the other clients, since the server bans the address after some violations.
 func attackByResets(ctx context.Context, address string) {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 2)}}
 	for ctx.Err() == nil {
@@ -248,13 +252,13 @@
 	}
 }
 
-// BenchmarkNeighbours measures the p99 of requests beside ten connections that ask for a megabyte each and do not
-// read it, relative to the p99 without them.
-func BenchmarkNeighbours(b *testing.B) {
+// BenchmarkStalledClients measures the p99 duration of requests without and with ten other connections. On each of them
+// a client asks for ten responses of 1 MiB and reads none.
+func BenchmarkStalledClients(b *testing.B) {
 	_, address, stop := startFrontends(b)
 	defer stop()
 	for b.Loop() {
-		measureP99(b, address) // warms up
+		measureP99(b, address) // warm-up
 		without := measureP99(b, address)
 		var stalled []*frameWriter
 		for range 10 {
@@ -273,7 +277,7 @@
 	}
 }
 
-// dialFrames connects and writes the preface.
+// dialFrames connects to a server and writes the preface.
 func dialFrames(b *testing.B, address string) *frameWriter {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -284,8 +288,8 @@
 	return w
 }
 
-// BenchmarkMemory measures the memory of the process for each idle connection, and for each stream where a connection
-// has 100 streams in flight. It includes buffers, goroutines and the client's side.
+// BenchmarkMemory measures the memory of the process for each idle connection, and for each open stream with 100
+// streams on each connection. The results include buffers, goroutines and the client's side.
 func BenchmarkMemory(b *testing.B) {
 	_, address, stop := startFrontends(b)
 	defer stop()
@@ -307,7 +311,7 @@
 				writeRequest(w, 2*i+1, unansweredKey)
 			}
 		}
-		// The frame writers are not used any more, so their memory is not measured.
+		// The frame writers are no longer referenced, so the garbage collector frees them before their memory is measured.
 		time.Sleep(3 * time.Second)
 		b.ReportMetric((usedMemory()-idle)/connections/streams, "B/open-stream")
 		for _, conn := range conns {
@@ -317,7 +321,7 @@
 	}
 }
 
-// usedMemory returns the bytes of heap and stacks in use.
+// usedMemory returns the bytes of heap and stacks that are in use after a garbage collection.
 func usedMemory() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/frontend/h2frontend/conformance_connection_test.go
+++ b/internal/frontend/h2frontend/conformance_connection_test.go
@@ -15,14 +15,14 @@
 		want: "headers 1 200",
 	},
 	{
-		name: "9113-4.1 reserved flags are ignored",
+		name: "9113-4.1 unused flags are ignored",
 		send: func(c *rawClient) {
 			c.framer.WriteRawFrame(http2.FramePing, 0xf0, 0, make([]byte, 8))
 		},
 		want: "ping",
 	},
 	{
-		name: "9113-4.2 a frame longer than allowed",
+		name: "9113-4.2 DATA longer than allowed",
 		send: func(c *rawClient) {
 			c.framer.WriteRawFrame(http2.FrameData, 0, 1, make([]byte, 16<<10+1))
 		},
@@ -169,7 +169,7 @@
 		want: "rst 201 REFUSED_STREAM",
 	},
 	{
-		name: "9113-5.1.2 another stream after one has ended",
+		name: "9113-5.1.2 a new stream after others have ended",
 		send: func(c *rawClient) {
 			for id := uint32(1); id <= 199; id += 2 {
 				c.request(id, "GET", "/slow", true)
@@ -180,7 +180,7 @@
 		want: "headers 201 200",
 	},
 	{
-		name: "9113-5.4.1 a stream error leaves other streams alone",
+		name: "9113-5.4.1 a stream error does not affect other streams",
 		send: func(c *rawClient) {
 			c.request(1, "GET", "/", true, "connection", "x")
 			c.request(3, "GET", "/", true)
--- a/internal/frontend/h2frontend/conformance_frames_test.go
+++ b/internal/frontend/h2frontend/conformance_frames_test.go
@@ -4,7 +4,7 @@
 	"golang.org/x/net/http2"
 )
 
-// frameConformance covers the types of frames (RFC 9113, section 6).
+// frameConformance covers the definitions of the frame types (RFC 9113, section 6).
 var frameConformance = []conformanceCase{
 	{
 		name: "9113-6.1 DATA on stream 0",
@@ -30,7 +30,7 @@
 		want: "headers 1 200",
 	},
 	{
-		name: "9113-6.1 an empty DATA ends a stream",
+		name: "9113-6.1 empty DATA with END_STREAM",
 		send: func(c *rawClient) {
 			c.request(1, "PUT", "/", false)
 			c.framer.WriteData(1, true, nil)
@@ -45,7 +45,7 @@
 		want: "goaway 0 PROTOCOL_ERROR",
 	},
 	{
-		name: "9113-6.2 HEADERS on stream 0 as a raw frame",
+		name: "9113-6.2 incomplete HEADERS on stream 0",
 		send: func(c *rawClient) {
 			c.framer.WriteRawFrame(http2.FrameHeaders, 0, 0, []byte{0x82})
 		},
@@ -131,14 +131,14 @@
 		want: "goaway 0 FRAME_SIZE_ERROR",
 	},
 	{
-		name: "9113-6.5 an acknowledgement with a payload",
+		name: "9113-6.5 an acknowledgement of SETTINGS with a payload",
 		send: func(c *rawClient) {
 			c.framer.WriteRawFrame(http2.FrameSettings, http2.FlagSettingsAck, 0, make([]byte, 6))
 		},
 		want: "goaway 0 FRAME_SIZE_ERROR",
 	},
 	{
-		name: "9113-6.5.2 an initial window beyond 2^31-1",
+		name: "9113-6.5.2 an initial window above 2^31-1",
 		send: func(c *rawClient) {
 			c.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 31})
 		},
@@ -159,7 +159,7 @@
 		want: "goaway 0 PROTOCOL_ERROR",
 	},
 	{
-		name: "9113-6.5.2 a frame size beyond 2^24-1",
+		name: "9113-6.5.2 a frame size above 2^24-1",
 		send: func(c *rawClient) {
 			c.framer.WriteSettings(http2.Setting{ID: http2.SettingMaxFrameSize, Val: 1 << 24})
 		},
@@ -234,7 +234,7 @@
 		want: "goaway 0 FRAME_SIZE_ERROR",
 	},
 	{
-		name: "9113-6.7 an unsolicited acknowledgement is ignored",
+		name: "9113-6.7 an unsolicited acknowledgement of PING is ignored",
 		send: func(c *rawClient) {
 			c.framer.WritePing(true, [8]byte{})
 			c.request(1, "GET", "/", true)
@@ -257,7 +257,7 @@
 		want: "headers 1 200",
 	},
 	{
-		name: "9113-6.9 an increment of 0 on a stream",
+		name: "9113-6.9 a window increment of 0 on a stream",
 		send: func(c *rawClient) {
 			c.request(1, "GET", "/slow", true)
 			c.framer.WriteRawFrame(http2.FrameWindowUpdate, 0, 1, make([]byte, 4))
@@ -265,7 +265,7 @@
 		want: "rst 1 PROTOCOL_ERROR",
 	},
 	{
-		name: "9113-6.9 an increment of 0 on the connection",
+		name: "9113-6.9 a window increment of 0 on the connection",
 		send: func(c *rawClient) {
 			c.framer.WriteRawFrame(http2.FrameWindowUpdate, 0, 0, make([]byte, 4))
 		},
@@ -302,7 +302,7 @@
 		want: "data 1 1",
 	},
 	{
-		name: "9113-6.9.2 SETTINGS overflow a window",
+		name: "9113-6.9.2 a new initial window overflows a stream's window",
 		send: func(c *rawClient) {
 			c.request(1, "GET", "/slow", true)
 			c.framer.WriteWindowUpdate(1, 1<<31-1-64<<10)
@@ -328,7 +328,7 @@
 		want: "data 3 100",
 	},
 	{
-		name: "9113-6.9.2 SETTINGS raise a window",
+		name: "9113-6.9.2 a new initial window raises a stream's window",
 		send: func(c *rawClient) {
 			c.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
 			c.request(1, "GET", "/big", true)
@@ -337,7 +337,7 @@
 		want: "data 1 7",
 	},
 	{
-		name: "9113-6.9.3 WINDOW_UPDATE raises a window",
+		name: "9113-6.9.3 WINDOW_UPDATE raises a stream's window",
 		send: func(c *rawClient) {
 			c.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
 			c.request(1, "GET", "/big", true)
--- a/internal/frontend/h2frontend/conformance_hpack_test.go
+++ b/internal/frontend/h2frontend/conformance_hpack_test.go
@@ -7,7 +7,7 @@
 // hpackConformance covers the compression of field sections (RFC 7541).
 var hpackConformance = []conformanceCase{
 	{
-		name: "7541-2.3.3 an index without an entry",
+		name: "7541-2.3.3 an index beyond the end of the table",
 		send: func(c *rawClient) {
 			c.framer.WriteHeaders(http2.HeadersFrameParam{
 				StreamID:      1,
@@ -18,7 +18,7 @@
 		want: "goaway 0 COMPRESSION_ERROR",
 	},
 	{
-		name: "7541-4.2 a table size beyond the announced limit",
+		name: "7541-4.2 a table size above the announced limit",
 		send: func(c *rawClient) {
 			c.framer.WriteHeaders(http2.HeadersFrameParam{
 				StreamID:      1,
@@ -85,7 +85,7 @@
 		want: "goaway 0 COMPRESSION_ERROR",
 	},
 	{
-		name: "7541-6.1 an index into the dynamic table",
+		name: "7541-6.1 a valid index into the dynamic table",
 		send: func(c *rawClient) {
 			c.framer.WriteHeaders(http2.HeadersFrameParam{
 				StreamID:      1,
@@ -121,7 +121,7 @@
 		want: "headers 1 200",
 	},
 	{
-		name: "7541-6.3 a smaller table",
+		name: "7541-6.3 a table size update to 0",
 		send: func(c *rawClient) {
 			c.framer.WriteHeaders(http2.HeadersFrameParam{
 				StreamID:      1,
--- a/internal/frontend/h2frontend/conformance_messages_test.go
+++ b/internal/frontend/h2frontend/conformance_messages_test.go
@@ -49,14 +49,14 @@
 		want: "data 1 2",
 	},
 	{
-		name: "9113-8.1 a response before the request is complete",
+		name: "9113-8.1 an early response, before the request is complete",
 		send: func(c *rawClient) {
 			c.request(1, "PUT", "/", false, "content-length", "70000")
 		},
 		want: "headers 1 413",
 	},
 	{
-		name: "9113-8.1 and a reset without error after it",
+		name: "9113-8.1 a reset with NO_ERROR after an early response",
 		send: func(c *rawClient) {
 			c.request(1, "PUT", "/", false, "content-length", "70000")
 		},
@@ -86,7 +86,7 @@
 		want: "rst 1 PROTOCOL_ERROR",
 	},
 	{
-		name: "9113-8.1.1 two content-lengths",
+		name: "9113-8.1.1 two different content-lengths",
 		send: func(c *rawClient) {
 			c.request(1, "PUT", "/", false, "content-length", "1", "content-length", "2")
 		},
@@ -170,49 +170,49 @@
 		want: "rst 1 PROTOCOL_ERROR",
 	},
 	{
-		name: "9113-8.2.2 connection",
+		name: "9113-8.2.2 a connection field",
 		send: func(c *rawClient) {
 			c.request(1, "GET", "/", true, "connection", "close")
 		},
 		want: "rst 1 PROTOCOL_ERROR",
 	},
 	{
-		name: "9113-8.2.2 transfer-encoding",
+		name: "9113-8.2.2 a transfer-encoding field",
 		send: func(c *rawClient) {
 			c.request(1, "PUT", "/", true, "transfer-encoding", "chunked")
 		},
 		want: "rst 1 PROTOCOL_ERROR",
 	},
 	{
-		name: "9113-8.2.2 upgrade",
+		name: "9113-8.2.2 an upgrade field",
 		send: func(c *rawClient) {
 			c.request(1, "GET", "/", true, "upgrade", "h2c")
 		},
 		want: "rst 1 PROTOCOL_ERROR",
 	},
 	{
-		name: "9113-8.2.2 te",
+		name: "9113-8.2.2 a te field other than trailers",
 		send: func(c *rawClient) {
 			c.request(1, "GET", "/", true, "te", "gzip")
 		},
 		want: "rst 1 PROTOCOL_ERROR",
 	},
 	{
-		name: "9113-8.2.2 te: trailers",
+		name: "9113-8.2.2 a te field of trailers",
 		send: func(c *rawClient) {
 			c.request(1, "GET", "/", true, "te", "trailers")
 		},
 		want: "headers 1 200",
 	},
 	{
-		name: "9113-8.2.2 keep-alive",
+		name: "9113-8.2.2 a keep-alive field",
 		send: func(c *rawClient) {
 			c.request(1, "GET", "/", true, "keep-alive", "x")
 		},
 		want: "rst 1 PROTOCOL_ERROR",
 	},
 	{
-		name: "9113-8.2.2 proxy-connection",
+		name: "9113-8.2.2 a proxy-connection field",
 		send: func(c *rawClient) {
 			c.request(1, "GET", "/", true, "proxy-connection", "x")
 		},
@@ -233,7 +233,7 @@
 		want: "rst 1 PROTOCOL_ERROR",
 	},
 	{
-		name: "9113-8.3 a pseudo-header after a field",
+		name: "9113-8.3 a pseudo-header after a regular field",
 		send: func(c *rawClient) {
 			c.fields(1, true, ":method", "GET", "x-a", "1", ":scheme", "http", ":path", "/")
 		},
@@ -343,7 +343,7 @@
 		want: "headers 203 200",
 	},
 	{
-		name: "9113-10.5.1 a field section beyond the announced limit",
+		name: "9113-10.5.1 a field section longer than announced",
 		send: func(c *rawClient) {
 			c.request(1, "GET", "/", true, "x-big", strings.Repeat("x", 15<<10), "x-more", strings.Repeat("y", 900))
 		},
--- a/internal/frontend/h2frontend/conformance_test.go
+++ b/internal/frontend/h2frontend/conformance_test.go
@@ -7,16 +7,18 @@
 	"golang.org/x/net/http2"
 )
 
-// conformanceCase is one requirement of RFC 9113 or RFC 7541; its name begins with the section.
+// conformanceCase tests a requirement of RFC 9113 or RFC 7541. Its name begins with the number of the RFC and the
+// section.
 type conformanceCase struct {
 	name string
 	send func(c *rawClient) // what the client sends after the preface
-	want string             // an event that the client must see, as rawClient.expect takes it
+	want string             // an event that the client must receive, in the form of rawClient.expect
 }
 
-// minimalRequest are the fields that a request needs at least.
+// minimalRequest contains the names and values of the fields that every request must have.
 var minimalRequest = []string{":method", "GET", ":scheme", "http", ":path", "/"}
 
+// TestConformance runs the cases in which the client has sent a valid preface.
 func TestConformance(t *testing.T) {
 	cases := slices.Concat(connectionConformance, frameConformance, messageConformance, hpackConformance)
 	for _, c := range cases {
@@ -30,10 +32,11 @@
 	}
 }
 
+// TestPreface runs the cases in which the client's connection preface is invalid or incomplete.
 func TestPreface(t *testing.T) {
 	for _, c := range []conformanceCase{
 		{
-			name: "9113-3.4 no preface",
+			name: "9113-3.4 zero bytes in place of the preface",
 			send: func(c *rawClient) { c.conn.Write(make([]byte, 24)) },
 			want: "end",
 		},
@@ -59,7 +62,7 @@
 			want: "goaway 0 PROTOCOL_ERROR",
 		},
 		{
-			name: "9113-3.4 SETTINGS that do not arrive",
+			name: "9113-3.4 no SETTINGS after the preface",
 			send: func(c *rawClient) { c.conn.Write([]byte(http2.ClientPreface)) },
 			want: "end",
 		},
--- a/internal/frontend/h2frontend/helpers_test.go
+++ b/internal/frontend/h2frontend/helpers_test.go
@@ -18,6 +18,7 @@
 	"reachpulley/internal/scenariotest"
 )
 
+// testAdmission is the admission configuration of the tests, which a test may change.
 var testAdmission = admission.Config{
 	MaxInFlight:      128,
 	PerConnection:    100,
@@ -32,11 +33,12 @@
 
 const testMaxHeaderBytes = 16 << 10
 
-// echoHandler answers by the path: /big is 256 KiB, /slow takes a second; everything else is echoed.
+// echoHandler answers with the body of the request. A path that begins with /big is answered with 256 KiB instead, and
+// one that begins with /slow after a second. The X-Echo field repeats the method, host and URI of the request.
 type echoHandler struct {
 	mu           sync.Mutex
 	handled      map[string]int // number of requests by path
-	disconnected int            // requests whose client disconnected before the response
+	disconnected int            // number of /slow requests whose context ended before the response
 }
 
 func newEchoHandler() *echoHandler { return &echoHandler{handled: map[string]int{}} }
@@ -66,9 +68,9 @@
 	}
 }
 
-func (h *echoHandler) ClientID(r *http.Request) string { return r.Header.Get("X-Who") }
+func (h *echoHandler) ClientID(r *http.Request) string { return r.Header.Get("X-Client") }
 
-// testServer is a server in the fake time of a test, at gate:1 of a network in memory.
+// testServer is a server that runs in the fake time of a test and listens at gate:1 of a network in memory.
 type testServer struct {
 	t       *testing.T
 	network scenariotest.Network
@@ -76,8 +78,8 @@
 	handler *echoHandler
 }
 
-// runWithServer runs a test with a server, whose admission the test may configure. At the end the server must not
-// hold any connection.
+// runWithServer runs a test with a server. If configure is not nil, it changes the admission configuration. At the end
+// runWithServer shuts the server down and checks that it holds no connections.
 func runWithServer(t *testing.T, configure func(*admission.Config), test func(s *testServer)) {
 	synctest.Test(t, func(t *testing.T) {
 		config := testAdmission
@@ -106,12 +108,12 @@
 		s.server.Shutdown(ctx)
 		serving.Wait()
 		if n := len(s.server.conns); n != 0 {
-			t.Errorf("%d connections are left", n)
+			t.Errorf("the server holds %d connections after Shutdown, want 0", n)
 		}
 	})
 }
 
-// client returns the HTTP/2 client of net/http. It sends all requests over one connection.
+// client returns an HTTP/2 client of net/http that sends all requests over one connection.
 func (s *testServer) client() *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
@@ -125,8 +127,9 @@
 	}}
 }
 
-// get sends a request and describes its response by status, echo, Connection field and length of the body.
-func get(c *http.Client, method, path, body string) string {
+// doRequest sends a request and returns a description of its response: the status, the X-Echo and Connection fields,
+// and the length of the body in bytes. If the request fails, it returns the text of the error.
+func doRequest(c *http.Client, method, path, body string) string {
 	r, err := http.NewRequest(method, "http://gate"+path, strings.NewReader(body))
 	if err != nil {
 		return err.Error()
--- a/internal/frontend/h2frontend/raw_client_test.go
+++ b/internal/frontend/h2frontend/raw_client_test.go
@@ -14,11 +14,11 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// frameWriter writes frames as a client, in any order and with any content.
+// frameWriter writes frames as a client, in any order and with any content, also invalid ones.
 type frameWriter struct {
 	conn    net.Conn
 	framer  *http2.Framer
-	encoder *hpack.Encoder
+	encoder *hpack.Encoder // writes to block
 	block   bytes.Buffer
 }
 
@@ -29,19 +29,19 @@
 	return w
 }
 
-// preface writes the client's connection preface.
+// preface writes the client's connection preface, with empty SETTINGS.
 func (w *frameWriter) preface() {
 	w.conn.Write([]byte(http2.ClientPreface))
 	w.framer.WriteSettings()
 }
 
-// request writes the field section of a request, with further fields as names and values in turn.
+// request writes the HEADERS of a request. The names and values of further fields alternate in fields.
 func (w *frameWriter) request(id uint32, method, path string, endStream bool, fields ...string) error {
 	pseudo := []string{":method", method, ":scheme", "http", ":path", path, ":authority", "gate"}
 	return w.fields(id, endStream, append(pseudo, fields...)...)
 }
 
-// fields writes a field section of names and values in turn.
+// fields writes HEADERS with a field section. The names and values of its fields alternate in fields.
 func (w *frameWriter) fields(id uint32, endStream bool, fields ...string) error {
 	return w.framer.WriteHeaders(http2.HeadersFrameParam{
 		StreamID:      id,
@@ -51,7 +51,8 @@
 	})
 }
 
-// encode returns a field section of names and values in turn. It is valid until the next call.
+// encode returns an encoded field section, whose bytes are valid until the next call. The names and values of its
+// fields alternate in fields.
 func (w *frameWriter) encode(fields ...string) []byte {
 	w.block.Reset()
 	for i := 0; i+1 < len(fields); i += 2 {
@@ -60,23 +61,23 @@
 	return w.block.Bytes()
 }
 
-// rawClient is a client that writes frames and keeps the events that it receives.
+// rawClient is a client that writes arbitrary frames and records the frames that it receives as events.
 type rawClient struct {
 	*frameWriter
 	server *testServer
 
 	mu     sync.Mutex
-	events []string // as eventOf describes frames
+	events []string // results of describeFrame; "end" when the connection has ended
 }
 
-// rawClient connects and writes the preface.
+// rawClient connects a rawClient to the server and writes the preface.
 func (s *testServer) rawClient() *rawClient {
 	c := s.connect()
 	c.preface()
 	return c
 }
 
-// connect connects and writes nothing.
+// connect connects a rawClient to the server without writing anything.
 func (s *testServer) connect() *rawClient {
 	conn, err := s.network.Dial(context.Background(), "tcp", "gate:1")
 	if err != nil {
@@ -88,13 +89,13 @@
 	return c
 }
 
-// read keeps an event for each frame until the connection ends.
+// read records an event for each frame until the connection ends, and one for the end.
 func (c *rawClient) read() {
 	for {
 		frame, err := c.framer.ReadFrame()
 		event := "end"
 		if err == nil {
-			event = eventOf(frame)
+			event = describeFrame(frame)
 		}
 		c.mu.Lock()
 		c.events = append(c.events, event)
@@ -106,8 +107,8 @@
 	}
 }
 
-// eventOf describes a frame; empty for frames that no test expects.
-func eventOf(frame http2.Frame) string {
+// describeFrame returns the event that stands for a frame, or an empty string for the types that no test expects.
+func describeFrame(frame http2.Frame) string {
 	switch frame := frame.(type) {
 	case *http2.MetaHeadersFrame:
 		return fmt.Sprintf("headers %d %s", frame.StreamID, frame.PseudoValue("status"))
@@ -128,7 +129,7 @@
 	return ""
 }
 
-// received reports whether there was an event that begins with a text.
+// received reports whether an event with a prefix has been recorded.
 func (c *rawClient) received(prefix string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +141,7 @@
 	return false
 }
 
-// expect waits for an event that begins with a text.
+// expect waits up to three seconds for an event with a prefix, and fails the test if there is none.
 func (c *rawClient) expect(prefix string) {
 	c.server.t.Helper()
 	for range 30 {
@@ -152,5 +153,5 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.server.t.Errorf("not received: %s, but %q", prefix, c.events)
+	c.server.t.Errorf("no event begins with %q; the events are %q", prefix, c.events)
 }
--- a/internal/frontend/h2frontend/server_test.go
+++ b/internal/frontend/h2frontend/server_test.go
@@ -18,6 +18,7 @@
 	"reachpulley/internal/admission"
 )
 
+// TestRequests checks requests of the HTTP/2 client of net/http, with bodies up to the limit and beyond it.
 func TestRequests(t *testing.T) {
 	runWithServer(t, nil, func(s *testServer) {
 		client := s.client()
@@ -29,30 +30,30 @@
 			{method: "PUT", path: "/a", body: strings.Repeat("x", 64<<10+1), want: "413  36"},
 			{method: "GET", path: "/big", want: "200 GET gate/big 262144"},
 		} {
-			if got := get(client, c.method, c.path, c.body); got != c.want {
-				s.t.Errorf("%s %s: %s, want %s", c.method, c.path, got, c.want)
+			if got := doRequest(client, c.method, c.path, c.body); got != c.want {
+				s.t.Errorf("%s %s with a body of %d bytes: got %q, want %q", c.method, c.path, len(c.body), got, c.want)
 			}
 		}
 	})
 }
 
-// The server drains while 100 streams of one client are open, and another client does not read. Each stream gets
-// exactly one response, and none is delayed.
-func TestHundredStreamsADrainAndASlowReader(t *testing.T) {
+// TestDrainWithOpenStreamsAndStalledClient drains the server while one client has 100 open streams and another client
+// does not raise its windows. Each stream must get exactly one response, and none may be delayed.
+func TestDrainWithOpenStreamsAndStalledClient(t *testing.T) {
 	runWithServer(t, nil, func(s *testServer) {
-		slow := s.rawClient()
-		slow.request(1, "GET", "/big", true) // its window is never raised
+		stalled := s.rawClient()
+		stalled.request(1, "GET", "/big", true) // the client never raises its windows
 		synctest.Wait()
 		c := s.client()
 		defer c.CloseIdleConnections()
-		began := time.Now()
+		startedAt := time.Now()
 		var requests sync.WaitGroup
 		var mu sync.Mutex
 		responses := map[string]int{}
 		for i := range 100 {
 			requests.Go(func() {
 				path := fmt.Sprintf("/slow/%d", i)
-				got := get(c, "PUT", path, "hello")
+				got := doRequest(c, "PUT", path, "hello")
 				mu.Lock()
 				responses[strings.Replace(got, path, "/slow/N", 1)]++
 				mu.Unlock()
@@ -62,27 +63,28 @@
 		s.server.Drain()
 		requests.Wait()
 		if diff := cmp.Diff(map[string]int{"200 PUT gate/slow/N 5": 100}, responses); diff != "" {
-			s.t.Error(diff)
+			s.t.Errorf("responses (-want +got):\n%s", diff)
 		}
-		if took := time.Since(began); took > 1100*time.Millisecond {
-			s.t.Errorf("the responses took %v", took)
+		if took := time.Since(startedAt); took > 1100*time.Millisecond {
+			s.t.Errorf("the responses took %v, want at most 1.1s", took)
 		}
 		for path, n := range s.handler.handled {
 			if n != 1 {
-				s.t.Errorf("%s was handled %d times", path, n)
+				s.t.Errorf("%s was handled %d times, want once", path, n)
 			}
 		}
-		slow.expect("goaway") // the slow client is told, too
+		stalled.expect("goaway")
 	})
 }
 
-// A response whose window stays shut is given up; its connection stays usable.
-func TestAShutWindow(t *testing.T) {
+// TestStalledStreamIsReset checks that a stream is reset if the client does not raise the windows that its response
+// waits for, and that the connection stays usable.
+func TestStalledStreamIsReset(t *testing.T) {
 	runWithServer(t, nil, func(s *testServer) {
 		c := s.rawClient()
 		c.request(1, "GET", "/big", true)
 		c.request(3, "GET", "/a", true)
-		c.expect("headers 3") // the first has used up the connection's window by then, but this response has no body
+		c.expect("headers 3") // the first response has used up the connection's window, but this one has no body
 		time.Sleep(6 * time.Second)
 		c.expect("rst 1 ENHANCE_YOUR_CALM")
 		c.request(5, "GET", "/b", true)
@@ -90,7 +92,8 @@
 	})
 }
 
-// A request that is reset while it is handled ends at once: it is handled only once and never answered.
+// TestResetWhileHandled checks that a request that is reset while it is handled ends at once. It is handled only once
+// and never answered.
 func TestResetWhileHandled(t *testing.T) {
 	runWithServer(t, nil, func(s *testServer) {
 		c := s.rawClient()
@@ -99,18 +102,20 @@
 		c.framer.WriteRSTStream(1, http2.ErrCodeCancel)
 		synctest.Wait()
 		if s.handler.disconnected != 1 || s.handler.handled["/slow"] != 1 {
-			s.t.Errorf("disconnected %d, handled %d times", s.handler.disconnected, s.handler.handled["/slow"])
+			s.t.Errorf("%d contexts ended and %d requests were handled, want 1 of each",
+				s.handler.disconnected, s.handler.handled["/slow"])
 		}
 		time.Sleep(2 * time.Second)
 		c.request(3, "GET", "/a", true)
 		c.expect("headers 3")
 		if c.received("headers 1") {
-			s.t.Error("a stream that was reset was answered")
+			s.t.Error("the client received a response on a stream that it had reset")
 		}
 	})
 }
 
-// Clients of HTTP/1 are told what is wrong.
+// TestHTTP1ClientsGet505 checks that HTTP/1.1 requests, also those for an upgrade, get a response that explains the
+// required protocol.
 func TestHTTP1ClientsGet505(t *testing.T) {
 	for _, request := range []string{
 		"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -124,25 +129,26 @@
 			go conn.Write([]byte(request))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != 505 {
-				t.Fatal(resp, err)
+				t.Fatalf("response to %q: %v, error %v, want status 505", request, resp, err)
 			}
 			if body, err := io.ReadAll(resp.Body); err != nil || !strings.Contains(string(body), "prior knowledge") {
-				t.Errorf("%s, %v", body, err)
+				t.Errorf("response to %q: body %q, error %v, want a body that mentions prior knowledge", request, body, err)
 			}
 			conn.Close()
 		})
 	}
 }
 
-// Connections beyond the limit are closed, and one that sends nothing does not stay.
-func TestConnectionsAreBounded(t *testing.T) {
+// TestConnectionLimit checks that a connection beyond the limit is closed, and that one on which the client sends
+// nothing is closed after a while, so that a new one is accepted.
+func TestConnectionLimit(t *testing.T) {
 	withTwoConnections := func(config *admission.Config) { config.Connections = 2 }
 	runWithServer(t, withTwoConnections, func(s *testServer) {
 		first, second := s.rawClient(), s.connect()
 		synctest.Wait()
 		third := s.connect()
 		third.expect("end")
-		second.expect("end") // it sends nothing
+		second.expect("end") // this client has sent no preface
 		fourth := s.rawClient()
 		fourth.request(1, "GET", "/", true)
 		fourth.expect("headers 1")
@@ -151,8 +157,8 @@
 	})
 }
 
-// A body may arrive byte by byte.
-func TestABodyByteByByte(t *testing.T) {
+// TestBodyInOneByteFrames checks that a body may arrive in DATA frames of one byte.
+func TestBodyInOneByteFrames(t *testing.T) {
 	runWithServer(t, nil, func(s *testServer) {
 		c := s.rawClient()
 		c.request(1, "PUT", "/a", false, "content-length", "1000")
@@ -164,11 +170,11 @@
 	})
 }
 
-// Streams whose request does not arrive in time are reset.
-func TestHalfOpenStreams(t *testing.T) {
+// TestIncompleteRequestsTimeOut checks that streams are reset if their requests do not arrive in time.
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	runWithServer(t, nil, func(s *testServer) {
 		c := s.rawClient()
-		repeatStreams(100, func(id uint32) error {
+		forEachStreamID(100, func(id uint32) error {
 			c.request(id, "PUT", "/a", false, "content-length", "10")
 			return c.framer.WriteData(id, false, []byte("x"))
 		})
@@ -179,9 +185,9 @@
 	})
 }
 
-// Old connections are told to leave by a GOAWAY that still allows streams and a second one that does not. A request
-// that crosses the first is answered.
-func TestLeavingByAge(t *testing.T) {
+// TestGoAwayAtMaxAge checks that an old connection gets a GOAWAY that still allows new streams, and then a second one
+// that does not. A request sent between the two is answered.
+func TestGoAwayAtMaxAge(t *testing.T) {
 	withMaxAge := func(config *admission.Config) { config.Age = 2 * time.Second }
 	runWithServer(t, withMaxAge, func(s *testServer) {
 		c := s.rawClient()
@@ -194,18 +200,19 @@
 	})
 }
 
-// Clients behind one connection share the capacity evenly: one with many requests does not keep another out.
-func TestClientsBehindOneConnection(t *testing.T) {
+// TestClientsOfOneConnectionShareCapacity checks that clients whose requests arrive over the same connection share the
+// capacity evenly, so that one with many requests does not delay another.
+func TestClientsOfOneConnectionShareCapacity(t *testing.T) {
 	withTwoInFlight := func(config *admission.Config) {
 		config.MaxInFlight = 2
 		config.PerClient = 1
 	}
 	runWithServer(t, withTwoInFlight, func(s *testServer) {
 		c := s.rawClient()
-		repeatStreams(20, func(id uint32) error {
-			return c.request(id, "GET", "/slow", true, "x-who", "greedy")
+		forEachStreamID(20, func(id uint32) error {
+			return c.request(id, "GET", "/slow", true, "x-client", "greedy")
 		})
-		c.request(21, "GET", "/slow", true, "x-who", "modest")
+		c.request(21, "GET", "/slow", true, "x-client", "modest")
 		time.Sleep(1100 * time.Millisecond)
 		c.expect("headers 21 200")
 		if c.received("headers 3 200") {
@@ -214,18 +221,19 @@
 	})
 }
 
-// More urgent responses are written first, whether the request or a later frame states the urgency.
+// TestUrgency checks that more urgent responses are written first, whether the request or a later frame states the
+// urgency.
 func TestUrgency(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		send func(c *rawClient) // sends an urgent request on stream 3
 	}{
 		{
-			name: "9218-5 by field",
+			name: "9218-5 urgency in the Priority field",
 			send: func(c *rawClient) { c.request(3, "GET", "/big", true, "priority", "u=0, i") },
 		},
 		{
-			name: "9218-7.1 by PRIORITY_UPDATE",
+			name: "9218-7.1 urgency in PRIORITY_UPDATE",
 			send: func(c *rawClient) {
 				c.request(3, "GET", "/big", true, "priority", "u=7")
 				update := append([]byte{0, 0, 0, 3}, "u=0"...)
@@ -239,11 +247,11 @@
 	}
 }
 
-// checkUrgentFirst checks that the response on stream 3 is written before the rest of that on stream 1.
+// checkUrgentFirst checks that the response on stream 3 is written before the rest of the response on stream 1.
 func checkUrgentFirst(s *testServer, sendUrgent func(c *rawClient)) {
 	c := s.rawClient()
 	c.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 20})
-	c.request(1, "GET", "/big", true, "priority", "u=6") // uses up the connection's window and waits
+	c.request(1, "GET", "/big", true, "priority", "u=6") // its response uses up the connection's window and waits
 	synctest.Wait()
 	sendUrgent(c)
 	synctest.Wait()
@@ -251,7 +259,7 @@
 	synctest.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	urgent, other := 0, 0 // parts of both responses, from the first urgent part on
+	urgent, other := 0, 0 // DATA frames of both responses, counted from the first urgent one to the last
 	for _, event := range c.events {
 		if strings.HasPrefix(event, "data 3") {
 			urgent++
@@ -260,11 +268,13 @@
 		}
 	}
 	if urgent < 16 || other > 1 {
-		s.t.Errorf("%d parts of the urgent response, %d of the other among them: %q", urgent, other, c.events)
+		s.t.Errorf("%d DATA frames of the urgent response, want at least 16; %d of the other one before the last of them, "+
+			"want at most 1: %q", urgent, other, c.events)
 	}
 }
 
-// FuzzFrames sends any bytes after the preface: the server must neither panic nor keep anything.
+// FuzzFrames sends arbitrary bytes after the preface and a request. The server must not panic, and must hold no
+// connections afterwards.
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte{0, 0, 1, 1, 5, 0, 0, 0, 1, 0x82})
 	f.Add([]byte{0, 0, 4, 8, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 8, 6, 0, 0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8})
