--- a/internal/frontend/h2frontend/attack_test.go
+++ b/internal/frontend/h2frontend/attack_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// forEachStreamID calls write for each stream ID of a client, which is odd, below a limit. It stops when write fails.
+// forEachStreamID calls write for each odd stream ID, as clients use them, below a limit. It stops when write fails.
 func forEachStreamID(limit uint32, write func(id uint32) error) {
 	for id := uint32(1); id < limit; id += 2 {
 		if write(id) != nil {
--- a/internal/frontend/h2frontend/bench_test.go
+++ b/internal/frontend/h2frontend/bench_test.go
@@ -125,7 +125,7 @@
 	}}
 }
 
-// call sends a request for a small body and reads the response.
+// requestSmallBody sends a request for smallKey and reads the response.
 func requestSmallBody(b *testing.B, c *http.Client, address string) {
 	r, err := http.NewRequest("GET", "http://"+address+volumePath+smallKey, nil)
 	if err != nil {
@@ -311,7 +311,7 @@
 				writeRequest(w, 2*i+1, unansweredKey)
 			}
 		}
-		// The frame writers are no longer referenced, so the garbage collector frees them before their memory is measured.
+		// The frame writers are not used from here on. The garbage collector frees them, and their memory is not measured.
 		time.Sleep(3 * time.Second)
 		b.ReportMetric((usedMemory()-idle)/connections/streams, "B/open-stream")
 		for _, conn := range conns {
--- a/internal/frontend/h2frontend/conformance_test.go
+++ b/internal/frontend/h2frontend/conformance_test.go
@@ -11,7 +11,7 @@
 // section.
 type conformanceCase struct {
 	name string
-	send func(c *rawClient) // what the client sends after the preface
+	send func(c *rawClient) // writes what the client sends, in TestConformance after the preface
 	want string             // an event that the client must receive, in the form of rawClient.expect
 }
 
