--- a/internal/rules/cost.go
+++ b/internal/rules/cost.go
@@ -10,13 +10,13 @@
 
 // Costs in estimated nanoseconds.
 const (
-	requestCost   = 500 // a request without any rule
-	lookupCost    = 60  // looking for candidates in one of the indexes of a stage
-	candidateCost = 25  // each candidate that is found
-	limitCost     = 300 // taking from one limit
+	requestCost   = 500 // of a request without any rule
+	lookupCost    = 60  // of a lookup in one of the indexes of a stage
+	candidateCost = 25  // of each candidate that is found, beside its expressions
+	limitCost     = 300 // of counting a request by one limit, beside its expressions
 )
 
-// checkBudget estimates the worst-case cost of the set and rejects one that costs too much.
+// checkBudget estimates the worst-case cost of the set and adds a fault if it exceeds the file's budget.
 func (l *loader) checkBudget() {
 	set := l.set
 	set.Cost = set.worstCase().WorstCase(set.Sizes.Headers)
@@ -29,10 +29,10 @@
 	l.faults = append(l.faults, fault)
 }
 
-// worstCase returns what the evaluation of one request can cost.
+// worstCase returns the highest cost that the evaluation of one request can have.
 func (s *Set) worstCase() expression.Amount {
 	total := expression.Fixed(requestCost)
-	for _, program := range s.lets { // Each is evaluated once a request.
+	for _, program := range s.lets { // Each is evaluated at most once per request.
 		total = total.Plus(program.Cost)
 	}
 	for _, index := range s.indexes {
@@ -47,17 +47,17 @@
 	return total
 }
 
-// skips reports whether a fault skips any of the rules. Then a rule that faults while it sets its fields is followed by
-// others that may set theirs.
-func (x *ruleIndex) skips() bool {
+// hasSkippableRules reports whether a fault skips any of the rules. If so, the values of several rules may be computed
+// for one request: when one of them has a fault, the next rule is tried.
+func (x *ruleIndex) hasSkippableRules() bool {
 	return slices.ContainsFunc(x.rules, func(r *Rule) bool { return r.SkipOnFault })
 }
 
-// worstAssignmentCost returns what the one rule that matches can cost by what it sets. If rules can be skipped,
-// worstCandidateCost counts it instead.
+// worstAssignmentCost returns the highest cost of the values that the one matching rule sets. If rules can be skipped,
+// it returns 0, as worstCandidateCost counts the values of every candidate.
 func (x *ruleIndex) worstAssignmentCost() expression.Amount {
 	var highest expression.Amount
-	if x.skips() {
+	if x.hasSkippableRules() {
 		return highest
 	}
 	for _, r := range x.rules {
@@ -66,21 +66,22 @@
 	return highest
 }
 
-// worstCandidateCost returns what the rules that one request tries can cost.
+// worstCandidateCost returns the highest cost that trying the candidates of one request can have.
 func (x *ruleIndex) worstCandidateCost() expression.Amount {
-	skips := x.skips()
+	skippable := x.hasSkippableRules()
 	return x.worstCase(func(r *Rule) expression.Amount {
 		cost := expression.Fixed(candidateCost)
 		if r.condition != nil {
 			cost = cost.Plus(r.condition.Cost)
 		}
-		if skips {
+		if skippable {
 			cost = cost.Plus(r.assignmentCost())
 		}
 		return cost
 	})
 }
 
+// assignmentCost returns the worst-case cost of the values that the rule sets.
 func (r *Rule) assignmentCost() expression.Amount {
 	var total expression.Amount
 	for _, assignment := range r.assignments {
@@ -89,7 +90,7 @@
 	return total
 }
 
-// costliestExpression returns a fault at the expression of the file that costs most.
+// costliestExpression returns a fault at the expression of the file that has the highest worst-case cost.
 func (l *loader) costliestExpression() configfile.Fault {
 	var fault configfile.Fault
 	highest := -1
--- a/internal/rules/difference.go
+++ b/internal/rules/difference.go
@@ -2,14 +2,15 @@
 
 import "reachpulley/internal/rules/expression"
 
-// Difference is a field for which two sets give different values.
+// Difference is a field for which two sets of rules give different values, or "refused" if they reject differently.
 type Difference struct {
 	Field string `json:"field"`
 	Old   string `json:"old"`
 	New   string `json:"new"`
 }
 
-// Compare evaluates a request by two sets with the same settings and returns how their results differ.
+// Compare evaluates a request by two sets that were loaded with the same settings, and returns how their results
+// differ.
 func Compare(f *expression.Facts, old, next *Set) []Difference {
 	evaluation := old.Begin(f)
 	result, err := evaluation.Apply()
@@ -17,7 +18,8 @@
 	return next.Differences(f, &result, err)
 }
 
-// Differences evaluates a request and compares the result with that of another set.
+// Differences evaluates a request by s and returns how the result differs from that of another set, which has been
+// evaluated already.
 func (s *Set) Differences(f *expression.Facts, other *Result, otherErr error) []Difference {
 	evaluation := s.Begin(f)
 	result, err := evaluation.Apply()
@@ -38,6 +40,7 @@
 	return differences
 }
 
+// describeRejection returns the text of the error for which a request is rejected, or "no" if it is not rejected.
 func describeRejection(err error) string {
 	if err == nil {
 		return "no"
--- a/internal/rules/evaluate.go
+++ b/internal/rules/evaluate.go
@@ -5,10 +5,10 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// pooledEvaluator holds the stacks and the values of named expressions of one request.
+// pooledEvaluator is what the evaluation of one request needs and the next one can reuse.
 type pooledEvaluator struct {
 	*expression.Evaluator
-	candidates []int
+	candidates []int // backing array for the result of indexCandidates
 }
 
 func (s *Set) acquireEvaluator() *pooledEvaluator {
@@ -18,27 +18,28 @@
 	return &pooledEvaluator{Evaluator: expression.NewEvaluator(s.lets, s.seed, s.costLimit())}
 }
 
-// costLimit is the cost at which an evaluation is stopped. It lies above the worst case of the set, so that it is
-// reached only if the estimate was wrong.
+// costLimit returns the cost at which an evaluation is stopped. It lies above the worst case of the set, so that it is
+// reached only if the estimate was too low.
 func (s *Set) costLimit() int { return 2*s.Cost + 1000 }
 
-// Evaluation evaluates the rules for one request. It is ended once, by End, which returns its evaluator to the pool.
+// Evaluation evaluates the rules for one request. The caller must call End exactly once, which returns the evaluator to
+// its pool; the Evaluation can't be used afterwards.
 type Evaluation struct {
 	set            *Set
 	facts          *expression.Facts
 	evaluator      *pooledEvaluator
 	findCandidates candidateFinder
 	trace          traceFunc         // nil: no trace
-	fault          *expression.Fault // of the request as a whole
+	fault          *expression.Fault // nil unless the request as a whole exceeds the declared sizes
 }
 
-// traceFunc is called for each rule that was tried.
+// traceFunc is called for each rule and limit that was tried.
 type traceFunc func(stage string, r *Rule, matched bool, fault *RuleFault)
 
-// candidateFinder returns the numbers of the rules that may match.
+// candidateFinder returns the numbers of the rules that may match, in the order of the file.
 type candidateFinder func(index *ruleIndex, f *expression.Facts, evaluator *pooledEvaluator) []int
 
-// indexCandidates finds candidates by the index.
+// indexCandidates is the candidateFinder that uses the index.
 func indexCandidates(index *ruleIndex, f *expression.Facts, evaluator *pooledEvaluator) []int {
 	evaluator.candidates = index.candidates(f, evaluator.Segments(), evaluator.candidates[:0])
 	return evaluator.candidates
@@ -68,13 +69,14 @@
 	return cost
 }
 
-// Apply runs all stages. The error is a RuleFault; the request must then be rejected.
+// Apply runs all stages. If it returns an error, which is a RuleFault, the request must be rejected.
 func (e *Evaluation) Apply() (Result, error) { return e.runStages(stageCount) }
 
-// Normalise runs the first stage alone. It identifies the client for frontends that know all else.
+// Normalise runs only the first stage. It identifies the client for frontends that know all other fields. Its error is
+// that of Apply.
 func (e *Evaluation) Normalise() (Result, error) { return e.runStages(Normalise + 1) }
 
-// runStages runs the stages before end.
+// runStages runs the stages that come before end.
 func (e *Evaluation) runStages(end Stage) (result Result, err error) {
 	if e.fault != nil {
 		return result, RuleFault{Rule: &Rule{Name: "any"}, Field: "the request", Fault: e.fault}
@@ -90,7 +92,7 @@
 	return result, nil
 }
 
-// runStage applies the first rule that matches.
+// runStage applies the first rule of a stage that matches.
 func (e *Evaluation) runStage(index *ruleIndex, result *Result) error {
 	for _, i := range e.findCandidates(index, e.facts, e.evaluator) {
 		r := index.rules[i]
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// applyRule applies a rule that matches: it sets all of the rule's fields or none.
+// applyRule applies a rule if it matches. It sets either all of the rule's fields or, on a fault, none.
 func (e *Evaluation) applyRule(r *Rule, result *Result) (matched bool, fault *RuleFault) {
 	if !r.pathTemplate.matches(e.evaluator.Segments()) {
 		return false, nil
@@ -137,6 +139,7 @@
 	return true, nil
 }
 
+// conditionHolds evaluates the condition of a rule or limit. A rule without a condition always holds.
 func (e *Evaluation) conditionHolds(r *Rule) (bool, *RuleFault) {
 	if r.condition == nil {
 		return true, nil
@@ -148,11 +151,12 @@
 	return holds.(bool), nil
 }
 
-// limitStage is what traces call the evaluation of limits.
+// limitStage names the evaluation of limits in traces, beside the stages of rules.
 const limitStage = "limit"
 
 // Claims appends to claims the limits that count a request of the given class, plan and volume, with their keys. It
-// also returns the faults of limits that were skipped. The error is a RuleFault; the request must then be rejected.
+// also returns the faults for which limits were skipped. If it returns an error, which is a RuleFault, the request must
+// be rejected.
 func (e *Evaluation) Claims(
 	class, plan, volume string, claims []ratelimit.Claim,
 ) ([]ratelimit.Claim, []RuleFault, error) {
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -6,17 +6,17 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// Explanation says how a set came to what it sets for a request.
+// Explanation records the evaluation of one request: the rules that were tried, and what they and the limits gave.
 type Explanation struct {
 	Tried     []TriedRule       `json:"tried"`
-	Assigned  map[string]string `json:"gives,omitempty"`
-	Rejected  string            `json:"refused,omitempty"`
-	Limits    map[string]string `json:"limits,omitempty"` // the keys by which limits count the request
-	Cost      int               `json:"cost"`
-	WorstCase int               `json:"worst"` // the worst case of the set
+	Assigned  map[string]string `json:"gives,omitempty"`   // by field: the value, and the rule in parentheses
+	Rejected  string            `json:"refused,omitempty"` // the error, if the request must be rejected
+	Limits    map[string]string `json:"limits,omitempty"`  // by limit: the key by which it counts the request
+	Cost      int               `json:"cost"`              // as counted, in estimated nanoseconds
+	WorstCase int               `json:"worst"`             // estimated for any request, in nanoseconds
 }
 
-// TriedRule is a rule that was tried.
+// TriedRule records how a rule or limit was evaluated.
 type TriedRule struct {
 	Rule     string            `json:"rule"`
 	Stage    string            `json:"stage"`
@@ -61,7 +61,7 @@
 	return explanation
 }
 
-// programs returns the condition, if there is one, and the values that the rule sets.
+// programs returns the expressions of the rule: its condition, if there is one, and the values that it sets.
 func (r *Rule) programs() []*expression.Program {
 	var programs []*expression.Program
 	if r.condition != nil {
@@ -73,7 +73,7 @@
 	return programs
 }
 
-// explainLimits stores the key of each limit that counts the request.
+// explainLimits stores in keys, by the name of the limit, the key of each limit that counts the request.
 func (s *Set) explainLimits(evaluation *Evaluation, result *Result, keys map[string]string) error {
 	var class, plan string
 	if result.Has[Class] {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// Value formats the value of a field; "-" if no rule set it.
+// Value formats the value of a field for people. It returns "-" if no rule set the field.
 func (s *Set) Value(r *Result, f Field) string {
 	if !r.Has[f] {
 		return "-"
--- a/internal/rules/field_values.go
+++ b/internal/rules/field_values.go
@@ -10,7 +10,7 @@
 	"reachpulley/scheduler"
 )
 
-// Bounds of what rules may set.
+// Bounds of the values that rules may set.
 const (
 	maxUnits               = 1e6
 	maxShard               = 1e6
@@ -19,28 +19,28 @@
 	maxIdempotencyKeyBytes = 255
 )
 
-// unparsable is the fault of a value that the settings or the platform do not allow.
-func unparsable(format string, args ...any) *expression.Fault {
+// valueFault returns the fault of a value that the settings or the platform do not allow.
+func valueFault(format string, args ...any) *expression.Fault {
 	return &expression.Fault{
 		Cause:       expression.CauseUnparsable,
 		Requirement: fmt.Sprintf(format, args...),
 	}
 }
 
-// checkValue checks a value against what the settings and the platform allow, and returns it as Result stores it.
-// Constants are checked at load.
+// checkValue checks a value against what the settings and the platform allow, and returns it in the form in which
+// Result stores it. Values that are constants are also checked at load.
 func (s *Set) checkValue(f Field, value any) (any, *expression.Fault) {
 	switch f {
 	case Class:
 		number, ok := s.classes[value.(string)]
 		if !ok {
-			return nil, unparsable("a class of the settings in place of %.64q", value)
+			return nil, valueFault("a class of the settings in place of %.64q", value)
 		}
 		return number, nil
 	case Plan:
 		number, ok := s.plans[value.(string)]
 		if !ok {
-			return nil, unparsable("a plan of the settings in place of %.64q", value)
+			return nil, valueFault("a plan of the settings in place of %.64q", value)
 		}
 		return number, nil
 	case Units:
@@ -49,6 +49,7 @@
 	return value, checkPlainValue(f, value)
 }
 
+// checkUnits checks the units of a request, which may be a whole number or a fraction.
 func (s *Set) checkUnits(value any) (any, *expression.Fault) {
 	units, ok := value.(float64)
 	if !ok {
@@ -56,48 +57,50 @@
 	}
 	largest := s.settings.Sizes.MaxUnits
 	if !(units > 0) || units > maxUnits || largest > 0 && units > largest || math.IsInf(units, 0) {
-		return nil, unparsable("units above 0 and up to %v in place of %v", largest, units)
+		return nil, valueFault("units above 0 and up to %v in place of %v", largest, units)
 	}
 	return units, nil
 }
 
-// checkPlainValue checks a value of a field that is stored as it is.
+// checkPlainValue checks a value that Result stores unchanged.
 func checkPlainValue(f Field, value any) *expression.Fault {
 	switch f {
 	case Client:
 		if len(value.(string)) > expression.MaxNameBytes {
-			return unparsable("no more than %d characters", expression.MaxNameBytes)
+			return valueFault("no more than %d characters", expression.MaxNameBytes)
 		}
 	case Deadline:
 		if d := value.(time.Duration); d <= 0 || d > maxDeadline {
-			return unparsable("a deadline above 0 and up to an hour in place of %v", d)
+			return valueFault("a deadline above 0 and up to an hour in place of %v", d)
 		}
 	case Volume, Key:
 		if !IsID(value.(string)) {
-			return unparsable("16 hex digits in place of %.64q", value)
+			return valueFault("16 hex digits in place of %.64q", value)
 		}
 	case Shard:
 		if n := value.(int); n < scheduler.AnyShard || n > maxShard {
-			return unparsable("a shard from -1 on in place of %d", n)
+			return valueFault("a shard from -1 on in place of %d", n)
 		}
 	case Hosts:
 		if n := value.(int); n < 1 || n > maxHosts {
-			return unparsable("hosts from 1 on in place of %d", n)
+			return valueFault("hosts from 1 on in place of %d", n)
 		}
 	case Idempotency:
 		if !isIdempotencyKey(value.(string)) {
-			return unparsable("an idempotency key of 1 to %d printable characters", maxIdempotencyKeyBytes)
+			return valueFault("an idempotency key of 1 to %d printable characters", maxIdempotencyKeyBytes)
 		}
 	}
 	return nil
 }
 
+// isIdempotencyKey reports whether a text is an idempotency key: 1 to maxIdempotencyKeyBytes
+// printable ASCII characters other than spaces.
 func isIdempotencyKey(text string) bool {
 	unprintable := func(r rune) bool { return r <= ' ' || r > '~' }
 	return text != "" && len(text) <= maxIdempotencyKeyBytes && !strings.ContainsFunc(text, unprintable)
 }
 
-// IsID reports whether a text is the 16 hex digits of a volume or a piece of data.
+// IsID reports whether a text is the ID of a volume or the key of a piece of data: 16 hex digits.
 func IsID(text string) bool {
 	return len(text) == 16 && strings.Trim(text, "0123456789abcdefABCDEF") == ""
 }
--- a/internal/rules/file.go
+++ b/internal/rules/file.go
@@ -2,11 +2,11 @@
 
 import "reachpulley/internal/rules/expression"
 
-// ruleFile is a rule file as it is written.
+// ruleFile is the content of a rule file.
 type ruleFile struct {
 	Version int              `toml:"version"`
 	Seed    uint64           `toml:"seed"`   // of the function hash
-	Budget  int              `toml:"budget"` // of the whole set
+	Budget  int              `toml:"budget"` // the highest worst-case cost allowed, in estimated nanoseconds
 	OnFault string           `toml:"on_fault"`
 	Sizes   expression.Sizes `toml:"sizes"`
 	Const   map[string]any   `toml:"const"`
@@ -16,12 +16,13 @@
 	Test    []testEntry      `toml:"test"`
 }
 
-// letEntry is a named expression.
+// letEntry is a named expression of a rule file, which other expressions may use.
 type letEntry struct {
 	Name       string `toml:"name"`
 	Expression string `toml:"is"`
 }
 
+// ruleEntry is a rule of a rule file.
 type ruleEntry struct {
 	Name      string            `toml:"name"`
 	Stage     string            `toml:"stage"`
@@ -32,6 +33,7 @@
 	OnFault   string            `toml:"on_fault"`
 }
 
+// limitEntry is a limit of a rule file.
 type limitEntry struct {
 	Name      string  `toml:"name"`
 	Condition string  `toml:"when"`
@@ -45,42 +47,43 @@
 	OnFault   string  `toml:"on_fault"`
 }
 
-// testEntry is a request and what the rules must set for it.
+// testEntry is a test of a rule file: a request, and what the rules must set for it.
 type testEntry struct {
 	Name     string            `toml:"name"`
 	Request  string            `toml:"request"` // the head of an HTTP/1.1 message, or JSON
 	Assigned map[string]string `toml:"gives"`
 	Limits   map[string]string `toml:"limits"`
-	Rejected string            `toml:"refused"` // a part of the reason; empty: the request must not be rejected
+	Rejected string            `toml:"refused"` // a part of the error; empty: the request must not be rejected
 }
 
 // fileVersion is the version of rule files that this program reads.
 const fileVersion = 1
 
-// What a fault does to a request.
+// The values of on_fault, which say what a fault does to a request.
 const (
-	faultRejects = "refuse" // it is rejected with 400, which names the rule and what it requires
+	faultRejects = "refuse" // the request is rejected with status 400, which names the rule and what it requires
 	faultSkips   = "skip"   // the rule does not apply, and the next one is tried
 )
 
-// Where a limit holds.
+// The values of per, which say where a limit holds.
 const (
 	perTier    = "tier"    // over all gateways of the settings, each of which gets an equal share
 	perGateway = "gateway" // at each gateway
 )
 
-// defaultBudget is the worst-case cost that a set may have, in estimated nanoseconds a request, if the file names none.
+// defaultBudget is the worst-case cost that the rules may have if the file names no budget, in estimated nanoseconds
+// per request.
 const defaultBudget = 20_000
 
-// defaultKeys is the number of keys that a limit counts exactly if the file does not say.
+// defaultKeys is the number of keys that a limit counts exactly if it names no other.
 const defaultKeys = 1 << 16
 
-// Bounds of a file.
+// Bounds of what a rule file may hold.
 const (
-	maxBudget          = 1_000_000
+	maxBudget          = 1_000_000 // estimated nanoseconds per request
 	maxRules           = 10_000
 	maxLets            = 256
-	minSize            = 256
-	maxSize            = 1 << 20
+	minSize            = 256     // bytes, for each of the declared sizes
+	maxSize            = 1 << 20 // bytes, for each of the declared sizes
 	maxIdentifierBytes = 64
 )
--- a/internal/rules/index.go
+++ b/internal/rules/index.go
@@ -7,11 +7,11 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// ruleIndex finds the rules of a stage that may match a request. Each rule is listed once: by its path template, by its
-// whole path, by a header that must have one value, by its method, or among those that are always tried. The index
-// returns a superset of the rules that match, in their order.
+// ruleIndex finds the rules of a stage that may match a request. Each rule is listed once: by its path template, by the
+// whole path, header value or method that its condition requires, or among the rules that are always tried. The index
+// returns a superset of the rules that match, in the order of the file.
 type ruleIndex struct {
-	rules       []*Rule
+	rules       []*Rule // in the order of the file; the other fields hold indexes of this slice
 	templates   *pathTrie
 	paths       map[string][]int // by the whole path
 	headers     []headerIndex
@@ -19,6 +19,7 @@
 	alwaysTried []int
 }
 
+// headerIndex lists the rules that require a header to have one value.
 type headerIndex struct {
 	name    string
 	byValue map[string][]int // by the header's first value
@@ -32,7 +33,7 @@
 	}
 }
 
-// add puts a rule behind the others.
+// add appends a rule to those of the stage.
 func (x *ruleIndex) add(r *Rule) {
 	number := len(x.rules)
 	x.rules = append(x.rules, r)
@@ -47,8 +48,8 @@
 		}
 	}
 	for _, conjunct := range r.conjuncts {
-		if name, ok := headerOf(conjunct); ok {
-			byValue := x.header(name)
+		if name, ok := requiredHeader(conjunct); ok {
+			byValue := x.rulesByHeader(name)
 			byValue[conjunct.Value] = append(byValue[conjunct.Value], number)
 			return
 		}
@@ -62,13 +63,13 @@
 	x.alwaysTried = append(x.alwaysTried, number)
 }
 
-// headerOf returns the name of the header that a condition requires to have a value.
-func headerOf(conjunct expression.Conjunct) (name string, ok bool) {
+// requiredHeader returns the name of the header that a condition requires to have one value.
+func requiredHeader(conjunct expression.Conjunct) (name string, ok bool) {
 	return strings.CutPrefix(conjunct.Attribute, "header ")
 }
 
-// header returns the rules by the values of a header, and begins an index for a header that has none.
-func (x *ruleIndex) header(name string) map[string][]int {
+// rulesByHeader returns the rules listed by the values of a header. It adds an empty index for a header that has none.
+func (x *ruleIndex) rulesByHeader(name string) map[string][]int {
 	for _, header := range x.headers {
 		if header.name == name {
 			return header.byValue
@@ -95,17 +96,18 @@
 	return found
 }
 
-// coveringCandidates returns the rules that may match every request that r matches: r's own conditions lead to them.
+// coveringCandidates returns the rules that may match every request that r matches. They are found by the path template
+// and the conditions of r itself, as such a rule requires nothing that r does not require.
 func (x *ruleIndex) coveringCandidates(r *Rule) []int {
 	found := slices.Clone(x.alwaysTried)
 	if !r.pathTemplate.any {
 		found = x.templates.find(r.pathTemplate.exampleSegments(), found)
 	}
 	for _, conjunct := range r.conjuncts {
-		name, isHeader := headerOf(conjunct)
+		name, isHeader := requiredHeader(conjunct)
 		switch {
 		case isHeader:
-			found = append(found, x.header(name)[conjunct.Value]...)
+			found = append(found, x.rulesByHeader(name)[conjunct.Value]...)
 		case conjunct.Attribute == "path":
 			found = append(found, x.paths[conjunct.Value]...)
 		case conjunct.Attribute == "method":
@@ -116,7 +118,8 @@
 	return found
 }
 
-// worstCase returns what the candidates of one request can cost: each part of the index leads to one entry at most.
+// worstCase returns the highest cost that the candidates of one request can have. A request finds at most one entry in
+// each map of the index.
 func (x *ruleIndex) worstCase(cost func(*Rule) expression.Amount) expression.Amount {
 	costOf := func(number int) expression.Amount {
 		return cost(x.rules[number]).Plus(expression.Fixed(candidateCost))
@@ -142,6 +145,6 @@
 	for _, header := range x.headers {
 		total = total.Plus(highest(header.byValue))
 	}
-	const otherLookups = 3 // methods, paths and templates
+	const otherLookups = 3 // in methods, paths and templates
 	return total.Plus(expression.Fixed(float64(lookupCost * (otherLookups + len(x.headers)))))
 }
--- a/internal/rules/load.go
+++ b/internal/rules/load.go
@@ -15,7 +15,8 @@
 	"reachpulley/scheduler"
 )
 
-// Load reads a rule file. Its errors are configfile.Faults: all that is wrong with the file.
+// Load reads, checks and compiles the rule file at path. If the file is readable but faulty, the error is a
+// configfile.Faults that lists everything that is wrong with it.
 func Load(path string, settings scheduler.Settings) (*Set, error) {
 	document, err := configfile.Read(path)
 	if err != nil {
@@ -24,7 +25,7 @@
 	return load(document, settings)
 }
 
-// Parse reads the text of a rule file as Load does; the path only names it.
+// Parse checks and compiles the text of a rule file as Load does. The path is only used to name the file.
 func Parse(path string, text []byte, settings scheduler.Settings) (*Set, error) {
 	document, err := configfile.Parse(path, text)
 	if err != nil {
@@ -33,7 +34,7 @@
 	return load(document, settings)
 }
 
-// loader compiles a file into a set and gathers the file's faults.
+// loader compiles a rule file into a Set and collects the file's faults.
 type loader struct {
 	document *configfile.Document
 	file     ruleFile
@@ -54,7 +55,7 @@
 		set: newSet(document, settings),
 	}
 	l.faults = document.Decode(&l.file)
-	if len(l.faults) == 0 { // A key of the wrong type would be reported once more as missing.
+	if len(l.faults) == 0 { // Otherwise a key of the wrong type would be reported again, as missing.
 		l.loadHeader()
 		l.loadLets()
 		l.loadRules()
@@ -86,15 +87,15 @@
 	return set
 }
 
-// addFault adds a fault at a key of the file.
+// addFault adds a fault at a key of the file. The message of the fault follows the key's name.
 func (l *loader) addFault(key, format string, args ...any) {
 	l.faults = append(l.faults, l.document.Fault(key, format, args...))
 }
 
-// position returns FILE:LINE of a key.
+// position returns the position of a key as FILE:LINE.
 func (l *loader) position(key string) string { return l.document.Fault(key, "").Position() }
 
-// loadHeader checks what is declared for the whole file.
+// loadHeader checks and stores the settings that hold for the whole file.
 func (l *loader) loadHeader() {
 	file := &l.file
 	if file.Version != fileVersion {
@@ -111,10 +112,10 @@
 		l.checkConstant(name, file.Const[name])
 	}
 	if len(file.Rule) > maxRules {
-		l.addFault("rule", "%d rules are more than %d", len(file.Rule), maxRules)
+		l.addFault("rule", "%d rules exceed the limit of %d", len(file.Rule), maxRules)
 	}
 	if len(file.Let) > maxLets {
-		l.addFault("let", "%d named expressions are more than %d", len(file.Let), maxLets)
+		l.addFault("let", "%d named expressions exceed the limit of %d", len(file.Let), maxLets)
 	}
 	l.set.Sizes = file.Sizes
 	l.set.seed = file.Seed
@@ -127,15 +128,15 @@
 	}
 }
 
-func (l *loader) checkOnFault(key, word string) {
-	if word != faultRejects && word != faultSkips {
-		l.addFault(key, "%q is neither %s nor %s", word, faultRejects, faultSkips)
+func (l *loader) checkOnFault(key, value string) {
+	if value != faultRejects && value != faultSkips {
+		l.addFault(key, "%q is neither %q nor %q", value, faultRejects, faultSkips)
 	}
 }
 
 func (l *loader) checkSize(key string, size int) {
 	if size < minSize || size > maxSize {
-		l.addFault(key, "%d is not between %d and %d", size, minSize, maxSize)
+		l.addFault(key, "%d bytes is not between %d and %d bytes", size, minSize, maxSize)
 	}
 }
 
@@ -152,15 +153,16 @@
 			return
 		}
 	}
-	l.addFault("const."+name, "want a string, a number, true, false or a list of strings")
+	l.addFault("const."+name, "a constant must be a string, a number, true, false or a list of strings")
 }
 
 // loadLets compiles the named expressions. Each may use those before it.
 func (l *loader) loadLets() {
 	for i, entry := range l.file.Let {
 		key := fmt.Sprintf("let[%d]", i)
-		if !isName(entry.Name) || slices.Contains(expression.Names(), entry.Name) {
-			l.addFault(key+".name", "%q is not a name, or it is a word of the language", entry.Name)
+		if !isIdentifier(entry.Name) || slices.Contains(expression.Names(), entry.Name) {
+			const message = "%q is not an identifier of up to %d letters, digits and _, or it is a word of the language"
+			l.addFault(key+".name", message, entry.Name, maxIdentifierBytes)
 			continue
 		}
 		if _, taken := l.file.Const[entry.Name]; taken || l.scope.Lets[entry.Name] != nil {
@@ -179,8 +181,9 @@
 	}
 }
 
-// isName reports whether a text is an identifier.
-func isName(text string) bool {
+// isIdentifier reports whether a text consists of up to maxIdentifierBytes letters, digits and _, and does not begin
+// with a digit.
+func isIdentifier(text string) bool {
 	const letters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_"
 	const digits = "0123456789"
 	if text == "" || len(text) > maxIdentifierBytes {
@@ -189,16 +192,17 @@
 	return strings.Trim(text, letters+digits) == "" && !strings.ContainsAny(text[:1], digits)
 }
 
-// skipsOnFault reports whether a fault skips a rule or limit. An empty word stands for that of the file.
-func (l *loader) skipsOnFault(key, word string) bool {
-	if word == "" {
+// skipsOnFault reports whether a fault skips the rule or limit at a key, given its own value of on_fault. If that is
+// empty, the value of the whole file applies.
+func (l *loader) skipsOnFault(key, value string) bool {
+	if value == "" {
 		return l.file.OnFault == faultSkips
 	}
-	l.checkOnFault(key+".on_fault", word)
-	return word == faultSkips
+	l.checkOnFault(key+".on_fault", value)
+	return value == faultSkips
 }
 
-// compileCondition compiles the condition of a rule or limit.
+// compileCondition compiles the condition of the rule or limit at a key. An empty source stands for no condition.
 func (l *loader) compileCondition(key, source string, scope expression.Scope, r *Rule) {
 	if source == "" {
 		return
@@ -210,7 +214,7 @@
 	}
 }
 
-// compile compiles the expression at a key; nil if it is faulty.
+// compile compiles the expression at a key. It returns nil and adds a fault if the expression is faulty.
 func (l *loader) compile(
 	key, source string, scope expression.Scope, wanted ...expression.Type,
 ) *expression.Program {
@@ -218,17 +222,18 @@
 	if err == nil {
 		return program
 	}
-	var at *expression.SourceError
-	if !errors.As(err, &at) {
+	var sourceErr *expression.SourceError
+	if !errors.As(err, &sourceErr) {
 		l.addFault(key, "%v", err)
 		return nil
 	}
-	fault := l.document.FaultWithin(key, at.Offset, "%s%s", at.Message, l.suggestName(at.UnknownName()))
+	suggestion := l.suggestName(sourceErr.UnknownName())
+	fault := l.document.FaultWithin(key, sourceErr.Offset, "%s%s", sourceErr.Message, suggestion)
 	l.faults = append(l.faults, fault)
 	return nil
 }
 
-// suggestName names what an unknown word may have been meant for.
+// suggestName returns a suggestion of the known name that is nearest to an unknown one; empty if there is none.
 func (l *loader) suggestName(unknown string) string {
 	if unknown == "" {
 		return ""
--- a/internal/rules/load_limits.go
+++ b/internal/rules/load_limits.go
@@ -8,7 +8,7 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// loadLimits compiles the limits.
+// loadLimits compiles the limits and checks their definitions.
 func (l *loader) loadLimits() {
 	scope := l.scope
 	scope.ClientKnown = true
@@ -17,7 +17,7 @@
 		l.set.limits = append(l.set.limits, l.loadLimit(fmt.Sprintf("limit[%d]", i), entry, scope))
 	}
 	if count := len(l.file.Limit); count > ratelimit.MaxClaims {
-		const message = "%d limits are more than the %d that a request can be counted by"
+		const message = "%d limits exceed the %d that can count one request"
 		l.addFault("limit", message, count, ratelimit.MaxClaims)
 		return
 	}
@@ -26,6 +26,7 @@
 	}
 }
 
+// loadLimit compiles the limit at a key.
 func (l *loader) loadLimit(key string, entry limitEntry, scope expression.Scope) *limitRule {
 	limit := &limitRule{
 		Rule: Rule{
@@ -36,37 +37,38 @@
 	}
 	l.compileCondition(key, entry.Condition, scope, &limit.Rule)
 	limit.key = l.compile(key+".key", entry.Key, scope, expression.String)
-	limit.definition = entry.definition(l.shares(key, entry.Per))
+	limit.definition = entry.definition(l.shareCount(key, entry.Per))
 	return limit
 }
 
-// shares returns the number of gateways that a limit is divided by.
-func (l *loader) shares(key, per string) float64 {
+// shareCount returns the number of gateways among which a limit is divided.
+func (l *loader) shareCount(key, per string) float64 {
 	switch per {
 	case perTier, "":
 		return float64(max(1, l.set.settings.Siblings))
 	case perGateway:
 	default:
-		l.addFault(key+".per", "%q is neither %s nor %s", per, perTier, perGateway)
+		l.addFault(key+".per", "%q is neither %q nor %q", per, perTier, perGateway)
 	}
 	return 1
 }
 
-// definition returns one share of the limit. A share of a burst or of open requests is at least 1.
-func (e *limitEntry) definition(shares float64) ratelimit.Definition {
+// definition returns the share of the limit that each of shareCount gateways enforces. A share of a burst or of open
+// requests is at least 1.
+func (e *limitEntry) definition(shareCount float64) ratelimit.Definition {
 	definition := ratelimit.Definition{
 		Name:   e.Name,
-		Rate:   e.Rate / shares,
+		Rate:   e.Rate / shareCount,
 		Burst:  e.Burst,
 		Open:   e.Open,
 		Parent: e.Parent,
 		Keys:   cmp.Or(e.Keys, defaultKeys),
 	}
 	if e.Burst > 0 {
-		definition.Burst = max(1, e.Burst/shares)
+		definition.Burst = max(1, e.Burst/shareCount)
 	}
 	if e.Open > 0 {
-		definition.Open = max(1, int(float64(e.Open)/shares))
+		definition.Open = max(1, int(float64(e.Open)/shareCount))
 	}
 	return definition
 }
--- a/internal/rules/load_rules.go
+++ b/internal/rules/load_rules.go
@@ -11,7 +11,7 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// loadRules compiles the rules and indexes them by stage. A faulty rule is left out.
+// loadRules compiles the rules and adds each to the index of its stage. Faulty rules are left out.
 func (l *loader) loadRules() {
 	names := map[string]bool{}
 	for stage := range l.set.indexes {
@@ -29,7 +29,7 @@
 			continue
 		}
 		index := l.set.indexes[r.Stage]
-		if reason := unreachable(r, index); reason != "" {
+		if reason := unreachableReason(r, index); reason != "" {
 			l.addFault(key+".name", "rule %s can never match: %s", r.Name, reason)
 			continue
 		}
@@ -38,6 +38,7 @@
 	}
 }
 
+// loadRule compiles the rule at a key. If the rule is faulty, the result is incomplete.
 func (l *loader) loadRule(key string, entry ruleEntry) *Rule {
 	r := &Rule{
 		Name:             entry.Name,
@@ -45,8 +46,9 @@
 		OverridesHeaders: entry.Wins,
 		Position:         l.position(key),
 	}
-	if !isName(strings.NewReplacer("-", "_", " ", "_").Replace(entry.Name)) {
-		l.addFault(key+".name", "%q is not a name of letters, digits, blanks, - and _", entry.Name)
+	if !isIdentifier(strings.NewReplacer("-", "_", " ", "_").Replace(entry.Name)) {
+		const message = "%q is not a name of up to %d letters, digits, spaces, - and _ that begins with no digit"
+		l.addFault(key+".name", message, entry.Name, maxIdentifierBytes)
 	}
 	stage := slices.Index(stageNames[:], entry.Stage)
 	if stage < 0 {
@@ -75,7 +77,7 @@
 	return r
 }
 
-// loadAssignment adds to a rule a field that it sets.
+// loadAssignment compiles the value of a field that a rule sets and adds it to the rule.
 func (l *loader) loadAssignment(key, name, source string, scope expression.Scope, r *Rule) {
 	field := Field(slices.Index(fieldNames, name))
 	if field < 0 {
@@ -100,7 +102,7 @@
 	r.assignments = append(r.assignments, assignment{field: field, program: program})
 }
 
-// fieldNames are the names of the fields, in their order.
+// fieldNames are the names of the fields, in the order of their constants.
 var fieldNames = func() []string {
 	var names []string
 	for _, info := range fieldInfos {
@@ -109,7 +111,7 @@
 	return names
 }()
 
-// suggestSetting names the class or plan that an unknown one may have been meant for.
+// suggestSetting returns a suggestion of the class or plan that is nearest to an unknown one; empty if there is none.
 func (l *loader) suggestSetting(f Field, value any) string {
 	var known map[string]int
 	switch f {
@@ -118,12 +120,12 @@
 	case Plan:
 		known = l.set.plans
 	}
-	word, _ := value.(string)
-	return configfile.DidYouMean(word, slices.Sorted(maps.Keys(known)))
+	name, _ := value.(string)
+	return configfile.DidYouMean(name, slices.Sorted(maps.Keys(known)))
 }
 
-// checkReadOnlyClass rejects a class that only reads for a method that writes: its requests would count as safe to
-// retry. If the rule leaves the method open, each request is checked instead (see Writes).
+// checkReadOnlyClass rejects a rule that gives a class that only reads to requests whose method writes, because they
+// would count as safe to retry. If the rule does not fix the method, the frontend checks each request by Writes.
 func (l *loader) checkReadOnlyClass(key string, r *Rule) {
 	for _, assignment := range r.assignments {
 		name, ok := assignment.program.Constant()
@@ -140,7 +142,8 @@
 	}
 }
 
-// Writes reports whether a method changes data: all do that are not known to be safe (RFC 9110, section 9.2.1).
+// Writes reports whether a method changes data. Every method counts as one that does unless it is known to be safe
+// (RFC 9110, section 9.2.1).
 func Writes(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
--- a/internal/rules/load_tests.go
+++ b/internal/rules/load_tests.go
@@ -8,7 +8,7 @@
 	"reachpulley/internal/configfile"
 )
 
-// loadTests checks the file's own tests. Set.Test runs them.
+// loadTests parses the requests of the file's own tests and checks the fields that they name. Set.Test runs the tests.
 func (l *loader) loadTests() {
 	for i, entry := range l.file.Test {
 		key := fmt.Sprintf("test[%d]", i)
--- a/internal/rules/parse_request.go
+++ b/internal/rules/parse_request.go
@@ -14,7 +14,7 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// requestJSON is a request as JSON.
+// requestJSON is a request in the JSON form that ParseRequest reads.
 type requestJSON struct {
 	Method  string              `json:"method"`
 	Target  string              `json:"target"` // path and query
@@ -26,16 +26,16 @@
 	Arrival time.Time           `json:"arrival"`
 }
 
-// What a request has that does not say otherwise.
+// The defaults of a request that leaves these out.
 const (
 	defaultMethod = http.MethodGet
 	defaultFront  = "http"
 	defaultClient = "127.0.0.1"
 )
 
-// ParseRequest reads a request as a JSON object or as the head of an HTTP/1.1 message (RFC 9112). A request that names
-// no client comes from this machine. One that names no arrival has the zero time, so that a file gives the same result
-// each day.
+// ParseRequest reads a request as a JSON object or as the head of an HTTP/1.1 message (RFC 9112). If the request names
+// no client, its client is 127.0.0.1. If it names no time of arrival, the time is zero, so that the same file gives the
+// same result on every day.
 func ParseRequest(text string) (*expression.Facts, error) {
 	text = strings.TrimSpace(text)
 	parse := parseHead
@@ -49,6 +49,7 @@
 	return request.facts()
 }
 
+// parseJSON reads a request as a JSON object. Unknown keys are errors.
 func parseJSON(text string) (*requestJSON, error) {
 	request := &requestJSON{}
 	decoder := json.NewDecoder(strings.NewReader(text))
@@ -59,9 +60,11 @@
 	return request, nil
 }
 
-// arrivalHeader gives the time of arrival in a head. It is not a header of the request.
+// arrivalHeader gives the time of arrival in a head, in the format of RFC 3339. It does not become a header of the
+// request.
 const arrivalHeader = "Arrival"
 
+// parseHead reads a request as the head of an HTTP/1.1 message.
 func parseHead(text string) (*requestJSON, error) {
 	head, err := http.ReadRequest(bufio.NewReader(strings.NewReader(completeHead(text))))
 	if err != nil {
@@ -84,7 +87,7 @@
 	return request, nil
 }
 
-// completeHead adds what a person leaves out of a head: the protocol, carriage returns and the empty line.
+// completeHead adds what a handwritten head may leave out: the protocol, carriage returns and the final empty line.
 func completeHead(text string) string {
 	text = strings.ReplaceAll(text, "\r\n", "\n")
 	requestLine, headers, _ := strings.Cut(text, "\n")
@@ -95,7 +98,7 @@
 	return requestLine + "\r\n" + headers + "\r\n\r\n"
 }
 
-// facts fills in what the request leaves out.
+// facts returns the request as the rules see it, with defaults for what it leaves out.
 func (r *requestJSON) facts() (*expression.Facts, error) {
 	target, err := url.ParseRequestURI(r.Target)
 	if err != nil {
@@ -137,18 +140,18 @@
 		separator = "\n"
 	}
 	var requests []*expression.Facts
-	for i, one := range strings.Split(strings.ReplaceAll(string(text), "\r\n", "\n"), separator) {
-		if strings.TrimSpace(one) == "" {
+	for i, entry := range strings.Split(strings.ReplaceAll(string(text), "\r\n", "\n"), separator) {
+		if strings.TrimSpace(entry) == "" {
 			continue
 		}
-		facts, err := ParseRequest(one)
+		facts, err := ParseRequest(entry)
 		if err != nil {
-			return nil, fmt.Errorf("number %d: %w", i+1, err)
+			return nil, fmt.Errorf("entry %d: %w", i+1, err)
 		}
 		requests = append(requests, facts)
 	}
 	if len(requests) == 0 {
-		return nil, errors.New("there is no request")
+		return nil, errors.New("the text contains no request")
 	}
 	return requests, nil
 }
--- a/internal/rules/path_template.go
+++ b/internal/rules/path_template.go
@@ -8,13 +8,13 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// pathTemplate is a path with named segments: /api/{project}/{sheet}. An empty one matches any path; one that ends in
-// {name...} matches any further segments, and none.
+// pathTemplate is a path with named segments, such as /api/{project}/{sheet}. An empty template matches any path. A
+// template that ends in {name...} matches paths with any number of further segments, or with none.
 type pathTemplate struct {
-	any       bool
-	segments  []string // "" stands for a named one
-	params    map[string]int
-	openEnded bool
+	any       bool           // the template is empty
+	segments  []string       // literal texts; "" stands for a named segment
+	params    map[string]int // the number of each named segment, counted from 0
+	openEnded bool           // the template ends in {name...}
 }
 
 func parsePathTemplate(text string) (pathTemplate, error) {
@@ -30,7 +30,8 @@
 		parts = nil
 	}
 	if len(parts) >= expression.MaxSegments {
-		return t, fmt.Errorf("%q has %d segments, more than %d", text, len(parts), expression.MaxSegments-1)
+		const format = "%q has %d segments, more than the limit of %d"
+		return t, fmt.Errorf(format, text, len(parts), expression.MaxSegments-1)
 	}
 	for i, part := range parts {
 		if err := t.addSegment(part, i, i == len(parts)-1); err != nil {
@@ -40,12 +41,12 @@
 	return t, nil
 }
 
-// addSegment adds the segment with the given number.
+// addSegment adds a part of the template's text as the segment with the given number, counted from 0.
 func (t *pathTemplate) addSegment(part string, number int, last bool) error {
 	name, opened := strings.CutPrefix(part, "{")
 	name, closed := strings.CutSuffix(name, "}")
 	if opened != closed || strings.ContainsAny(name, "{}") {
-		return fmt.Errorf("segment %q is neither a text nor {name}", part)
+		return fmt.Errorf("segment %q is neither literal text nor {name}", part)
 	}
 	if !opened {
 		if part == "" && !last {
@@ -64,13 +65,14 @@
 		t.segments = append(t.segments, "")
 	}
 	if _, taken := t.params[name]; taken || name == "" {
-		return fmt.Errorf("{%s} has no name or the name of another segment", name)
+		return fmt.Errorf("segment {%s} has no name or the name of another segment", name)
 	}
 	t.params[name] = number
 	return nil
 }
 
-// matches reports whether a path is one of the template's. A named segment is not empty.
+// matches reports whether the template matches a path, given by its segments. A named segment matches any text but the
+// empty one.
 func (t *pathTemplate) matches(segments []string) bool {
 	if t.any {
 		return true
@@ -106,7 +108,8 @@
 	return true
 }
 
-// exampleSegments returns a path of the template whose named segments are equal to no literal of another template.
+// exampleSegments returns the segments of a path that the template matches. The values of named segments are equal to
+// no literal segment of any template.
 func (t *pathTemplate) exampleSegments() []string {
 	const noLiteral = "{}"
 	segments := slices.Clone(t.segments)
--- a/internal/rules/path_trie.go
+++ b/internal/rules/path_trie.go
@@ -6,27 +6,28 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// pathTrie is a tree of path segments that finds rules by their path templates.
+// pathTrie is a node of a tree of path segments, which finds rules by their path templates.
 type pathTrie struct {
-	literals map[string]*pathTrie
-	named    *pathTrie
-	exact    []int // rules whose template ends here
-	open     []int // rules whose template also matches any further segments
+	literals  map[string]*pathTrie
+	named     *pathTrie // for a named segment
+	exact     []int     // rules whose template ends here
+	openEnded []int     // rules whose template also matches any further segments
 }
 
-// add lists a rule by its template.
+// add lists a rule, given by its number, under its template.
 func (n *pathTrie) add(t *pathTemplate, number int) {
 	for _, segment := range t.segments {
 		n = n.child(segment)
 	}
 	if t.openEnded {
-		n.open = append(n.open, number)
+		n.openEnded = append(n.openEnded, number)
 	} else {
 		n.exact = append(n.exact, number)
 	}
 }
 
-// child returns the node behind a segment of a template, and adds it if there is none.
+// child returns the node for the next segment of a template, which is empty for a named one. It adds the node if there
+// is none.
 func (n *pathTrie) child(segment string) *pathTrie {
 	if segment == "" {
 		if n.named == nil {
@@ -45,7 +46,7 @@
 
 // find appends to found the rules whose template matches the segments.
 func (n *pathTrie) find(segments []string, found []int) []int {
-	found = append(found, n.open...)
+	found = append(found, n.openEnded...)
 	if len(segments) == 0 {
 		return append(found, n.exact...)
 	}
@@ -58,10 +59,10 @@
 	return found
 }
 
-// worstCase returns what the rules that one path leads to can cost.
+// worstCase returns the highest cost that the rules found by one path can have.
 func (n *pathTrie) worstCase(cost func(number int) expression.Amount) expression.Amount {
 	var own, further expression.Amount
-	for _, number := range slices.Concat(n.open, n.exact) {
+	for _, number := range slices.Concat(n.openEnded, n.exact) {
 		own = own.Plus(cost(number))
 	}
 	for _, next := range n.literals {
--- a/internal/rules/result.go
+++ b/internal/rules/result.go
@@ -8,11 +8,11 @@
 
 // Result is what the rules set for a request.
 type Result struct {
-	Has         [fieldCount]bool
+	Has         [fieldCount]bool  // whether a rule set the field
 	By          [fieldCount]*Rule // the rule that set the field
 	Client      string
-	Class       int
-	Plan        int
+	Class       int // index in the settings' classes
+	Plan        int // index in the settings' plans
 	Deadline    time.Duration
 	Units       float64
 	Volume      string
@@ -20,33 +20,35 @@
 	Shard       int
 	Hosts       int
 	Idempotency string
-	Faults      []RuleFault // of rules that were skipped
-	Cost        int         // as counted; only if the caller asked for it
+	Faults      []RuleFault // those for which rules were skipped
+	Cost        int         // as counted, in estimated nanoseconds; 0 unless the caller stored it here
 }
 
-// RuleFault is the reason why a rule did not apply.
+// RuleFault reports that a rule or limit could not be evaluated for a request.
 type RuleFault struct {
 	Rule  *Rule
-	Field string // the field that had no value; "when" for the condition
+	Field string // the field whose value is at fault; "when" for the condition, "key" for the key of a limit
 	Fault *expression.Fault
 }
 
-// Error tells the client which rule requires what.
+// Error tells the client which rule requires what. Tests in rule files match parts of this text by their key refused.
 func (f RuleFault) Error() string {
 	return "rule " + f.Rule.Name + ": " + f.Field + ": wants " + f.Fault.Requirement
 }
 
-// Unwrap returns the fault of the expression.
+// Unwrap returns the fault that the expression or the check of its value gave.
 func (f RuleFault) Unwrap() error { return f.Fault }
 
-// wins reports whether the value of a field overrides the platform's header.
-func (r *Result) wins(f Field) bool { return r.Has[f] && r.By[f].OverridesHeaders }
+// overridesHeader reports whether the rule that set a field overrides the platform's header for that field.
+func (r *Result) overridesHeader(f Field) bool { return r.Has[f] && r.By[f].OverridesHeaders }
 
-// Overrides reports whether the value that the rules set for a field applies. The argument given says whether the
+// Overrides reports whether the value that the rules set for a field applies. The argument headerGiven says whether the
 // request has a platform header for the field.
-func (r *Result) Overrides(f Field, given bool) bool { return r.Has[f] && (!given || r.wins(f)) }
+func (r *Result) Overrides(f Field, headerGiven bool) bool {
+	return r.Has[f] && (!headerGiven || r.overridesHeader(f))
+}
 
-// set stores the value of a field, which checkValue has returned.
+// set stores the value that checkValue returned for a field, and the rule that set it.
 func (r *Result) set(f Field, value any, by *Rule) {
 	r.Has[f] = true
 	r.By[f] = by
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -2,10 +2,10 @@
 // volume, key, units, shard and deadline. Operators write the rules in a file; Load checks all of them.
 //
 // A Set holds the compiled rules of one file. Set.Begin starts the evaluation of a request, which goes through three
-// stages. In each stage the first rule that matches wins; an index finds the rules that may match. After the stages,
-// Evaluation.Claims determines which rate limits count the request.
+// stages. In each stage, only the first rule that matches applies; an index finds the rules that may match. After the
+// stages, Evaluation.Claims determines which rate limits count the request.
 //
-// The package does no I/O but for reading the file, and has no clock.
+// The package does no I/O except reading the rule file, and it does not read the clock.
 package rules
 
 import (
@@ -16,12 +16,13 @@
 	"reachpulley/scheduler"
 )
 
-// Stage is a step of the evaluation. Stages run in their order, and in each the first rule that matches wins.
+// Stage is a step of the evaluation. Stages run in the order of their constants. In each, only the first rule that
+// matches applies.
 type Stage int
 
-// The stages, in their order.
+// The stages, in the order in which they run, with what their rules set.
 const (
-	Normalise Stage = iota // identifies the client
+	Normalise Stage = iota // who the client is
 	Classify               // class, plan, deadline, units
 	Keying                 // volume, key, shard, hosts, idempotency key
 	stageCount
@@ -32,10 +33,10 @@
 // String returns the name of the stage in rule files.
 func (s Stage) String() string { return stageNames[s] }
 
-// Field is something that a rule sets.
+// Field is an attribute of a request that rules set.
 type Field int
 
-// The fields.
+// The fields, in the order of the stages that set them.
 const (
 	Client Field = iota
 	Class
@@ -73,13 +74,13 @@
 // String returns the name of the field in rule files.
 func (f Field) String() string { return fieldInfos[f].name }
 
-// Rule is one rule of a file.
+// Rule is one rule of a rule file.
 type Rule struct {
 	Name             string
 	Stage            Stage
-	Path             string // its path template; empty for any path
-	OverridesHeaders bool   // what it sets overrides the platform's headers
-	SkipOnFault      bool   // a fault makes it not apply; otherwise the request is rejected
+	Path             string // the text of its path template; empty for any path
+	OverridesHeaders bool   // whether the values that it sets override the platform's headers
+	SkipOnFault      bool   // whether a fault skips the rule; otherwise a fault rejects the request
 	Position         string // FILE:LINE
 
 	condition    *expression.Program // nil: always true
@@ -88,7 +89,7 @@
 	pathTemplate pathTemplate
 }
 
-// assignment is a field that a rule sets, and its value.
+// assignment is a field that a rule sets and the expression that gives its value.
 type assignment struct {
 	field   Field
 	program *expression.Program
@@ -96,18 +97,19 @@
 
 // limitRule determines which requests a limit counts, and by which key.
 type limitRule struct {
-	Rule       // its condition and position
+	Rule       // only its name, condition, position and SkipOnFault are used
 	definition ratelimit.Definition
 	key        *expression.Program
 }
 
-// Set is the compiled rules of a file. It never changes, so a request keeps the set that it began with.
+// Set holds the compiled rules of a file. A Set never changes, so that a request can be evaluated by one Set from its
+// beginning to its end while another Set replaces it for later requests.
 type Set struct {
-	Hash  string // of the file's text
-	Path  string
-	Sizes expression.Sizes
-	Cost  int    // worst case, in estimated nanoseconds
-	Cases []Case // the requests of the file's own tests
+	Hash  string           // XXH64 of the file's text, in hex digits
+	Path  string           // of the rule file
+	Sizes expression.Sizes // the largest sizes of a request that the rules evaluate
+	Cost  int              // worst case for one request, in estimated nanoseconds
+	Cases []Case           // the requests of the file's own tests
 
 	tests    []testEntry // one for each of Cases
 	rules    []*Rule
@@ -115,11 +117,11 @@
 	limits   []*limitRule
 	lets     []*expression.Program
 	letNames []string
-	seed     uint64
-	budget   int
+	seed     uint64 // of the function hash
+	budget   int    // the highest Cost that the file allows, in estimated nanoseconds
 	settings scheduler.Settings
-	classes  map[string]int
-	plans    map[string]int
+	classes  map[string]int // index in settings.Classes, by name
+	plans    map[string]int // index in settings.Plans, by name
 
 	evaluators sync.Pool // of *pooledEvaluator
 }
@@ -127,7 +129,7 @@
 // Len returns the number of rules.
 func (s *Set) Len() int { return len(s.rules) }
 
-// Limits returns the definitions of the limits, in the order by which claims number them.
+// Limits returns the definitions of the limits. The field Limit of a claim is an index of this slice.
 func (s *Set) Limits() []ratelimit.Definition {
 	definitions := make([]ratelimit.Definition, len(s.limits))
 	for i, limit := range s.limits {
--- a/internal/rules/test_cases.go
+++ b/internal/rules/test_cases.go
@@ -7,19 +7,19 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// Case is a request of a file's own table of tests.
+// Case is the request of one of a rule file's own tests.
 type Case struct {
 	Name  string
 	Facts *expression.Facts
 }
 
-// Outcome is the result of a test.
+// Outcome is the result of one of a rule file's own tests. The test passed if there are no failures.
 type Outcome struct {
 	Test     string   `json:"test"`
 	Failures []string `json:"failures,omitempty"`
 }
 
-// Test runs the tests of a set's file.
+// Test runs the rule file's own tests.
 func (s *Set) Test() []Outcome {
 	var outcomes []Outcome
 	for i, test := range s.tests {
@@ -29,7 +29,7 @@
 	return outcomes
 }
 
-// failures compares what the rules set for the request of a test with what they must set.
+// failures describes each difference between what the rules set for the request of a test and what they must set.
 func (t *testEntry) failures(got Explanation) []string {
 	var failures []string
 	fail := func(format string, args ...any) { failures = append(failures, fmt.Sprintf(format, args...)) }
@@ -38,6 +38,7 @@
 		fail("refused: %q, want %q", got.Rejected, t.Rejected)
 	}
 	for field := range fieldCount {
+		// The name of the rule that set the value follows in parentheses.
 		value, _, _ := strings.Cut(got.Assigned[field.String()], " (")
 		if want, ok := t.Assigned[field.String()]; ok && value != want {
 			fail("%s: %q, want %q", field, value, want)
--- a/internal/rules/unreachable.go
+++ b/internal/rules/unreachable.go
@@ -7,8 +7,9 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// unreachable says why a rule can never match; empty if it can, as far as can be known at load.
-func unreachable(r *Rule, earlier *ruleIndex) string {
+// unreachableReason returns the reason why a rule can never match, given the earlier rules of its stage. It returns ""
+// if no such reason can be found at load.
+func unreachableReason(r *Rule, earlier *ruleIndex) string {
 	if r.condition != nil {
 		if value, ok := r.condition.Constant(); ok && value == false {
 			return "its condition is always false"
@@ -19,7 +20,7 @@
 	}
 	for _, i := range earlier.coveringCandidates(r) {
 		other := earlier.rules[i]
-		// A rule that is skipped on a fault covers nothing: after its fault, this one is tried.
+		// A rule that is skipped on a fault does not cover r, because r is tried after such a fault.
 		if other.SkipOnFault || !other.pathTemplate.covers(&r.pathTemplate) {
 			continue
 		}
@@ -30,7 +31,7 @@
 	return ""
 }
 
-// contradictionOf finds an attribute that a condition requires to have two values.
+// contradictionOf describes an attribute that a condition requires to have two values. It returns "" if there is none.
 func contradictionOf(conjuncts []expression.Conjunct) string {
 	values := map[string]string{}
 	for _, conjunct := range conjuncts {
@@ -46,7 +47,7 @@
 	return ""
 }
 
-// impliedBy reports whether each condition is always true or one of the others.
+// impliedBy reports whether each of the conditions is always true or is also among the others.
 func impliedBy(conditions, others []expression.Conjunct) bool {
 	for _, condition := range conditions {
 		same := func(other expression.Conjunct) bool { return other.Text == condition.Text }
