--- a/internal/capture/trigger/second_test.go
+++ b/internal/capture/trigger/second_test.go
@@ -18,8 +18,8 @@
 		"":                         "empty",
 		`arrived > "x"`:            "",
 		"len([1]) > 0":             "len",
-		"any([1], # > 0)":          "made of",
-		"any(1..1000000, # > 0)":   "made of",
+		"any([1], # > 0)":          "may contain only",
+		"any(1..1000000, # > 0)":   "may contain only",
 		"Rejected > 1":             "Rejected",
 		"refused > 1 and again < ": "",
 	} {
--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -8,7 +8,8 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// manyRules is a file of n routes, each with its own path, behind a few rules that hold for all.
+// manyRules returns a rule file with n rules of the stage classify, each for its own path, and one rule of the stage
+// key for all requests.
 func manyRules(n int) string {
 	var text strings.Builder
 	text.WriteString("budget = 1000000\n[[let]]\nname = 'project'\nis = 'header(\"X-Project\")'\n")
@@ -23,7 +24,7 @@
 	return text.String()
 }
 
-// largeRequests have 64 KiB of headers: in one, in 500, or in the one that is hashed.
+// largeRequests returns requests with 64 KiB of headers: in one header, in 500, or in the one that is hashed.
 func largeRequests() map[string]*expression.Facts {
 	oneHeader := request("GET", "/api/app1/7", "X-Project", "bridge", "X-Long", strings.Repeat("x", 63<<10))
 	manyHeaders := request("GET", "/api/app1/7", "X-Project", "bridge")
@@ -37,12 +38,12 @@
 		"long-key":    longKey,
 	}
 	for _, f := range requests {
-		f.HeaderBytes = 64 << 10 // as given by a frontend that bounds them
+		f.HeaderBytes = 64 << 10 // as a frontend that bounds them would set it
 	}
 	return requests
 }
 
-// BenchmarkEvaluate64K measures what the rules cost a request with 64 KiB of headers.
+// BenchmarkEvaluate64K measures the evaluation of a request with 64 KiB of headers.
 func BenchmarkEvaluate64K(b *testing.B) {
 	for _, n := range []int{3, 30, 300} {
 		set := parse(b, manyRules(n))
@@ -64,7 +65,7 @@
 func BenchmarkIndex(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		if n == 10000 {
-			n = 9999 // and the rule for the key
+			n = 9999 // With the rule for the key, there are 10,000, the highest number allowed.
 		}
 		set := parse(b, manyRules(n))
 		f := request("GET", fmt.Sprintf("/api/app%d/7", n-1), "X-Project", "bridge")
@@ -80,6 +81,7 @@
 	}
 }
 
+// BenchmarkLoad10000 measures loading a file with the highest number of rules.
 func BenchmarkLoad10000(b *testing.B) {
 	text := manyRules(9999)
 	for b.Loop() {
--- a/internal/rules/engine/engine.go
+++ b/internal/rules/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine holds the rules that are in force: the set by which requests are evaluated, a second set that shadows
-// it, the rate limits, and counts of faults and rejections. It may be used by many goroutines. Packages rules and
-// ratelimit decide; this package owns their state and its lock.
+// Package engine holds the rules that are in force: the set by which requests are evaluated, an optional second set
+// that shadows it, the rate limits, and counts of faults and rejections. An Engine may be used by many goroutines at
+// once. Packages rules and ratelimit make the decisions; this package holds their state and guards it by a lock.
 package engine
 
 import (
@@ -18,23 +18,23 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// maxLoggedSamples is how many differences of the shadow are logged in each report interval.
+// maxLoggedSamples is the number of requests whose shadow differences are logged in each report interval.
 const maxLoggedSamples = 5
 
 // Engine evaluates requests by the rules in force, which Swap replaces.
 type Engine struct {
 	log     *slog.Logger
-	current atomic.Pointer[generation]
-	clock   func() time.Duration
+	current atomic.Pointer[generation] // nil until the first Swap
+	clock   func() time.Duration       // time since the Engine was made
 
 	mu      sync.Mutex // protects the fields below
 	limiter *ratelimit.Limiter
 	counts  map[countKey]int
-	sample  rate.Sometimes
+	sample  rate.Sometimes // limits how often shadow differences are logged
 }
 
-// generation is the rules that a request keeps from its beginning to its end. The claims of a set number the limits of
-// the same set.
+// generation is the rules by which a request is evaluated from its beginning to its end. They are kept together because
+// claims refer to the limits of the set that made them.
 type generation struct {
 	set    *rules.Set // nil: there are no rules
 	shadow *rules.Set // nil: there is no shadow
@@ -44,7 +44,7 @@
 func New(log *slog.Logger) *Engine {
 	limiter, err := ratelimit.New(nil)
 	if err != nil {
-		panic(err) // No definition can be faulty, as there is none.
+		panic(err) // This can't happen: there is no definition that could be faulty.
 	}
 	started := time.Now()
 	return &Engine{
@@ -56,8 +56,8 @@
 	}
 }
 
-// Swap replaces the rules as a whole; a nil set means that there are none. Requests in flight keep theirs. A limit
-// whose definition does not change keeps its counts.
+// Swap replaces all rules at once; a nil set stands for no rules. Requests in flight keep the rules that they began
+// with. A limit whose definition does not change keeps its counts.
 func (e *Engine) Swap(set, shadow *rules.Set) error {
 	var definitions []ratelimit.Definition
 	if set != nil {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// hashOf names a set in the log.
+// hashOf returns the hash by which the log names a set, or "none".
 func hashOf(set *rules.Set) string {
 	if set == nil {
 		return "none"
@@ -91,7 +91,7 @@
 	return set.Hash
 }
 
-// active returns the rules in force; nil if there are none.
+// active returns the rules in force, or nil if there are none.
 func (e *Engine) active() *generation {
 	g := e.current.Load()
 	if g == nil || g.set == nil {
@@ -100,11 +100,11 @@
 	return g
 }
 
-// InForce reports whether there are rules.
+// InForce reports whether any rules are in force.
 func (e *Engine) InForce() bool { return e.active() != nil }
 
-// Begin evaluates a request and returns what the rules set for it. The error says why the request must be rejected. The
-// Request must be released in either case; it is nil if there are no rules.
+// Begin evaluates a request and returns what the rules set for it. An error means that the request must be rejected.
+// The caller must release the Request even after an error. The Request is nil if there are no rules.
 func (e *Engine) Begin(f *expression.Facts) (*Request, rules.Result, error) {
 	g := e.active()
 	if g == nil {
@@ -119,8 +119,9 @@
 	return request, result, err
 }
 
-// Admit identifies the client by the rules and acquires the limits. It serves frontends that know class, plan and
-// volume themselves. The Request must be released in either case; it is nil if there are no rules.
+// Admit identifies the client by the rules and counts the request by the limits. It is for frontends that know class,
+// plan and volume themselves. An error means that the request must be rejected. The caller must release the Request
+// even after an error. The Request is nil if there are no rules.
 func (e *Engine) Admit(f *expression.Facts, class, plan, volume string) (*Request, error) {
 	g := e.active()
 	if g == nil {
@@ -135,8 +136,8 @@
 	return request, err
 }
 
-// Client returns the name of the client by the first stage of the rules; empty if they set none. It counts nothing, as
-// the request is evaluated once more.
+// Client returns the name of the client that the first stage of the rules sets, or "" if it sets none. It does not
+// count faults, because Begin evaluates the same request again and counts them.
 func (e *Engine) Client(f *expression.Facts) string {
 	g := e.active()
 	if g == nil {
@@ -151,7 +152,8 @@
 	return result.Client
 }
 
-// compareShadow evaluates a request by the shadow and counts how its result differs. Nothing of it is applied.
+// compareShadow evaluates a request by the shadow set and counts the fields in which its result differs. The result of
+// the shadow set is not applied.
 func (e *Engine) compareShadow(shadow *rules.Set, f *expression.Facts, result *rules.Result, resultErr error) {
 	differences := shadow.Differences(f, result, resultErr)
 	if len(differences) == 0 {
@@ -167,11 +169,12 @@
 	})
 }
 
-// countFaults counts faults by rule and cause. The error is the fault, if any, for which the request is rejected.
+// countFaults counts faults by rule and cause: those for which rules were skipped, and err if the request is rejected
+// for a fault.
 func (e *Engine) countFaults(faults []rules.RuleFault, err error) {
-	var last rules.RuleFault
-	if errors.As(err, &last) {
-		faults = append(slices.Clip(faults), last)
+	var rejecting rules.RuleFault
+	if errors.As(err, &rejecting) {
+		faults = append(slices.Clip(faults), rejecting)
 	}
 	if len(faults) == 0 {
 		return
--- a/internal/rules/engine/engine_test.go
+++ b/internal/rules/engine/engine_test.go
@@ -46,6 +46,7 @@
 	}
 }
 
+// The results of the shadow set are compared and counted, but not applied.
 func TestShadowChangesNothingAndIsCounted(t *testing.T) {
 	var log bytes.Buffer
 	e := New(slog.New(slog.NewTextHandler(&log, nil)))
@@ -56,13 +57,13 @@
 	for range 100 {
 		request, result, err := e.Begin(facts("2"))
 		if err != nil || result.Units != 2 {
-			t.Fatal(result.Units, err)
+			t.Fatalf("%v units, error %v; want 2 units", result.Units, err)
 		}
 		request.Release()
 	}
 	request, _, err := e.Begin(facts("none"))
 	if err == nil {
-		t.Error("the shadow's value was taken")
+		t.Error("the request is not rejected: the value of the shadow set was applied")
 	}
 	request.Release()
 	want := map[string]map[string]int{
@@ -74,13 +75,14 @@
 		t.Error(diff)
 	}
 	if n := strings.Count(log.String(), "shadow rules differ"); n != maxLoggedSamples {
-		t.Errorf("%d samples in the log", n)
+		t.Errorf("%d shadow differences in the log, want %d", n, maxLoggedSamples)
 	}
 	if len(e.Counts()) != 0 {
-		t.Error("what was reported is counted again")
+		t.Error("Counts does not reset the counts")
 	}
 }
 
+// A limit of two open requests rejects the third one until Release is called.
 func TestOpenRequestsAreReleased(t *testing.T) {
 	e := New(slog.New(slog.DiscardHandler))
 	if err := e.Swap(parse(t, openLimit), nil); err != nil {
@@ -99,7 +101,7 @@
 		three, err3 := admit()
 		var rejection LimitError
 		if err1 != nil || err2 != nil || !errors.As(err3, &rejection) || rejection.RetryAfter != time.Second {
-			t.Fatal(err1, err2, err3)
+			t.Fatalf("errors %v, %v, %v; want only the third request to be rejected", err1, err2, err3)
 		}
 		for _, request := range []*Request{one, two, three} {
 			request.Release()
@@ -112,7 +114,8 @@
 	none.Release()
 }
 
-// Each request keeps one set from its beginning to its end, and what it holds is returned.
+// Each request keeps one set from its beginning to its end, and Release returns what it holds even if Swap has replaced
+// the rules in the meantime.
 func TestSwapsDuringRequests(t *testing.T) {
 	e := New(slog.New(slog.DiscardHandler))
 	sets := []*rules.Set{
@@ -153,9 +156,9 @@
 		e.count(countKey{fmt.Sprint(i), "x"})
 	}
 	if n := len(e.counts); n > maxCounts+1 {
-		t.Errorf("%d counts", n)
+		t.Errorf("%d counts, want at most %d", n, maxCounts+1)
 	}
 	if e.counts[otherCounts] != maxCounts {
-		t.Error("what is beyond the bound is not counted together")
+		t.Errorf("%d events beyond the bound are counted together, want %d", e.counts[otherCounts], maxCounts)
 	}
 }
--- a/internal/rules/engine/report.go
+++ b/internal/rules/engine/report.go
@@ -5,25 +5,28 @@
 	"time"
 )
 
-// reportInterval is how often counts are logged.
+// reportInterval is the time between two reports of the counts in the log.
 const reportInterval = time.Minute
 
-// maxCounts bounds the pairs that are counted one by one.
+// maxCounts bounds the number of distinct countKeys, as the pairs beyond it are counted together.
 const maxCounts = 4096
 
-// countKey is what is counted: an event at a rule, at a limit or, for the shadow, at a field.
-type countKey struct{ source, event string }
+// countKey identifies a kind of event that is counted.
+type countKey struct {
+	source string // name of a rule or limit or, for shadow differences, of a field
+	event  string // cause of a fault, or one of the events below
+}
 
-// Events beside the causes of faults.
+// The events other than faults.
 const (
-	eventRejected      = "refused" // by a limit
-	eventShadowDiffers = "shadow differs"
+	eventRejected      = "refused"        // a limit rejected a request
+	eventShadowDiffers = "shadow differs" // the shadow set gave another value for a field
 )
 
-// otherCounts stands for all pairs beyond maxCounts.
+// otherCounts is the countKey for all events whose own key would exceed maxCounts.
 var otherCounts = countKey{"others", "others"}
 
-// count counts an event. The caller holds the lock.
+// count counts an event. The caller must hold e.mu.
 func (e *Engine) count(key countKey) {
 	if _, known := e.counts[key]; !known && len(e.counts) >= maxCounts {
 		key = otherCounts
@@ -31,7 +34,7 @@
 	e.counts[key]++
 }
 
-// Counts returns what was counted since the last call, by rule, limit or field and by event.
+// Counts returns the number of events since the last call, by source and event, and resets the counts.
 func (e *Engine) Counts() map[string]map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -46,7 +49,7 @@
 	return bySource
 }
 
-// Run logs the counts in each interval that has any, until ctx ends.
+// Run logs the counts at the end of each report interval in which there were events, until ctx is done.
 func (e *Engine) Run(ctx context.Context) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -56,7 +59,7 @@
 			return
 		case <-ticker.C:
 			if counts := e.Counts(); len(counts) > 0 {
-				e.log.Info("rule counts", "counts", counts)
+				e.log.Info("rule and limit events", "counts", counts)
 			}
 		}
 	}
--- a/internal/rules/engine/request.go
+++ b/internal/rules/engine/request.go
@@ -8,15 +8,17 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// Request is a request under the rules that were in force when it arrived. Release returns what it holds.
+// Request is the evaluation of one request by the rules that were in force when it arrived, and what it has acquired
+// from limits. Release gives up both.
 type Request struct {
 	engine     *Engine
 	evaluation *rules.Evaluation // nil once nothing is left to evaluate
-	set        *rules.Set
-	grant      ratelimit.Grant
+	set        *rules.Set        // by which the request is evaluated
+	grant      ratelimit.Grant   // what the request has acquired from limits
 	hasGrant   bool
 }
 
+// newRequest starts the evaluation of a request.
 func (e *Engine) newRequest(g *generation, f *expression.Facts) *Request {
 	return &Request{engine: e, evaluation: g.set.Begin(f), set: g.set}
 }
@@ -27,11 +29,11 @@
 	RetryAfter time.Duration
 }
 
-// Error names the limit.
+// Error tells the client which limit rejects the request.
 func (e LimitError) Error() string { return "limit " + e.Limit + " is reached" }
 
-// AcquireLimits counts the request by the limits that apply to it, all of them or none. The error is a LimitError, or a
-// rules.RuleFault if the key of a limit can't be computed.
+// AcquireLimits counts the request by all limits that apply to it, or by none if one of them rejects it. The error is a
+// LimitError, or a rules.RuleFault if the condition or the key of a limit can't be evaluated.
 func (r *Request) AcquireLimits(class, plan, volume string) error {
 	var buffer [ratelimit.MaxClaims]ratelimit.Claim
 	claims, faults, err := r.evaluation.Claims(class, plan, volume, buffer[:0])
@@ -44,7 +46,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if g := e.active(); g == nil || g.set != r.set {
-		return nil // The claims number the limits of a set that has just been replaced.
+		return nil // The claims refer to the limits of a set that has been replaced in the meantime.
 	}
 	decision := e.limiter.Take(e.clock(), claims)
 	if !decision.Admitted {
@@ -57,8 +59,8 @@
 	return nil
 }
 
-// Release returns what the request holds. It is called once, when the request is answered or its client has
-// disconnected. A nil Request holds nothing.
+// Release gives up what the request holds. It must be called exactly once, when the request has been answered or its
+// client has disconnected. A nil Request holds nothing.
 func (r *Request) Release() {
 	if r == nil {
 		return
@@ -72,7 +74,7 @@
 	r.engine.limiter.Release(r.grant)
 }
 
-// endEvaluation returns the evaluator to its pool as soon as nothing is left to evaluate.
+// endEvaluation returns the evaluator to its pool, unless that has been done before.
 func (r *Request) endEvaluation() {
 	if r.evaluation != nil {
 		r.evaluation.End()
--- a/internal/rules/expression/amount.go
+++ b/internal/rules/expression/amount.go
@@ -2,8 +2,9 @@
 
 import "maps"
 
-// Amount is a cost or a length that grows with the request's headers. The size of all headers together is bounded, so
-// not every header can have the full size at once. An Amount therefore counts each header on its own.
+// Amount is a cost in estimated nanoseconds, or a length in bytes, that grows with the lengths of the request's
+// headers. As only the size of all headers together is bounded, they can't all have the full size at once. An Amount
+// therefore counts each header separately.
 type Amount struct {
 	fixed   float64
 	headers map[string]float64 // what each byte of a header adds; nil: no header adds anything
@@ -12,7 +13,7 @@
 // Fixed returns an amount that does not depend on headers.
 func Fixed(n float64) Amount { return Amount{fixed: n} }
 
-// lengthOfHeader is the length of a header's value.
+// lengthOfHeader returns the length of a header's value.
 func lengthOfHeader(name string) Amount {
 	return Amount{headers: map[string]float64{name: 1}}
 }
@@ -22,12 +23,12 @@
 	return a.combine(b, func(x, y float64) float64 { return x + y })
 }
 
-// Max returns an amount that is below neither a nor b.
+// Max returns an amount that is at least as large as a and b for any request.
 func (a Amount) Max(b Amount) Amount {
 	return a.combine(b, func(x, y float64) float64 { return max(x, y) })
 }
 
-// combine applies a function to the fixed parts and to the parts of each header.
+// combine applies a function to the fixed parts of two amounts and to their parts for each header.
 func (a Amount) combine(b Amount, function func(x, y float64) float64) Amount {
 	result := Amount{fixed: function(a.fixed, b.fixed)}
 	if len(a.headers)+len(b.headers) == 0 {
@@ -43,7 +44,7 @@
 	return result
 }
 
-// times returns the product with a factor.
+// times returns the product of the amount and a factor.
 func (a Amount) times(factor float64) Amount {
 	product := Amount{fixed: a.fixed * factor}
 	if len(a.headers) > 0 && factor > 0 {
@@ -55,8 +56,8 @@
 	return product
 }
 
-// WorstCase returns the largest value of the amount if all headers together have headerBytes: the one that adds most
-// has them all.
+// WorstCase returns the largest value of the amount for a request whose headers have headerBytes bytes together. It is
+// reached when the header that adds most per byte has them all.
 func (a Amount) WorstCase(headerBytes int) int {
 	highest := 0.0
 	for _, perByte := range a.headers {
--- a/internal/rules/expression/compile.go
+++ b/internal/rules/expression/compile.go
@@ -10,20 +10,20 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// MaxSourceBytes bounds the text of an expression and, with it, the depth of its nesting.
+// MaxSourceBytes bounds the length of an expression's text, and thereby the depth of its nesting.
 const MaxSourceBytes = 4 << 10
 
-// maxNodes bounds the syntax tree of an expression.
+// maxNodes bounds the number of nodes in the syntax tree of an expression.
 const maxNodes = 500
 
-// Scope is what an expression may use beyond the request.
+// Scope is what an expression may use besides the request, and how it reads the request.
 type Scope struct {
-	Sizes         Sizes
+	Sizes         Sizes               // the largest sizes of a request, which bound costs
 	Constants     map[string]any      // string, bool, int64, float64 or a list of strings
 	Lets          map[string]*Program // named expressions
 	LetIndex      map[string]int      // the number of each named expression, as passed to NewEvaluator
-	Params        map[string]int      // the segments that the rule's path names
-	Condition     bool                // a missing header reads as "" instead of being a fault
+	Params        map[string]int      // the number of each segment that the rule's path names
+	Condition     bool                // a missing header or query parameter reads as "" instead of being a fault
 	ClientKnown   bool                // the stage that identifies the client has run
 	DecisionKnown bool                // class, plan and volume have been decided
 }
@@ -33,24 +33,23 @@
 	Source        string
 	Type          Type
 	Cost          Amount // worst case, in estimated nanoseconds
-	CostliestTerm string // the term with the highest cost of its own
+	CostliestTerm string // the term with the highest cost, not counting that of its parts
 
 	maxLength Amount // of a string value, in bytes
 	code      *vm.Program
 	tree      ast.Node
-	constant  any // the value, if it is the same for every request
+	constant  any // the value, if it is the same for every request; otherwise nil
 }
 
-// Compile checks an expression and compiles it. The expression must have one of the wanted types. The error is a
-// *SourceError.
+// Compile checks and compiles an expression, which must have one of the wanted types. The error is a *SourceError.
 func Compile(source string, scope Scope, wanted ...Type) (*Program, error) {
 	if err := checkSource(source); err != nil {
 		return nil, err
 	}
 	rewriter := &rewriter{scope: scope}
 	code, err := expr.Compile(source, languageOptions(expr.MaxNodes(maxNodes), expr.Patch(rewriter))...)
-	if rewriter.err != nil { // The library would report the same place under a name that no file contains.
-		return nil, rewriter.err.in(source)
+	if rewriter.err != nil { // The library's error at the same place could contain a name that the rewriter wrote.
+		return nil, rewriter.err.toSourceError(source)
 	}
 	if err != nil {
 		return nil, sourceErrorOf(err, source)
@@ -63,13 +62,13 @@
 		return nil, &SourceError{Message: message}
 	}
 	if err := program.estimateCost(scope); err != nil {
-		return nil, err.in(source)
+		return nil, err.toSourceError(source)
 	}
 	program.foldConstant()
 	return program, nil
 }
 
-// languageOptions are the library's options that define the language.
+// languageOptions returns the options of the library that define the language, after the given ones.
 func languageOptions(more ...expr.Option) []expr.Option {
 	language := append(more,
 		expr.Env(environment{}),
@@ -81,7 +80,7 @@
 	return append(language, environmentFunctionOptions...)
 }
 
-// estimateCost bounds what the program costs and how long its value is.
+// estimateCost computes bounds of the program's cost and of the length of its value.
 func (p *Program) estimateCost(scope Scope) *locatedError {
 	estimator := costEstimator{
 		sizes:        scope.Sizes,
@@ -96,15 +95,16 @@
 	return estimator.err
 }
 
-// foldConstant evaluates an expression that does not depend on the request, once and for all.
+// foldConstant evaluates an expression that does not depend on the request and stores its value. If the evaluation
+// fails, the expression is evaluated for each request, where it fails again.
 func (p *Program) foldConstant() {
 	detector := constantDetector{constant: true}
 	ast.Walk(&p.tree, &detector)
 	if !detector.constant {
 		return
 	}
-	const unlimited = 1 << 30
-	value, fault := NewEvaluator(nil, 0, unlimited).Run(p)
+	const noCostLimit = 1 << 30
+	value, fault := NewEvaluator(nil, 0, noCostLimit).Run(p)
 	if fault != nil {
 		return
 	}
@@ -112,14 +112,14 @@
 	p.Cost = Fixed(nodeCost)
 }
 
-// Constant returns the value of an expression that is the same for every request.
+// Constant returns the value of an expression whose value is the same for every request. Otherwise, ok is false.
 func (p *Program) Constant() (value any, ok bool) { return p.constant, p.constant != nil }
 
-// constantDetector finds out whether an expression depends on nothing but itself.
+// constantDetector detects whether an expression depends on neither the request nor named expressions.
 type constantDetector struct{ constant bool }
 
-// pureIdentifiers are the identifiers that a constant expression may use. environmentName is an argument of the
-// functions beside it, which do not read the request.
+// pureIdentifiers are the identifiers that a constant expression may use: the functions seconds and millis, and the
+// environment, which the rewriter passes to them and which they do not read.
 var pureIdentifiers = []string{"seconds", "millis", environmentName}
 
 // Visit implements ast.Visitor.
@@ -130,16 +130,16 @@
 	}
 }
 
-// operatorNames are the words of the language that are not fields of the environment.
-var operatorNames = []string{
+// nonFieldNames are the words of the language that are not fields of the environment.
+var nonFieldNames = []string{
 	"param", "default", "first", "field", "toDuration", "toTime", "date", "hour", "weekday", "seconds", "millis",
 	"any", "all", "none", "true", "false", "not", "and", "or", "in", "matches",
 	"contains", "startsWith", "endsWith", "let",
 }
 
-// Names returns the words of the language.
+// Names returns the words of the language: functions, attributes of the request, operators and keywords.
 func Names() []string {
-	names := slices.Clone(operatorNames)
+	names := slices.Clone(nonFieldNames)
 	fields := reflect.TypeFor[environment]()
 	for i := range fields.NumField() {
 		name := fields.Field(i).Tag.Get("expr")
--- a/internal/rules/expression/conjuncts.go
+++ b/internal/rules/expression/conjuncts.go
@@ -2,17 +2,18 @@
 
 import "github.com/expr-lang/expr/ast"
 
-// Conjunct is one of the conditions that must all hold. If it requires an attribute of the request to have one value,
-// an index can find the rule by it.
+// Conjunct is one of the operands of "and" that make up a condition. If it requires an attribute of the request to have
+// one value, an index can find the rule by that value.
 type Conjunct struct {
 	Text      string
 	Attribute string // "method", "path" or "header NAME"; empty for any other condition
 	Value     string
 }
 
-// Conjuncts splits a condition at its "and" operators.
+// Conjuncts returns the parts of a condition that "and" operators join, all of which must hold.
 func (p *Program) Conjuncts() []Conjunct { return appendConjuncts(nil, p.tree) }
 
+// appendConjuncts appends the conjuncts of a node to all.
 func appendConjuncts(all []Conjunct, n ast.Node) []Conjunct {
 	if and, ok := n.(*ast.BinaryNode); ok && (and.Operator == "&&" || and.Operator == "and") {
 		return appendConjuncts(appendConjuncts(all, and.Left), and.Right)
@@ -21,7 +22,8 @@
 	return append(all, Conjunct{Text: n.String(), Attribute: attribute, Value: value})
 }
 
-// requiredValue returns the attribute of the request that a comparison requires to have a value; "" if there is none.
+// requiredValue returns the attribute of the request that a node requires to have one value, and the value. It returns
+// two empty texts if the node is no such comparison.
 func requiredValue(n ast.Node) (attribute, value string) {
 	comparison, ok := n.(*ast.BinaryNode)
 	if !ok || comparison.Operator != "==" {
@@ -41,7 +43,7 @@
 			return operand.Value, text.Value
 		}
 	case *ast.CallNode:
-		// An index by values does not find a missing header, which reads as "".
+		// A comparison with "" also holds for a missing header, which an index by values can't find.
 		if name, ok := headerName(operand); ok && text.Value != "" {
 			return "header " + name, text.Value
 		}
--- a/internal/rules/expression/cost.go
+++ b/internal/rules/expression/cost.go
@@ -7,44 +7,56 @@
 	"github.com/expr-lang/expr/ast"
 )
 
-// Worst-case costs in estimated nanoseconds, measured and rounded up.
+// Worst-case costs in estimated nanoseconds.
 const (
-	startCost             = 250  // starting an evaluation
-	nodeCost              = 30   // any operator, constant or variable
-	compareCostPerByte    = 0.1  // equality
-	containsCostPerByte   = 1.0  // the operator contains
-	lookupCostPerByte     = 0.1  // a look-up among constants
-	joinCostPerByte       = 0.35 // of a joined text, which is allocated
-	matchCostPerStep      = 5    // a byte and an instruction of a regular expression
-	globCostPerBytePair   = 3    // a byte of the text and a byte of the pattern
-	caseCostPerByte       = 4    // a byte that lower or upper changes
-	matchOverheadBytes    = 8    // the cost of matching an empty text, in bytes
-	unknownPatternProgram = 1000 // instructions of a pattern that can't be compiled
+	startCost           = 250  // of starting an evaluation
+	nodeCost            = 30   // of any operator, constant or variable
+	compareCostPerByte  = 0.1  // of comparing texts, per byte of the shorter one
+	containsCostPerByte = 1.0  // of the operator contains, per byte of the text searched
+	lookupCostPerByte   = 0.1  // of a lookup in a list of constants, per byte of the text looked up
+	joinCostPerByte     = 0.35 // of joining texts, per byte of the result, which is allocated
+	matchCostPerStep    = 5    // of a regular expression, per byte of the text and instruction of the pattern
+	globCostPerBytePair = 3    // of glob, per byte of the text and byte of the pattern
+	caseCostPerByte     = 4    // of lower and upper, per byte of the text
+)
+
+// Assumptions about regular expressions.
+const (
+	matchOverheadBytes         = 8    // matching an empty text costs as much as matching so many bytes
+	unknownPatternInstructions = 1000 // of a pattern that can't be compiled
 )
 
 // Lengths of values in bytes.
 const (
-	numberLength       = 20 // anything that is no text
-	hashLength         = 16
-	shortNameLength    = 64 // words of the request such as the method or a class
-	caseGrowth         = 2  // some letters get longer when their case changes
-	maxFunctionOperand = 4  // no function takes more arguments
+	numberLength    = 20 // of any value that is not a text
+	hashLength      = 16
+	shortNameLength = 64 // of short texts in the request, such as the method or a class
 )
 
-// costEstimator bounds what an expression costs and how long its value can be. Both follow from the declared sizes, as
-// the only loops are those over the values of one header.
+// caseGrowth is the factor by which lower and upper can lengthen a text, as some letters take more bytes in the other
+// case.
+const caseGrowth = 2
+
+// maxFunctionArguments is the highest number of arguments that a function takes.
+const maxFunctionArguments = 4
+
+// costEstimator computes bounds of the cost of an expression and of the length of its value. Both follow from the
+// declared sizes, because the only loops are those over the values of one header.
+//
+// In its methods, cost is in estimated nanoseconds and length is that of the value in bytes.
 type costEstimator struct {
 	sizes         Sizes
 	lets          map[string]*Program
 	letIndex      map[string]int
-	localLengths  map[string]Amount // lengths of the names that the expression defines by let
-	elementLength Amount            // length of the values that any, all and none go through
+	localLengths  map[string]Amount // lengths of the values that the expression names by let
+	elementLength Amount            // length of the elements over which the current any, all or none loops
 	err           *locatedError     // the first one
 
 	highestTermCost int
 	costliestTerm   string
 }
 
+// fail records an error at a node unless there is one already.
 func (c *costEstimator) fail(n ast.Node, format string, args ...any) (cost, length Amount) {
 	if c.err == nil {
 		c.err = newLocatedError(n, format, args...)
@@ -52,7 +64,8 @@
 	return Amount{}, Amount{}
 }
 
-// recordTerm notes a term by the cost that it has without its parts, and returns that cost.
+// recordTerm records the term of a node if it is the costliest one so far. The cost, which recordTerm returns, is that
+// of the node without its children.
 func (c *costEstimator) recordTerm(n ast.Node, cost Amount) Amount {
 	worst := cost.WorstCase(c.sizes.Headers)
 	if worst > c.highestTermCost {
@@ -93,13 +106,14 @@
 	case *ast.CallNode:
 		return c.estimateCall(n)
 	case *ast.MemberNode, *ast.ChainNode:
-		return c.fail(n, "values have no members; use a function")
+		return c.fail(n, "values have no members; use a function instead")
 	case *ast.SliceNode:
-		return c.fail(n, "use first(TEXT, N) or field(TEXT, SEPARATOR, I)")
+		return c.fail(n, "values can't be sliced; use first(TEXT, N) or field(TEXT, SEPARATOR, I) instead")
 	}
 	return c.fail(n, "%s is not part of the language", n)
 }
 
+// constantLength returns the length of a constant.
 func constantLength(value any) Amount {
 	if v := reflect.ValueOf(value); v.Kind() == reflect.String {
 		return Fixed(float64(v.Len()))
@@ -107,6 +121,7 @@
 	return Fixed(numberLength)
 }
 
+// variableLength returns the length of a variable of the request or of the expression.
 func (c *costEstimator) variableLength(name string) Amount {
 	if length, ok := c.localLengths[name]; ok {
 		return length
@@ -135,7 +150,7 @@
 	return valueCost.Plus(bodyCost).Plus(Fixed(2 * nodeCost)), bodyLength
 }
 
-// estimateLoop bounds any, all and none, which go through the values of one header.
+// estimateLoop estimates any, all and none, which loop over the values of one header.
 func (c *costEstimator) estimateLoop(n *ast.BuiltinNode) (cost, length Amount) {
 	const iterationCost = 4 * nodeCost
 	listCost, elementLength := c.estimate(n.Arguments[0])
@@ -186,25 +201,25 @@
 	return leftCost.Plus(rightCost).Plus(c.recordTerm(n, own)), length
 }
 
-// compareCost is the cost of comparing two texts, which ends with the shorter one.
+// compareCost returns the cost of comparing two texts, which ends at the end of the shorter one.
 func (c *costEstimator) compareCost(a, b Amount) Amount {
 	return smaller(a, b, c.sizes.Headers).times(compareCostPerByte)
 }
 
-// patternInstructions returns the length of a regular expression's program. At worst, matching takes the length of the
-// text times as many steps.
+// patternInstructions returns the number of instructions of a regular expression. At worst, matching takes that many
+// steps for each byte of the text.
 func patternInstructions(n ast.Node) int {
 	pattern, ok := n.(*ast.StringNode)
 	if !ok {
-		return unknownPatternProgram
+		return unknownPatternInstructions
 	}
 	parsed, err := syntax.Parse(pattern.Value, syntax.Perl)
 	if err != nil {
-		return unknownPatternProgram
+		return unknownPatternInstructions
 	}
 	program, err := syntax.Compile(parsed.Simplify())
 	if err != nil {
-		return unknownPatternProgram
+		return unknownPatternInstructions
 	}
 	return len(program.Inst)
 }
@@ -215,33 +230,33 @@
 		return c.fail(n, "%s is not a function", n.Callee)
 	}
 	function := callee.Value
-	price, ok := functionCosts[function]
+	callCost, ok := functionCosts[function]
 	if !ok {
 		return c.fail(n, "%s is not a function", n.Callee)
 	}
 	arguments := n.Arguments
 	if environmentFunctions[function].call != nil {
-		arguments = arguments[1:] // the first is the environment
+		arguments = arguments[1:] // without the environment
 	}
-	lengths := make([]Amount, maxFunctionOperand) // Those that the call does not have are 0.
+	lengths := make([]Amount, maxFunctionArguments) // 0 for arguments that the call does not have
 	for i, argument := range arguments {
 		var argumentCost Amount
 		argumentCost, lengths[i] = c.estimate(argument)
 		cost = cost.Plus(argumentCost)
 	}
-	own := Fixed(float64(price.base)).Plus(lengths[0].times(price.perByte))
+	own := Fixed(float64(callCost.base)).Plus(lengths[0].times(callCost.perByte))
 	switch function {
 	case "glob":
 		own = own.Plus(lengths[0].times(globCostPerBytePair * (1 + lengths[1].fixed)))
 	case "hash", "hashOf2", "hashOf3", "hashOf4":
-		for _, more := range lengths[1:] {
-			own = own.Plus(more.times(price.perByte))
+		for _, argumentLength := range lengths[1:] {
+			own = own.Plus(argumentLength.times(callCost.perByte))
 		}
 	}
 	return cost.Plus(c.recordTerm(n, own)), c.resultLength(function, arguments, lengths)
 }
 
-// resultLength returns the length of a function's value.
+// resultLength returns the length of the value that a function returns, given the lengths of its arguments.
 func (c *costEstimator) resultLength(function string, arguments []ast.Node, lengths []Amount) Amount {
 	switch function {
 	case "header", "headerOr", "headers":
@@ -269,7 +284,7 @@
 	return Fixed(numberLength)
 }
 
-// letLength returns the length of a named expression's value.
+// letLength returns the length of the value of the named expression with the given number.
 func (c *costEstimator) letLength(number int) Amount {
 	for name, i := range c.letIndex {
 		if i == number {
--- a/internal/rules/expression/environment.go
+++ b/internal/rules/expression/environment.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// environment is what a program runs in: the tagged fields are the words of the language. Its functions are bound once
-// for each Evaluator, so that a request allocates no closures.
+// environment holds what a program can read and call. The names in the tags of its fields are words of the language.
+// Its functions are bound once for each Evaluator, so that a request allocates no closures.
 type environment struct {
 	Method  string    `expr:"method"`
 	Path    string    `expr:"path"`
@@ -20,7 +20,7 @@
 	Length  int       `expr:"length"`
 	Arrival time.Time `expr:"arrival"`
 
-	Self *environment `expr:"meter"` // for the functions of environmentFunctions
+	Self *environment `expr:"meter"` // the first argument of environmentFunctions
 
 	Header    func(string) string         `expr:"header"`
 	HeaderOr  func(string, string) string `expr:"headerOr"`
@@ -42,16 +42,17 @@
 	ToInt     func(string) int            `expr:"toInt"`
 
 	facts        *Facts
-	segments     [MaxSegments]string
+	segments     [MaxSegments]string // of the path
 	segmentCount int
-	cost         int
-	costLimit    int
+	cost         int // counted for the request, in estimated nanoseconds
+	costLimit    int // the cost at which an evaluation is ended, in estimated nanoseconds
 	lets         []namedExpression
-	run          func(*Program) any
-	seed         uint64
+	run          func(*Program) any // runs a program and panics with its *Fault
+	seed         uint64             // of the function hash
 }
 
-// namedExpression is a named expression of the file and, once it was evaluated for a request, its value.
+// namedExpression is a named expression of the file. Once it has been evaluated for a request, it holds the value or
+// the fault.
 type namedExpression struct {
 	program   *Program
 	value     any
@@ -59,7 +60,7 @@
 	evaluated bool
 }
 
-// bind sets the functions.
+// bind sets the fields that hold functions.
 func (e *environment) bind() {
 	e.Self = e
 	e.bindHeaderFunctions()
@@ -70,17 +71,17 @@
 	e.LetBool = func(i int) bool { return e.let(i).(bool) }
 }
 
-// charge counts the cost of a call during the evaluation. The limit is a second line of defence behind the worst case
-// that was estimated at load.
+// charge adds the cost of a call to the cost of the request. The argument length is that of the function's first
+// argument. An evaluation that exceeds the cost limit ends with a fault, in case the estimate at load was too low.
 func (e *environment) charge(function string, length int) {
-	price := functionCosts[function]
-	e.cost += price.base + int(price.perByte*float64(length))
+	callCost := functionCosts[function]
+	e.cost += callCost.base + int(callCost.perByte*float64(length))
 	if e.cost > e.costLimit {
 		raise(CauseCostLimit, "an evaluation within a cost of %d", e.costLimit)
 	}
 }
 
-// let returns the value of a named expression, which is evaluated once for each request.
+// let returns the value of the named expression with the given number, which is evaluated at most once per request.
 func (e *environment) let(i int) any {
 	e.charge("letString", 0)
 	expression := &e.lets[i]
@@ -93,6 +94,7 @@
 	return expression.value
 }
 
+// evaluate runs a named expression and stores its value or its fault.
 func (e *environment) evaluate(expression *namedExpression) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
@@ -103,7 +105,7 @@
 	expression.value = e.run(expression.program)
 }
 
-// setFacts takes the facts of a request.
+// setFacts sets the request whose attributes programs read, and resets the cost.
 func (e *environment) setFacts(f *Facts) {
 	e.facts = f
 	e.cost = 0
@@ -117,7 +119,7 @@
 	e.setPath(f.Path)
 }
 
-// setPath splits the path into segments. The last one that fits holds all that follows.
+// setPath splits the path into at most MaxSegments segments. If there would be more, the last one holds the rest.
 func (e *environment) setPath(path string) {
 	e.segmentCount = 0
 	rest := strings.TrimPrefix(path, "/")
@@ -136,7 +138,7 @@
 	}
 }
 
-// clear drops everything that belongs to a request.
+// clear drops all references to the request.
 func (e *environment) clear() {
 	e.facts = nil
 	e.Method = ""
--- a/internal/rules/expression/evaluator.go
+++ b/internal/rules/expression/evaluator.go
@@ -6,16 +6,16 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// Evaluator runs programs for one request after another. It must not be used by several goroutines at once. Clear drops
-// what belongs to a request.
+// Evaluator runs programs for one request after another, each of which Begin starts and Clear ends. It must not be used
+// by several goroutines at once.
 type Evaluator struct {
 	env      environment
-	machines []*vm.VM // one for each depth of named expressions
-	depth    int
+	machines []*vm.VM // one for each depth of named expressions that use others
+	depth    int      // number of machines in use
 }
 
-// NewEvaluator returns an Evaluator for the programs of one file. An evaluation that costs more than costLimit ends
-// with a fault.
+// NewEvaluator returns an Evaluator for the programs of one file, given its named expressions and the seed of the
+// function hash. An evaluation that costs more than costLimit, in estimated nanoseconds, ends with a fault.
 func NewEvaluator(lets []*Program, seed uint64, costLimit int) *Evaluator {
 	e := &Evaluator{}
 	e.env.seed = seed
@@ -34,7 +34,7 @@
 	return e
 }
 
-// Begin takes the facts of a request. A request that exceeds the sizes is a fault for every rule.
+// Begin sets the request that programs read. It returns a fault, and sets nothing, if the request exceeds the sizes.
 func (e *Evaluator) Begin(f *Facts, sizes Sizes) *Fault {
 	if !sizes.Within(f) || len(f.Host) > MaxNameBytes || len(f.Method) > MaxNameBytes {
 		return errTooLarge
@@ -43,23 +43,23 @@
 	return nil
 }
 
-// SetClient sets the name of the client, which is known after the stage normalise.
+// SetClient sets the name of the client, which expressions read as who. It is known after the stage normalise.
 func (e *Evaluator) SetClient(name string) { e.env.Who = name }
 
-// SetDecision sets what has been decided before limits are evaluated.
+// SetDecision sets the class, plan and volume of the request. They are known before the limits are evaluated.
 func (e *Evaluator) SetDecision(class, plan, volume string) {
 	e.env.Class = class
 	e.env.Plan = plan
 	e.env.Volume = volume
 }
 
-// Segments returns the segments of the path.
+// Segments returns the segments of the request's path. The slice is valid until the next Begin or Clear.
 func (e *Evaluator) Segments() []string { return e.env.segments[:e.env.segmentCount] }
 
-// Cost returns the cost that was counted since Begin.
+// Cost returns the cost counted since Begin, in estimated nanoseconds.
 func (e *Evaluator) Cost() int { return e.env.cost }
 
-// Clear drops the request, so that a pooled Evaluator keeps nothing of it alive.
+// Clear drops the request, so that an Evaluator in a pool does not keep it in memory.
 func (e *Evaluator) Clear() { e.env.clear() }
 
 // Run returns the value of a program for the current request.
--- a/internal/rules/expression/explain.go
+++ b/internal/rules/expression/explain.go
@@ -12,15 +12,16 @@
 type Term struct {
 	Text      string `json:"text"`
 	Value     string `json:"value"`
-	Cost      int    `json:"cost"`  // counted by this evaluation
-	WorstCase int    `json:"worst"` // estimated at load; only for the whole expression
+	Cost      int    `json:"cost"`  // counted by this evaluation, in estimated nanoseconds
+	WorstCase int    `json:"worst"` // in estimated nanoseconds; 0 except for the whole expression
 }
 
-// maxTermValueBytes is how much of a value is shown.
+// maxTermValueBytes is the length to which Terms shortens values.
 const maxTermValueBytes = 80
 
-// Terms evaluates an expression and each of its parts that is more than a name or a constant; the whole comes first. It
-// is meant for explanations, as it compiles every part again.
+// Terms evaluates an expression and each of its parts that is more than a name or a constant. The first Term is the
+// whole expression. The argument lets holds the names of the named expressions in the order of their numbers. As Terms
+// compiles every part again, it is meant only for explanations.
 func (e *Evaluator) Terms(p *Program, lets []string) []Term {
 	collector := &termCollector{}
 	ast.Walk(&p.tree, collector)
@@ -30,7 +31,7 @@
 		source := collector.nodes[i].String()
 		code, err := expr.Compile(source, languageOptions()...)
 		if err != nil {
-			continue // a part that makes sense only within the whole
+			continue // The part can't stand alone, for instance because it uses the # of a loop around it.
 		}
 		term := e.term(&Program{Source: source, code: code, tree: code.Node()}, lets)
 		term.WorstCase = 0
@@ -42,7 +43,7 @@
 	return terms
 }
 
-// term evaluates one program. The cost limit does not count it.
+// term evaluates one program. Its cost does not count towards the cost limit of the request.
 func (e *Evaluator) term(p *Program, lets []string) Term {
 	before := e.env.cost
 	value, fault := e.Run(p)
@@ -63,7 +64,7 @@
 	return term
 }
 
-// rewrittenNames maps what the rewriter wrote to what the file says.
+// rewrittenNames replaces names that the rewriter wrote by those in the rule file.
 var rewrittenNames = strings.NewReplacer(
 	`headerOr(`, `header(`,
 	`queryOr(`, `query(`,
@@ -74,8 +75,8 @@
 	"hashOf4(", "hash(",
 )
 
-// RestoreNames puts the names that a file uses in the place of those that the rewriter wrote. The named expressions are
-// given in the order of their numbers.
+// RestoreNames replaces the names that the rewriter wrote by those in the rule file. The argument lets holds the names
+// of the named expressions in the order of their numbers.
 func RestoreNames(text string, lets []string) string {
 	for i, name := range lets {
 		for _, getter := range [...]string{"letString", "letInt", "letBool"} {
@@ -85,7 +86,7 @@
 	return rewrittenNames.Replace(text)
 }
 
-// termCollector gathers calls, comparisons and choices, children before their parents.
+// termCollector collects calls, operators and conditional expressions, children before their parents.
 type termCollector struct{ nodes []ast.Node }
 
 // Visit implements ast.Visitor.
--- a/internal/rules/expression/expression_test.go
+++ b/internal/rules/expression/expression_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// evaluate compiles an expression and runs it once.
+// evaluate compiles an expression and runs it once. Empty sizes in the scope stand for DefaultSizes.
 func evaluate(source string, scope Scope, f *Facts) (any, *Fault, error) {
 	if scope.Sizes == (Sizes{}) {
 		scope.Sizes = DefaultSizes
@@ -48,7 +48,7 @@
 	return value, fault, nil
 }
 
-// wantedValues are the values of expressions for testFacts; nil: the expression does not compile.
+// wantedValues are the values of expressions for testFacts. The value nil means that the expression does not compile.
 var wantedValues = map[string]any{
 	`header("x-a")`:                                 "one", // the names of headers are case-insensitive
 	`len`:                                           nil,
@@ -80,7 +80,8 @@
 	`date(arrival, "America/New_York")`:             "2026-03-28",
 	`weekday(arrival, "UTC")`:                       0,
 	`date(toTime(header("X-When"), "2006-01-02 15:04"), "UTC")`: "2026-03-29",
-	// Keys are part of a file's contract: XXH64 with seed 0 in 16 hex digits, over joined parts as over one text.
+	// The values of hash must not change, because volumes and keys are made of them. They are XXH64 with seed 0 in 16
+	// hex digits. The hash of joined texts is that of the one text that they make up.
 	`hash("")`:                             "ef46db3751d8e999",
 	`hash("abc")`:                          "44bc2cf5ad770999",
 	`hash("a" + "b" + "c")`:                "44bc2cf5ad770999",
@@ -106,12 +107,12 @@
 			value, fault, err := evaluate(source, scope, testFacts())
 			if want == nil {
 				if err == nil {
-					t.Error("the expression compiles")
+					t.Error("the expression compiles, want an error")
 				}
 				return
 			}
 			if err != nil || fault != nil {
-				t.Fatalf("%v, %v", fault, err)
+				t.Fatalf("fault %v, error %v", fault, err)
 			}
 			if diff := cmp.Diff(want, value); diff != "" {
 				t.Error(diff)
@@ -120,8 +121,8 @@
 	}
 }
 
-// Sources that a rule file may hold, and that once ended the program by a panic.
-func TestMalformedNamesAreRejected(t *testing.T) {
+// A rule file can contain these expressions, and compiling them once panicked.
+func TestHiddenNamesAndDateConstantsAreRejected(t *testing.T) {
 	scope := Scope{
 		Sizes:     DefaultSizes,
 		Condition: true,
@@ -134,9 +135,9 @@
 	} {
 		t.Run(source, func(t *testing.T) {
 			_, err := Compile(source, scope, Bool)
-			var at *SourceError
-			if !errors.As(err, &at) || at.Message != want {
-				t.Errorf("%v, want %s", err, want)
+			var sourceErr *SourceError
+			if !errors.As(err, &sourceErr) || sourceErr.Message != want {
+				t.Errorf("error %v, want %s", err, want)
 			}
 		})
 	}
@@ -159,7 +160,7 @@
 		t.Run(source, func(t *testing.T) {
 			_, fault, err := evaluate(source, Scope{}, testFacts())
 			if err != nil || fault == nil {
-				t.Fatalf("%v, %v", fault, err)
+				t.Fatalf("fault %v, error %v", fault, err)
 			}
 			if diff := cmp.Diff(want, *fault); diff != "" {
 				t.Error(diff)
@@ -174,12 +175,13 @@
 		evaluator := NewEvaluator(nil, 0, 100)
 		evaluator.Begin(testFacts(), DefaultSizes)
 		if _, fault := evaluator.Run(program); fault == nil || fault.Cause != CauseCostLimit {
-			t.Errorf("the cost limit does not end the evaluation: %v", fault)
+			t.Errorf("fault %v, want one with the cause %s", fault, CauseCostLimit)
 		}
 	})
 }
 
-// A missing header does not keep the rules after it from being tried.
+// In a condition, a missing header or query parameter is no fault: a fault would reject the request before the rules
+// after it are tried.
 func TestMissingValuesAreEmptyInConditions(t *testing.T) {
 	for source, want := range map[string]bool{
 		`header("X-B") == ""`:  true,
@@ -189,14 +191,14 @@
 		t.Run(source, func(t *testing.T) {
 			value, fault, err := evaluate(source, Scope{Condition: true}, testFacts())
 			if err != nil || fault != nil || value != want {
-				t.Errorf("%v, %v, %v", value, fault, err)
+				t.Errorf("value %v, fault %v, error %v; want the value %v", value, fault, err, want)
 			}
 		})
 	}
 }
 
-// Two headers can't both fill the head of a request: what depends on either costs no more than the more expensive one
-// at its longest.
+// Two headers can't both fill the head of a request. So an expression that reads both costs little more, at worst, than
+// one that reads a single header.
 func TestHeadersShareTheirSizeLimit(t *testing.T) {
 	worstCase := func(source string) int {
 		program, err := Compile(source, Scope{Sizes: DefaultSizes}, String, Bool)
@@ -208,15 +210,15 @@
 	one := worstCase(`hash(header("A"))`)
 	both := worstCase(`hash(header("A") + header("B"))`)
 	if both > one+one/4 {
-		t.Errorf("one header: %d, two: %d", one, both)
+		t.Errorf("worst case for one header: %d, for two: %d; want at most a quarter more", one, both)
 	}
 	if twice := worstCase(`hash(header("A") + header("A"))`); twice < one*7/4 {
-		t.Errorf("one header: %d, the same twice: %d", one, twice)
+		t.Errorf("worst case for one header: %d, for the same one twice: %d; want at least 7/4", one, twice)
 	}
 }
 
-// Whatever an expression says and whatever a request carries: either the expression is rejected at load, with a
-// position within its text, or it has a value or a fault and costs no more than was estimated.
+// For any expression and any request, either the expression is rejected at load with a position within its text, or it
+// has a value or a fault and costs no more than was estimated.
 func FuzzExpression(f *testing.F) {
 	for _, seed := range []string{
 		`header("X-A") == "one"`,
@@ -243,9 +245,10 @@
 	f.Fuzz(func(t *testing.T, source, header, path string, length int) {
 		program, err := Compile(source, scope, String, Bool, Int, Number, Duration)
 		if err != nil {
-			var at *SourceError
-			if !errors.As(err, &at) || at.Offset < 0 || at.Offset > len(source) || at.Message == "" {
-				t.Fatalf("%#v", err)
+			var sourceErr *SourceError
+			if !errors.As(err, &sourceErr) || sourceErr.Offset < 0 || sourceErr.Offset > len(source) ||
+				sourceErr.Message == "" {
+				t.Fatalf("want a SourceError with a message and a position in the text: %#v", err)
 			}
 			return
 		}
@@ -256,7 +259,7 @@
 		}
 		evaluator.Run(program)
 		if worst := program.Cost.WorstCase(sizes.Headers); evaluator.Cost() > worst {
-			t.Errorf("%s costs %d, at worst %d", source, evaluator.Cost(), worst)
+			t.Errorf("%s costs %d, estimated at most %d", source, evaluator.Cost(), worst)
 		}
 	})
 }
--- a/internal/rules/expression/facts.go
+++ b/internal/rules/expression/facts.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// MaxSegments is the number of path segments that are told apart; the last one holds all that follows.
+// MaxSegments is the highest number of segments into which a path is split; the last one holds the rest of the path.
 const MaxSegments = 32
 
-// MaxHeaderValues is the number of values of one header that an expression sees.
+// MaxHeaderValues is the number of values of one header that an expression can read. Further values are ignored.
 const MaxHeaderValues = 16
 
-// MaxNameBytes bounds the method, the host and the name of the client.
+// MaxNameBytes bounds the length of the method, of the host and of the name of the client.
 const MaxNameBytes = 1024
 
-// Sizes bound the parts of a request that an expression reads, in bytes. Worst-case costs are derived from them, so an
-// Evaluator rejects larger requests.
+// Sizes are the largest sizes of the parts of a request that an expression can read, in bytes. Worst-case costs are
+// derived from them, so an Evaluator rejects larger requests.
 type Sizes struct {
 	Headers int `toml:"headers"` // names and values of all headers together
 	Path    int `toml:"path"`
@@ -30,7 +30,7 @@
 	Query:   4 << 10,
 }
 
-// Facts are what a rule sees of a request. They must not change during the evaluation.
+// Facts are the attributes of a request that rules can read. They must not change during the evaluation.
 type Facts struct {
 	Method      string
 	Path        string
@@ -38,14 +38,14 @@
 	Query       url.Values
 	Host        string
 	Header      http.Header
-	HeaderBytes int // bytes of all headers, if the frontend bounds them; 0: they are counted
-	BodyLength  int // of the body, in bytes
-	Client      string
-	Frontend    string
-	Arrival     time.Time // given by the caller, so that a replay gets the same results
+	HeaderBytes int       // an upper bound for the bytes of all headers, if the frontend knows one; 0: they are counted
+	BodyLength  int       // in bytes
+	Client      string    // the client's address, or the initiator's name for iSCSI
+	Frontend    string    // the protocol by which the request arrived, such as http
+	Arrival     time.Time // set by the caller, so that a replay gets the same results
 }
 
-// Within reports whether a request keeps to the sizes.
+// Within reports whether no part of a request is larger than the sizes allow.
 func (s Sizes) Within(f *Facts) bool {
 	headers := f.HeaderBytes
 	if headers == 0 || headers > s.Headers {
@@ -56,12 +56,12 @@
 	return headers <= s.Headers && len(f.Path) <= s.Path && query <= s.Query
 }
 
-// valueBytes counts the bytes of all names and values, with some more for each value.
-func valueBytes(values map[string][]string, more int) int {
+// valueBytes counts the bytes of all names and values, and adds extra bytes for each value.
+func valueBytes(values map[string][]string, extra int) int {
 	total := 0
 	for name, list := range values {
 		for _, value := range list {
-			total += len(name) + len(value) + more
+			total += len(name) + len(value) + extra
 		}
 	}
 	return total
--- a/internal/rules/expression/functions.go
+++ b/internal/rules/expression/functions.go
@@ -13,13 +13,14 @@
 	"github.com/expr-lang/expr"
 )
 
-// functionCost is the worst-case cost of a function in estimated nanoseconds: a base, and a share for each byte of its
-// first argument.
+// functionCost is the worst-case cost of calling a function, in estimated nanoseconds: base, and perByte for each byte
+// of its first argument.
 type functionCost struct {
 	base    int
 	perByte float64
 }
 
+// functionCosts holds the costs of the functions that programs call, by the names that the rewriter writes.
 var functionCosts = map[string]functionCost{
 	"header":     {base: 120},
 	"headerOr":   {base: 120},
@@ -37,7 +38,7 @@
 	"trim":       {base: 80, perByte: 0.5},
 	"lower":      {base: 100, perByte: caseCostPerByte},
 	"upper":      {base: 100, perByte: caseCostPerByte},
-	"glob":       {base: 400}, // costEstimator adds a share for the length of the pattern
+	"glob":       {base: 400}, // and globCostPerBytePair, which the costEstimator adds
 	"hash":       {base: 250, perByte: 0.12},
 	"hashOf2":    {base: 300, perByte: 0.12},
 	"hashOf3":    {base: 400, perByte: 0.12},
@@ -52,7 +53,7 @@
 	"millis":     {base: 40},
 }
 
-// maxParsedBytes bounds a text that is parsed as a number, a time or a duration.
+// maxParsedBytes bounds the length of a text that is parsed as a number, a time or a duration.
 const maxParsedBytes = 64
 
 // bindHeaderFunctions sets the functions that read headers.
@@ -119,7 +120,7 @@
 	}
 }
 
-// bindTextFunctions sets the functions that take texts.
+// bindTextFunctions sets the functions that transform, match or parse texts.
 func (e *environment) bindTextFunctions() {
 	e.Trim = func(text string) string {
 		e.charge("trim", len(text))
@@ -150,7 +151,7 @@
 	}
 }
 
-// hash returns the 16 hex digits of XXH64 over the parts as if they were joined.
+// hash returns XXH64 over the parts, as if they were joined, in 16 hex digits.
 func (e *environment) hash(parts ...string) string {
 	digest := xxhash.NewWithSeed(e.seed)
 	length := 0
@@ -164,7 +165,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// boundedText returns a text that may be parsed, and raises a fault for one that is too long.
+// boundedText returns the text unchanged if it is short enough to be parsed. Otherwise it raises a fault.
 func boundedText(text string) string {
 	if len(text) > maxParsedBytes {
 		raise(CauseUnparsable, "no more than %d characters in place of %.64q", maxParsedBytes, text)
@@ -172,17 +173,18 @@
 	return text
 }
 
-// canonicalHeader returns the name of a header as http.Header stores it.
+// canonicalHeader returns the name of a header in the form in which http.Header stores it.
 func canonicalHeader(name string) string { return textproto.CanonicalMIMEHeaderKey(name) }
 
 // environmentFunction is a function that gets the environment as its first argument.
 type environmentFunction struct {
-	call      func(e *environment, args []any) any // args are those that the file writes
-	signature any                                  // a pointer to the type of the whole function
+	call      func(e *environment, args []any) any // args are those in the rule file
+	signature any                                  // a pointer to the function type, with the environment
 }
 
-// environmentFunctions have signatures that the library would call by reflection, which takes a microsecond and
-// several allocations. As functions of the library they are called without; the rewriter passes them the environment.
+// environmentFunctions are functions whose signatures the library would call by reflection if they were fields of the
+// environment. That takes a microsecond and several allocations. The library calls them without reflection if they are
+// declared by expr.Function; the rewriter then passes the environment as their first argument.
 var environmentFunctions = map[string]environmentFunction{
 	"first":      {callFirst, new(func(*environment, string, int) string)},
 	"field":      {callField, new(func(*environment, string, string, int) string)},
@@ -197,7 +199,7 @@
 	"millis":     {callMillis, new(func(*environment, int) time.Duration)},
 }
 
-// environmentFunctionOptions are the options by which the library knows them.
+// environmentFunctionOptions declare the environmentFunctions to the library.
 var environmentFunctionOptions = func() []expr.Option {
 	var options []expr.Option
 	for name, function := range environmentFunctions {
--- a/internal/rules/expression/predicate.go
+++ b/internal/rules/expression/predicate.go
@@ -8,15 +8,15 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// Predicate is a condition over values of T in the language of the rules: with the same operators, types and faults,
-// but without loops and functions, so that the length of its text bounds its cost.
+// Predicate is a condition over values of T in a subset of the language of the rules. It may not contain loops,
+// functions or operators whose cost depends on their operands, so that the length of its text bounds its cost.
 type Predicate[T any] struct {
 	Source string
 	code   *vm.Program
 }
 
-// CompilePredicate compiles a condition. T is a struct whose fields are named by `expr` tags. The error is a
-// *SourceError.
+// CompilePredicate compiles a condition. T is a struct whose `expr` tags give the names that the condition may use. The
+// error is a *SourceError.
 func CompilePredicate[T any](source string) (*Predicate[T], error) {
 	if err := checkSource(source); err != nil {
 		return nil, err
@@ -36,20 +36,23 @@
 	checker := simpleConditionChecker{}
 	ast.Walk(&tree, &checker)
 	if checker.err != nil {
-		return nil, checker.err.in(source)
+		return nil, checker.err.toSourceError(source)
 	}
 	return &Predicate[T]{Source: source, code: code}, nil
 }
 
 // Holds evaluates the condition. A condition that fails, for instance by a division by zero, does not hold.
-func (o *Predicate[T]) Holds(value T) bool {
-	result, err := expr.Run(o.code, value)
+func (p *Predicate[T]) Holds(value T) bool {
+	result, err := expr.Run(p.code, value)
 	holds, ok := result.(bool)
 	return err == nil && ok && holds
 }
 
-// simpleConditionChecker finds what could cost more than its own text: lists, ranges, loops and functions.
-type simpleConditionChecker struct{ err *locatedError }
+// simpleConditionChecker finds parts of a condition whose cost is not bounded by the length of their text: lists,
+// ranges, loops, functions and costlyOperators. It rejects literal texts, too.
+type simpleConditionChecker struct {
+	err *locatedError // the first one; nil: none
+}
 
 // costlyOperators are the operators whose cost depends on their operands.
 var costlyOperators = []string{"..", "in", "matches", "contains", "startsWith", "endsWith", "**", "^"}
@@ -67,7 +70,7 @@
 		}
 	}
 	if c.err == nil {
-		const message = "a condition is made of numbers, names, comparisons, arithmetic, and, or, not"
+		const message = "a condition may contain only numbers, names, comparisons, arithmetic, and, or and not"
 		c.err = newLocatedError(*node, message)
 	}
 }
--- a/internal/rules/expression/rewriter.go
+++ b/internal/rules/expression/rewriter.go
@@ -9,11 +9,11 @@
 	"github.com/expr-lang/expr/ast"
 )
 
-// environmentName is the name of the environment itself, which functions of environmentFunctions get as their first
-// argument.
+// environmentName is the name by which the environment refers to itself, so that the rewriter can pass it to the
+// environmentFunctions.
 const environmentName = "meter"
 
-// hiddenNames are names of the environment that no file may use: the rewriter puts them in place of others.
+// hiddenNames are names of the environment that no rule file may use: the rewriter writes them in place of others.
 var hiddenNames = []string{
 	"headerOr", "queryOr",
 	"letString", "letInt", "letBool",
@@ -21,12 +21,14 @@
 	environmentName, "$env",
 }
 
-// rewriter replaces names of a rule file by what the environment provides, and rejects what must be checked at load.
+// rewriter replaces the names and functions of the language that the environment does not provide in the same form, and
+// checks what the library does not check when it compiles, such as patterns and time zones.
 type rewriter struct {
 	scope Scope
-	err   *locatedError // the first one
+	err   *locatedError // the first one; nil: none
 }
 
+// fail records an error at a node unless there is one already.
 func (r *rewriter) fail(node ast.Node, format string, args ...any) {
 	if r.err == nil {
 		r.err = newLocatedError(node, format, args...)
@@ -50,17 +52,19 @@
 	}
 }
 
-// replace puts a node in the place of another, at the same location of the source.
+// replace replaces a node by another, which gets the location of the first in the source.
 func replace(node *ast.Node, by ast.Node) {
 	by.SetLocation((*node).Location())
 	*node = by
 }
 
+// callOf returns the syntax tree of a function call.
 func callOf(function string, arguments ...ast.Node) *ast.CallNode {
 	return &ast.CallNode{Callee: &ast.IdentifierNode{Value: function}, Arguments: arguments}
 }
 
-// rewriteIdentifier replaces named expressions and constants, and rejects names that are not known yet.
+// rewriteIdentifier replaces the names of named expressions and constants. It rejects hidden names, and names whose
+// values are not known yet when the expression is evaluated.
 func (r *rewriter) rewriteIdentifier(node *ast.Node, n *ast.IdentifierNode) {
 	if program := r.scope.Lets[n.Value]; program != nil {
 		getters := map[Type]string{String: "letString", Int: "letInt", Bool: "letBool"}
@@ -109,8 +113,8 @@
 	return nil
 }
 
-// passEnvironment makes the environment the first argument of a function that needs it. The callee is read again, as
-// rewriteCall may have replaced it.
+// passEnvironment inserts the environment as the first argument of a call of one of the environmentFunctions. It reads
+// the callee again, because rewriteCall may have replaced it.
 func (r *rewriter) passEnvironment(n *ast.CallNode) {
 	callee, ok := n.Callee.(*ast.IdentifierNode)
 	if !ok || environmentFunctions[callee.Value].call == nil {
@@ -120,7 +124,7 @@
 	n.Arguments = append([]ast.Node{environment}, n.Arguments...)
 }
 
-// checkPattern checks the regular expression of the operator matches.
+// checkPattern checks that the right operand of the operator matches is a valid regular expression.
 func (r *rewriter) checkPattern(n *ast.BinaryNode) {
 	if n.Operator != "matches" {
 		return
@@ -135,7 +139,8 @@
 	}
 }
 
-// constantArguments are the positions at which a function requires a constant, so that it can be checked at load.
+// constantArguments are the positions, counted from 0, of the arguments that must be constants, so that they can be
+// checked at load.
 var constantArguments = map[string][]int{
 	"header":   {0},
 	"headers":  {0},
@@ -154,12 +159,12 @@
 	"default":  {1},
 }
 
-// rewriteCall checks the constant arguments of a call and replaces calls that only files know. Arguments that are
-// missing or too many are left to the library, which reports them.
+// rewriteCall checks the constant arguments of a call and replaces calls of functions that the environment does not
+// provide in the same form. The library reports calls with too few or too many arguments.
 func (r *rewriter) rewriteCall(node *ast.Node, n *ast.CallNode, function string) {
 	for _, i := range constantArguments[function] {
 		if i < len(n.Arguments) && !isConstant(n.Arguments[i]) {
-			r.fail(n.Arguments[i], "%s requires a constant here", function)
+			r.fail(n.Arguments[i], "%s requires a constant as argument %d", function, i+1)
 			return
 		}
 	}
@@ -190,6 +195,7 @@
 	}
 }
 
+// isConstant reports whether a node is a literal text or a literal whole number.
 func isConstant(n ast.Node) bool {
 	switch n.(type) {
 	case *ast.StringNode, *ast.IntegerNode:
@@ -198,7 +204,7 @@
 	return false
 }
 
-// textArgument returns an argument that is a constant text; empty if it is missing or something else.
+// textArgument returns the argument at position i, counted from 0, if it is a constant text; otherwise "".
 func textArgument(n *ast.CallNode, i int) string {
 	if i >= len(n.Arguments) {
 		return ""
@@ -210,7 +216,7 @@
 	return text.Value
 }
 
-// rewriteHeader makes the header's name canonical. In a condition, a missing header reads as "".
+// rewriteHeader replaces the name of a header by its canonical form. In a condition, a missing header reads as "".
 func (r *rewriter) rewriteHeader(n *ast.CallNode, function string) {
 	if len(n.Arguments) != 1 {
 		return
@@ -223,7 +229,8 @@
 	}
 }
 
-// addFallback turns a call with one argument into one that returns another value where the first is missing.
+// addFallback replaces a call with one argument by a call of the given function, which returns the fallback if the
+// request does not have what the call reads.
 func (r *rewriter) addFallback(n *ast.CallNode, function string, fallback ast.Node) {
 	if len(n.Arguments) != 1 {
 		return
@@ -232,7 +239,7 @@
 	n.Arguments = append(n.Arguments, fallback)
 }
 
-// rewriteDefault turns default(header(NAME), VALUE) into headerOr(NAME, VALUE), and the same for query.
+// rewriteDefault replaces default(header(NAME), VALUE) by headerOr(NAME, VALUE), and likewise for query.
 func (r *rewriter) rewriteDefault(node *ast.Node, n *ast.CallNode) {
 	inner, function := innerCall(n)
 	switch {
@@ -240,14 +247,15 @@
 		r.addFallback(inner, function+"Or", n.Arguments[1])
 		*node = inner
 	case (function == "headerOr" || function == "queryOr") && len(inner.Arguments) == 2:
-		inner.Arguments[1] = n.Arguments[1] // A condition has given it the fallback "" already.
+		inner.Arguments[1] = n.Arguments[1] // In a condition, the call already has the fallback "".
 		*node = inner
 	default:
 		r.fail(n, "default requires header(NAME) or query(NAME) and a constant")
 	}
 }
 
-// innerCall returns the call that is the first of two arguments, and the name of its function; nil if there is none.
+// innerCall returns the call that is the first argument of a call with two, and the name of its function. It returns
+// nil if there is none.
 func innerCall(n *ast.CallNode) (inner *ast.CallNode, function string) {
 	if len(n.Arguments) != 2 {
 		return nil, ""
@@ -263,7 +271,7 @@
 	return inner, callee.Value
 }
 
-// rewriteParam turns the name of a segment into its number.
+// rewriteParam replaces param(NAME) by segment(NUMBER).
 func (r *rewriter) rewriteParam(node *ast.Node, n *ast.CallNode) {
 	name := textArgument(n, 0)
 	i, ok := r.scope.Params[name]
@@ -274,10 +282,11 @@
 	replace(node, callOf("segment", &ast.IntegerNode{Value: i}))
 }
 
-// maxHashParts is the number of texts that the functions behind hash take at most.
+// maxHashParts is the highest number of texts that the functions hashOf2, hashOf3 and hashOf4 take.
 const maxHashParts = 4
 
-// splitHash has the parts of a joined text hashed one after another: joining 64 KiB costs more than hashing them.
+// splitHash replaces the hash of joined texts by a function that takes the texts as separate arguments and hashes them
+// one after another, because joining 64 KiB costs more than hashing them.
 func splitHash(n *ast.CallNode) {
 	if len(n.Arguments) != 1 {
 		return
@@ -290,7 +299,7 @@
 	n.Arguments = parts
 }
 
-// joinedParts adds the operands of a chain of + to parts.
+// joinedParts appends the operands of a chain of + to parts.
 func joinedParts(n ast.Node, parts []ast.Node) []ast.Node {
 	if join, ok := n.(*ast.BinaryNode); ok && join.Operator == "+" {
 		return joinedParts(join.Right, joinedParts(join.Left, parts))
@@ -298,12 +307,13 @@
 	return append(parts, n)
 }
 
+// checkField checks the separator and the number of a call of field.
 func (r *rewriter) checkField(n *ast.CallNode) {
 	if len(n.Arguments) != 3 {
 		return
 	}
 	number, ok := n.Arguments[2].(*ast.IntegerNode)
 	if textArgument(n, 1) == "" || !ok || number.Value < 0 {
-		r.fail(n, "field requires a text, a separator and the number of a part, counted from 0")
+		r.fail(n, "field requires a non-empty separator and the number of a part, counted from 0")
 	}
 }
--- a/internal/rules/expression/time_functions.go
+++ b/internal/rules/expression/time_functions.go
@@ -44,7 +44,7 @@
 
 func callMillis(_ *environment, args []any) any { return durationOf(args[0].(int), time.Millisecond) }
 
-// durationOf returns a number of units, up to a day.
+// durationOf returns the duration of n units. It raises a fault for a duration below 0 or above a day.
 func durationOf(n int, unit time.Duration) time.Duration {
 	if n < 0 || n > int(24*time.Hour/unit) {
 		raise(CauseUnparsable, "from 0 to a day in place of %d × %v", n, unit)
@@ -52,7 +52,8 @@
 	return time.Duration(n) * unit
 }
 
-// timeInZone returns the time args[0] in the zone args[1], which the rewriter has found at load.
+// timeInZone returns the time args[0] in the zone named by args[1]. The rewriter has checked at load that the zone
+// exists.
 func timeInZone(args []any) time.Time {
 	zone, err := loadZone(args[1].(string))
 	if err != nil {
@@ -64,7 +65,7 @@
 // zones caches time zones by name. Names are constants of rule files, which bounds their number.
 var zones sync.Map
 
-// loadZone finds a time zone by its name.
+// loadZone returns the time zone with the given name, such as Europe/Zagreb.
 func loadZone(name string) (*time.Location, error) {
 	if cached, ok := zones.Load(name); ok {
 		return cached.(*time.Location), nil
--- a/internal/rules/expression/types.go
+++ b/internal/rules/expression/types.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Type is the type of an expression's value.
+// Type is the type of an expression's value, by the name that error messages use.
 type Type string
 
 // The types of values.
@@ -23,7 +23,7 @@
 	timeType     = reflect.TypeFor[time.Time]()
 )
 
-// typeOf returns the Type that stands for a Go type; empty if there is none.
+// typeOf returns the Type that corresponds to a Go type, or "" if there is none.
 func typeOf(t reflect.Type) Type {
 	switch {
 	case t == nil:
--- a/internal/rules/fuzz_test.go
+++ b/internal/rules/fuzz_test.go
@@ -8,7 +8,7 @@
 	"reachpulley/internal/configfile"
 )
 
-// Whatever a rule file says, loading it gives a set or faults with positions, and a set evaluates any request.
+// Loading any rule file gives either a set that evaluates any request, or a list of faults.
 func FuzzLoad(f *testing.F) {
 	example, err := os.ReadFile("../../examples/rules.toml")
 	if err != nil {
@@ -26,7 +26,7 @@
 		if err != nil {
 			var faults configfile.Faults
 			if !errors.As(err, &faults) || len(faults) == 0 {
-				t.Fatalf("%v", err)
+				t.Fatalf("the error is not a list of faults: %v", err)
 			}
 			return
 		}
@@ -36,12 +36,13 @@
 	})
 }
 
+// Parsing any text gives either an error or a request with a method and a header map.
 func FuzzParseRequest(f *testing.F) {
 	f.Add("GET /a?b=c HTTP/1.1\r\nHost: h\r\nArrival: 2026-12-01T00:00:00Z\r\n\r\n")
 	f.Add(`{"method":"PUT","target":"/a","headers":{"X":["y"]},"length":-5}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		if f, err := ParseRequest(text); err == nil && (f.Method == "" || f.Header == nil) {
-			t.Errorf("%q gives %+v", text, f)
+			t.Errorf("%q gives a request without a method or headers: %+v", text, f)
 		}
 	})
 }
--- a/internal/rules/index_test.go
+++ b/internal/rules/index_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Every run draws the same cases.
+// Every run of the tests draws the same cases.
 func init() { flag.Set("rapid.seed", "1") }
 
 var (
@@ -23,7 +23,7 @@
 	})
 )
 
-// drawRule draws a rule that sets the number of hosts to one of its own.
+// drawRule draws a rule that sets hosts to a value that no other rule sets.
 func drawRule(t *rapid.T, number int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[[rule]]\nname = 'r%d'\nstage = 'key'\npath = '%s'\n", number, drawnPaths.Draw(t, "path"))
@@ -35,8 +35,8 @@
 	return text.String()
 }
 
-// drawSet draws a file of rules whose conditions overlap in many ways. Rules that can never match, as the loader
-// reports, are left out.
+// drawSet draws a file of rules whose conditions overlap in many ways. Rules that the loader rejects because they can
+// never match are left out.
 func drawSet(t *rapid.T) *Set {
 	text := "budget = 1000000\n"
 	var set *Set
@@ -58,8 +58,8 @@
 	return set
 }
 
-// The index must find what trying all rules finds, whatever the rules and the request are, and no request may cost more
-// than was estimated at load.
+// For any rules and any request, the index must lead to the same result as trying all rules, and the request must not
+// cost more than was estimated at load.
 func TestIndexEqualsScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := drawSet(t)
@@ -76,7 +76,7 @@
 			got, err := set.evaluateBy(indexCandidates, f)
 			want, wantErr := set.evaluateBy(allCandidates, f)
 			if fmt.Sprint(err) != fmt.Sprint(wantErr) || got.Hosts != want.Hosts || got.By[Hosts] != want.By[Hosts] {
-				t.Fatalf("index %d (%v), scan %d (%v)", got.Hosts, err, want.Hosts, wantErr)
+				t.Fatalf("hosts by the index %d (%v), by trying all rules %d (%v)", got.Hosts, err, want.Hosts, wantErr)
 			}
 			if got.Cost > set.Cost {
 				t.Fatalf("cost %d, estimated at most %d", got.Cost, set.Cost)
@@ -103,7 +103,7 @@
 				r, err := set.evaluate(request("GET", path))
 				want := strings.Contains(" "+paths.matching+" ", " "+path+" ")
 				if err != nil || r.Has[Hosts] != want {
-					t.Errorf("%q matches %s: %v", template, path, r.Has[Hosts])
+					t.Errorf("%q matches %s: %v, want %v (error %v)", template, path, r.Has[Hosts], want, err)
 				}
 			}
 		})
@@ -113,7 +113,7 @@
 	} {
 		t.Run(fmt.Sprintf("invalid %.20s", template), func(t *testing.T) {
 			if _, err := parsePathTemplate(template); err == nil {
-				t.Errorf("%q is a valid template", template)
+				t.Errorf("%q is accepted as a template", template)
 			}
 		})
 	}
--- a/internal/rules/load_test.go
+++ b/internal/rules/load_test.go
@@ -10,32 +10,32 @@
 	"reachpulley/internal/configfile"
 )
 
-// readClass sets the class that only reads.
+// readClass is a line of a rule that sets the class that only reads.
 const readClass = `set.class = '"sheet-read"'`
 
-// classifyRule is a rule named a of the stage classify with further lines.
+// classifyRule returns a rule named a of the stage classify with further lines.
 func classifyRule(lines ...string) string {
 	return "[[rule]]\nname = 'a'\nstage = 'classify'\n" + strings.Join(lines, "\n")
 }
 
-// keyRule is a rule named a of the stage key with further lines.
+// keyRule returns a rule named a of the stage key with further lines.
 func keyRule(lines ...string) string {
 	return "[[rule]]\nname = 'a'\nstage = 'key'\n" + strings.Join(lines, "\n")
 }
 
-// faultyFile is the text of a rule file and a part of its only fault; empty if it has none.
+// faultyFile is the text of a rule file and a part of its only fault. If want is empty, the file has no fault.
 type faultyFile struct{ text, want string }
 
 var faultyExpressions = map[string]faultyFile{
-	"syntax": {
+	"a syntax error": {
 		classifyRule(`when = 'method =='`, readClass),
 		"r.toml:4:17: rule[0].when: unexpected token EOF",
 	},
-	"types": {
+	"operands of different types": {
 		classifyRule(`when = 'method == 5'`, readClass),
 		"r.toml:4:16: rule[0].when: invalid operation: == (mismatched types string and int)",
 	},
-	"a condition's type": {
+	"a condition that is not a bool": {
 		classifyRule(`when = 'method'`, readClass),
 		"r.toml:4:9: rule[0].when: the expression is a string, want bool",
 	},
@@ -57,7 +57,7 @@
 	},
 	"a computed zone": {
 		keyRule("set.key = 'hash(date(arrival, path))'"),
-		"rule[0].set.key: date requires a constant here",
+		"rule[0].set.key: date requires a constant as argument 2",
 	},
 	"an invalid pattern": {
 		classifyRule(`when = 'path matches "("'`, readClass),
@@ -67,7 +67,7 @@
 		classifyRule(`when = 'header("X") matches "^(a+)+$"'`, readClass),
 		"more than the budget of 20000 (estimated nanoseconds a request); the costliest expression costs",
 	},
-	"a parameter of no segment": {
+	"a parameter that the path does not name": {
 		keyRule("path = '/x/{y}'", "set.key = 'hash(param(\"z\"))'"),
 		"rule[0].set.key: the rule's path has no segment {z}",
 	},
@@ -79,17 +79,17 @@
 		classifyRule(`when = 'any(1..100000, # > 0)'`, readClass),
 		"rule[0].when: ",
 	},
-	"deep nesting": {
+	"deep nesting that is allowed": {
 		classifyRule(`when = '`+strings.Repeat("(", 2000)+"true"+strings.Repeat(")", 2000)+`'`, readClass),
 		"",
 	},
-	"deeper nesting": {
+	"nesting that is too deep": {
 		classifyRule(`when = '`+strings.Repeat("!", 4000)+`true'`, readClass),
 		"rule[0].when: ",
 	},
-	"a huge literal": {
+	"an expression that is too long": {
 		classifyRule(`when = 'path == "`+strings.Repeat("x", 5000)+`"'`, readClass),
-		"rule[0].when: the expression has 5010 characters, more than 4096",
+		"rule[0].when: the expression has 5010 bytes, more than the limit of 4096",
 	},
 }
 
@@ -120,7 +120,7 @@
 		classifyRule(`when = 'false'`, readClass),
 		"rule a can never match: its condition is always false",
 	},
-	"a path": {
+	"a path that does not begin with a slash": {
 		classifyRule(`path = 'x'`, readClass),
 		`rule[0].path: "x" does not begin with /`,
 	},
@@ -136,20 +136,21 @@
 		strings.Replace(classifyRule(readClass), "classify", "clasify", 1),
 		`rule[0].stage: "clasify" is none of normalise, classify, key; did you mean "classify"?`,
 	},
-	"nothing set": {
+	"a rule that sets nothing": {
 		classifyRule(),
 		"rule[0]: rule a sets nothing",
 	},
-	"a later version": {
+	"a later version of the file format": {
 		"version = 2",
 		"version: 2 is not supported",
 	},
-	"an unknown key": {
+	"an unknown key of a rule": {
 		classifyRule("wenn = 'x'", readClass),
 		`rule[0].wenn: unknown key; did you mean "when"?`,
 	},
 }
 
+// Loading reports the one fault of each file, with its position and what is wrong.
 func TestFaultsAtLoad(t *testing.T) {
 	for _, files := range []map[string]faultyFile{faultyExpressions, faultyRules} {
 		for name, file := range files {
@@ -163,13 +164,14 @@
 				}
 				var faults configfile.Faults
 				if !errors.As(err, &faults) || len(faults) != 1 || !strings.Contains(err.Error(), file.want) {
-					t.Errorf("%v", err)
+					t.Errorf("error %v, want one fault that contains %q", err, file.want)
 				}
 			})
 		}
 	}
 }
 
+// Loading reports all faults of a file at once, each with its position and its line.
 func TestAllFaultsOfAFileAtOnce(t *testing.T) {
 	_, err := Parse("r.toml", []byte(`[[rule]]
 name = "a"
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -24,6 +24,7 @@
 	Sizes: scheduler.Sizes{MaxUnits: 8},
 }
 
+// parse returns the set of a rule file, which must have no faults.
 func parse(t testing.TB, text string) *Set {
 	t.Helper()
 	set, err := Parse("r.toml", []byte(text), settings)
@@ -33,9 +34,10 @@
 	return set
 }
 
-// evaluate takes one request through the stages.
+// evaluate runs all stages for one request.
 func (s *Set) evaluate(f *expression.Facts) (Result, error) { return s.evaluateBy(indexCandidates, f) }
 
+// evaluateBy runs all stages for one request, with the candidates that find returns.
 func (s *Set) evaluateBy(find candidateFinder, f *expression.Facts) (Result, error) {
 	evaluation := s.begin(f, find, nil)
 	result, err := evaluation.Apply()
@@ -43,7 +45,7 @@
 	return result, err
 }
 
-// allCandidates finds all rules. The index must lead to the same results.
+// allCandidates is a candidateFinder that returns all rules. The index must lead to the same results.
 func allCandidates(index *ruleIndex, _ *expression.Facts, evaluator *pooledEvaluator) []int {
 	evaluator.candidates = evaluator.candidates[:0]
 	for i := range index.rules {
@@ -52,7 +54,7 @@
 	return evaluator.candidates
 }
 
-// request returns a request with headers, given as names and values.
+// request returns a request with headers, which are given as alternating names and values.
 func request(method, target string, headers ...string) *expression.Facts {
 	u, err := url.Parse(target)
 	if err != nil {
@@ -110,18 +112,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// It is past midnight in Zagreb: the date is that of the zone, not of UTC.
+	// When the request arrives, it is past midnight in Zagreb but not yet in UTC. The date must be that of Zagreb.
 	want := "0 1 1s 2 " + hash("bridge") + " " + hash("bridge/2026-12-02") + " 0"
 	got := fmt.Sprint(r.Class, r.Plan, r.Deadline, r.Units, " ", r.Volume, " ", r.Key, " ", r.Shard)
 	if got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
 	if r.By[Key].Name != "project and date" {
-		t.Error(r.By[Key].Name)
+		t.Errorf("the key was set by rule %q, want %q", r.By[Key].Name, "project and date")
 	}
 }
 
-// hash is the function of the language.
+// hash returns the value of the language's function hash.
 func hash(text string) string {
 	scope := expression.Scope{Sizes: expression.DefaultSizes}
 	program, err := expression.Compile(fmt.Sprintf("hash(%q)", text), scope, expression.String)
@@ -137,7 +139,7 @@
 func TestFaultsOfARequest(t *testing.T) {
 	const tooLarge = "rule any: the request: wants headers, path and query within the sizes that the rules declare"
 	for name, test := range map[string]struct {
-		old, new string // a change of sheetRules
+		old, new string // a replacement in sheetRules
 		request  *expression.Facts
 		want     string
 		cause    expression.Cause
@@ -159,14 +161,14 @@
 			want:    `rule writes: class: wants a class of the settings in place of "none"`,
 			cause:   expression.CauseUnparsable,
 		},
-		"more units than the largest request has": {
+		"more units than the settings allow": {
 			old:     `length > 100 ? 2 : 1`,
 			new:     `toInt(header("X-Units"))`,
 			request: request("PUT", "/api/a/1", "X-Units", "9"),
 			want:    "rule writes: units: wants units above 0 and up to 8 in place of 9",
 			cause:   expression.CauseUnparsable,
 		},
-		"headers beyond the sizes": {
+		"headers larger than the declared sizes": {
 			request: request("GET", "/api/a/1", "X-Big", strings.Repeat("x", 64<<10)),
 			want:    tooLarge,
 			cause:   expression.CauseTooLarge,
@@ -176,7 +178,7 @@
 			_, err := parse(t, strings.Replace(sheetRules, test.old, test.new, 1)).evaluate(test.request)
 			var fault RuleFault
 			if !errors.As(err, &fault) || err.Error() != test.want || fault.Fault.Cause != test.cause {
-				t.Errorf("%v", err)
+				t.Errorf("error %v, want %s", err, test.want)
 			}
 		})
 	}
@@ -195,10 +197,11 @@
 set = { class = '"sheet-read"' }`)
 	r, err := set.evaluate(request("GET", "/", "X-Units", "many"))
 	if err != nil || r.Class != 0 || r.Has[Units] || len(r.Faults) != 1 || r.Faults[0].Rule.Name != "one" {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("result %+v, error %v; want only the class of rule two, and one fault", r, err)
 	}
 }
 
+// An evaluator that is reused must not give a request the values of the previous one.
 func TestPooledEvaluatorKeepsNothingOfARequest(t *testing.T) {
 	set := parse(t, sheetRules)
 	first, err := set.evaluate(request("GET", "/api/one/1", "X-Project", "one", "X-Crew", "c"))
