--- a/internal/rules/engine/report.go
+++ b/internal/rules/engine/report.go
@@ -8,7 +8,7 @@
 // reportInterval is the time between two reports of the counts in the log.
 const reportInterval = time.Minute
 
-// maxCounts bounds the number of distinct countKeys, as the pairs beyond it are counted together.
+// maxCounts bounds the number of distinct countKeys. Events with further keys are counted together, by otherCounts.
 const maxCounts = 4096
 
 // countKey identifies a kind of event that is counted.
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -13,7 +13,7 @@
 	Rejected  string            `json:"refused,omitempty"` // the error, if the request must be rejected
 	Limits    map[string]string `json:"limits,omitempty"`  // by limit: the key by which it counts the request
 	Cost      int               `json:"cost"`              // as counted, in estimated nanoseconds
-	WorstCase int               `json:"worst"`             // estimated for any request, in nanoseconds
+	WorstCase int               `json:"worst"`             // highest cost of any request, estimated at load
 }
 
 // TriedRule records how a rule or limit was evaluated.
--- a/internal/rules/expression/compile.go
+++ b/internal/rules/expression/compile.go
@@ -21,7 +21,7 @@
 	Sizes         Sizes               // the largest sizes of a request, which bound costs
 	Constants     map[string]any      // string, bool, int64, float64 or a list of strings
 	Lets          map[string]*Program // named expressions
-	LetIndex      map[string]int      // the number of each named expression, as passed to NewEvaluator
+	LetIndex      map[string]int      // the index of each in the slice that NewEvaluator gets
 	Params        map[string]int      // the number of each segment that the rule's path names
 	Condition     bool                // a missing header or query parameter reads as "" instead of being a fault
 	ClientKnown   bool                // the stage that identifies the client has run
--- a/internal/rules/expression/expression_test.go
+++ b/internal/rules/expression/expression_test.go
@@ -180,8 +180,8 @@
 	})
 }
 
-// In a condition, a missing header or query parameter is no fault: a fault would reject the request before the rules
-// after it are tried.
+// In a condition, a missing header or query parameter is not a fault. A fault would keep the rules after it from being
+// tried.
 func TestMissingValuesAreEmptyInConditions(t *testing.T) {
 	for source, want := range map[string]bool{
 		`header("X-B") == ""`:  true,
--- a/internal/rules/file.go
+++ b/internal/rules/file.go
@@ -5,9 +5,9 @@
 // ruleFile is the content of a rule file.
 type ruleFile struct {
 	Version int              `toml:"version"`
-	Seed    uint64           `toml:"seed"`   // of the function hash
-	Budget  int              `toml:"budget"` // the highest worst-case cost allowed, in estimated nanoseconds
-	OnFault string           `toml:"on_fault"`
+	Seed    uint64           `toml:"seed"`     // of the function hash
+	Budget  int              `toml:"budget"`   // the highest worst-case cost allowed, in estimated nanoseconds
+	OnFault string           `toml:"on_fault"` // for rules and limits that do not have their own
 	Sizes   expression.Sizes `toml:"sizes"`
 	Const   map[string]any   `toml:"const"`
 	Let     []letEntry       `toml:"let"`
@@ -24,13 +24,13 @@
 
 // ruleEntry is a rule of a rule file.
 type ruleEntry struct {
-	Name      string            `toml:"name"`
-	Stage     string            `toml:"stage"`
-	Path      string            `toml:"path"`
-	Condition string            `toml:"when"`
-	Set       map[string]string `toml:"set"`
-	Wins      bool              `toml:"wins"`
-	OnFault   string            `toml:"on_fault"`
+	Name             string            `toml:"name"`
+	Stage            string            `toml:"stage"`
+	Path             string            `toml:"path"`
+	Condition        string            `toml:"when"`
+	Set              map[string]string `toml:"set"`
+	OverridesHeaders bool              `toml:"wins"` // whether its values override the platform's headers
+	OnFault          string            `toml:"on_fault"`
 }
 
 // limitEntry is a limit of a rule file.
@@ -38,11 +38,11 @@
 	Name      string  `toml:"name"`
 	Condition string  `toml:"when"`
 	Key       string  `toml:"key"`
-	Rate      float64 `toml:"rate"`
-	Burst     float64 `toml:"burst"`
-	Open      int     `toml:"open"`
-	Parent    string  `toml:"parent"`
-	Keys      int     `toml:"keys"`
+	Rate      float64 `toml:"rate"`   // requests per second
+	Burst     float64 `toml:"burst"`  // requests at once after an idle time
+	Open      int     `toml:"open"`   // requests open at a time
+	Parent    string  `toml:"parent"` // name of a limit that must admit the request as well
+	Keys      int     `toml:"keys"`   // number of keys that are counted exactly; 0: defaultKeys
 	Per       string  `toml:"per"`
 	OnFault   string  `toml:"on_fault"`
 }
@@ -75,7 +75,7 @@
 // per request.
 const defaultBudget = 20_000
 
-// defaultKeys is the number of keys that a limit counts exactly if it names no other.
+// defaultKeys is the number of keys that a limit counts exactly if the file does not say how many.
 const defaultKeys = 1 << 16
 
 // Bounds of what a rule file may hold.
--- a/internal/rules/load.go
+++ b/internal/rules/load.go
@@ -68,6 +68,7 @@
 	return l.set, l.faults.Err()
 }
 
+// newSet returns a Set without rules, with the names of classes and plans from the settings.
 func newSet(document *configfile.Document, settings scheduler.Settings) *Set {
 	digest := xxhash.New()
 	digest.Write(document.Text())
@@ -102,7 +103,7 @@
 		l.addFault("version", "%d is not supported; this program reads version %d", file.Version, fileVersion)
 	}
 	if file.Budget < 1 || file.Budget > maxBudget {
-		l.addFault("budget", "%d is not between 1 and %d", file.Budget, maxBudget)
+		l.addFault("budget", "%d is not between 1 and %d estimated nanoseconds a request", file.Budget, maxBudget)
 	}
 	l.checkOnFault("on_fault", file.OnFault)
 	l.checkSize("sizes.headers", file.Sizes.Headers)
@@ -128,18 +129,21 @@
 	}
 }
 
+// checkOnFault checks the value of a key on_fault.
 func (l *loader) checkOnFault(key, value string) {
 	if value != faultRejects && value != faultSkips {
 		l.addFault(key, "%q is neither %q nor %q", value, faultRejects, faultSkips)
 	}
 }
 
+// checkSize checks a declared size, in bytes.
 func (l *loader) checkSize(key string, size int) {
 	if size < minSize || size > maxSize {
 		l.addFault(key, "%d bytes is not between %d and %d bytes", size, minSize, maxSize)
 	}
 }
 
+// checkConstant checks the type of a constant.
 func (l *loader) checkConstant(name string, value any) {
 	switch v := value.(type) {
 	case string, bool, int64, float64:
--- a/internal/rules/load_rules.go
+++ b/internal/rules/load_rules.go
@@ -43,7 +43,7 @@
 	r := &Rule{
 		Name:             entry.Name,
 		Path:             entry.Path,
-		OverridesHeaders: entry.Wins,
+		OverridesHeaders: entry.OverridesHeaders,
 		Position:         l.position(key),
 	}
 	if !isIdentifier(strings.NewReplacer("-", "_", " ", "_").Replace(entry.Name)) {
--- a/internal/rules/parse_request.go
+++ b/internal/rules/parse_request.go
@@ -26,7 +26,7 @@
 	Arrival time.Time           `json:"arrival"`
 }
 
-// The defaults of a request that leaves these out.
+// Defaults for what a request leaves out.
 const (
 	defaultMethod = http.MethodGet
 	defaultFront  = "http"
--- a/internal/rules/result.go
+++ b/internal/rules/result.go
@@ -31,7 +31,8 @@
 	Fault *expression.Fault
 }
 
-// Error tells the client which rule requires what. Tests in rule files match parts of this text by their key refused.
+// Error tells the client which rule requires what. The key "refused" of tests in rule files matches parts of this text,
+// so its wording is stable.
 func (f RuleFault) Error() string {
 	return "rule " + f.Rule.Name + ": " + f.Field + ": wants " + f.Fault.Requirement
 }
