--- a/internal/frontend/httpfrontend/bench_test.go
+++ b/internal/frontend/httpfrontend/bench_test.go
@@ -15,7 +15,7 @@
 	"reachpulley/scheduler"
 )
 
-// promptLoop answers at once.
+// promptLoop is a Loop that answers every exchange at once.
 type promptLoop struct{}
 
 func (promptLoop) Open(x *exchange.Exchange) {
@@ -49,9 +49,9 @@
 // legacyRequest returns a request without any header of the platform.
 func legacyRequest() *http.Request { return httptest.NewRequest("GET", "/api/bridge/sheets/7", nil) }
 
-// BenchmarkFront measures one request through the frontend without a connection: without rules, with rules that are
+// BenchmarkFrontend measures one request through the frontend without a connection: without rules, with rules that are
 // not in force, and with the example's rules and limits for a request of the platform and for one of a legacy client.
-func BenchmarkFront(b *testing.B) {
+func BenchmarkFrontend(b *testing.B) {
 	text, err := os.ReadFile("../../../examples/rules.toml")
 	if err != nil {
 		b.Fatal(err)
@@ -70,10 +70,10 @@
 		rules   *engine.Engine
 		request func() *http.Request
 	}{
-		{name: "none", rules: nil, request: platformRequest},
-		{name: "off", rules: off, request: platformRequest},
-		{name: "on/platform", rules: on, request: platformRequest},
-		{name: "on/old-client", rules: on, request: legacyRequest},
+		{name: "no rules", rules: nil, request: platformRequest},
+		{name: "rules not in force", rules: off, request: platformRequest},
+		{name: "rules in force/platform", rules: on, request: platformRequest},
+		{name: "rules in force/legacy client", rules: on, request: legacyRequest},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			newID := func() string { return "1" }
@@ -83,7 +83,7 @@
 				w := httptest.NewRecorder()
 				f.ServeHTTP(w, c.request())
 				if w.Code != http.StatusOK && w.Code != http.StatusTooManyRequests {
-					b.Fatal(w.Code, w.Body)
+					b.Fatalf("got status %d with body %q, want 200 or 429", w.Code, w.Body)
 				}
 			}
 		})
--- a/internal/frontend/httpfrontend/client_conn.go
+++ b/internal/frontend/httpfrontend/client_conn.go
@@ -10,7 +10,7 @@
 	"reachpulley/internal/socketpeek"
 )
 
-// lingerTimeout bounds the time in stateLingering, in which the client can still receive what was sent.
+// lingerTimeout bounds the time in stateLingering, in which the client can still receive what has been sent.
 const lingerTimeout = time.Second
 
 // clientConn is a client's connection as http.Server sees it: reads come from its read-ahead, writes go to the
@@ -62,9 +62,9 @@
 	return true
 }
 
-// lingerLocked ends sending and lets the read-ahead discard input until the client ends its side, too. Closing at
-// once would reset the connection if there is unread input, and the client could lose a response that is still on its
-// way.
+// lingerLocked closes the sending side of the connection and lets the read-ahead discard input until the client closes
+// its side, too. Closing both sides at once would reset the connection if there is unread input, and the client could
+// lose a response that is still in transit.
 func (c *clientConn) lingerLocked() {
 	if c.state.closing() {
 		return
@@ -126,7 +126,7 @@
 // connContextKey is the context key of a request's *clientConn.
 type connContextKey struct{}
 
-// withConn is the http.Server's ConnContext.
+// withConn adds a connection to the context of its requests. It is the ConnContext of http.Server.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, conn)
 }
--- a/internal/frontend/httpfrontend/conn_state.go
+++ b/internal/frontend/httpfrontend/conn_state.go
@@ -13,7 +13,7 @@
 //
 // Readiness checks are answered without stateActive.
 //
-// States are ordered: from stateLingering on, a connection takes no requests any more.
+// States are ordered: from stateLingering on, a connection serves no further requests.
 type connState int
 
 const (
@@ -25,5 +25,5 @@
 	stateClosed
 )
 
-// closing reports whether the connection takes no requests any more.
+// closing reports whether the connection serves no further requests.
 func (s connState) closing() bool { return s >= stateLingering }
--- a/internal/frontend/httpfrontend/conn_tracker.go
+++ b/internal/frontend/httpfrontend/conn_tracker.go
@@ -10,21 +10,21 @@
 	minIdleBeforeEviction    = 2 * time.Second        // for connections whose last request a node served
 	minReadingBeforeEviction = 500 * time.Millisecond // for connections whose request is still arriving
 	maxNewDivisor            = 4                      // at most 1/4 of the connections may be in stateNew
-	keepAliveDivisor         = 3                      // connections are kept alive while 1/3 of the limit is in use
+	keepAliveDivisor         = 3                      // connections are kept alive while at most 1/3 are in use
 )
 
 // connTracker is the listener from which http.Server takes its connections. It owns them, bounds their number and
 // closes each of them in releaseLocked.
 //
 // It never stops accepting, since clients that connect and send nothing would then keep everybody else out. At the
-// limit it evicts the connection that is least useful instead.
+// limit it evicts the least useful connection instead.
 //
-// It alone orders closes and requests: a connection is closed either before its next request is begun or after that
-// request is answered. Its lock, mu, is taken before that of a connection's readAhead.
+// Its lock, mu, orders closes and requests: a connection is closed either before its next request is begun or after
+// that request is answered. mu is taken before the lock of a connection's readAhead.
 type connTracker struct {
 	net.Listener
 	maxConns int
-	maxNew   int // connections in stateNew
+	maxNew   int // maximum number of connections in stateNew
 
 	mu       sync.Mutex
 	draining bool          // the server is stopping: idle connections are closed
@@ -32,8 +32,8 @@
 	conns    map[*clientConn]bool
 
 	accepted int64
-	rejected int64 // accepted connections that were closed at once
-	evicted  int64 // connections that were closed in favour of others
+	rejected int64 // accepted connections that were closed at once, as the limit was reached
+	evicted  int64 // connections that were closed to make room for others
 }
 
 func newConnTracker(l net.Listener, maxConns int) *connTracker {
@@ -46,8 +46,8 @@
 	}
 }
 
-// Accept returns the next connection that is admitted. It starts the connection's read-ahead, which ends with the
-// connection.
+// Accept returns the next connection that is admitted. It starts the connection's read-ahead, which runs until the
+// connection ends.
 func (t *connTracker) Accept() (net.Conn, error) {
 	for {
 		conn, err := t.Listener.Accept()
@@ -137,8 +137,8 @@
 	return oldest
 }
 
-// evictLocked closes a connection in favour of another one and reports whether there was one to close. The goroutine
-// that serves it sees its read fail, or enterState fail if it has read a request in the same instant.
+// evictLocked closes a connection to make room for another one. It returns false if c is nil. In the goroutine that
+// serves the connection, the next read fails or, if that goroutine has just read a request, enterState does.
 func (t *connTracker) evictLocked(c *clientConn) bool {
 	if c == nil {
 		return false
@@ -149,7 +149,7 @@
 	return true
 }
 
-// releaseLocked closes a connection and forgets it.
+// releaseLocked closes a connection and removes it from conns.
 func (t *connTracker) releaseLocked(c *clientConn) {
 	if c.state == stateClosed {
 		return
@@ -172,8 +172,8 @@
 	}
 }
 
-// drain closes new and idle connections, now and from now on. Requests in flight are answered first; drained is
-// closed once all connections are.
+// drain closes new and idle connections, and makes others close when they become idle. Requests in flight are answered
+// first. The channel drained is closed once all connections are.
 func (t *connTracker) drain() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -186,9 +186,9 @@
 	t.signalDrainedLocked()
 }
 
-// recordResponse notes whether a node served the connection's request. It reports whether so many connections are in
-// use, or were a moment ago, that this one should not be kept alive: clients that hold idle connections keep new
-// clients out.
+// recordResponse records whether a node served the connection's request. It reports whether so many connections are in
+// use, or were within minIdleBeforeEviction, that this one should not be kept alive: clients that hold idle connections
+// keep new clients out.
 //
 // Only connections whose last request was served count, so that misbehaving clients do not cost others their
 // connections.
--- a/internal/frontend/httpfrontend/conn_tracker_test.go
+++ b/internal/frontend/httpfrontend/conn_tracker_test.go
@@ -17,7 +17,7 @@
 	"reachpulley/scheduler"
 )
 
-// fixedLoop answers every request with the same body.
+// fixedLoop is a Loop that answers every exchange with the same body.
 type fixedLoop struct{ body []byte }
 
 func (l fixedLoop) Open(x *exchange.Exchange) {
@@ -50,7 +50,7 @@
 	return s, l.Addr().String()
 }
 
-// waitForLastResponse waits until the server has sent all that it sends on its only connection.
+// waitForLastResponse waits until the server has accepted one connection and has sent its last response on it.
 func waitForLastResponse(s *Server) {
 	for done := false; !done; time.Sleep(time.Millisecond) {
 		s.conns.mu.Lock()
@@ -62,9 +62,10 @@
 	}
 }
 
-// The client goes on sending while the last response of its connection is under way. A close with unread input would
-// reset the connection, and the part of the response that the client's kernel has not received would be lost.
-func TestAnswerOutlivesAClose(t *testing.T) {
+// The client keeps sending while the last response on its connection is in transit. If the server closed the socket
+// with unread input, the connection would be reset, and the part of the response that the client's kernel has not
+// received would be lost.
+func TestLastResponseArrivesDespiteUnreadInput(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), 1<<15)
 	s, address := serveOnLoopback(t, fixedLoop{body})
 	conn, err := net.Dial("tcp", address)
@@ -93,7 +94,8 @@
 	}
 }
 
-// pausedConn holds back the result of each read, so that its bytes are neither in the kernel nor with the reader.
+// pausedConn is a connection that holds back the result of each read until resume. In between, the bytes that were read
+// are neither in the kernel nor with the caller of Read.
 type pausedConn struct {
 	net.Conn
 	received, resume chan bool
@@ -108,9 +110,9 @@
 	return n, err
 }
 
-// The server stops in the moment in which the bytes of a request on an idle connection are neither in the kernel nor
-// with the server. The connection is closed, and then the request must not have any effect.
-func TestStopWhileARequestIsRead(t *testing.T) {
+// The server stops while the bytes of a request on an idle connection have been read from the kernel but have not
+// reached the read-ahead. The server then closes the connection as idle, and the request must have no effect.
+func TestShutdownWhileRequestIsRead(t *testing.T) {
 	near, far := net.Pipe()
 	paused := &pausedConn{Conn: near, received: make(chan bool), resume: make(chan bool)}
 	tracker := newConnTracker(nil, 4)
@@ -123,10 +125,10 @@
 	tracker.drain()
 	paused.resume <- true
 	if n, err := c.Read(make([]byte, 100)); n > 0 || err == nil {
-		t.Errorf("read %d bytes of a closed connection: %v", n, err)
+		t.Errorf("read %d bytes from a closed connection: %v", n, err)
 	}
 	if c.enterState(stateActive) {
-		t.Error("the request may be served")
+		t.Error("a request can become active on a closed connection")
 	}
 	<-tracker.drained
 }
--- a/internal/frontend/httpfrontend/counters.go
+++ b/internal/frontend/httpfrontend/counters.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Counts are the numbers, since the start, of connections and of requests that never reached the event loop.
+// Counts holds the numbers of connections, and of requests that never reached the event loop, since the server started.
 type Counts struct {
 	Accepted        int64 // connections
 	Rejected        int64 // accepted connections that were closed at once, as the limit was reached
-	Evicted         int64 // connections that were closed in favour of others
+	Evicted         int64 // connections that were closed to make room for others
 	ReadinessChecks int64
 	InvalidRequests int64
-	RateLimited     int64 // requests over a limit of rules or contracts
+	RateLimited     int64 // requests that exceeded a limit of rules or contracts
 }
 
 // Counts returns the current numbers.
@@ -30,7 +30,7 @@
 	}
 }
 
-// Since describes what was counted since earlier counts. It is empty if no connection and no request was rejected.
+// Since describes the increases since earlier counts. It returns "" if no connection and no request was rejected.
 func (c Counts) Since(earlier Counts) string {
 	increases := [...]struct {
 		count       int64
@@ -46,12 +46,12 @@
 	}
 	rejections := int64(0)
 	var parts []string
-	for _, one := range increases {
-		if one.rejection {
-			rejections += one.count
+	for _, increase := range increases {
+		if increase.rejection {
+			rejections += increase.count
 		}
-		if one.count > 0 {
-			parts = append(parts, fmt.Sprint(one.count, " ", one.description))
+		if increase.count > 0 {
+			parts = append(parts, fmt.Sprint(increase.count, " ", increase.description))
 		}
 	}
 	if rejections == 0 {
--- a/internal/frontend/httpfrontend/counters_test.go
+++ b/internal/frontend/httpfrontend/counters_test.go
@@ -20,7 +20,7 @@
 	}
 	first, ok := admit()
 	if got := s.Counts().Since(Counts{}); !ok || got != "" {
-		t.Errorf("first connection: admitted %v, described as %q", ok, got)
+		t.Errorf("first connection: admitted %v and described as %q, want true and nothing", ok, got)
 	}
 	first.enterState(stateActive)
 	if _, ok := admit(); ok {
@@ -38,6 +38,6 @@
 		t.Errorf("got %q, want %q", got, want)
 	}
 	if got := now.Since(now); got != "" {
-		t.Errorf("without any change: %q", got)
+		t.Errorf("without any change: got %q, want nothing", got)
 	}
 }
--- a/internal/frontend/httpfrontend/frontend.go
+++ b/internal/frontend/httpfrontend/frontend.go
@@ -20,9 +20,9 @@
 	"reachpulley/scheduler"
 )
 
-// Loop is the event loop that decides on exchanges.
+// Loop is the event loop that carries out exchanges.
 type Loop interface {
-	// Open hands over an exchange; the loop finishes it once its answer is known.
+	// Open passes an exchange to the loop, which finishes it once the answer is known.
 	Open(*exchange.Exchange)
 }
 
@@ -31,11 +31,11 @@
 	Settings scheduler.Settings
 	Loop     Loop
 	Rules    *engine.Engine // nil: no rules
-	NewID    func() string  // makes the ID of a request that has none, where rules or contracts allow that
+	NewID    func() string  // returns a new ID for a request without one, if rules or contracts are in force
 	Log      *slog.Logger
 
 	Contracts   *contracts.Registry // nil: no contracts
-	DefaultPlan string              // plan of described requests to which nothing else assigns one; empty: rejected
+	DefaultPlan string              // plan of requests under a contract that have no other plan; empty: rejected
 }
 
 // Frontend is the http.Handler of the gateway. An httputil.ReverseProxy does the HTTP work; its transport turns each
@@ -50,9 +50,9 @@
 	plans    map[string]int // index into settings.Plans by name
 
 	contracts   *contracts.Registry
-	defaultPlan int // index of Options.Plan; -1: none
+	defaultPlan int // index of Options.DefaultPlan in settings.Plans; -1: none
 
-	draining  atomic.Bool               // every response is the last one on its connection
+	draining  atomic.Bool               // set by BeginDrain: each response ends its connection
 	stoppedAt atomic.Pointer[time.Time] // requests that arrive later are answered 503; nil: the server is not stopping
 
 	// Counters of requests that never reached the event loop.
@@ -61,7 +61,7 @@
 	rateLimited     atomic.Int64
 }
 
-// New returns a Frontend.
+// New returns a Frontend with the given options.
 func New(o Options) *Frontend {
 	f := &Frontend{
 		loop:      o.Loop,
@@ -101,8 +101,8 @@
 	}
 }
 
-// closeAfterLastResponse ends the connection of a response when the gateway drains, or when too many connections are
-// in use to keep this one for another request.
+// closeAfterLastResponse marks a response as the last one on its connection when the gateway drains, or when too many
+// connections are in use to keep this one alive.
 func (f *Frontend) closeAfterLastResponse(resp *http.Response) error {
 	c := connOf(resp.Request)
 	last := c != nil && c.tracker.recordResponse(c, resp.StatusCode == http.StatusOK) || f.draining.Load()
@@ -113,7 +113,7 @@
 	return nil
 }
 
-const copyBufferSize = 8 << 10
+const copyBufferSize = 8 << 10 // bytes
 
 // bufferPool recycles the buffers with which ReverseProxy copies responses. Without it, ReverseProxy allocates 32 KiB
 // for each response.
@@ -130,17 +130,17 @@
 // Put recycles a buffer.
 func (b *bufferPool) Put(buffer []byte) { b.pool.Put((*[copyBufferSize]byte)(buffer)) }
 
-// BeginDrain makes every response from now on the last one on its connection.
+// BeginDrain makes each further response the last one on its connection.
 func (f *Frontend) BeginDrain() { f.draining.Store(true) }
 
-// ServeHTTP serves one request. It reads the request completely before anything is decided. A request that cannot be
-// read is answered with the reason, and its connection is closed because the start of the next request is unknown.
+// ServeHTTP serves one request. It reads the whole request before it opens an exchange. A request that cannot be read
+// is answered with the reason, and its connection is closed because the start of the next request is unknown.
 func (f *Frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == httpmsg.ReadyPath {
 		f.serveReadiness(w, r)
 		return
 	}
-	invalid := f.checkFraming(r)
+	invalid := f.checkFramingAndMethod(r)
 	if invalid == nil {
 		invalid = readBody(r)
 	}
@@ -150,11 +150,11 @@
 		http.Error(w, invalid.Error(), invalid.status)
 		return
 	}
-	// From here the connection is read only to notice that the client disconnects, however late that is.
+	// The request has been read. Further reads only detect that the client disconnects, so they need no deadline.
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
 	if c := connOf(r); c != nil {
 		if !c.enterState(stateActive) {
-			panic(http.ErrAbortHandler) // the connection was closed first, so the request must not have any effect
+			panic(http.ErrAbortHandler) // the connection is already closed, so the request must have no effect
 		}
 		if stoppedAt := f.stoppedAt.Load(); stoppedAt != nil && c.input.lastArrival().After(*stoppedAt) {
 			w.Header().Set("Connection", "close")
@@ -165,7 +165,7 @@
 	f.proxy.ServeHTTP(w, r)
 }
 
-// serveReadiness answers a readiness check. It keeps the connection only while few are open.
+// serveReadiness answers a readiness check. It closes the connection afterwards if too many connections are open.
 func (f *Frontend) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	f.readinessChecks.Add(1)
 	if c := connOf(r); c != nil && c.tracker.saturated() && !c.hasUnreadInput() {
@@ -174,13 +174,13 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Handle answers a request that another frontend has read, body included. The request passes the same checks and
-// rules as those of ServeHTTP. Its context ends when its client disconnects.
+// Handle returns the response to a request that another frontend has read, including its body. The checks and rules
+// are those of ServeHTTP. The context of the request must end when its client disconnects.
 func (f *Frontend) Handle(r *http.Request) *http.Response {
 	if r.URL.Path == httpmsg.ReadyPath {
 		return newResponse(r, http.StatusOK, nil, nil)
 	}
-	if invalid := f.checkFraming(r); invalid != nil {
+	if invalid := f.checkFramingAndMethod(r); invalid != nil {
 		return errorResponse(r, invalid.status, invalid)
 	}
 	resp, err := f.roundTrip(r)
@@ -193,10 +193,10 @@
 // errClientDisconnected reports that the client disconnected before its request was answered.
 var errClientDisconnected = errors.New("client disconnected")
 
-// transport is the Frontend as the http.RoundTripper of its proxy.
+// transport makes the Frontend the http.RoundTripper of its proxy.
 type transport Frontend
 
-// RoundTrip carries a request through the event loop.
+// RoundTrip passes a request to the event loop and returns the response.
 func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	return (*Frontend)(t).roundTrip(r)
 }
@@ -206,7 +206,7 @@
 	arrival := time.Now()
 	var disconnected <-chan struct{}
 	if c := connOf(r); c != nil {
-		// The request may have waited behind others, and the client may have disconnected in the meantime.
+		// A pipelined request may have waited behind others, and its client may have disconnected in the meantime.
 		arrival = c.input.lastArrival()
 		disconnected = c.input.ended
 		select {
@@ -244,7 +244,7 @@
 	}
 }
 
-// ClientID returns who sent a request: the client that the rules identify, otherwise the client's address.
+// ClientID identifies the client of a request: by the name that the rules give it, otherwise by its address.
 func (f *Frontend) ClientID(r *http.Request) string {
 	if f.rules != nil && f.rules.InForce() {
 		if client := f.rules.Client(ruleFacts(r, time.Now())); client != "" {
@@ -254,27 +254,31 @@
 	return clientAddress(r)
 }
 
-// checkFraming checks that the end of the request is beyond doubt, and its method and size.
+// checkFramingAndMethod rejects a request whose end is ambiguous, whose body is too long or whose method is not
+// accepted.
 //
-// The server ignores a Content-Length beside a Transfer-Encoding, so it is not visible here whether other parties
-// would take a part of the body for a second request; under HTTP/1.0 it ignores the Transfer-Encoding.
-func (f *Frontend) checkFraming(r *http.Request) *statusError {
+// A Transfer-Encoding makes the end ambiguous: net/http drops a Content-Length beside it, so this check cannot tell
+// whether another server would take a part of the body for a second request. Under HTTP/1.0, net/http ignores the
+// Transfer-Encoding instead.
+func (f *Frontend) checkFramingAndMethod(r *http.Request) *statusError {
 	switch {
 	case len(r.TransferEncoding) > 0:
-		return newStatusError(http.StatusLengthRequired, "Content-Length is wanted in place of Transfer-Encoding")
+		return newStatusError(http.StatusLengthRequired, "Transfer-Encoding is not supported: send a Content-Length")
 	case !r.ProtoAtLeast(1, 1):
-		return newStatusError(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is wanted")
+		reason := fmt.Sprintf("protocol %q is not supported: use HTTP/1.1", r.Proto)
+		return newStatusError(http.StatusHTTPVersionNotSupported, reason)
 	case r.ContentLength > httpmsg.MaxRequestBody:
 		reason := fmt.Sprintf("the body is longer than %d bytes", httpmsg.MaxRequestBody)
 		return newStatusError(http.StatusRequestEntityTooLarge, reason)
 	case !f.allowsMethod(r.Method):
-		return newStatusError(http.StatusMethodNotAllowed, "GET or PUT is wanted")
+		reason := fmt.Sprintf("method %q is not allowed: use GET or PUT", r.Method)
+		return newStatusError(http.StatusMethodNotAllowed, reason)
 	}
 	return nil
 }
 
-// allowsMethod reports whether requests of a method are accepted. Contracts may describe operations of any method of
-// an HTTP API; without contracts, clients read with GET and write with PUT.
+// allowsMethod reports whether requests with a method are accepted. Contracts may describe operations with any method
+// of an HTTP API; without contracts, clients read with GET and write with PUT.
 func (f *Frontend) allowsMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodPut:
--- a/internal/frontend/httpfrontend/frontend_test.go
+++ b/internal/frontend/httpfrontend/frontend_test.go
@@ -20,7 +20,7 @@
 		"X-Placement: units=1,shard=0,hosts=1\\n"
 )
 
-// deadlineLoop answers at once and keeps how much time the last request had left.
+// deadlineLoop is a Loop that answers at once and records how much time the last exchange had left.
 type deadlineLoop struct{ left time.Duration }
 
 func (l *deadlineLoop) Open(x *exchange.Exchange) {
@@ -28,9 +28,9 @@
 	x.Finish(exchange.Answer{Reply: &httpmsg.Reply{Body: []byte("yes")}})
 }
 
-// A request whose client claims to wait for an hour ends with the deadline of its class, and no response allocates a
+// A request whose client states that it waits for an hour has the deadline of its class, and no response allocates a
 // copy buffer of its own.
-func TestDeadlineAndBuffers(t *testing.T) {
+func TestClassDeadlineAndBufferReuse(t *testing.T) {
 	loop := &deadlineLoop{}
 	frontend := New(Options{
 		Settings: scheduler.Settings{
@@ -52,14 +52,14 @@
 	for range rounds {
 		w := httptest.NewRecorder()
 		if frontend.ServeHTTP(w, r); w.Code != 200 || w.Body.String() != "yes" {
-			t.Fatalf("%d %s", w.Code, w.Body)
+			t.Fatalf("got status %d with body %q, want 200 with \"yes\"", w.Code, w.Body)
 		}
 	}
 	runtime.ReadMemStats(&after)
 	if each := (after.TotalAlloc - before.TotalAlloc) / rounds; each > 24<<10 {
-		t.Errorf("each response allocates %d bytes", each)
+		t.Errorf("each response allocates %d bytes, want at most %d", each, 24<<10)
 	}
 	if loop.left > time.Second {
-		t.Errorf("the request may take %v", loop.left)
+		t.Errorf("the request may take %v, but its class allows 1s", loop.left)
 	}
 }
--- a/internal/frontend/httpfrontend/read_ahead.go
+++ b/internal/frontend/httpfrontend/read_ahead.go
@@ -20,8 +20,8 @@
 // readAhead reads everything that arrives on a connection as soon as it arrives, and buffers it for http.Server.
 //
 // http.Server itself reads only when it needs more input. It would therefore not notice that a client disconnects
-// while another request of that client waits unread, and it could not tell when a pipelined request arrived, from
-// which moment the request's time runs.
+// while another request of that client waits unread. Nor would it know when a pipelined request arrived, from which
+// moment the time of that request counts.
 type readAhead struct {
 	conn  net.Conn
 	ended chan struct{} // closed when no more input will come: the client closed the connection, or it broke
@@ -32,7 +32,7 @@
 	buffered  int             // bytes in segments
 	err       error           // why no more input will come
 	discarded bool            // all input is dropped, and Read returns io.EOF
-	boundary  boundaryScanner // follows what Read has returned
+	boundary  boundaryScanner // has scanned the input that Read has returned
 
 	lastByteAt time.Time // arrival of the last byte that Read has returned
 
@@ -86,7 +86,7 @@
 	}
 	a.err = err
 	if err != nil {
-		a.dropSegmentsLocked() // there is nobody left to answer
+		a.dropSegmentsLocked() // the client is gone, so its requests need no answer
 		close(a.ended)
 	}
 	a.changed.Broadcast()
@@ -100,8 +100,8 @@
 	a.buffered = 0
 }
 
-// Read returns buffered input, and never that of two requests at once: so hasUnread reports whether a further request
-// has arrived.
+// Read returns buffered input. One call never returns input of two requests; hasUnread can therefore report whether a
+// further request has arrived.
 func (a *readAhead) Read(p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/frontend/httpfrontend/read_ahead_test.go
+++ b/internal/frontend/httpfrontend/read_ahead_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The input of a client that sends without end is buffered up to a limit.
+// The input of a client that never stops sending is buffered up to a limit.
 func TestReadAheadIsBounded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,7 +35,7 @@
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		if a.buffered > maxReadAhead+pooledBufferSize {
-			t.Fatalf("%d bytes are buffered", a.buffered)
+			t.Fatalf("%d bytes are buffered, want at most %d", a.buffered, maxReadAhead+pooledBufferSize)
 		}
 		return a.buffered >= maxReadAhead
 	}
@@ -50,7 +50,7 @@
 		read += n
 		full()
 	}
-	a.discard() // as the owner of the connections does before it closes one: the reader may wait for space
+	a.discard() // as connTracker does before it closes a connection, since run may be waiting for space in the buffer
 	near.Close()
 	<-a.ended
 }
--- a/internal/frontend/httpfrontend/request.go
+++ b/internal/frontend/httpfrontend/request.go
@@ -22,7 +22,8 @@
 // frontendName is the name of this frontend in rules.
 const frontendName = "http"
 
-// uniqueHeaders are the headers that decisions depend on. With two of a kind it would be open which one counts.
+// uniqueHeaders are the headers by which requests are scheduled. A request that repeats one is rejected, since it would
+// be ambiguous which value applies.
 var uniqueHeaders = [...]string{
 	httpmsg.IDHeader,
 	httpmsg.ClassHeader,
@@ -32,7 +33,7 @@
 	httpmsg.KeyHeader,
 }
 
-// readBody replaces the body of a request by its bytes in memory.
+// readBody reads the body of a request into memory and replaces r.Body by it.
 func readBody(r *http.Request) *statusError {
 	if r.ContentLength <= 0 {
 		r.Body = http.NoBody
@@ -40,16 +41,18 @@
 	}
 	body, err := io.ReadAll(r.Body)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return newStatusError(http.StatusRequestTimeout, "the body did not come in time")
+		reason := fmt.Sprintf("the request did not arrive within %v", requestTimeout)
+		return newStatusError(http.StatusRequestTimeout, reason)
 	}
 	if err != nil {
-		return &statusError{status: http.StatusBadRequest, err: fmt.Errorf("the body: %w", err)}
+		return &statusError{status: http.StatusBadRequest, err: fmt.Errorf("read request body: %w", err)}
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	return nil
 }
 
-// admission is the outcome of Frontend.admit: the facts of a request, and what it occupies until it is released.
+// admission is the result of Frontend.admit: the facts of a request, and the limits of rules and contracts that count
+// it until it is released.
 type admission struct {
 	request       scheduler.Request
 	clientTimeout time.Duration // how long the client waits for the answer
@@ -58,14 +61,14 @@
 	contract *contracts.Match // nil: no contracts are in force
 }
 
-// release releases what the request occupies. It is called once, when the request is answered or its client has
+// release releases the limits that count the request. It is called once, when the request is answered or its client has
 // disconnected, also for a request that was not admitted.
 func (a *admission) release() {
 	a.limits.Release()
 	a.contract.Release()
 }
 
-// addContract adds to a request for a node how to interpret the status of the node's response.
+// addContract passes the operation's contract to the backend, which interprets the status of the node's response by it.
 func (a *admission) addContract(to *httpmsg.Request, r *http.Request) {
 	if a.contract == nil {
 		return
@@ -74,12 +77,12 @@
 	to.Client = clientAddress(r)
 }
 
-// admit determines the facts on which a request is decided and acquires the limits that count it. It adds to header,
-// which goes to the node, what rules and contracts contributed. The admission must be released whatever the error.
+// admit determines the facts by which a request is scheduled and acquires the limits that count it. It adds the facts
+// from rules and contracts to header, which goes to the node. The admission must be released even if there is an error.
 func (f *Frontend) admit(r *http.Request, header http.Header, arrival time.Time) (admitted admission, err error) {
 	for _, name := range uniqueHeaders {
 		if len(r.Header[name]) > 1 {
-			return admitted, fmt.Errorf("%s: is there more than once", name)
+			return admitted, fmt.Errorf("%s: got %d values, want one", name, len(r.Header[name]))
 		}
 	}
 	b := requestBuilder{frontend: f, http: r, header: header, rules: &noRules, fromPlatform: true}
@@ -110,7 +113,7 @@
 	return admitted, err
 }
 
-// contractCall returns the part of a request by which its operation is found.
+// contractCall returns the part of a request by which contracts find its operation.
 func contractCall(r *http.Request) contract.Call {
 	return contract.Call{
 		Method: r.Method,
@@ -122,7 +125,7 @@
 	}
 }
 
-// ruleFacts returns the part of a request that rules evaluate.
+// ruleFacts returns the facts of a request that rules evaluate.
 func ruleFacts(r *http.Request, arrival time.Time) *expression.Facts {
 	return &expression.Facts{
 		Method:     r.Method,
@@ -137,7 +140,7 @@
 	}
 }
 
-// bodyLength returns the length of the body, 0 without one.
+// bodyLength returns the length of the body in bytes; 0 if there is none.
 func bodyLength(r *http.Request) int { return int(max(0, r.ContentLength)) }
 
 // clientAddress returns the address of the client without its port.
@@ -149,8 +152,8 @@
 	return host
 }
 
-// hasPlatformHeaders reports whether a request has any of the platform's headers. Class and plan of such a request
-// are not filled in when it leaves them out: leaving out a header must not raise anybody's priority.
+// hasPlatformHeaders reports whether a request has any of the platform's headers. Such a request gets no default class
+// or plan, so that no client can raise its priority by leaving out a header.
 func hasPlatformHeaders(h http.Header) bool {
 	for _, name := range [...]string{
 		httpmsg.IDHeader,
--- a/internal/frontend/httpfrontend/request_boundary.go
+++ b/internal/frontend/httpfrontend/request_boundary.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// maxScannedLine is how many bytes of a header line the boundaryScanner looks at.
+// maxScannedLine is how many bytes of a header line the boundaryScanner evaluates.
 const maxScannedLine = 64
 
-// boundaryScanner finds the ends of requests in a stream of bytes that comes in pieces of any size. It considers
-// Content-Length alone, since requests whose body length is given otherwise end their connection. A wrong result has
-// no other effect than that more or less input is passed on at once.
+// boundaryScanner finds the ends of requests in a stream of bytes that arrives in pieces of any size. It considers only
+// Content-Length, since a request that states its body length in another way is the last one on its connection. A wrong
+// result only changes how much input one call of readAhead.Read returns.
 type boundaryScanner struct {
 	line          []byte // start of the current header line
-	contentLength int    // as the header of the current request states it
+	contentLength int    // Content-Length of the current request, in bytes; 0 if none has been read
 	bodyLeft      int    // bytes of the current body that are still to come
 }
 
--- a/internal/frontend/httpfrontend/request_boundary_test.go
+++ b/internal/frontend/httpfrontend/request_boundary_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// In whatever pieces requests arrive, no piece that is passed on spans two requests.
+// The scanner splits a stream of pipelined requests at their ends, whatever the sizes of the pieces in which the stream
+// arrives.
 func TestBoundaryScannerSplitsPipelinedRequests(t *testing.T) {
 	requests := []string{
 		"GET /a HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -50,7 +51,7 @@
 		}
 	}
 	if current != "" {
-		return fmt.Errorf("%q is left", current)
+		return fmt.Errorf("no request ends after %q", current)
 	}
 	return nil
 }
--- a/internal/frontend/httpfrontend/request_builder.go
+++ b/internal/frontend/httpfrontend/request_builder.go
@@ -15,27 +15,28 @@
 	"reachpulley/scheduler"
 )
 
-// noRules is the result where no rules are in force.
+// noRules is the result for requests while no rules are in force.
 var noRules rules.Result
 
-// requestBuilder determines the facts of one request from all sources that may state them. For each fact the first
-// source that states it counts:
+// requestBuilder determines the facts of one request from all sources that may state them. Each fact is taken from the
+// first of these sources that states it:
 //
-//  1. a rule that wins over the platform's headers;
+//  1. a rule that overrides the platform's headers;
 //  2. the platform's header;
 //  3. any other rule;
 //  4. the contract of the operation.
 //
-// The retry policy is the exception: it is the strictest that class and contract allow, whoever assigned the class.
+// The retry policy is an exception: it is the strictest one that class and contract allow, whichever source assigned
+// the class.
 type requestBuilder struct {
 	frontend *Frontend
 	http     *http.Request
-	header   http.Header // goes to the node
+	header   http.Header // of the request to the node
 	rules    *rules.Result
 	contract *contracts.Match // nil: no contracts are in force
 
-	// fromPlatform is set for requests that have headers of the platform, and for all requests where neither rules
-	// nor contracts are in force. What such a request leaves out is not filled in by defaults.
+	// fromPlatform is set for requests that have headers of the platform, and for all requests while neither rules
+	// nor contracts are in force. Such a request gets no default for a header that it leaves out.
 	fromPlatform bool
 }
 
@@ -56,17 +57,17 @@
 	if err = b.checkClassAllowsMethod(class); err != nil {
 		return 0, err
 	}
-	described, err := b.contractPlacement()
+	fromContract, err := b.contractPlacement()
 	if err != nil {
 		return 0, err
 	}
-	if err = b.setVolumeAndKey(request, described); err != nil {
+	if err = b.setVolumeAndKey(request, fromContract); err != nil {
 		return 0, err
 	}
 	if clientTimeout, err = b.clientTimeout(class); err != nil {
 		return 0, err
 	}
-	if err = b.setPlacement(request, described); err != nil {
+	if err = b.setPlacement(request, fromContract); err != nil {
 		return 0, err
 	}
 	if err = b.ensureIdempotencyKey(request, class); err != nil {
@@ -78,7 +79,7 @@
 	return clientTimeout, nil
 }
 
-// id returns the request's ID. Requests that are not from the platform get one if they have none.
+// id returns the request's ID. A request without one gets a new ID unless it is from the platform.
 func (b *requestBuilder) id() (string, error) {
 	if id := b.http.Header.Get(httpmsg.IDHeader); id != "" {
 		return id, nil
@@ -91,14 +92,15 @@
 	return id, nil
 }
 
-// namedFact is a class or plan: a fact that headers state by name and the settings number.
+// namedFact holds the sources of a request's class or plan. Headers state it by name; requests hold its index in the
+// settings.
 type namedFact struct {
 	field     rules.Field
 	header    string
-	kind      string         // in error messages
-	index     map[string]int // of all known names
-	ruled     int            // the value that rules give
-	described int            // the value where no other source states one; -1: none
+	kind      string         // "class" or "plan", for error messages
+	index     map[string]int // index in the settings by name
+	fromRules int            // index that the rules set
+	fallback  int            // index if no other source states one; -1: none
 }
 
 // setClassAndPlan determines the class and the plan.
@@ -108,20 +110,20 @@
 		header:    httpmsg.ClassHeader,
 		kind:      "class",
 		index:     b.frontend.classes,
-		ruled:     b.rules.Class,
-		described: -1,
+		fromRules: b.rules.Class,
+		fallback:  -1,
 	}
 	plan := namedFact{
 		field:     rules.Plan,
 		header:    httpmsg.PlanHeader,
 		kind:      "plan",
 		index:     b.frontend.plans,
-		ruled:     b.rules.Plan,
-		described: -1,
+		fromRules: b.rules.Plan,
+		fallback:  -1,
 	}
 	if b.contract != nil {
-		class.described = b.contract.Class
-		plan.described = b.frontend.defaultPlan
+		class.fallback = b.contract.Class
+		plan.fallback = b.frontend.defaultPlan
 	}
 	if request.Class, err = b.resolve(class); err != nil {
 		return err
@@ -130,35 +132,35 @@
 	return err
 }
 
-// resolve returns the number of a class or plan.
+// resolve returns the index of a class or plan in the settings.
 func (b *requestBuilder) resolve(fact namedFact) (int, error) {
 	given := b.http.Header.Get(fact.header)
 	if b.rules.Overrides(fact.field, given != "") && (!b.fromPlatform || b.rules.By[fact.field].OverridesHeaders) {
-		return fact.ruled, nil
+		return fact.fromRules, nil
 	}
-	number, known := fact.index[given]
+	index, known := fact.index[given]
 	switch {
 	case known:
-		return number, nil
-	case given == "" && !b.fromPlatform && fact.described >= 0:
-		return fact.described, nil
+		return index, nil
+	case given == "" && !b.fromPlatform && fact.fallback >= 0:
+		return fact.fallback, nil
 	case given == "" && !b.fromPlatform:
-		return 0, fmt.Errorf("nothing tells the %s of this request, and %s is missing", fact.kind, fact.header)
+		return 0, fmt.Errorf("%s is missing, and no rule or contract sets the %s", fact.header, fact.kind)
 	}
 	return 0, fmt.Errorf("%s: unknown %s %q", fact.header, fact.kind, given)
 }
 
-// checkClassAllowsMethod rejects a write that a rule assigned to a class of reads: it would be retried freely. Rules
-// may leave the method open, so this can only be checked here.
+// checkClassAllowsMethod rejects a write to which a rule assigned a class for reads, since the write would be retried
+// as freely as a read. A rule may apply to any method, so this cannot be checked before a request arrives.
 func (b *requestBuilder) checkClassAllowsMethod(class *scheduler.Class) error {
 	if b.rules.Has[rules.Class] && rules.Writes(b.http.Method) && !class.Writes {
 		rule := b.rules.By[rules.Class].Name
-		return fmt.Errorf("rule %s: class %q only reads, and %s writes", rule, class.Name, b.http.Method)
+		return fmt.Errorf("rule %s: class %q is only for reads, but %s writes", rule, class.Name, b.http.Method)
 	}
 	return nil
 }
 
-// contractPlacement returns what the contract states of the data's location and the size of the work.
+// contractPlacement returns what the contract states about the data's location and the size of the work.
 func (b *requestBuilder) contractPlacement() (catalog.Placement, error) {
 	if b.contract == nil {
 		return catalog.Placement{}, nil
@@ -167,8 +169,8 @@
 	return b.contract.Placement(&b.contract.Call, b.contract.Parameters, bodyLength(b.http), maxUnits)
 }
 
-// setVolumeAndKey determines volume and key. The platform's requests have them at the end of their path.
-func (b *requestBuilder) setVolumeAndKey(request *scheduler.Request, described catalog.Placement) error {
+// setVolumeAndKey determines the volume and the data key. The platform's requests have them at the end of their path.
+func (b *requestBuilder) setVolumeAndKey(request *scheduler.Request, fromContract catalog.Placement) error {
 	volume, key, inPath := splitPath(b.http.URL.Path)
 	hasVolume, hasKey := inPath, inPath
 	if b.rules.Overrides(rules.Volume, inPath) {
@@ -177,14 +179,14 @@
 	if b.rules.Overrides(rules.Key, inPath) {
 		key, hasKey = b.rules.Key, true
 	}
-	if !hasVolume && described.Volume != "" {
-		volume, hasVolume = described.Volume, true
+	if !hasVolume && fromContract.Volume != "" {
+		volume, hasVolume = fromContract.Volume, true
 	}
-	if !hasKey && described.Data != "" {
-		key, hasKey = described.Data, true
+	if !hasKey && fromContract.Data != "" {
+		key, hasKey = fromContract.Data, true
 	}
 	if !hasVolume || !hasKey {
-		return errors.New("path: want a volume and a piece of data, 16 hex digits each")
+		return errors.New("path: does not end in a volume and a data key of 16 hex digits each")
 	}
 	request.Volume = volume
 	request.Key = key
@@ -201,8 +203,8 @@
 	return volume, key, rules.IsID(volume) && rules.IsID(key)
 }
 
-// clientTimeout returns how long the client waits for its answer. The deadlines of class and operation bound it,
-// whatever the client says.
+// clientTimeout returns how long the client waits for its answer. It is at most the deadlines of the class and of the
+// operation, whatever the client states.
 func (b *requestBuilder) clientTimeout(class *scheduler.Class) (time.Duration, error) {
 	longest := class.Deadline
 	if b.contract != nil && b.contract.Deadline() > 0 {
@@ -222,9 +224,9 @@
 	return min(timeout, longest), nil
 }
 
-// setPlacement determines units, shard and hosts. Units and shard cannot be guessed: they say how much work the
+// setPlacement determines units, shard and hosts. Units and shard have no default, since they state how much work the
 // request is and which nodes hold its data.
-func (b *requestBuilder) setPlacement(request *scheduler.Request, described catalog.Placement) error {
+func (b *requestBuilder) setPlacement(request *scheduler.Request, fromContract catalog.Placement) error {
 	header := b.http.Header.Get(httpmsg.PlacementHeader)
 	given := header != ""
 	request.Hosts = 1
@@ -247,27 +249,27 @@
 	if b.rules.Overrides(rules.Hosts, given) {
 		request.Hosts = b.rules.Hosts
 	}
-	if !hasUnits && described.Units > 0 {
-		request.Units, hasUnits = described.Units, true
+	if !hasUnits && fromContract.Units > 0 {
+		request.Units, hasUnits = fromContract.Units, true
 	}
-	if !hasShard && described.HasShard {
-		request.Shard, hasShard = described.Shard, true
+	if !hasShard && fromContract.HasShard {
+		request.Shard, hasShard = fromContract.Shard, true
 	}
 	maxUnits := b.frontend.settings.Sizes.MaxUnits
 	switch {
 	case !hasUnits:
-		return fmt.Errorf("nothing tells the units of this request, and %s is missing", httpmsg.PlacementHeader)
+		return fmt.Errorf("%s is missing, and no rule or contract sets the units", httpmsg.PlacementHeader)
 	case !hasShard:
-		return fmt.Errorf("nothing tells the shard of this request, and %s is missing", httpmsg.PlacementHeader)
+		return fmt.Errorf("%s is missing, and no rule or contract sets the shard", httpmsg.PlacementHeader)
 	case maxUnits > 0 && request.Units > maxUnits:
-		return fmt.Errorf("%s: %v units are more than the largest request's %v",
+		return fmt.Errorf("%s: %v units exceed the limit of %v for a request",
 			httpmsg.PlacementHeader, request.Units, maxUnits)
 	}
 	return nil
 }
 
-// ensureIdempotencyKey rejects a request that may be retried only by its key and has none: nodes could not recognise
-// the retry.
+// ensureIdempotencyKey rejects a request that has no idempotency key although its retries need one: nodes recognise a
+// retry by its key.
 func (b *requestBuilder) ensureIdempotencyKey(request *scheduler.Request, class *scheduler.Class) error {
 	key := b.http.Header.Get(httpmsg.KeyHeader)
 	source := httpmsg.KeyHeader
@@ -287,7 +289,7 @@
 		}
 	}
 	if key == "" {
-		return fmt.Errorf("%s is missing, which class %q needs", source, class.Name)
+		return fmt.Errorf("%s is missing: class %q requires an idempotency key", source, class.Name)
 	}
 	return nil
 }
@@ -303,7 +305,7 @@
 	return b.contract.Operation
 }
 
-// addPlatformHeaders tells the node on what facts the request was decided.
+// addPlatformHeaders tells the node the class, plan and placement by which the request was scheduled.
 func (b *requestBuilder) addPlatformHeaders(request *scheduler.Request, class *scheduler.Class) {
 	placement := httpmsg.Placement{Units: request.Units, Shard: request.Shard, Hosts: request.Hosts}
 	b.header.Set(httpmsg.ClassHeader, class.Name)
--- a/internal/frontend/httpfrontend/response.go
+++ b/internal/frontend/httpfrontend/response.go
@@ -14,7 +14,7 @@
 	"reachpulley/internal/rules/engine"
 )
 
-// statusError is an error that the client gets as the body of a response with the given status.
+// statusError is an error that is sent to the client: its text is the body of a response with the given status.
 type statusError struct {
 	status int
 	err    error
@@ -30,7 +30,7 @@
 // Unwrap returns the cause.
 func (e *statusError) Unwrap() error { return e.err }
 
-// answerResponse converts the final answer of an exchange.
+// answerResponse converts the final answer of an exchange to an HTTP response.
 func answerResponse(r *http.Request, answer exchange.Answer) *http.Response {
 	switch answer.Verdict {
 	case exchange.Served:
@@ -58,7 +58,7 @@
 	return resp
 }
 
-// rejectionResponse converts the error for which a request was not admitted.
+// rejectionResponse converts the error for which a request was not admitted to an HTTP response.
 func rejectionResponse(r *http.Request, err error) *http.Response {
 	var overLimit engine.LimitError
 	var undescribed contracts.RateLimitedError
@@ -80,7 +80,7 @@
 	return resp
 }
 
-// errorResponse tells a client what is wrong with its request.
+// errorResponse returns a response whose body tells the client what is wrong with its request.
 func errorResponse(r *http.Request, status int, err error) *http.Response {
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	return newResponse(r, status, header, []byte(err.Error()+"\n"))
--- a/internal/frontend/httpfrontend/server.go
+++ b/internal/frontend/httpfrontend/server.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	// requestTimeout bounds how long a request may take to arrive, header and body. It counts from the accept or, for
-	// later requests, from the first byte. The platform expects a connection without a request to end within 3 s.
+	// requestTimeout bounds how long a request may take to arrive, header and body. For the first request of a
+	// connection it counts from the accept, for later ones from their first byte. The platform expects a connection
+	// without a request to end within 3 s.
 	requestTimeout = 2 * time.Second
 	// responseTimeout bounds how long a response may take to be written, counted from the end of the request's
 	// header.
@@ -19,19 +20,19 @@
 	// idleTimeout bounds how long a connection is kept alive without a request.
 	idleTimeout = 5 * time.Minute
 
-	// DefaultMaxHeaderBytes limits the header of a request where the operator sets no limit.
+	// DefaultMaxHeaderBytes limits the header of a request if the operator sets no limit.
 	DefaultMaxHeaderBytes = 16 << 10
 )
 
-// Server accepts clients' connections and serves them by a Frontend.
+// Server accepts clients' connections and passes their requests to a Frontend.
 type Server struct {
 	http     *http.Server
 	frontend *Frontend
 	conns    *connTracker
 }
 
-// NewServer returns a Server for a listener with at most maxConns connections and maxHeaderBytes in a request's
-// header.
+// NewServer returns a Server that accepts connections from l. It has at most maxConns connections open and accepts at
+// most maxHeaderBytes in the header of a request.
 func NewServer(frontend *Frontend, l net.Listener, maxConns, maxHeaderBytes int, log *slog.Logger) *Server {
 	return &Server{
 		frontend: frontend,
@@ -63,8 +64,8 @@
 }
 
 // Shutdown stops accepting connections and requests, and waits until every request that has arrived is answered, or
-// ctx ends. http.Server.Shutdown is no substitute: it closes connections on which a request is just arriving, and
-// drops the request without a response.
+// ctx ends. http.Server.Shutdown does not do that: it closes a connection on which a request is just arriving and drops
+// the request without a response.
 func (s *Server) Shutdown(ctx context.Context) error {
 	now := time.Now()
 	s.frontend.stoppedAt.Store(&now)
--- a/internal/frontend/httpfrontend/server_test.go
+++ b/internal/frontend/httpfrontend/server_test.go
@@ -12,7 +12,7 @@
 	"reachpulley/scheduler"
 )
 
-// selectiveLoop answers only requests whose ID is "now".
+// selectiveLoop is a Loop that answers only requests whose ID is "now".
 type selectiveLoop struct{}
 
 func (selectiveLoop) Open(x *exchange.Exchange) {
@@ -54,7 +54,8 @@
 	}
 }
 
-// startServer returns how scenariotest starts a server at gate:1 and stops it.
+// startServer returns the function with which scenariotest starts a server at gate:1. That function returns the one that
+// stops the server.
 func startServer(t *testing.T) func(*scenariotest.Scenario) func() {
 	return func(s *scenariotest.Scenario) func() {
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
@@ -97,7 +98,7 @@
 			e expect 200
 			a expect end
 			b expect nothing`,
-	"a connection that was active a moment ago stays and the new one is closed": `
+	"a connection that was active a moment ago is not evicted, and the new one is closed": `
 			a send raw ` + answeredRequest + `
 			a expect 200
 			b send raw ` + unansweredRequest + `
@@ -110,8 +111,8 @@
 			e expect end
 			a send raw ` + answeredRequest + `
 			a expect 200`,
-	// Clients that send one bad request and stay connected must not keep others out.
-	"a connection that no node served is evicted at once": `
+	// Clients that send one invalid request and stay connected must not keep others out.
+	"a connection on which no node has served a request is evicted at once": `
 			a send raw ` + invalidRequest + `
 			a expect 400 X-Request-Id is missing
 			wait 1ms
@@ -150,7 +151,7 @@
 			b expect 200
 			b send raw ` + answeredRequest + `
 			b expect 200`,
-	"connections that no node served do not count as in use": `
+	"connections on which no node has served a request do not count as in use": `
 			a send raw ` + invalidRequest + `
 			a expect 400 X-Request-Id is missing
 			b send raw ` + invalidRequest + `
@@ -168,7 +169,7 @@
 			e send nothing
 			e expect end
 			a expect nothing`,
-	"at the limit a request that arrives slowly is evicted": `
+	"at the limit a connection whose request arrives slowly is evicted": `
 			a send raw GET /ready
 			b send raw GET /ready
 			c send raw GET /ready
@@ -191,7 +192,7 @@
 			a expect nothing
 			wait 100ms
 			a expect end`,
-	"a header that arrives slowly ends": `
+	"a connection whose header arrives slowly ends": `
 			a send raw GET /ready HTTP/1.1\nHost:
 			wait 1s
 			a send raw h
@@ -200,7 +201,7 @@
 	"a body that does not arrive is answered 408": `
 			a send raw ` + requestLine + platformHeaders + `Content-Length: 5\n\nhel
 			wait 2s
-			a expect 408 Connection=close the body did not come in time
+			a expect 408 Connection=close the request did not arrive within 2s
 			a expect end`,
 }
 
@@ -208,19 +209,19 @@
 func TestConnectionLimits(t *testing.T) { runServerScripts(t, connectionLimitScripts) }
 
 var invalidRequestScripts = map[string]string{
-	// net/http ignores the length, so a part of the body could be a request for whoever goes by it.
+	// net/http ignores the length. A server that uses it could take a part of the body for a request.
 	"a length beside a transfer encoding is rejected and nothing after it is read": `
 			a send raw ` + requestLine + platformHeaders + chunked + `GET /ready HTTP/1.1\nHost: h\n\n
-			a expect 411 Connection=close Content-Length is wanted in place of Transfer-Encoding
+			a expect 411 Connection=close Transfer-Encoding is not supported: send a Content-Length
 			a expect end`,
 	// Under HTTP/1.0 net/http ignores the transfer encoding, too.
 	"HTTP/1.0 with a transfer encoding is rejected": `
 			a send raw ` + requestLine10 + platformHeaders + `Connection: keep-alive\n` + chunked + `
-			a expect 505 Connection=close HTTP/1.1 is wanted
+			a expect 505 Connection=close protocol "HTTP/1.0" is not supported: use HTTP/1.1
 			a expect end`,
 	"a method other than GET and PUT": `
 			a send raw ` + strings.Replace(requestLine, "PUT", "POST", 1) + platformHeaders + noBody + `
-			a expect 405 Connection=close GET or PUT is wanted`,
+			a expect 405 Connection=close method "POST" is not allowed: use GET or PUT`,
 	"a negative length": `
 			a send raw ` + requestLine + platformHeaders + `Content-Length: -4\n\n
 			a expect 400 Connection=close 400 Bad Request`,
@@ -233,24 +234,24 @@
 			a expect 431 Connection=close 431 Request Header Fields Too Large`,
 	"two IDs": `
 			a send raw ` + requestLine + platformHeaders + `X-Request-Id: s\nContent-Length: 0\n\n
-			a expect 400 X-Request-Id: is there more than once`,
+			a expect 400 X-Request-Id: got 2 values, want one`,
 	"two deadlines": `
 			a send raw ` + requestLine + platformHeaders + `X-Deadline: 9000m\nContent-Length: 0\n\n
-			a expect 400 X-Deadline: is there more than once`,
+			a expect 400 X-Deadline: got 2 values, want one`,
 	"a deadline of days": `
 			a send raw ` + requestLine + withHeader("9000m", "864000000m") + noBody + `
 			a expect 400 X-Deadline: "864000000m" is not a time such as 480m or 480000u`,
 	"more units than a request may have": `
 			a send raw ` + requestLine + withHeader("units=1", "units=9") + noBody + `
-			a expect 400 X-Placement: 9 units are more than the largest request's 8`,
-	// Nodes could not recognise a retry.
-	"a class of idempotent requests with key without a key": `
+			a expect 400 X-Placement: 9 units exceed the limit of 8 for a request`,
+	// Nodes could not recognise a retry of such a request.
+	"no idempotency key for a class that requires one": `
 			a send raw ` + requestLine + withHeader("X-Class: c", "X-Class: keyed") + noBody + `
-			a expect 400 Idempotency-Key is missing, which class "keyed" needs`,
+			a expect 400 Idempotency-Key is missing: class "keyed" requires an idempotency key`,
 	"a negative deadline": `
 			a send raw ` + requestLine + withHeader("9000m", "-9m") + noBody + `
 			a expect 400 X-Deadline: "-9m" is not a time such as 480m or 480000u`,
 }
 
-// A request whose end or meaning is in doubt is rejected with the reason.
+// A request whose end or meaning is ambiguous is rejected with the reason.
 func TestInvalidRequests(t *testing.T) { runServerScripts(t, invalidRequestScripts) }
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -126,11 +126,11 @@
 		{"an unknown plan", change(getRequest, "gold", "tin"), `X-Qos-Policy: unknown plan "tin"`},
 		{
 			"a path of one part", change(getRequest, objectPath, "/7f3a9c21e0b4d655"),
-			"path: want a volume and a piece of data, 16 hex digits each",
+			"path: does not end in a volume and a data key of 16 hex digits each",
 		},
 		{
 			"a volume by name", change(getRequest, "00000003b4d60021", "mine"),
-			"path: want a volume and a piece of data, 16 hex digits each",
+			"path: does not end in a volume and a data key of 16 hex digits each",
 		},
 		{
 			"no deadline", change(getRequest, "X-Deadline=480m", ""),
