--- a/internal/frontend/httpfrontend/server_test.go
+++ b/internal/frontend/httpfrontend/server_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// startServer returns the function with which scenariotest starts a server at gate:1. That function returns the one that
-// stops the server.
+// startServer returns the function with which scenariotest starts a server at gate:1. That function returns another one
+// that stops the server.
 func startServer(t *testing.T) func(*scenariotest.Scenario) func() {
 	return func(s *scenariotest.Scenario) func() {
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
@@ -240,7 +240,8 @@
 			a expect 400 X-Deadline: got 2 values, want one`,
 	"a deadline of days": `
 			a send raw ` + requestLine + withHeader("9000m", "864000000m") + noBody + `
-			a expect 400 X-Deadline: "864000000m" is not a time such as 480m or 480000u`,
+			a expect 400 X-Deadline: "864000000m" is not a time up to 1h0m0s ` +
+		`in milliseconds (480m) or microseconds (480000u)`,
 	"more units than a request may have": `
 			a send raw ` + requestLine + withHeader("units=1", "units=9") + noBody + `
 			a expect 400 X-Placement: 9 units exceed the limit of 8 for a request`,
@@ -250,7 +251,7 @@
 			a expect 400 Idempotency-Key is missing: class "keyed" requires an idempotency key`,
 	"a negative deadline": `
 			a send raw ` + requestLine + withHeader("9000m", "-9m") + noBody + `
-			a expect 400 X-Deadline: "-9m" is not a time such as 480m or 480000u`,
+			a expect 400 X-Deadline: "-9m" is not a time up to 1h0m0s in milliseconds (480m) or microseconds (480000u)`,
 }
 
 // A request whose end or meaning is ambiguous is rejected with the reason.
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -134,20 +134,20 @@
 		},
 		{
 			"no deadline", change(getRequest, "X-Deadline=480m", ""),
-			`X-Deadline: "" is not a time such as 480m or 480000u`,
+			`X-Deadline: "" is not a time up to 1h0m0s in milliseconds (480m) or microseconds (480000u)`,
 		},
 		{
 			"a deadline in hours", change(getRequest, "480m", "4h"),
-			`X-Deadline: "4h" is not a time such as 480m or 480000u`,
+			`X-Deadline: "4h" is not a time up to 1h0m0s in milliseconds (480m) or microseconds (480000u)`,
 		},
 		{
 			"a deadline of NaN", change(getRequest, "480m", "NaNm"),
-			`X-Deadline: "NaNm" is not a time such as 480m or 480000u`,
+			`X-Deadline: "NaNm" is not a time up to 1h0m0s in milliseconds (480m) or microseconds (480000u)`,
 		},
 		{"no units", change(getRequest, "units=2,", ""), "X-Placement: units is missing"},
 		{
 			"a shard of a half", change(getRequest, "shard=0", "shard=0.5"),
-			`X-Placement: "units=2,shard=0.5,hosts=1" makes no sense`,
+			`X-Placement: "units=2,shard=0.5,hosts=1": want positive units, an integer as shard and at least 1 host`,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/proto/httpmsg/placement.go
+++ b/internal/proto/httpmsg/placement.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Placement says how much work a request is and where its data is.
+// Placement states how much work a request is and where its data is.
 type Placement struct {
 	Units float64 // size of the work
-	Shard int     // of the data; -1 for a new object
-	Hosts int     // gateways through which requests for the volume come
+	Shard int     // shard of the data; -1 for a new object
+	Hosts int     // number of gateways that receive requests for the volume
 }
 
-// String returns the placement as the value of PlacementHeader.
+// String returns the placement in the format of PlacementHeader.
 func (p Placement) String() string {
 	units := strconv.FormatFloat(p.Units, 'g', -1, 64)
 	return "units=" + units + ",shard=" + strconv.Itoa(p.Shard) + ",hosts=" + strconv.Itoa(p.Hosts)
@@ -25,8 +25,8 @@
 	maxPlacementNumber = 1e6
 )
 
-// ParsePlacement parses the value of PlacementHeader, such as units=2,shard=5,hosts=3. It ignores unknown names,
-// which later versions may add.
+// ParsePlacement parses the value of PlacementHeader, such as units=2,shard=5,hosts=3. It ignores unknown names, since
+// later versions of the platform may add some.
 func ParsePlacement(text string) (Placement, error) {
 	numbers := [...]struct {
 		name  string
@@ -41,7 +41,8 @@
 			}
 			value, err := strconv.ParseFloat(number, 64)
 			if err != nil || !(value >= minPlacementNumber && value <= maxPlacementNumber) {
-				return Placement{}, fmt.Errorf("%s: %s %q is not a usable number", PlacementHeader, name, number)
+				return Placement{}, fmt.Errorf("%s: %s %q is not a number from %v to %v",
+					PlacementHeader, name, number, minPlacementNumber, maxPlacementNumber)
 			}
 			numbers[i].value = value
 			numbers[i].given = true
@@ -55,7 +56,8 @@
 	units, shard, hosts := numbers[0].value, numbers[1].value, numbers[2].value
 	p := Placement{Units: units, Shard: int(shard), Hosts: int(hosts)}
 	if p.Units <= 0 || p.Hosts < 1 || float64(p.Shard) != shard {
-		return Placement{}, fmt.Errorf("%s: %q makes no sense", PlacementHeader, text)
+		return Placement{}, fmt.Errorf("%s: %q: want positive units, an integer as shard and at least 1 host",
+			PlacementHeader, text)
 	}
 	return p, nil
 }
--- a/internal/proto/iscsi/codes.go
+++ b/internal/proto/iscsi/codes.go
@@ -1,9 +1,9 @@
 package iscsi
 
-// RejectReason says why a PDU is rejected (section 11.17.1).
+// RejectReason states why a PDU is rejected (section 11.17.1).
 type RejectReason byte
 
-// The reasons of the subset.
+// The reasons that the gateway uses.
 const (
 	ProtocolError       RejectReason = 0x04
 	CommandNotSupported RejectReason = 0x05
@@ -12,7 +12,7 @@
 	InvalidPDUField     RejectReason = 0x09
 )
 
-// AbortTask is the task management function of the subset (section 11.5.1).
+// AbortTask is the only task management function that the gateway supports (section 11.5.1).
 const AbortTask = 1
 
 // Responses to task management functions (section 11.6.1).
@@ -25,7 +25,7 @@
 // LoginStatus is the status class and detail of a Login Response (section 11.13.5).
 type LoginStatus uint16
 
-// The login statuses of the subset.
+// The login statuses that the gateway uses.
 const (
 	LoginOK                      LoginStatus = 0x0000
 	LoginInitiatorError          LoginStatus = 0x0200
--- a/internal/proto/iscsi/iscsi_test.go
+++ b/internal/proto/iscsi/iscsi_test.go
@@ -10,14 +10,15 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestPDUComesBackAsWritten(t *testing.T) {
+// A PDU is the same after it has been encoded and read.
+func TestPDURoundTrip(t *testing.T) {
 	for _, data := range []string{"", "a", "abcd", "abcde"} {
 		t.Run(fmt.Sprintf("%d bytes of data", len(data)), func(t *testing.T) {
 			p := New(SCSICommand, Final|Read).SetImmediate().SetLUN(7).Set(TaskTag, 1<<31).Set(CmdSN, 5)
 			p.Data = []byte(data)
 			b := p.Bytes()
 			if len(b)%4 != 0 {
-				t.Errorf("%d bytes are not a multiple of 4", len(b))
+				t.Errorf("encoded PDU has %d bytes, which is not a multiple of 4", len(b))
 			}
 			got, err := ReadPDU(bytes.NewReader(b), 5)
 			if err != nil {
@@ -27,7 +28,8 @@
 				t.Errorf("data: %s", diff)
 			}
 			if got.LUN() != 7 || !got.Immediate() || got.Get(TaskTag) != 1<<31 {
-				t.Errorf("header: %v", got)
+				t.Errorf("header: got LUN %d, immediate %v and tag %#x, want 7, true and %#x",
+					got.LUN(), got.Immediate(), got.Get(TaskTag), 1<<31)
 			}
 		})
 	}
@@ -61,7 +63,7 @@
 	}
 }
 
-// FuzzReadPDU reads any bytes: what is read must come back when it is written.
+// FuzzReadPDU reads arbitrary bytes. A PDU that is accepted must be the same after it has been encoded and read again.
 func FuzzReadPDU(f *testing.F) {
 	for op := range opcodeNames {
 		p := New(op, Final).SetLUN(1)
@@ -75,11 +77,11 @@
 			return
 		}
 		if len(p.Data) > maxLength {
-			t.Fatalf("%d bytes of data", len(p.Data))
+			t.Fatalf("accepted %d bytes of data, want at most %d", len(p.Data), maxLength)
 		}
 		reread, err := ReadPDU(bytes.NewReader(p.Bytes()), maxLength)
 		if err != nil || !bytes.Equal(reread.Data, p.Data) || reread.Op() != p.Op() {
-			t.Fatalf("%v does not come back: %v", p, err)
+			t.Fatalf("%v was reread as %v: %v", p, reread, err)
 		}
 		p.CDB().Transfer()
 		if pairs, err := ParseText(p.Data); err == nil {
@@ -90,7 +92,8 @@
 	})
 }
 
-func TestCommandsComeBackFromTheirCDB(t *testing.T) {
+// A READ or WRITE is the same after it has been encoded as a CDB and decoded.
+func TestCommandCDBRoundTrip(t *testing.T) {
 	for _, c := range []Command{
 		{LBA: 8, Blocks: 1},
 		{LBA: 8, Blocks: 1, Write: true},
@@ -102,7 +105,7 @@
 			cdb := c.CDB()
 			lba, blocks, write, ok := cdb.Transfer()
 			if got := (Command{LBA: lba, Blocks: blocks, Write: write}); !ok || !cmp.Equal(c, got) {
-				t.Errorf("%+v came back as %+v", c, got)
+				t.Errorf("%+v was decoded as %+v, ok %v", c, got, ok)
 			}
 		})
 	}
@@ -116,7 +119,7 @@
 		fails  bool
 	}{
 		{
-			name:   "a length beyond the limit is cut",
+			name:   "a length above the limit is answered with the limit",
 			offer:  Pair{"MaxBurstLength", "16776192"},
 			answer: []Pair{{"MaxBurstLength", "262144"}},
 		},
@@ -130,7 +133,7 @@
 			offer: Pair{"MaxRecvDataSegmentLength", "4096"},
 		},
 		{
-			name:   "an unknown key is not understood",
+			name:   "an unknown key is answered with NotUnderstood",
 			offer:  Pair{"X-strange", "1"},
 			answer: []Pair{{"X-strange", "NotUnderstood"}},
 		},
--- a/internal/proto/iscsi/pdu.go
+++ b/internal/proto/iscsi/pdu.go
@@ -1,7 +1,7 @@
-// Package iscsi is the part of iSCSI (RFC 7143) that the gateway speaks: the codec of PDUs, login text and its
-// negotiation, and the SCSI commands. Target and initiator share it. It does no I/O but to read PDUs.
+// Package iscsi implements the part of iSCSI (RFC 7143) that the gateway's target and initiator share: the encoding of
+// PDUs, the login text and its negotiation, and the SCSI commands. Its only I/O is in ReadPDU.
 //
-// Names and layouts are those of the RFC; section numbers refer to it.
+// Names and layouts are those of the RFC, to which section numbers refer.
 package iscsi
 
 import (
@@ -14,7 +14,7 @@
 // Opcode is the type of a PDU (section 11.2.1.2).
 type Opcode byte
 
-// The opcodes of the subset.
+// The opcodes that the gateway supports.
 const (
 	NopOut         Opcode = 0x00
 	SCSICommand    Opcode = 0x01
@@ -53,7 +53,7 @@
 	Reject:         "reject",
 }
 
-// String returns a short name.
+// String returns the opcode's short name in logs.
 func (o Opcode) String() string {
 	if name, ok := opcodeNames[o]; ok {
 		return name
@@ -76,7 +76,7 @@
 	Continue = 0x40 // Login: the text continues in the next PDU
 )
 
-// NoTag is the reserved task tag, which refers to no task.
+// NoTag is the reserved value of Initiator Task Tags and Target Transfer Tags: it refers to no task or transfer.
 const NoTag = 0xffffffff
 
 // HeaderSize is the length of a basic header segment in bytes.
@@ -91,13 +91,13 @@
 	cdbEnd         = 48
 )
 
-// PDU is a protocol data unit without digests.
+// PDU is a protocol data unit (PDU) without digests.
 type PDU struct {
 	Header [HeaderSize]byte // the basic header segment
 	Data   []byte           // the data segment without padding
 }
 
-// Errors of ReadPDU that make the start of the next PDU unknown.
+// Errors of ReadPDU after which the start of the next PDU is unknown.
 var (
 	ErrTooLong = errors.New("iscsi: data segment exceeds the agreed length")
 	ErrAHS     = errors.New("iscsi: additional header segments are not supported")
@@ -114,7 +114,7 @@
 // Op returns the opcode.
 func (p *PDU) Op() Opcode { return Opcode(p.Header[0] & opcodeMask) }
 
-// Immediate reports whether the PDU is for immediate delivery: it is outside the order of commands.
+// Immediate reports whether the PDU is for immediate delivery, that is, outside the order of commands.
 func (p *PDU) Immediate() bool { return p.Header[0]&immediateFlag != 0 }
 
 // SetImmediate marks the PDU for immediate delivery.
@@ -123,13 +123,13 @@
 	return p
 }
 
-// Flags returns the second byte.
+// Flags returns the second byte of the header, which holds the flags.
 func (p *PDU) Flags() byte { return p.Header[1] }
 
 // Has reports whether all the flags are set.
 func (p *PDU) Has(flags byte) bool { return p.Header[1]&flags == flags }
 
-// Field is a 32-bit field of the header, by its offset.
+// Field identifies a 32-bit field of the header by its offset.
 type Field int
 
 // The 32-bit fields. Some share an offset, since they belong to different opcodes.
@@ -158,7 +158,7 @@
 	return p
 }
 
-// LUN returns the logical unit number, of which only the first level of addressing is supported.
+// LUN returns the logical unit number. Only the first level of LUN addressing is supported.
 func (p *PDU) LUN() uint16 { return binary.BigEndian.Uint16(p.Header[lunOffset:]) & 0x3fff }
 
 // SetLUN sets the logical unit number.
@@ -173,8 +173,8 @@
 // paddingOf returns the number of bytes that pad a data segment to whole 32-bit words.
 func paddingOf(length int) int { return -length & 3 }
 
-// ReadPDU reads a PDU. Its data segment may have up to maxLength bytes. The error is io.EOF between PDUs; after any
-// other error the start of the next PDU is unknown. With ErrTooLong and ErrAHS it returns the header.
+// ReadPDU reads a PDU whose data segment has at most maxLength bytes. It returns io.EOF if the input ends before a PDU.
+// After any other error the start of the next PDU is unknown. With ErrTooLong and ErrAHS it also returns the header.
 func ReadPDU(r io.Reader, maxLength int) (*PDU, error) {
 	p := &PDU{}
 	if _, err := io.ReadFull(r, p.Header[:]); err != nil {
@@ -201,7 +201,7 @@
 	return p, nil
 }
 
-// Bytes returns the PDU as it is sent. It takes the length of the data segment from Data.
+// Bytes returns the encoded PDU. The length of the data segment is that of Data.
 func (p *PDU) Bytes() []byte {
 	length := len(p.Data)
 	b := make([]byte, HeaderSize+length+paddingOf(length))
--- a/internal/proto/iscsi/scsi.go
+++ b/internal/proto/iscsi/scsi.go
@@ -8,7 +8,7 @@
 // CDB is a SCSI command descriptor block.
 type CDB [16]byte
 
-// Operation codes of the SCSI commands of the subset.
+// Operation codes of the SCSI commands that the gateway supports.
 const (
 	TestUnitReady     = 0x00
 	Inquiry           = 0x12
@@ -39,10 +39,10 @@
 	Data []byte // of a read
 }
 
-// Length returns the number of bytes that the command transfers.
+// Length returns how many bytes the command transfers.
 func (c *Command) Length() int { return int(c.Blocks) * int(c.BlockSize) }
 
-// CDB returns the command in the shortest form that holds its address and length.
+// CDB returns the command descriptor block in the shortest form that holds the command's address and length.
 func (c *Command) CDB() (b CDB) {
 	if c.LBA+uint64(c.Blocks) <= 1<<32 && c.Blocks < 1<<16 {
 		b[0] = Read10
@@ -62,7 +62,7 @@
 	return b
 }
 
-// Transfer returns the address and the length of a READ or WRITE; ok is false for any other command.
+// Transfer returns the address and the number of blocks of a READ or WRITE; ok is false for any other command.
 func (b *CDB) Transfer() (lba uint64, blocks uint32, write, ok bool) {
 	switch b[0] {
 	case Read10, Write10:
@@ -80,7 +80,7 @@
 // Status is the status with which a SCSI command ends.
 type Status byte
 
-// The statuses of the subset.
+// The statuses that the gateway uses.
 const (
 	Good           Status = 0x00
 	CheckCondition Status = 0x02
@@ -88,7 +88,7 @@
 	TaskSetFull    Status = 0x28
 )
 
-// String returns the name of the status.
+// String returns the status's name in logs.
 func (s Status) String() string {
 	switch s {
 	case Good:
@@ -103,7 +103,7 @@
 	return fmt.Sprintf("status-%#02x", byte(s))
 }
 
-// Sense says why a command ended with CheckCondition: the sense key, the additional sense code and its qualifier.
+// Sense states why a command ended with CheckCondition: the sense key, the additional sense code and its qualifier.
 type Sense struct {
 	Key       byte
 	Code      byte
--- a/internal/proto/iscsi/text.go
+++ b/internal/proto/iscsi/text.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Pair is a key=value pair of a login's text (section 6.1).
+// Pair is a key=value pair of login text (section 6.1).
 type Pair struct {
 	Key   string
 	Value string
@@ -20,7 +20,7 @@
 	maxValueLength = 255
 )
 
-// ParseText returns the pairs of a data segment.
+// ParseText returns the pairs in a data segment of login text.
 func ParseText(data []byte) ([]Pair, error) {
 	var pairs []Pair
 	for _, part := range bytes.Split(data, []byte{0}) {
@@ -36,7 +36,7 @@
 	return pairs, nil
 }
 
-// FormatText returns pairs as a data segment.
+// FormatText returns the data segment that holds pairs as login text.
 func FormatText(pairs []Pair) []byte {
 	var b []byte
 	for _, pair := range pairs {
@@ -50,27 +50,28 @@
 
 // Params are the operational parameters of a session, as one side sees them (section 13).
 type Params struct {
-	MaxSegment       int  // the other side's MaxRecvDataSegmentLength: the longest data segment to send
-	FirstBurst       int  // FirstBurstLength: unsolicited data of a write
-	MaxBurst         int  // MaxBurstLength: data that one R2T asks for
+	MaxSegment       int  // the other side's MaxRecvDataSegmentLength: the longest data segment to send, in bytes
+	FirstBurst       int  // FirstBurstLength: most unsolicited data of a write, in bytes
+	MaxBurst         int  // MaxBurstLength: most data that one R2T asks for, in bytes
 	ImmediateData    bool // a write may carry data in its command
 	TargetName       string
 	InitiatorName    string
 	DiscoverySession bool // SessionType is Discovery
 }
 
-// Defaults of section 13, in bytes. The gateway does not agree to longer bursts.
+// Defaults of section 13, in bytes. The gateway negotiates no longer bursts than these.
 const (
 	DefaultSegment    = 8192   // MaxRecvDataSegmentLength
 	DefaultFirstBurst = 65536  // FirstBurstLength
 	DefaultMaxBurst   = 262144 // MaxBurstLength
 )
 
+// Limits of lengths, in bytes.
 const (
 	maxSegment = DefaultFirstBurst // longest data segment that the gateway sends
 
-	minParamLength = 512       // range of all lengths in section 13
-	maxParamLength = 1<<24 - 1 // likewise
+	minParamLength = 512       // smallest value of any length in section 13
+	maxParamLength = 1<<24 - 1 // largest value of any length in section 13
 )
 
 // DefaultParams returns the parameters that hold at the start of a login.
@@ -83,7 +84,7 @@
 	}
 }
 
-// fixedAnswers are the keys that the gateway answers with one value, whatever is offered.
+// fixedAnswers holds, by key, the value with which the gateway answers whatever the other side offers.
 var fixedAnswers = map[string]string{
 	"AuthMethod":          "None",
 	"DataDigest":          "None",
@@ -100,7 +101,7 @@
 	"OFMarker":            "No",
 }
 
-// Negotiate applies the pairs that the other side sent and returns the answers to them.
+// Negotiate applies the pairs that the other side has sent and returns the answers to them.
 func (p *Params) Negotiate(pairs []Pair) ([]Pair, error) {
 	var answers []Pair
 	for _, pair := range pairs {
@@ -115,7 +116,8 @@
 	return answers, nil
 }
 
-// apply applies a pair and returns the value of the answer. Keys that are declared and not negotiated have no answer.
+// apply applies a pair and returns the value of the answer. It returns false for negotiated if the key is only declared
+// by the other side and has no answer.
 func (p *Params) apply(pair Pair) (answer string, negotiated bool, err error) {
 	switch pair.Key {
 	case "InitiatorName":
@@ -125,7 +127,7 @@
 	case "SessionType":
 		p.DiscoverySession = pair.Value == "Discovery"
 	case "InitiatorAlias", "TargetAlias", "TargetPortalGroupTag":
-		// Of no use here.
+		// The gateway ignores these keys.
 	case "MaxRecvDataSegmentLength":
 		p.MaxSegment, err = parseLength(pair, maxSegment)
 	case "FirstBurstLength":
@@ -144,7 +146,7 @@
 	return "", false, err
 }
 
-// fixedAnswer returns the answer to a key whose value is not up to the other side.
+// fixedAnswer returns the answer to a key that has only one acceptable value.
 func fixedAnswer(pair Pair) (string, error) {
 	value, known := fixedAnswers[pair.Key]
 	if !known {
@@ -156,7 +158,7 @@
 	return value, nil
 }
 
-// parseLength returns a length, cut to a limit.
+// parseLength returns the length in a pair, but at most limit.
 func parseLength(pair Pair, limit int) (int, error) {
 	n, err := strconv.Atoi(pair.Value)
 	if err != nil || n < minParamLength || n > maxParamLength {
