--- a/internal/frontend/iscsitarget/command.go
+++ b/internal/frontend/iscsitarget/command.go
@@ -23,7 +23,7 @@
 	allowsData := isTransfer && write && s.params.ImmediateData && len(p.Data) <= s.params.FirstBurst
 	switch {
 	case len(p.Data) > 0 && !allowsData,
-		!p.Has(iscsi.Final): // unsolicited Data-Out would follow, which InitialR2T=Yes rules out
+		!p.Has(iscsi.Final): // unsolicited Data-Out would follow, which InitialR2T=Yes forbids
 		return s.reject(p, iscsi.InvalidPDUField)
 	case !isTransfer:
 		return s.handleLocalCommand(p)
@@ -47,7 +47,7 @@
 			Data:      p.Data,
 		},
 	}
-	if sense, ok := t.check(p); !ok {
+	if sense, ok := t.validate(p); !ok {
 		return s.failCommand(p, sense)
 	}
 	if blocks == 0 {
@@ -56,13 +56,13 @@
 	return s.startTask(p, t)
 }
 
-// check checks the range and the lengths of a READ or WRITE. If they are invalid, the sense says why.
-func (t *task) check(p *iscsi.PDU) (sense iscsi.Sense, ok bool) {
+// validate checks the block range and the lengths of a READ or WRITE. If they are invalid, sense states the reason.
+func (t *task) validate(p *iscsi.PDU) (sense iscsi.Sense, ok bool) {
 	length := uint64(t.command.Blocks) * uint64(t.unit.BlockSize)
 	switch {
 	case t.command.LBA >= t.unit.Blocks || uint64(t.command.Blocks) > t.unit.Blocks-t.command.LBA:
 		return iscsi.OutOfRange, false
-	case length > httpmsg.MaxRequestBody: // a request to a node holds no more; the block limits page says so
+	case length > httpmsg.MaxRequestBody: // the limit of a request to a node; the block limits page states it
 		return iscsi.InvalidField, false
 	case t.command.Write && (uint64(t.expectedLength) < length || !p.Has(iscsi.Write)):
 		return iscsi.InvalidField, false
@@ -87,14 +87,14 @@
 		request.Operation = entry.Name
 		request.RetryPolicy = entry.RetryPolicy
 	}
-	// Limits are acquired before any data is asked for.
+	// The limits are acquired before the client is asked for any data.
 	limits, err := s.acquireLimits(t, request)
 	if err != nil {
 		limits.Release()
 		s.finish(t, exchange.Answer{Verdict: verdictOf(err)})
 		return nil
 	}
-	s.wait.Go(func() {
+	s.goroutines.Go(func() {
 		defer limits.Release() // the task is answered or aborted
 		s.execute(t, request)
 	})
@@ -108,7 +108,7 @@
 	if options.Rules == nil || !options.Rules.InForce() {
 		return nil, nil
 	}
-	method := http.MethodGet // what rules call a READ
+	method := http.MethodGet // stands for a READ in rules
 	if t.command.Write {
 		method = http.MethodPut
 	}
@@ -124,8 +124,8 @@
 	return options.Rules.Admit(facts, class, plan, request.Volume)
 }
 
-// verdictOf returns how a command ends whose limits could not be acquired. Over a limit it may be retried; a fault of
-// a rule is a failure.
+// verdictOf returns the verdict on a command whose limits could not be acquired. A command that exceeds a limit is
+// rejected and may be retried; an error in a rule is a failure.
 func verdictOf(err error) exchange.Verdict {
 	if errors.As(err, new(engine.LimitError)) {
 		return exchange.Rejected
--- a/internal/frontend/iscsitarget/command_window.go
+++ b/internal/frontend/iscsitarget/command_window.go
@@ -1,14 +1,14 @@
 package iscsitarget
 
 import (
-	"errors"
+	"fmt"
 
 	"reachpulley/internal/proto/iscsi"
 )
 
-// acceptCmdSN checks the CmdSN of a request and reports whether the request is to be handled. Requests outside the
-// command window and duplicates are ignored (section 4.2.2.1). A gap is an error: on the only connection of a session
-// it cannot close.
+// acceptCmdSN checks the CmdSN of a request and reports whether the request is the next in order and must be handled.
+// Requests outside the command window and duplicates are ignored (section 4.2.2.1). A gap is an error, since the
+// missing request cannot arrive any more: the session has only one connection.
 func (s *session) acceptCmdSN(p *iscsi.PDU) (inOrder bool, err error) {
 	if p.Immediate() {
 		return true, nil
@@ -24,11 +24,11 @@
 		return inOrder, nil
 	}
 	s.reject(p, iscsi.ProtocolError)
-	return false, errors.New("gap in the order of commands")
+	return false, fmt.Errorf("gap in the order of commands: got CmdSN %d, want %d", cmdSN, expected)
 }
 
-// number sets the sequence numbers of a PDU from the target.
-func (s *session) number(p *iscsi.PDU, hasStatus bool) {
+// setSequenceNumbers sets the sequence numbers of a PDU from the target.
+func (s *session) setSequenceNumbers(p *iscsi.PDU, hasStatus bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.openWindowLocked()
@@ -43,10 +43,10 @@
 }
 
 // openWindowLocked opens the command window for as many commands as the session has capacity for. MaxCmdSN never
-// decreases, as clients would ignore that.
+// decreases, since clients would ignore that.
 //
-// It runs when the window is sent and not when a command is accepted: an accepted command is not in tasks at once,
-// and its place would be given away twice.
+// It runs when a PDU with the window is sent and not when a command is accepted: an accepted command is added to tasks
+// only later, so its capacity would be offered twice.
 func (s *session) openWindowLocked() {
 	depth := s.target.options.Depth
 	capacity := depth - min(depth, len(s.tasks))
--- a/internal/frontend/iscsitarget/data.go
+++ b/internal/frontend/iscsitarget/data.go
@@ -2,7 +2,8 @@
 
 import "reachpulley/internal/proto/iscsi"
 
-// requestData asks for the next burst of a write's data. Once all data has arrived, it lets the task be executed.
+// requestData asks the client for the next burst of a write's data. Once all data has arrived, it closes dataComplete,
+// for which session.execute waits.
 func (s *session) requestData(t *task) error {
 	received, total := len(t.command.Data), t.command.Length()
 	if !t.command.Write || received == total {
@@ -20,7 +21,7 @@
 	return s.send(r2t, false)
 }
 
-// handleDataOut adds data that an R2T has asked for.
+// handleDataOut adds the data of a Data-Out, which must answer the outstanding R2T, to its task.
 func (s *session) handleDataOut(p *iscsi.PDU) error {
 	s.mu.Lock()
 	t := s.tasks[p.Get(iscsi.TaskTag)]
@@ -36,7 +37,7 @@
 	if !p.Has(iscsi.Final) {
 		return nil
 	}
-	if len(t.command.Data) < t.burstEnd { // the initiator has ended the burst too early
+	if len(t.command.Data) < t.burstEnd { // the burst is shorter than the R2T asked for
 		if s.takeTask(t) {
 			return s.send(s.checkCondition(t, iscsi.WrongDataLength), true)
 		}
@@ -46,7 +47,7 @@
 	return s.requestData(t)
 }
 
-// expects reports whether a Data-Out is the next one of the outstanding R2T.
+// expects reports whether a Data-Out is the next one that the outstanding R2T asked for.
 func (t *task) expects(p *iscsi.PDU) bool {
 	received := len(t.command.Data)
 	return t.burstEnd != 0 &&
@@ -56,7 +57,7 @@
 		received+len(p.Data) <= t.burstEnd
 }
 
-// sendDataIn sends data in segments that the initiator accepts. The last one carries the status.
+// sendDataIn sends data in segments no longer than the initiator accepts. The last one carries the status.
 func (s *session) sendDataIn(tag uint32, lun uint16, data []byte, expectedLength int) error {
 	residual, residualFlag := uint32(0), byte(0)
 	switch {
--- a/internal/frontend/iscsitarget/event.go
+++ b/internal/frontend/iscsitarget/event.go
@@ -9,14 +9,14 @@
 	"reachpulley/internal/proto/iscsi"
 )
 
-// Event reports what happened to a session or command. Events go to the log under the key "event"; api/asyncapi.yaml
-// describes their form.
+// Event reports what has happened to a session or command. Events are logged under the key "event"; api/asyncapi.yaml
+// describes their format.
 type Event struct {
 	Kind      string        `json:"kind"`
 	Session   uint16        `json:"session"` // TSIH
 	Initiator string        `json:"initiator"`
 	Reason    string        `json:"reason,omitempty"` // why a session ended
-	TookMs    *int64        `json:"tookMs,omitempty"` // duration of the session or command that ended
+	TookMs    *int64        `json:"tookMs,omitempty"` // duration of the session or command that ended, in ms
 	Command   *CommandEvent `json:"command,omitempty"`
 }
 
--- a/internal/frontend/iscsitarget/liveness.go
+++ b/internal/frontend/iscsitarget/liveness.go
@@ -6,7 +6,7 @@
 	"reachpulley/internal/proto/iscsi"
 )
 
-// noteReceived notes that the client has sent something.
+// noteReceived records the time at which the client has sent something.
 func (s *session) noteReceived() { s.lastReceived.Store(int64(time.Since(s.startedAt))) }
 
 // silence returns for how long the client has sent nothing.
@@ -14,9 +14,9 @@
 	return time.Since(s.startedAt) - time.Duration(s.lastReceived.Load())
 }
 
-// watch pings a silent client, and ends the session if it does not answer: its machine may be gone without having
-// closed the connection.
-func (s *session) watch() {
+// pingWhenSilent pings the client when it has been silent for pingInterval, and ends the session if it stays silent for
+// twice that time: the client's machine may have failed without closing the connection.
+func (s *session) pingWhenSilent() {
 	ticker := time.NewTicker(pingInterval / 2)
 	defer ticker.Stop()
 	for {
@@ -37,15 +37,15 @@
 	}
 }
 
-// Fields of an Async Message that requests a logout.
+// Offsets and values of the fields of an Async Message that requests a logout.
 const (
 	asyncEventOffset   = 36
 	asyncRequestLogout = 1  // the target requests a logout
 	asyncSecondsOffset = 45 // seconds until the target ends the session
 )
 
-// requestLogout asks the client to log out. It ends the session once the client has had logoutTimeout for it and
-// nothing is outstanding.
+// requestLogout asks the client to log out. It ends the session after logoutTimeout, or later once no task is
+// outstanding.
 func (s *session) requestLogout() {
 	message := iscsi.New(iscsi.AsyncMessage, iscsi.Final).Set(iscsi.TaskTag, iscsi.NoTag)
 	message.Header[asyncEventOffset] = asyncRequestLogout
--- a/internal/frontend/iscsitarget/local_command.go
+++ b/internal/frontend/iscsitarget/local_command.go
@@ -7,7 +7,7 @@
 	"reachpulley/internal/proto/iscsi"
 )
 
-// handleLocalCommand handles SCSI commands that need no node.
+// handleLocalCommand answers a SCSI command that needs no node.
 func (s *session) handleLocalCommand(p *iscsi.PDU) error {
 	cdb := p.CDB()
 	unit := s.target.units[p.LUN()]
@@ -44,14 +44,15 @@
 	return s.sendDataIn(p.Get(iscsi.TaskTag), p.LUN(), data, int(p.Get(iscsi.ExpectedLength)))
 }
 
-// capacity10Data returns the data of READ CAPACITY (10): the last block, as far as 32 bits hold it, and the block
-// size.
+// capacity10Data returns the data of READ CAPACITY (10): the address of the last block, or 0xffffffff if the address
+// needs more than 32 bits, and the block size.
 func (u *Unit) capacity10Data() []byte {
 	data := binary.BigEndian.AppendUint32(nil, uint32(min(u.Blocks-1, 1<<32-1)))
 	return binary.BigEndian.AppendUint32(data, u.BlockSize)
 }
 
-// capacity16Data returns the data of READ CAPACITY (16): the last block and the block size, and nothing else.
+// capacity16Data returns the data of READ CAPACITY (16): the address of the last block and the block size. The other
+// fields are zero.
 func (u *Unit) capacity16Data() []byte {
 	data := binary.BigEndian.AppendUint64(nil, u.Blocks-1)
 	data = binary.BigEndian.AppendUint32(data, u.BlockSize)
@@ -69,19 +70,19 @@
 	return data
 }
 
-// Pages of vital product data.
+// Page codes of vital product data (VPD).
 const (
 	supportedPages = 0x00
 	blockLimits    = 0xb0
 )
 
-// Peripheral device types, with the peripheral qualifier.
+// Values of the first byte of INQUIRY data: peripheral qualifier and peripheral device type.
 const (
 	directAccessDevice = 0x00
-	noDevice           = 0x7f
+	noDevice           = 0x7f // the target has no such unit
 )
 
-// inquiryData returns the data of INQUIRY; nil if the page is not supported.
+// inquiryData returns the data of INQUIRY; nil if the requested page is not supported.
 func inquiryData(unit *Unit, cdb *iscsi.CDB) []byte {
 	vitalProductData, page := cdb[1]&1 != 0, cdb[2]
 	device := byte(directAccessDevice)
--- a/internal/frontend/iscsitarget/login.go
+++ b/internal/frontend/iscsitarget/login.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxLoginText   = 8 << 10 // bytes of text in a Login Request, over all its PDUs
-	maxLoginRounds = 8       // PDUs of a login
+	maxLoginText = 8 << 10 // bytes of text in a Login Request, over all its PDUs
+	maxLoginPDUs = 8       // PDUs of a login
 )
 
 // Offsets in the headers of Login Requests and Responses (sections 11.12 and 11.13).
@@ -25,17 +25,17 @@
 	loginStatusOffset = 36
 )
 
-// errLoginRejected reports a login that was answered with a status other than success.
+// errLoginRejected reports that a login was answered with a status other than success.
 var errLoginRejected = errors.New("login rejected")
 
-// loginRequest is a Login Request with the text of the PDUs that it continues.
+// loginRequest is a Login Request, which may consist of several PDUs.
 type loginRequest struct {
-	*iscsi.PDU
-	text    []byte
-	stage   byte // current stage (CSG)
-	next    byte // next stage (NSG), if the initiator wants to proceed
-	transit bool // the initiator wants to proceed
-	leading bool // the first PDU of the login
+	*iscsi.PDU        // the last one
+	text       []byte // of all PDUs
+	stage      byte   // current stage (CSG)
+	next       byte   // next stage (NSG), if the initiator wants to proceed
+	transit    bool   // the initiator wants to proceed
+	leading    bool   // the first PDU of the login
 }
 
 func newLoginRequest(p *iscsi.PDU, leading bool) loginRequest {
@@ -48,18 +48,18 @@
 	}
 }
 
-// login takes the session to its full feature phase.
+// login negotiates with the client until the session is in its full feature phase.
 func (s *session) login() error {
 	s.conn.SetDeadline(time.Now().Add(loginTimeout))
 	var text []byte
-	declared := false // MaxRecvDataSegmentLength has been sent
-	for round := range maxLoginRounds {
+	declared := false // MaxRecvDataSegmentLength has been declared to the client
+	for round := range maxLoginPDUs {
 		p, err := iscsi.ReadPDU(s.reader, maxLoginText)
 		if err != nil {
 			return err
 		}
 		if p.Op() != iscsi.LoginRequest {
-			return fmt.Errorf("%v before the login", p.Op())
+			return fmt.Errorf("PDU %q received before the login was complete", p.Op())
 		}
 		request := newLoginRequest(p, round == 0)
 		if request.leading {
@@ -87,10 +87,10 @@
 			return err
 		}
 	}
-	return fmt.Errorf("login not complete after %d rounds", maxLoginRounds)
+	return fmt.Errorf("login not complete after %d PDUs", maxLoginPDUs)
 }
 
-// startNumbering sets the sequence numbers of the session. They start where the initiator says.
+// startNumbering sets the first sequence numbers of the session, which the initiator chooses.
 func (s *session) startNumbering(p *iscsi.PDU) {
 	s.statSN = p.Get(iscsi.ExpStatSN)
 	s.expCmdSN = p.Get(iscsi.CmdSN)
@@ -98,7 +98,7 @@
 	copy(s.isid[:], p.Header[isidOffset:isidEnd])
 }
 
-// proceed answers a successful Login Request and reports whether the login is complete.
+// proceed answers a Login Request that was accepted and reports whether the login is complete.
 func (s *session) proceed(request loginRequest, answers []iscsi.Pair) (done bool, err error) {
 	flags := request.stage << 2
 	if request.transit {
@@ -158,7 +158,8 @@
 	return s.params.Negotiate(pairs)
 }
 
-// hasValidStages reports whether the stages of the request exist and go forward.
+// hasValidStages reports whether the current stage exists and, if the initiator wants to proceed, the next one exists
+// and is later.
 func (r loginRequest) hasValidStages() bool {
 	if r.stage > iscsi.OperationalStage {
 		return false
--- a/internal/frontend/iscsitarget/response.go
+++ b/internal/frontend/iscsitarget/response.go
@@ -1,14 +1,15 @@
 package iscsitarget
 
 import (
-	"errors"
+	"fmt"
 	"time"
 
 	"reachpulley/internal/exchange"
 	"reachpulley/internal/proto/iscsi"
 )
 
-// timeoutMargin is how long before the deadline the scheduler ends a request that has not been answered.
+// timeoutMargin is how shortly before its deadline a failed command counts as timed out: the scheduler ends unanswered
+// requests some milliseconds before their deadline.
 const timeoutMargin = 10 * time.Millisecond
 
 // finish sends the response of a task, unless the task has been taken before.
@@ -18,7 +19,7 @@
 		var err error
 		data, err = s.readData(t, answer.Reply)
 		if err != nil {
-			s.target.options.Log.Error("iSCSI reply from node unusable", "lun", t.lun, "err", err)
+			s.target.options.Log.Error("cannot use reply of node to iSCSI command", "lun", t.lun, "err", err)
 			answer.Verdict = exchange.Failed
 		}
 	}
@@ -46,13 +47,13 @@
 func (s *session) readData(t *task, reply any) ([]byte, error) {
 	data, err := s.target.options.Translator.Data(reply)
 	if err == nil && len(data) != t.command.Length() {
-		err = errors.New("the length of the data is not that of the command")
+		err = fmt.Errorf("reply has %d bytes of data, want %d", len(data), t.command.Length())
 	}
 	return data, err
 }
 
-// statusOf returns the SCSI status for a verdict. A client with further commands outstanding should wait for one of
-// them before it retries a rejected one, which TaskSetFull tells it.
+// statusOf returns the SCSI status for a verdict. TaskSetFull tells a client with further outstanding commands to wait
+// until one of them has ended before it retries the rejected one.
 func statusOf(verdict exchange.Verdict, onlyTask bool) iscsi.Status {
 	switch {
 	case verdict == exchange.Rejected && onlyTask:
@@ -68,8 +69,8 @@
 // statusOffset is the offset of the SCSI status in a SCSI Response (section 11.4).
 const statusOffset = 3
 
-// response returns the SCSI Response of a task that has transferred a number of bytes. A write that is good has
-// transferred all.
+// response returns the SCSI Response of a task that has transferred a number of bytes. A successful write has
+// transferred all of its data, whatever the number.
 func (s *session) response(t *task, status iscsi.Status, transferred int) *iscsi.PDU {
 	if t.command.Write && status == iscsi.Good {
 		transferred = t.command.Length()
--- a/internal/frontend/iscsitarget/session.go
+++ b/internal/frontend/iscsitarget/session.go
@@ -14,17 +14,17 @@
 	"reachpulley/internal/proto/iscsi"
 )
 
-// session is a session with its only connection.
+// session is an iSCSI session, which has exactly one connection.
 type session struct {
-	target    *Target
-	conn      net.Conn
-	reader    *bufio.Reader
-	startedAt time.Time
-	ctx       context.Context // ends with the session
-	cancel    context.CancelFunc
-	wait      sync.WaitGroup // the goroutines of watch and of tasks
-
-	overLimit    bool         // there are too many sessions; the login is to be rejected
+	target     *Target
+	conn       net.Conn
+	reader     *bufio.Reader
+	startedAt  time.Time
+	ctx        context.Context // ends with the session
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup // those of pingWhenSilent and execute
+
+	overLimit    bool         // there are too many sessions, so the login will be rejected
 	lastReceived atomic.Int64 // nanoseconds from startedAt to the last PDU from the client
 
 	// Set by the login.
@@ -39,8 +39,8 @@
 	statSN   uint32
 	expCmdSN uint32
 	maxCmdSN uint32
-	tasks    map[uint32]*task // by Initiator Task Tag; whoever takes a task sends its one response
-	lastTTT  uint32           // Target Transfer Tag
+	tasks    map[uint32]*task // by Initiator Task Tag; see takeTask
+	lastTTT  uint32           // the Target Transfer Tag that was assigned last
 }
 
 func newSession(t *Target, conn net.Conn) *session {
@@ -56,7 +56,8 @@
 	return s
 }
 
-// isSameNexus reports whether two sessions are of the same initiator and the same initiator port.
+// isSameNexus reports whether two sessions belong to the same initiator port, which the initiator's name and the ISID
+// identify.
 func (s *session) isSameNexus(other *session) bool {
 	return s.isid == other.isid && s.params.InitiatorName == other.params.InitiatorName
 }
@@ -68,11 +69,11 @@
 	if err == nil {
 		s.target.logEvent(s.newEvent(sessionOpened))
 		s.noteReceived()
-		s.wait.Go(s.watch)
+		s.goroutines.Go(s.pingWhenSilent)
 		err = s.serve()
 	}
 	s.cancel()
-	s.wait.Wait()
+	s.goroutines.Wait()
 	stop()
 	s.conn.Close()
 	if s.tsih != 0 {
@@ -82,7 +83,7 @@
 	}
 }
 
-// errLoggedOut ends a session whose client has logged out. It is the reason in the session's closing event.
+// errLoggedOut ends a session whose client has logged out. Its text is the reason in the session-closed event.
 var errLoggedOut = errors.New("logged out")
 
 // serve reads and handles PDUs until the session ends.
@@ -110,7 +111,7 @@
 	case iscsi.NopOut, iscsi.SCSICommand, iscsi.TaskRequest, iscsi.LogoutRequest:
 	case iscsi.LoginRequest:
 		s.reject(p, iscsi.ProtocolError)
-		return errors.New("second login on the connection")
+		return errors.New("login request received after the login was complete")
 	default:
 		return s.reject(p, iscsi.CommandNotSupported)
 	}
@@ -129,7 +130,7 @@
 	return errLoggedOut
 }
 
-// handleNopOut answers a ping. A NOP-Out without a task tag is the answer to a ping of the target.
+// handleNopOut answers a ping of the client. A NOP-Out without a task tag answers a ping of the target instead.
 func (s *session) handleNopOut(p *iscsi.PDU) error {
 	if p.Get(iscsi.TaskTag) == iscsi.NoTag {
 		return nil
@@ -141,12 +142,12 @@
 	return s.send(answer, true)
 }
 
-// send numbers a PDU and writes it. A PDU with a status takes the next StatSN. A client that does not read loses its
-// session.
+// send sets the sequence numbers of a PDU and writes it. A PDU with a status takes the next StatSN. The session ends if
+// the client does not read the PDU within writeTimeout.
 func (s *session) send(p *iscsi.PDU, hasStatus bool) error {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
-	s.number(p, hasStatus)
+	s.setSequenceNumbers(p, hasStatus)
 	s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := s.conn.Write(p.Bytes())
 	if err != nil {
--- a/internal/frontend/iscsitarget/target.go
+++ b/internal/frontend/iscsitarget/target.go
@@ -14,9 +14,9 @@
 	"reachpulley/scheduler"
 )
 
-// Loop is the event loop that decides on exchanges.
+// Loop is the event loop that carries out exchanges.
 type Loop interface {
-	// Open hands over an exchange; the loop finishes it once its answer is known.
+	// Open passes an exchange to the loop, which finishes it once the answer is known.
 	Open(*exchange.Exchange)
 }
 
@@ -32,19 +32,19 @@
 	Depth      int                 // maximum number of outstanding commands in a session
 	Loop       Loop
 	Translator Translator
-	NewID      func() string // makes the ID of a request, each time another one
+	NewID      func() string // returns the ID of a request, a different one on each call
 	Log        *slog.Logger
 }
 
 const (
 	loginTimeout     = 2500 * time.Millisecond // for a login to complete
 	writeTimeout     = 10 * time.Second        // for a PDU to be written to the socket
-	pingInterval     = 20 * time.Second        // silence until a client is pinged; after twice that its session ends
+	pingInterval     = 20 * time.Second        // silence until a client is pinged; its session ends after twice that
 	logoutTimeout    = 2 * time.Second         // for a client to log out when the target stops
 	acceptRetryDelay = 50 * time.Millisecond   // after a failure to accept a connection
 )
 
-// Target accepts connections and serves a session on each. It owns the connections: each is closed in session.run.
+// Target accepts connections and serves a session on each. It owns the connections, which session.run closes.
 type Target struct {
 	options Options
 	units   map[uint16]*Unit // by LUN
@@ -53,10 +53,10 @@
 	sessions map[*session]bool
 	stopping bool
 	lastTSIH uint16
-	wait     sync.WaitGroup // one for each session that was added
+	running  sync.WaitGroup // one for each session that was added
 }
 
-// New returns a Target.
+// New returns a Target with the given options.
 func New(o Options) *Target {
 	t := &Target{
 		options:  o,
@@ -69,7 +69,7 @@
 	return t
 }
 
-// Serve accepts connections until the listener is closed. It retries after any other error, since a lack of
+// Serve accepts connections until the listener is closed. It retries after any other error, since a lack of file
 // descriptors is temporary.
 func (t *Target) Serve(l net.Listener) {
 	for {
@@ -78,7 +78,7 @@
 			return
 		}
 		if err != nil {
-			t.options.Log.Warn("iSCSI connection not accepted", "err", err)
+			t.options.Log.Warn("cannot accept iSCSI connection", "err", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -94,9 +94,10 @@
 	}
 }
 
-// add adds a session to the table. Up to Options.Sessions sessions beyond the limit are added, so that a Login
-// Response can tell their clients of it. Beyond those, the session that has been in its login for longest is evicted:
-// clients that connect and send nothing must not keep others out.
+// add adds a session to the table and reports whether it did. The table holds twice as many sessions as
+// Options.Sessions allows: those above the limit only receive a Login Response that states the reason. When the table is
+// full, the session that has been in its login for longest is evicted, so that clients that connect and send nothing
+// do not keep others out.
 func (t *Target) add(s *session) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,7 +114,7 @@
 	}
 	s.overLimit = len(t.sessions) >= t.options.Sessions
 	t.sessions[s] = true
-	t.wait.Add(1)
+	t.running.Add(1)
 	return true
 }
 
@@ -133,11 +134,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.sessions, s)
-	t.wait.Done()
+	t.running.Done()
 }
 
-// register gives a session that has logged in its TSIH. It ends another session of the same initiator under the same
-// ISID, whose connection may be half open (session reinstatement, section 6.3.5).
+// register assigns a TSIH to a session whose login is complete. It ends any other session of the same initiator with
+// the same ISID, whose connection may be half open (session reinstatement, section 6.3.5).
 func (t *Target) register(s *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,8 +154,8 @@
 	s.tsih = t.lastTSIH
 }
 
-// Shutdown asks all clients to log out and waits until all sessions have ended. A session ends once nothing is
-// outstanding in it, and at the latest when ctx ends.
+// Shutdown asks all clients to log out and waits until all sessions have ended. A session ends when its client logs
+// out, or after logoutTimeout as soon as it has no outstanding command, or at the latest when ctx ends.
 func (t *Target) Shutdown(ctx context.Context) {
 	t.mu.Lock()
 	t.stopping = true
@@ -168,7 +169,7 @@
 	t.mu.Unlock()
 	ended := make(chan struct{})
 	go func() {
-		t.wait.Wait()
+		t.running.Wait()
 		close(ended)
 	}()
 	select {
--- a/internal/frontend/iscsitarget/target_test.go
+++ b/internal/frontend/iscsitarget/target_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 )
 
-// exhaustedListener is a listener without descriptors for a number of calls.
+// exhaustedListener is a listener that lacks file descriptors in its first calls of Accept and is closed after them.
 type exhaustedListener struct {
 	net.Listener
 	failures int
@@ -22,12 +22,13 @@
 	return nil, errors.New("too many open files")
 }
 
-func TestServeOutlastsFailuresOfItsListener(t *testing.T) {
+// Serve retries while Accept fails and returns once the listener is closed.
+func TestServeRetriesFailedAccepts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &exhaustedListener{failures: 3}
 		New(Options{Log: slog.New(slog.DiscardHandler)}).Serve(l)
 		if l.failures != -1 {
-			t.Errorf("%d failures were left", l.failures)
+			t.Errorf("after Serve, %d failures of Accept are left, want -1", l.failures)
 		}
 	})
 }
--- a/internal/frontend/iscsitarget/task.go
+++ b/internal/frontend/iscsitarget/task.go
@@ -26,11 +26,11 @@
 
 	transferTag uint32
 	dataSN      uint32 // of the next Data-Out
-	burstEnd    int    // offset in the data; 0: no R2T is outstanding
+	burstEnd    int    // offset at which the requested data ends; 0: no R2T is outstanding
 }
 
-// addTask adds a task to the table. It fails if the tag is in use, or if the table is full: the command window keeps
-// all but immediate commands from that.
+// addTask adds a task to the table. It fails if the tag is in use or the table is full. Only an immediate command can
+// find the table full, since the command window limits the others.
 func (s *session) addTask(t *task) (reason iscsi.RejectReason, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,8 +45,8 @@
 	return 0, true
 }
 
-// takeTask removes a task from the table and ends it. It returns false if the task has been taken before; the caller
-// must then not answer it.
+// takeTask removes a task from the table and ends it, so that only the caller answers it. It returns false if the task
+// has been taken before; the caller must then not answer it.
 func (s *session) takeTask(t *task) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +58,7 @@
 	return true
 }
 
-// execute carries a task through the event loop and answers it, unless it is aborted.
+// execute waits for the data of a task, passes the task to the event loop and answers it, unless it is aborted.
 func (s *session) execute(t *task, request scheduler.Request) {
 	timeout := time.NewTimer(time.Until(t.deadline))
 	defer timeout.Stop()
@@ -72,7 +72,7 @@
 	}
 	payload, err := s.target.options.Translator.Request(request, &t.command)
 	if err != nil {
-		s.target.options.Log.Error("iSCSI command not translated", "lun", t.lun, "err", err)
+		s.target.options.Log.Error("cannot translate iSCSI command for node", "lun", t.lun, "err", err)
 		s.finish(t, exchange.Answer{Verdict: exchange.Failed})
 		return
 	}
@@ -89,7 +89,7 @@
 // taskResponseOffset is the offset of the response in a Task Management Function Response (section 11.6).
 const taskResponseOffset = 2
 
-// handleTaskManagement handles task management functions. A task is aborted by taking it, so that it has no response.
+// handleTaskManagement handles task management functions. It aborts a task by taking it and sending no response to it.
 func (s *session) handleTaskManagement(p *iscsi.PDU) error {
 	result := byte(iscsi.TaskFunctionNotSupported)
 	if p.Flags()&^iscsi.Final == iscsi.AbortTask {
--- a/internal/frontend/iscsitarget/unit.go
+++ b/internal/frontend/iscsitarget/unit.go
@@ -7,21 +7,21 @@
 	"reachpulley/scheduler"
 )
 
-// Unit is a logical unit and the facts on which its commands are decided.
+// Unit is a logical unit with the facts by which its commands are scheduled.
 type Unit struct {
 	LUN        uint16
 	Volume     string
-	Plan       int
-	ReadClass  int
-	WriteClass int
+	Plan       int // index in Options.Plans
+	ReadClass  int // index in Options.Classes
+	WriteClass int // index in Options.Classes
 	Shard      int
-	Hosts      int
+	Hosts      int    // number of gateways that receive requests for the volume
 	BlockSize  uint32 // bytes
-	Blocks     uint64
-	UnitBytes  int // bytes that count as one unit of work
+	Blocks     uint64 // number of blocks
+	UnitBytes  int    // bytes that count as one unit of work
 }
 
-// class returns the class of a READ or WRITE.
+// class returns the index of the class of a READ or WRITE.
 func (u *Unit) class(write bool) int {
 	if write {
 		return u.WriteClass
@@ -29,7 +29,7 @@
 	return u.ReadClass
 }
 
-// request returns the facts of a command. A command counts as one unit of work at least.
+// request returns the facts by which a command is scheduled. A command counts as at least one unit of work.
 func (u *Unit) request(id string, c *iscsi.Command) scheduler.Request {
 	units := max(1, (c.Length()+u.UnitBytes-1)/u.UnitBytes)
 	return scheduler.Request{
@@ -44,9 +44,9 @@
 	}
 }
 
-// Translator converts commands to the protocol of the nodes, and their replies back.
+// Translator converts commands to the protocol of the nodes, and the replies of the nodes to SCSI data.
 type Translator interface {
-	// Request returns the payload of the exchange for a command.
+	// Request returns the payload of the exchange with a node that carries out a command.
 	Request(q scheduler.Request, c *iscsi.Command) (payload any, err error)
 	// Data returns the data of a READ from a node's reply.
 	Data(reply any) ([]byte, error)
@@ -55,14 +55,14 @@
 // Native is the Translator for nodes that speak iSCSI themselves.
 type Native struct{}
 
-// Request returns the command as it is.
+// Request returns the command unchanged.
 func (Native) Request(_ scheduler.Request, c *iscsi.Command) (any, error) { return c, nil }
 
 // Data returns the data of an iscsi.Reply.
 func (Native) Data(reply any) ([]byte, error) {
 	r, ok := reply.(*iscsi.Reply)
 	if !ok {
-		return nil, fmt.Errorf("reply %T is not from a node that speaks iSCSI", reply)
+		return nil, fmt.Errorf("iscsitarget: reply of node has type %T, want *iscsi.Reply", reply)
 	}
 	return r.Data, nil
 }
