--- a/internal/frontend/httpfrontend/request_builder.go
+++ b/internal/frontend/httpfrontend/request_builder.go
@@ -79,7 +79,7 @@
 	return clientTimeout, nil
 }
 
-// id returns the request's ID. A request without one gets a new ID unless it is from the platform.
+// id returns the request's ID. A request without one gets a new ID, or is rejected if it is from the platform.
 func (b *requestBuilder) id() (string, error) {
 	if id := b.http.Header.Get(httpmsg.IDHeader); id != "" {
 		return id, nil
--- a/internal/frontend/iscsitarget/command_window.go
+++ b/internal/frontend/iscsitarget/command_window.go
@@ -6,9 +6,9 @@
 	"reachpulley/internal/proto/iscsi"
 )
 
-// acceptCmdSN checks the CmdSN of a request and reports whether the request is the next in order and must be handled.
-// Requests outside the command window and duplicates are ignored (section 4.2.2.1). A gap is an error, since the
-// missing request cannot arrive any more: the session has only one connection.
+// acceptCmdSN checks the CmdSN of a request and reports whether the request must be handled now: it is the next in
+// order, or immediate. Requests outside the command window and duplicates are ignored (section 4.2.2.1). A gap is an
+// error, since the missing request cannot arrive any more: the session has only one connection.
 func (s *session) acceptCmdSN(p *iscsi.PDU) (inOrder bool, err error) {
 	if p.Immediate() {
 		return true, nil
--- a/internal/frontend/iscsitarget/response.go
+++ b/internal/frontend/iscsitarget/response.go
@@ -8,8 +8,8 @@
 	"reachpulley/internal/proto/iscsi"
 )
 
-// timeoutMargin is how shortly before its deadline a failed command counts as timed out: the scheduler ends unanswered
-// requests some milliseconds before their deadline.
+// timeoutMargin is the time before a command's deadline in which a failure counts as a timeout already, since the
+// scheduler ends unanswered requests some milliseconds before their deadline.
 const timeoutMargin = 10 * time.Millisecond
 
 // finish sends the response of a task, unless the task has been taken before.
--- a/internal/frontend/iscsitarget/target.go
+++ b/internal/frontend/iscsitarget/target.go
@@ -95,8 +95,8 @@
 }
 
 // add adds a session to the table and reports whether it did. The table holds twice as many sessions as
-// Options.Sessions allows: those above the limit only receive a Login Response that states the reason. When the table is
-// full, the session that has been in its login for longest is evicted, so that clients that connect and send nothing
+// Options.Sessions allows: those above the limit only receive a Login Response that states the reason. When the table
+// is full, the session that has been in its login for longest is evicted, so that clients that connect and send nothing
 // do not keep others out.
 func (t *Target) add(s *session) bool {
 	t.mu.Lock()
--- a/internal/proto/httpmsg/fuzz_test.go
+++ b/internal/proto/httpmsg/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// FuzzParseHeaders parses arbitrary values of headers. The values that the parsers accept must be within bounds.
+// FuzzParseHeaders parses arbitrary header values. The parsers must only accept values within bounds.
 func FuzzParseHeaders(f *testing.F) {
 	f.Add("480m", "units=2,shard=5,hosts=3")
 	f.Add("-1e308u", "units=NaN,shard=-1,hosts=Inf")
--- a/internal/proto/iscsi/text.go
+++ b/internal/proto/iscsi/text.go
@@ -61,7 +61,7 @@
 
 // Defaults of section 13, in bytes. The gateway negotiates no longer bursts than these.
 const (
-	DefaultSegment    = 8192   // MaxRecvDataSegmentLength
+	DefaultMaxSegment = 8192   // MaxRecvDataSegmentLength
 	DefaultFirstBurst = 65536  // FirstBurstLength
 	DefaultMaxBurst   = 262144 // MaxBurstLength
 )
@@ -77,7 +77,7 @@
 // DefaultParams returns the parameters that hold at the start of a login.
 func DefaultParams() Params {
 	return Params{
-		MaxSegment:    DefaultSegment,
+		MaxSegment:    DefaultMaxSegment,
 		FirstBurst:    DefaultFirstBurst,
 		MaxBurst:      DefaultMaxBurst,
 		ImmediateData: true,
--- a/internal/scsihttp/scsihttp.go
+++ b/internal/scsihttp/scsihttp.go
@@ -1,6 +1,6 @@
 // Package scsihttp translates SCSI commands to HTTP requests, so that storage nodes that speak HTTP can serve iSCSI
-// clients. Which operation stands for a command, and which parameters it takes, is read from an OpenAPI description of
-// the storage nodes.
+// clients. An OpenAPI description of the storage nodes tells which HTTP operation carries out a command and which
+// parameters it takes.
 package scsihttp
 
 import (
@@ -17,7 +17,7 @@
 	"reachpulley/scheduler"
 )
 
-// commandExtension is the extension of an OpenAPI operation that names the SCSI command for which the operation stands.
+// commandExtension is the extension of an OpenAPI operation that names the SCSI command that the operation carries out.
 const commandExtension = "x-scsi"
 
 // Values of commandExtension.
@@ -26,25 +26,26 @@
 	writeCommand = "write"
 )
 
-// nodeHost is the Host of requests to nodes.
+// nodeHost is the Host header of requests to nodes.
 const nodeHost = "origin.svc"
 
-// Translator translates commands for nodes with a certain OpenAPI description.
+// Translator translates commands to HTTP requests for nodes that one OpenAPI description describes.
 type Translator struct {
 	settings scheduler.Settings
 	read     *operation
 	write    *operation
 }
 
-// operation is the HTTP operation that stands for a command.
+// operation is the HTTP operation that carries out a command.
 type operation struct {
 	method     string
-	path       string // with {name} in place of a parameter
+	path       string // with {name} in place of each path parameter
 	parameters []*openapi3.Parameter
 }
 
-// Load reads a description and returns its translator. It returns an error for a description without an operation for
-// each command, or with an operation that requires a parameter for which commands have no value.
+// Load reads an OpenAPI description from a file and returns the translator for its nodes. It returns an error if the
+// description lacks an operation for one of the commands, or if such an operation requires a parameter for which
+// commands have no value.
 func Load(path string, settings scheduler.Settings) (*Translator, error) {
 	description, err := openapi3.NewLoader().LoadFromFile(path)
 	if err != nil {
@@ -59,12 +60,13 @@
 		}
 	}
 	if t.read == nil || t.write == nil {
-		return nil, fmt.Errorf("%s: no operation for %s or none for %s", commandExtension, readCommand, writeCommand)
+		return nil, fmt.Errorf("%s: no operation has the value %q or none has %q",
+			commandExtension, readCommand, writeCommand)
 	}
 	return t, nil
 }
 
-// add takes over an operation if it stands for a command.
+// add adds an operation of the description to the translator if it carries out a command.
 func (t *Translator) add(method, path string, item *openapi3.PathItem, described *openapi3.Operation) error {
 	command, _ := described.Extensions[commandExtension].(string)
 	o := &operation{method: method, path: path}
@@ -76,7 +78,8 @@
 	case command == writeCommand && t.write == nil:
 		t.write = o
 	default:
-		return fmt.Errorf("%s %s: %s: %q is unknown or used twice", method, path, commandExtension, command)
+		return fmt.Errorf("%s %s: %s: command %q is unknown or has another operation already",
+			method, path, commandExtension, command)
 	}
 	if err := o.addParameters(item.Parameters); err != nil {
 		return err
@@ -84,8 +87,8 @@
 	return o.addParameters(described.Parameters)
 }
 
-// addParameters takes over the parameters for which commands have a value. A required parameter must be one of them, or
-// be set when the request is sent.
+// addParameters adds the parameters for which commands have a value to the operation. Any other parameter must be
+// optional, except for the deadline, which is set when the request is sent.
 func (o *operation) addParameters(parameters openapi3.Parameters) error {
 	known := parameterValues(scheduler.Settings{}, scheduler.Request{}, &iscsi.Command{})
 	for _, reference := range parameters {
@@ -95,7 +98,8 @@
 			continue
 		}
 		if parameter.Required && parameter.Name != httpmsg.DeadlineHeader {
-			return fmt.Errorf("%s %s: no command has the parameter %s", o.method, o.path, parameter.Name)
+			return fmt.Errorf("%s %s: SCSI commands have no value for the required parameter %q",
+				o.method, o.path, parameter.Name)
 		}
 	}
 	return nil
@@ -129,7 +133,7 @@
 	return values
 }
 
-// Request returns the HTTP request, an *httpmsg.Request, that stands for a command.
+// Request returns the HTTP request that carries out a command. It is an *httpmsg.Request.
 func (t *Translator) Request(request scheduler.Request, command *iscsi.Command) (any, error) {
 	o := t.read
 	if command.Write {
@@ -165,11 +169,11 @@
 	}, nil
 }
 
-// Data returns the data that a node has sent in a reply, which must be an *httpmsg.Reply.
+// Data returns the data in a node's reply, which must be an *httpmsg.Reply.
 func (t *Translator) Data(reply any) ([]byte, error) {
 	r, ok := reply.(*httpmsg.Reply)
 	if !ok {
-		return nil, fmt.Errorf("a %T is not a reply of a node that speaks HTTP", reply)
+		return nil, fmt.Errorf("scsihttp: reply of node has type %T, want *httpmsg.Reply", reply)
 	}
 	return r.Body, nil
 }
--- a/internal/scsihttp/scsihttp_test.go
+++ b/internal/scsihttp/scsihttp_test.go
@@ -23,7 +23,8 @@
 	},
 }
 
-func TestCommandsBecomeRequests(t *testing.T) {
+// A READ and a WRITE are translated to the HTTP requests that the API's description states.
+func TestRequest(t *testing.T) {
 	translator, err := Load(descriptionPath, testSettings)
 	if err != nil {
 		t.Fatal(err)
@@ -73,13 +74,14 @@
 				t.Error(diff)
 			}
 			if request.Header.Get(httpmsg.PlacementHeader) != "units=1,shard=3,hosts=1" {
-				t.Error(request.Header)
+				t.Errorf("placement: got headers %v, want units=1,shard=3,hosts=1", request.Header)
 			}
 		})
 	}
 }
 
-func TestUnusableDescriptions(t *testing.T) {
+// Load rejects descriptions by which commands cannot be translated.
+func TestLoadRejectsUnusableDescriptions(t *testing.T) {
 	text, err := os.ReadFile(descriptionPath)
 	if err != nil {
 		t.Fatal(err)
@@ -91,25 +93,25 @@
 		wantError string
 	}{
 		{
-			name:      "no write",
+			name:      "no operation for writes",
 			old:       "x-scsi: write",
 			new:       "x-other: write",
-			wantError: "x-scsi: no operation",
+			wantError: "x-scsi: no operation has the value \"read\" or none has \"write\"",
 		},
 		{
 			name:      "unknown command",
 			old:       "x-scsi: write",
 			new:       "x-scsi: erase",
-			wantError: "PUT /api/{volume}/{key}: x-scsi: \"erase\"",
+			wantError: "PUT /api/{volume}/{key}: x-scsi: command \"erase\"",
 		},
 		{
-			name:      "unknown parameter",
+			name:      "required parameter without a value",
 			old:       "name: X-Class, in: header",
 			new:       "name: X-Tenant, in: header",
-			wantError: "/api/{volume}/{key}: no command has the parameter X-Tenant",
+			wantError: "/api/{volume}/{key}: SCSI commands have no value for the required parameter \"X-Tenant\"",
 		},
 		{
-			name: "no description",
+			name: "invalid YAML",
 			old:  "openapi: 3.0.3",
 			new:  "openapi: [",
 		},
@@ -122,7 +124,7 @@
 			}
 			_, err := Load(path, testSettings)
 			if err == nil || !strings.Contains(err.Error(), test.wantError) {
-				t.Error(err)
+				t.Errorf("got error %v, want one with %q", err, test.wantError)
 			}
 		})
 	}
--- a/internal/socketpeek/peek.go
+++ b/internal/socketpeek/peek.go
@@ -1,4 +1,4 @@
-// Package socketpeek reports whether a connection has unread input, without waiting and without reading it.
+// Package socketpeek reports whether a connection has unread input. It neither waits for input nor consumes any.
 package socketpeek
 
 import (
@@ -7,7 +7,7 @@
 )
 
 // Ready reports whether a read would return at once: with data, with the end of the connection or with an error. It
-// returns false for a connection that is not a socket, as nothing is known about it.
+// returns false for a connection that is not a socket, since the state of such a connection is unknown.
 func Ready(c net.Conn) bool {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
@@ -18,7 +18,7 @@
 		return true
 	}
 	ready := true
-	// Control does not wait for a read that is in progress, as RawConn.Read does.
+	// Unlike RawConn.Read, RawConn.Control does not wait for a read that is in progress.
 	err = raw.Control(func(fd uintptr) {
 		var buffer [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/socketpeek/peek_test.go
+++ b/internal/socketpeek/peek_test.go
@@ -28,21 +28,21 @@
 
 func TestReady(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		act  func(far net.Conn)
+		name    string
+		trigger func(far net.Conn)
 	}{
-		{name: "data", act: func(far net.Conn) { far.Write([]byte("x")) }},
-		{name: "end of the connection", act: func(far net.Conn) { far.Close() }},
+		{name: "data", trigger: func(far net.Conn) { far.Write([]byte("x")) }},
+		{name: "end of the connection", trigger: func(far net.Conn) { far.Close() }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			near, far := socketPair(t)
 			if Ready(near) {
 				t.Error("ready before anything was sent")
 			}
-			c.act(far)
+			c.trigger(far)
 			for end := time.Now().Add(10 * time.Second); !Ready(near); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatal("not ready")
+					t.Fatal("not ready within 10s")
 				}
 			}
 		})
@@ -57,12 +57,12 @@
 		<-reading
 		time.Sleep(10 * time.Millisecond)
 		if Ready(near) {
-			t.Error("ready without any input")
+			t.Error("ready during a read, without any input")
 		}
 	})
 	t.Run("not a socket", func(t *testing.T) {
 		if pipe, _ := net.Pipe(); Ready(pipe) {
-			t.Error("a pipe is ready")
+			t.Error("a net.Pipe, which is no socket, is ready")
 		}
 	})
 }
