--- a/internal/frontend/httpfrontend/frontend.go
+++ b/internal/frontend/httpfrontend/frontend.go
@@ -263,16 +263,14 @@
 func (f *Frontend) checkFramingAndMethod(r *http.Request) *statusError {
 	switch {
 	case len(r.TransferEncoding) > 0:
-		return newStatusError(http.StatusLengthRequired, "Transfer-Encoding is not supported: send a Content-Length")
+		return newStatusError(http.StatusLengthRequired, "Content-Length is wanted in place of Transfer-Encoding")
 	case !r.ProtoAtLeast(1, 1):
-		reason := fmt.Sprintf("protocol %q is not supported: use HTTP/1.1", r.Proto)
-		return newStatusError(http.StatusHTTPVersionNotSupported, reason)
+		return newStatusError(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is wanted")
 	case r.ContentLength > httpmsg.MaxRequestBody:
 		reason := fmt.Sprintf("the body is longer than %d bytes", httpmsg.MaxRequestBody)
 		return newStatusError(http.StatusRequestEntityTooLarge, reason)
 	case !f.allowsMethod(r.Method):
-		reason := fmt.Sprintf("method %q is not allowed: use GET or PUT", r.Method)
-		return newStatusError(http.StatusMethodNotAllowed, reason)
+		return newStatusError(http.StatusMethodNotAllowed, "GET or PUT is wanted")
 	}
 	return nil
 }
--- a/internal/frontend/httpfrontend/response.go
+++ b/internal/frontend/httpfrontend/response.go
@@ -14,7 +14,8 @@
 	"reachpulley/internal/rules/engine"
 )
 
-// statusError is an error that is sent to the client: its text is the body of a response with the given status.
+// statusError is an error that is sent to the client: its text is the body of a response with the given status. Clients
+// may match the text, so it must not change.
 type statusError struct {
 	status int
 	err    error
--- a/internal/frontend/iscsitarget/session.go
+++ b/internal/frontend/iscsitarget/session.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// handle handles a PDU. An error ends the session.
+// handle handles a PDU. An error ends the session. Its text is the reason in the session-closed event; clients that
+// read these events may match it, so it must not change.
 func (s *session) handle(p *iscsi.PDU) error {
 	switch p.Op() {
 	case iscsi.DataOut: // has no CmdSN
@@ -111,7 +112,7 @@
 	case iscsi.NopOut, iscsi.SCSICommand, iscsi.TaskRequest, iscsi.LogoutRequest:
 	case iscsi.LoginRequest:
 		s.reject(p, iscsi.ProtocolError)
-		return errors.New("login request received after the login was complete")
+		return errors.New("second login on the connection")
 	default:
 		return s.reject(p, iscsi.CommandNotSupported)
 	}
