--- a/internal/frontend/httpfrontend/server_test.go
+++ b/internal/frontend/httpfrontend/server_test.go
@@ -12,7 +12,7 @@
 	"reachpulley/scheduler"
 )
 
-// selectiveLoop answers only requests whose ID is "now".
+// selectiveLoop is a Loop that answers only requests whose ID is "now".
 type selectiveLoop struct{}
 
 func (selectiveLoop) Open(x *exchange.Exchange) {
@@ -54,7 +54,8 @@
 	}
 }
 
-// startServer returns how scenariotest starts a server at gate:1 and stops it.
+// startServer returns the function with which scenariotest starts a server at gate:1. That function returns another one
+// that stops the server.
 func startServer(t *testing.T) func(*scenariotest.Scenario) func() {
 	return func(s *scenariotest.Scenario) func() {
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
@@ -97,7 +98,7 @@
 			e expect 200
 			a expect end
 			b expect nothing`,
-	"a connection that was active a moment ago stays and the new one is closed": `
+	"a connection that was active a moment ago is not evicted, and the new one is closed": `
 			a send raw ` + answeredRequest + `
 			a expect 200
 			b send raw ` + unansweredRequest + `
@@ -110,8 +111,8 @@
 			e expect end
 			a send raw ` + answeredRequest + `
 			a expect 200`,
-	// Clients that send one bad request and stay connected must not keep others out.
-	"a connection that no node served is evicted at once": `
+	// Clients that send one invalid request and stay connected must not keep others out.
+	"a connection on which no node has served a request is evicted at once": `
 			a send raw ` + invalidRequest + `
 			a expect 400 X-Request-Id is missing
 			wait 1ms
@@ -150,7 +151,7 @@
 			b expect 200
 			b send raw ` + answeredRequest + `
 			b expect 200`,
-	"connections that no node served do not count as in use": `
+	"connections on which no node has served a request do not count as in use": `
 			a send raw ` + invalidRequest + `
 			a expect 400 X-Request-Id is missing
 			b send raw ` + invalidRequest + `
@@ -168,7 +169,7 @@
 			e send nothing
 			e expect end
 			a expect nothing`,
-	"at the limit a request that arrives slowly is evicted": `
+	"at the limit a connection whose request arrives slowly is evicted": `
 			a send raw GET /ready
 			b send raw GET /ready
 			c send raw GET /ready
@@ -191,7 +192,7 @@
 			a expect nothing
 			wait 100ms
 			a expect end`,
-	"a header that arrives slowly ends": `
+	"a connection whose header arrives slowly ends": `
 			a send raw GET /ready HTTP/1.1\nHost:
 			wait 1s
 			a send raw h
@@ -208,7 +209,7 @@
 func TestConnectionLimits(t *testing.T) { runServerScripts(t, connectionLimitScripts) }
 
 var invalidRequestScripts = map[string]string{
-	// net/http ignores the length, so a part of the body could be a request for whoever goes by it.
+	// net/http ignores the length. A server that uses it could take a part of the body for a request.
 	"a length beside a transfer encoding is rejected and nothing after it is read": `
 			a send raw ` + requestLine + platformHeaders + chunked + `GET /ready HTTP/1.1\nHost: h\n\n
 			a expect 411 Connection=close Content-Length is wanted in place of Transfer-Encoding
@@ -243,8 +244,8 @@
 	"more units than a request may have": `
 			a send raw ` + requestLine + withHeader("units=1", "units=9") + noBody + `
 			a expect 400 X-Placement: 9 units are more than the largest request's 8`,
-	// Nodes could not recognise a retry.
-	"a class of idempotent requests with key without a key": `
+	// Nodes could not recognise a retry of such a request.
+	"no idempotency key for a class that requires one": `
 			a send raw ` + requestLine + withHeader("X-Class: c", "X-Class: keyed") + noBody + `
 			a expect 400 Idempotency-Key is missing, which class "keyed" needs`,
 	"a negative deadline": `
@@ -252,5 +253,5 @@
 			a expect 400 X-Deadline: "-9m" is not a time such as 480m or 480000u`,
 }
 
-// A request whose end or meaning is in doubt is rejected with the reason.
+// A request whose end or meaning is ambiguous is rejected with the reason.
 func TestInvalidRequests(t *testing.T) { runServerScripts(t, invalidRequestScripts) }
