--- a/cmd/reachpulley/api_test.go
+++ b/cmd/reachpulley/api_test.go
@@ -41,7 +41,7 @@
 	{
 		args: []string{"api", "check", "--settings", exampleConfig, "$CONTRARY"},
 		code: exitUsage,
-		want: []string{"$CONTRARY:", `it is called safe, and its class "entry-write" is keyed`},
+		want: []string{"$CONTRARY:", `the operation is declared safe, but its class "entry-write" is keyed`},
 	},
 	{
 		args: []string{"api", "diff", testDescription, testDescription},
--- a/internal/contract/catalog/catalog.go
+++ b/internal/contract/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog relates described operations to the settings: which class the calls of an operation belong to, how
-// far they may be retried, and how calls that no description has are handled. It decides this once, when descriptions
-// load, and does no I/O.
+// Package catalog relates described operations to the settings. It determines the class and the retry policy of the
+// calls of each operation and of undescribed calls, those that match no described operation. It does so once, when the
+// descriptions are loaded, and does no I/O.
 package catalog
 
 import (
@@ -13,23 +13,23 @@
 	"reachpulley/scheduler"
 )
 
-// UndescribedName is the name under which the scheduler knows calls that no description has.
+// UndescribedName is the operation name of undescribed calls in the scheduler.
 const UndescribedName = "undescribed"
 
-// Catalog is all operations of the descriptions in force. It never changes.
+// Catalog holds all operations of a set of descriptions. It is immutable.
 type Catalog struct {
-	Undescribed      Entry             // of calls that no description has
-	GeneratedClasses []scheduler.Class // of operations that name no class; they follow those of the settings
+	Undescribed      Entry             // of undescribed calls
+	GeneratedClasses []scheduler.Class // for operations that name no class; numbered after those of the settings
 
-	operations []*contract.Operation // all that the catalog was made of
+	operations []*contract.Operation // those that New was called with
 	router     *contract.Router
 	entries    map[*contract.Operation]*Entry
-	ordered    []*Entry          // those of entries, in the order of the descriptions
-	commands   map[string]*Entry // of the iSCSI frontend, by their channel
+	ordered    []*Entry          // the values of entries, in the order of the descriptions
+	commands   map[string]*Entry // commands of the iSCSI frontend, by channel
 }
 
-// New returns the catalog of operations in which contract.Check has found no faults. The faults are all contradictions
-// to the settings.
+// New returns a catalog of operations in which contract.Check has found no faults. The returned faults are those by
+// which the descriptions contradict the settings.
 func New(operations []*contract.Operation, settings scheduler.Settings) (*Catalog, contract.Faults) {
 	c := &Catalog{
 		Undescribed: Entry{
@@ -57,8 +57,8 @@
 	c.GeneratedClasses = classes.generated
 	faults := classes.faults
 	if count := len(c.GeneratedClasses); count > maxGeneratedClasses {
-		const message = "the descriptions make %d classes by aim, deadline, worth and repeats, more than %d: " +
-			"name classes of the settings"
+		const message = "the descriptions generate %d classes by aim, deadline, worth and repeats, more than %d: " +
+			"name classes of the settings instead"
 		faults = append(faults, contract.Fault{
 			Position: operations[0].Position,
 			Message:  fmt.Sprintf(message, count, maxGeneratedClasses),
@@ -77,20 +77,20 @@
 	return New(c.operations, settings)
 }
 
-// Settings returns settings with the generated classes.
+// Settings returns the settings with the generated classes appended.
 func (c *Catalog) Settings(settings scheduler.Settings) scheduler.Settings {
 	settings.Classes = append(slices.Clip(settings.Classes), c.GeneratedClasses...)
 	return settings
 }
 
-// Entries returns the operations that requests can be of, in the order of the descriptions.
+// Entries returns the entries of the operations that HTTP requests can call, in the order of the descriptions.
 func (c *Catalog) Entries() []*Entry { return c.ordered }
 
-// Empty reports whether no request of any frontend can be of an operation.
+// Empty reports whether the catalog has neither operations for HTTP requests nor commands for the iSCSI frontend.
 func (c *Catalog) Empty() bool { return len(c.ordered) == 0 && len(c.commands) == 0 }
 
-// Lookup returns the entry of a call, Undescribed if no description has it. The values of the parameters of its path
-// are appended to values.
+// Lookup returns the entry of a call; Undescribed if it matches no operation. It appends the values of the path
+// parameters to values.
 func (c *Catalog) Lookup(call *contract.Call, values []string) (*Entry, []string) {
 	operation, values := c.router.Match(call, values)
 	if operation == nil {
@@ -99,19 +99,20 @@
 	return c.entries[operation], values
 }
 
-// The channels that describe commands of the iSCSI frontend have the addresses iscsi/LUN/read and iscsi/LUN/write. One
-// with {lun} describes the units that have no channel of their own.
+// Channels with the addresses iscsi/LUN/read and iscsi/LUN/write describe commands of the iSCSI frontend. The address
+// with the literal {lun} stands for all logical units without a channel of their own.
 const (
 	commandPrefix = "iscsi/"
 	anyLUN        = "{lun}"
 )
 
+// isCommand reports whether an operation describes a command of the iSCSI frontend.
 func isCommand(o *contract.Operation) bool {
 	return o.Action == "receive" && strings.HasPrefix(o.Channel, commandPrefix)
 }
 
-// Command returns the entry of a READ or WRITE: nil if no command is described at all, and Undescribed if only others
-// are.
+// Command returns the entry of a READ or WRITE command. It returns nil if the descriptions have no commands at all, and
+// Undescribed if they have only others.
 func (c *Catalog) Command(lun int, write bool) *Entry {
 	if len(c.commands) == 0 {
 		return nil
--- a/internal/contract/catalog/catalog_test.go
+++ b/internal/contract/catalog/catalog_test.go
@@ -15,10 +15,10 @@
 	"reachpulley/scheduler"
 )
 
-// Every run draws the same cases.
+// A fixed seed makes every run draw the same cases.
 func init() { flag.Set("rapid.seed", "1") }
 
-// settings have the classes of the platform.
+// settings are an example with a class that reads and a class that writes.
 var settings = scheduler.Settings{
 	Siblings: 1,
 	Zones:    []string{"a", "b"},
@@ -51,7 +51,8 @@
 	},
 }
 
-func load(t testing.TB, path string) *Catalog {
+// loadCatalog loads and checks a description, and returns its catalog for settings.
+func loadCatalog(t testing.TB, path string) *Catalog {
 	t.Helper()
 	operations, err := contract.Load(path)
 	if err != nil {
@@ -67,8 +68,8 @@
 	return c
 }
 
-// describeEntry formats what a call gets: operation, class, idempotency, scope, window and key.
-func describeEntry(entry *Entry, call *contract.Call, values []string) string {
+// formatEntry formats the operation, class, idempotency, deduplication scope and window, and key of a call.
+func formatEntry(entry *Entry, call *contract.Call, values []string) string {
 	id := ""
 	if entry.Operation != nil {
 		id = entry.Operation.ID
@@ -78,13 +79,14 @@
 		int(policy.Scope), " ", policy.Window, " ", entry.Key(call, values))
 }
 
-// classifiedCall is a call, what describeEntry returns for it, and its placement.
+// classifiedCall is a call with its expected entry, as formatEntry returns it, and its expected placement.
 type classifiedCall struct {
 	call      contract.Call
 	want      string
-	placement Placement // volume and data are compared by their length
+	placement Placement // of Volume and Data, only the lengths are compared
 }
 
+// exampleCalls returns calls to the operations of examples/sheets.yaml and undescribed calls.
 func exampleCalls() []classifiedCall {
 	clockIn := http.Header{"Content-Type": {"application/json; charset=utf-8"}, "X-Clock-In": {"4711"}}
 	xml := http.Header{"Content-Type": {"application/xml"}}
@@ -119,22 +121,22 @@
 	}
 }
 
-// The operators' table: an example is loaded as at a start, and each request gets its class, retry policy and
-// placement.
-func TestTableOfRequests(t *testing.T) {
-	c := load(t, "../../../examples/sheets.yaml")
+// Each request of an example gets the class, retry policy and placement that its description states. The catalog is
+// loaded as at the start of the gateway.
+func TestRequestsGetTheirClassAndPlacement(t *testing.T) {
+	c := loadCatalog(t, "../../../examples/sheets.yaml")
 	for _, test := range exampleCalls() {
 		t.Run(test.call.Method+" "+test.call.Path, func(t *testing.T) {
 			entry, values := c.Lookup(&test.call, nil)
-			if got := describeEntry(entry, &test.call, values); got != test.want {
-				t.Errorf("%s, want %s", got, test.want)
+			if got := formatEntry(entry, &test.call, values); got != test.want {
+				t.Errorf("entry %q, want %q", got, test.want)
 			}
 			got, err := entry.Placement(&test.call, values, 9000, 8)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if len(got.Volume) != len(test.placement.Volume) || len(got.Data) != len(test.placement.Data) {
-				t.Errorf("%+v", got)
+				t.Errorf("placement %+v: the identifiers do not have 16 digits", got)
 			}
 			got.Volume, got.Data = test.placement.Volume, test.placement.Data
 			if diff := cmp.Diff(test.placement, got); diff != "" {
@@ -148,13 +150,14 @@
 		entry, values := c.Lookup(&call, nil)
 		_, err := entry.Placement(&call, values, 0, 8)
 		if err == nil || !strings.Contains(err.Error(), `"north" is no shard`) {
-			t.Error(err)
+			t.Errorf("error %v, want one that names the shard \"north\"", err)
 		}
 	})
 }
 
+// The meanings of statuses in a description become those that the backend uses.
 func TestStatusMeanings(t *testing.T) {
-	c := load(t, "../../../examples/sheets.yaml")
+	c := loadCatalog(t, "../../../examples/sheets.yaml")
 	entry, _ := c.Lookup(&contract.Call{Method: "GET", Path: "/sheets/a/b"}, nil)
 	want := map[int]httpmsg.StatusMeaning{
 		200: httpmsg.FinalAnswer,
@@ -175,37 +178,37 @@
 	}
 }
 
-// A description that allows what its class forbids is a fault; one that allows less is none.
+// A description that allows more than its class is a fault. One that allows less is not.
 func TestContradictions(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(*contract.Operation)
-		want   string // empty: no fault
+		want   string // part of a fault; empty: no fault
 	}{
-		"none": {func(*contract.Operation) {}, ""},
-		"less": {func(o *contract.Operation) {
+		"no contradiction": {func(*contract.Operation) {}, ""},
+		"the description allows less": {func(o *contract.Operation) {
 			o.Idempotency = contract.NonIdempotent
 			o.DedupWindow = 0
 		}, ""},
 		"an unknown class": {func(o *contract.Operation) { o.Class = "x" }, `no class "x"`},
-		"idempotent": {
+		"safe in a class that is keyed": {
 			func(o *contract.Operation) { o.Idempotency = contract.Idempotent },
-			`it is called safe, and its class "entry-write"`,
+			`the operation is declared safe, but its class "entry-write" is keyed`,
 		},
 		"a longer window": {
 			func(o *contract.Operation) { o.DedupWindow = 5 * time.Second },
-			"known for 5s, but in its class",
+			`the window (for) of the key, 5s, is longer than that of its class "entry-write"`,
 		},
 		"a wider scope": {
 			func(o *contract.Operation) { o.DedupScope = contract.ScopeAll },
-			"discarded by more nodes",
+			"the scope (group) of the key, all, has more nodes than its class",
 		},
 		"a longer deadline": {
 			func(o *contract.Operation) { o.Deadline = 3 * time.Second },
-			"3s, is longer than that of its class",
+			"the deadline of 3s is longer than that of its class",
 		},
-		"a write of a class that reads": {
+		"a write in a class that only reads": {
 			func(o *contract.Operation) { o.Class = "sheet-read" },
-			`class "sheet-read" only reads, but PUT that is n`,
+			`class "sheet-read" only reads, but a PUT that is not declared safe writes`,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -221,13 +224,14 @@
 			test.change(operation)
 			_, faults := New([]*contract.Operation{operation}, settings)
 			if (test.want == "") != (len(faults) == 0) || !strings.Contains(faults.Error(), test.want) {
-				t.Error(faults)
+				t.Errorf("faults %v, want %q", faults, test.want)
 			}
 		})
 	}
 }
 
-// Descriptions that name no class generate one for each set of times and policies; their number is bounded.
+// Operations that name no class share one generated class for each combination of times and retry policy. More than
+// maxGeneratedClasses are a fault.
 func TestGeneratedClasses(t *testing.T) {
 	var operations []*contract.Operation
 	for i := range 200 {
@@ -241,10 +245,10 @@
 	}
 	c, faults := New(operations, settings)
 	if len(faults) > 0 || len(c.GeneratedClasses) != 3 {
-		t.Errorf("%v, %d generated", faults, len(c.GeneratedClasses))
+		t.Errorf("faults %v, %d generated classes, want 3", faults, len(c.GeneratedClasses))
 	}
 	if len(c.Settings(settings).Classes) != 5 || len(settings.Classes) != 2 {
-		t.Errorf("%d and %d classes", len(c.Settings(settings).Classes), len(settings.Classes))
+		t.Errorf("%d and %d classes, want 5 and 2", len(c.Settings(settings).Classes), len(settings.Classes))
 	}
 	if _, err := scheduler.New(c.Settings(settings), 1, nil); err != nil {
 		t.Error(err)
@@ -253,11 +257,12 @@
 		operation.Deadline = time.Duration(2+i) * time.Second
 	}
 	_, faults = New(operations, settings)
-	if len(faults) != 1 || !strings.Contains(faults[0].Message, "make 200 classes") {
-		t.Error(faults)
+	if len(faults) != 1 || !strings.Contains(faults[0].Message, "generate 200 classes") {
+		t.Errorf("faults %v, want one about 200 classes", faults)
 	}
 }
 
+// The strictest class allows the fewest retries, then writes, then has the shortest deadline.
 func TestStrictestClass(t *testing.T) {
 	withKey := scheduler.Class{Idempotency: scheduler.IdempotentWithKey}
 	for want, classes := range [][]scheduler.Class{
@@ -277,7 +282,7 @@
 	} {
 		t.Run(fmt.Sprint(len(classes), " classes"), func(t *testing.T) {
 			if got := strictestClass(classes); got != want {
-				t.Errorf("%d of %+v", got, classes)
+				t.Errorf("class %d, want %d of %+v", got, want, classes)
 			}
 		})
 	}
--- a/internal/contract/catalog/class.go
+++ b/internal/contract/catalog/class.go
@@ -10,19 +10,20 @@
 	"reachpulley/scheduler"
 )
 
-// maxGeneratedClasses bounds the classes that descriptions generate. The scheduler needs requests of a class to learn
-// about it.
+// maxGeneratedClasses is the maximum number of classes that descriptions generate. With too many, each would have too
+// few requests for the scheduler to learn about it.
 const maxGeneratedClasses = 64
 
-// classAssigner assigns classes to entries: the one that the description names, or one generated from its objective and
-// deadline. An operation with neither keeps the class of undescribed calls.
+// classAssigner assigns a class to each entry: the class that the description names, or one generated from its latency
+// objective and deadline. An operation with neither keeps the class of undescribed calls.
 type classAssigner struct {
 	settings  scheduler.Settings
 	generated []scheduler.Class
-	numbers   map[scheduler.Class]int // of generated classes, behind those of the settings
+	numbers   map[scheduler.Class]int // numbers of the generated classes, which follow those of the settings
 	faults    contract.Faults
 }
 
+// assign sets the class of an entry, and generates it if necessary.
 func (a *classAssigner) assign(entry *Entry) {
 	operation := entry.Operation
 	switch {
@@ -40,7 +41,7 @@
 	}
 }
 
-// assignNamed assigns the class that the description names, and reports what contradicts it.
+// assignNamed assigns the class that the description names, and adds a fault for each contradiction between the two.
 func (a *classAssigner) assignNamed(entry *Entry) {
 	operation := entry.Operation
 	named := func(c scheduler.Class) bool { return c.Name == operation.Class }
@@ -60,7 +61,8 @@
 	a.faults = append(a.faults, contract.Fault{Position: operation.Position, Message: message})
 }
 
-// contradictions returns where a description allows what its class does not. A description may allow less.
+// contradictions returns a message for each thing that a description allows and its class does not. A description may
+// allow less than its class.
 func contradictions(entry *Entry, class scheduler.Class) []string {
 	var messages []string
 	add := func(format string, args ...any) { messages = append(messages, fmt.Sprintf(format, args...)) }
@@ -68,26 +70,26 @@
 	bothWithKey := policy.Idempotency == scheduler.IdempotentWithKey && class.Idempotency == scheduler.IdempotentWithKey
 	if policy.Idempotency < class.Idempotency {
 		word := idempotencyWord(class.Idempotency)
-		add("it is called %s, and its class %q is %s", operation.Idempotency, class.Name, word)
+		add("the operation is declared %s, but its class %q is %s", operation.Idempotency, class.Name, word)
 	}
 	if bothWithKey && policy.Window > class.DedupWindow {
-		const message = "its key is called known for %v, but in its class %q it is for %v"
+		const message = "the window (for) of the key, %v, is longer than that of its class %q, %v"
 		add(message, policy.Window, class.Name, class.DedupWindow)
 	}
 	if bothWithKey && policy.NarrowedBy(class.RetryPolicy()).Scope != policy.Scope {
-		add("its retries are said to be discarded by more nodes than in its class %q", class.Name)
+		add("the scope (group) of the key, %s, has more nodes than its class %q allows", operation.DedupScope, class.Name)
 	}
 	if operation.Deadline > class.Deadline {
-		const message = "its deadline, %v, is longer than that of its class %q, %v"
+		const message = "the deadline of %v is longer than that of its class %q, %v"
 		add(message, operation.Deadline, class.Name, class.Deadline)
 	}
 	if policy.Idempotency != scheduler.Idempotent && !readsOnly(operation.Method) && !class.Writes {
-		add("its class %q only reads, but %s that is not safe writes", class.Name, operation.Method)
+		add("its class %q only reads, but a %s that is not declared safe writes", class.Name, operation.Method)
 	}
 	return messages
 }
 
-// idempotencyWord returns the word of descriptions.
+// idempotencyWord returns the word for a kind of idempotency in descriptions.
 func idempotencyWord(i scheduler.Idempotency) contract.Idempotency {
 	for word, idempotency := range idempotencyOf {
 		if idempotency == i {
@@ -97,11 +99,11 @@
 	return ""
 }
 
-// readsOnly reports whether a method only readsOnly.
+// readsOnly reports whether requests with a method only read.
 func readsOnly(method string) bool { return method == http.MethodGet || method == http.MethodHead }
 
-// strictestClass returns the class that allows least: of those that allow the fewest retries, one that writes, and then
-// the one with the shortest deadline.
+// strictestClass returns the number of the class with the strictest idempotency. Of several, it prefers one that
+// writes, and of these the one with the shortest deadline.
 func strictestClass(classes []scheduler.Class) int {
 	strictest := 0
 	for i, class := range classes {
@@ -112,6 +114,7 @@
 	return strictest
 }
 
+// compareStrictness returns a positive number if a is stricter than b, as strictestClass defines it.
 func compareStrictness(a, b scheduler.Class) int {
 	return cmp.Or(
 		cmp.Compare(a.Idempotency, b.Idempotency),
@@ -131,8 +134,8 @@
 	return -1
 }
 
-// generateClass makes a class of what a description says.
-func generateClass(o *contract.Operation, policy scheduler.RetryPolicy, known []scheduler.Class) scheduler.Class {
+// generateClass returns a class with the properties that a description states.
+func generateClass(o *contract.Operation, policy scheduler.RetryPolicy, classes []scheduler.Class) scheduler.Class {
 	class := scheduler.Class{
 		LatencyObjective: o.LatencyObjective,
 		Deadline:         o.Deadline,
@@ -142,8 +145,8 @@
 		DedupWindow:      policy.Window,
 		Writes:           !readsOnly(o.Method),
 	}
-	// Late answers are worth no more than in any class of the settings.
-	for i, other := range known {
+	// A late response is worth no more than in any class of the settings.
+	for i, other := range classes {
 		if i == 0 || other.LateWeightShare < class.LateWeightShare {
 			class.LateWeightShare = other.LateWeightShare
 		}
@@ -152,7 +155,8 @@
 	return class
 }
 
-// generatedName names a class by what distinguishes it. The settings in captures contain the name.
+// generatedName returns a name that contains the distinguishing properties of a class. Captures store it within their
+// settings.
 func generatedName(o *contract.Operation, class scheduler.Class) string {
 	const format = "described %s %v %v %v"
 	name := fmt.Sprintf(format, o.Idempotency, class.LatencyObjective, class.Deadline, class.PriorityWeight)
--- a/internal/contract/catalog/entry.go
+++ b/internal/contract/catalog/entry.go
@@ -12,26 +12,29 @@
 	"reachpulley/scheduler"
 )
 
-// Entry is an operation in the terms of the settings.
+// Entry relates an operation, or all undescribed calls, to the settings.
 type Entry struct {
-	Operation   *contract.Operation   // nil: no description has the call
-	Name        string                // under which the scheduler knows the operation; the same after a reload
-	Class       int                   // of calls for which neither they nor a rule name one
-	RetryPolicy scheduler.RetryPolicy // what the description allows, whatever the class
+	Operation   *contract.Operation   // nil: the call is undescribed
+	Name        string                // operation name in the scheduler; the same after a reload
+	Class       int                   // for calls whose class is set neither by the client nor by a rule
+	RetryPolicy scheduler.RetryPolicy // what the description allows, regardless of the class
 }
 
+// idempotencyOf converts the idempotency of a description to that of the scheduler.
 var idempotencyOf = map[contract.Idempotency]scheduler.Idempotency{
 	contract.Idempotent:        scheduler.Idempotent,
 	contract.IdempotentWithKey: scheduler.IdempotentWithKey,
 	contract.NonIdempotent:     scheduler.NonIdempotent,
 }
 
+// dedupScopeOf converts the deduplication scope of a description to that of the scheduler.
 var dedupScopeOf = map[contract.DedupScope]scheduler.DedupScope{
 	contract.ScopeAll:   scheduler.ScopeAll,
 	contract.ScopeZone:  scheduler.ScopeZone,
 	contract.ScopeShard: scheduler.ScopeShard,
 }
 
+// newEntry returns the entry of an operation, with a class that may still be replaced.
 func newEntry(operation *contract.Operation, class int) *Entry {
 	entry := &Entry{
 		Operation:   operation,
@@ -62,7 +65,7 @@
 	return httpmsg.Undescribed
 }
 
-// Deadline returns the time after which no client waits for an answer; 0 if the description does not say.
+// Deadline returns how long clients wait for a response; 0 if the description does not specify it.
 func (e *Entry) Deadline() time.Duration {
 	if e.Operation == nil {
 		return 0
@@ -70,7 +73,7 @@
 	return e.Operation.Deadline
 }
 
-// Key returns the key of a call; empty if the operation has none or if the call lacks it.
+// Key returns the idempotency key of a call; empty if the operation does not use one or the call lacks it.
 func (e *Entry) Key(call *contract.Call, parameters []string) string {
 	if e.Operation == nil || e.Operation.Idempotency != contract.IdempotentWithKey {
 		return ""
@@ -78,16 +81,16 @@
 	return e.Operation.Value(call, parameters, e.Operation.Key)
 }
 
-// Placement is what an operation says of where the data of a call is, and how much work the call is.
+// Placement specifies where the data of a call is and how much work the call is.
 type Placement struct {
 	Volume, Data string  // empty: not specified
 	Units        float64 // 0: not specified
-	Shard        int     // if HasShard
+	Shard        int     // valid if HasShard
 	HasShard     bool
 }
 
-// Placement returns the placement of a call with a body of length bytes; maxUnits bounds its units. The error is meant
-// for the client and says what the call lacks.
+// Placement returns the placement of a call with a body of length bytes. A positive maxUnits limits units that are
+// computed from the length. The error is sent to the client and says which value the call lacks.
 func (e *Entry) Placement(
 	call *contract.Call, parameters []string, length int, maxUnits float64,
 ) (Placement, error) {
@@ -110,7 +113,8 @@
 	return placement, err
 }
 
-// identifier returns the platform's identifier of the volume or of the data; empty if the operation does not locate it.
+// identifier returns the platform's identifier of the volume or of the piece of data, whichever is named by what. It is
+// empty if the operation has no location for it.
 func (e *Entry) identifier(
 	call *contract.Call, parameters []string, what string, at contract.Location,
 ) (string, error) {
@@ -124,8 +128,8 @@
 	return platformID(name), nil
 }
 
-// platformID returns the 16 hex digits by which the platform identifies a volume or a piece of data. A name that is
-// such an identifier already stays the same.
+// platformID returns the 16 hex digits by which the platform identifies a volume or a piece of data. A name that
+// already has this form is returned unchanged.
 func platformID(name string) string {
 	if len(name) == 16 {
 		if _, err := strconv.ParseUint(name, 16, 64); err == nil {
@@ -135,6 +139,7 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64String(name))
 }
 
+// units returns the size of a call in units; 0 if the description does not specify it.
 func (e *Entry) units(length int, maxUnits float64) float64 {
 	operation := e.Operation
 	if operation.Units > 0 {
@@ -150,6 +155,7 @@
 	return units
 }
 
+// shard returns the shard of a call; ok is false if the description does not specify it.
 func (e *Entry) shard(call *contract.Call, parameters []string) (shard int, ok bool, err error) {
 	described := e.Operation.Shard
 	switch {
--- a/internal/contract/catalog/retry_test.go
+++ b/internal/contract/catalog/retry_test.go
@@ -12,12 +12,12 @@
 	"reachpulley/scheduler"
 )
 
-// randomNodes carry out what the scheduler requests, and answer at random.
+// randomNodes carries out the actions of a scheduler. Its nodes end attempts with random results.
 type randomNodes struct {
 	random *rand.Rand
-	sent   map[string][]string // nodes by request
+	sent   map[string][]string // the node of each attempt, by request
 	ran    map[string][]int    // the numbers of the attempts that may have run, by request
-	open   []scheduler.Outcome // attempts without an answer
+	open   []scheduler.Outcome // attempts in flight
 }
 
 func (n *randomNodes) Send(id, node string, _ time.Duration) {
@@ -33,8 +33,8 @@
 func (n *randomNodes) Fetch()                         {}
 func (n *randomNodes) Log(string)                     {}
 
-// answer ends some of the open attempts.
-func (n *randomNodes) answer(s *scheduler.Scheduler, now time.Duration) {
+// endAttempts ends a random number of the attempts in flight.
+func (n *randomNodes) endAttempts(s *scheduler.Scheduler, now time.Duration) {
 	for len(n.open) > 0 && n.random.IntN(4) > 0 {
 		outcome := n.open[0]
 		n.open = n.open[1:]
@@ -49,7 +49,7 @@
 	}
 }
 
-// drawDescription draws operations that may describe PUT /api/{volume}/{data}.
+// drawDescription draws operations. In most cases, one of them describes PUT /api/{volume}/{data}.
 func drawDescription(t *rapid.T) []*contract.Operation {
 	other := &contract.Operation{Method: "GET", Template: "/else", Idempotency: contract.Idempotent}
 	if rapid.IntRange(0, 3).Draw(t, "described") == 0 {
@@ -72,7 +72,8 @@
 	return []*contract.Operation{o, other}
 }
 
-// runWrites has a scheduler forward writes that clients of the platform send with the header X-Class: entry-write.
+// runWrites sends 60 writes of the class entry-write, which clients choose with the header X-Class, through a
+// scheduler.
 func runWrites(t *rapid.T, c *Catalog, entry *Entry) *randomNodes {
 	nodes := &randomNodes{
 		random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
@@ -90,7 +91,7 @@
 			{ID: "a0"}, {ID: "a1"}, {ID: "b0", Zone: 1, Shard: 1}, {ID: "b1", Zone: 1, Shard: 1},
 		},
 	})
-	const entryWrite = 1 // the number of the class in settings
+	const entryWrite = 1 // index of the class in settings.Classes
 	for i := range 60 {
 		now += time.Duration(nodes.random.IntN(40)) * time.Millisecond
 		s.TimerFired(now, 0)
@@ -106,19 +107,19 @@
 			Operation:     entry.Name,
 			RetryPolicy:   entry.RetryPolicy,
 		})
-		nodes.answer(s, now)
+		nodes.endAttempts(s, now)
 	}
 	return nodes
 }
 
-// Whatever descriptions say and however nodes fail, a write of the platform is retried only if its class allows it, at
-// the shard that discards the retry, and never if its description is stricter.
+// Whatever descriptions state and however nodes fail, a write is retried only if its class allows it, only at the shard
+// that discards the retry, and never if its description is stricter.
 func TestNoWriteRunsTwiceBecauseOfADescription(t *testing.T) {
 	retries := 0
 	rapid.Check(t, func(t *rapid.T) {
 		c, faults := New(drawDescription(t), settings)
 		if len(faults) > 0 {
-			return // It does not load.
+			return // The gateway rejects such a description.
 		}
 		entry, _ := c.Lookup(&contract.Call{Method: "PUT", Path: "/api/1/2"}, nil)
 		nodes := runWrites(t, c, entry)
@@ -128,17 +129,17 @@
 			}
 			retries++
 			if entry.RetryPolicy.Idempotency == scheduler.NonIdempotent {
-				t.Fatalf("%s ran %d times, and its operation is %s", id, len(ran), entry.Name)
+				t.Fatalf("request %s of the unsafe operation %s ran %d times", id, entry.Name, len(ran))
 			}
 			zoneOf := func(attempt int) byte { return nodes.sent[id][attempt][0] }
 			for _, attempt := range ran {
 				if zoneOf(attempt) != zoneOf(ran[0]) {
-					t.Fatalf("%s was sent to %v: another shard does not know the first attempt", id, nodes.sent[id])
+					t.Fatalf("request %s was sent to %v: another shard does not know the key", id, nodes.sent[id])
 				}
 			}
 		}
 	})
 	if retries == 0 {
-		t.Error("nothing was ever retried")
+		t.Error("no request was retried")
 	}
 }
--- a/internal/contract/registry/registry.go
+++ b/internal/contract/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry holds the descriptions that are in force. It finds the operation of each request, limits and counts
-// the calls that no description has, and may be used by many goroutines. Packages catalog and ratelimit decide; this
-// package owns their state and its lock.
+// Package registry holds the catalog in force. It finds the operation of each request, and limits and counts
+// undescribed calls. It is safe for concurrent use: packages catalog and ratelimit make the decisions, and this package
+// owns their state and the lock that protects it.
 package registry
 
 import (
@@ -18,18 +18,18 @@
 	"reachpulley/internal/ratelimit"
 )
 
-// Options say how calls that no description has are handled.
+// Options specify how undescribed calls are handled.
 type Options struct {
-	RejectUndescribed bool    // they are rejected; otherwise they are admitted and never retried
-	Rate              float64 // how many are admitted each second; 0: no limit
-	Burst             float64 // how many are admitted at once
-	Open              int     // how many may be in flight; 0: no limit
+	RejectUndescribed bool    // whether they are rejected; otherwise they are admitted but never retried
+	Rate              float64 // admitted calls per second; 0: no limit
+	Burst             float64 // admitted calls at once
+	Open              int     // calls in flight; 0: no limit
 }
 
-// limited reports whether there is a limit.
+// limited reports whether undescribed calls are limited.
 func (o *Options) limited() bool { return o.Rate > 0 || o.Open > 0 }
 
-// definitions returns the limit of undescribed calls, if there is one.
+// definitions returns the definition of the limit of undescribed calls, if there is a limit.
 func (o *Options) definitions() []ratelimit.Definition {
 	if !o.limited() {
 		return nil
@@ -43,14 +43,14 @@
 	}}
 }
 
-// maxLoggedSamples is how many undescribed calls are logged one by one in each report interval.
+// maxLoggedSamples is the maximum number of undescribed calls that are logged individually in each report interval.
 const maxLoggedSamples = 5
 
-// Registry finds operations by the descriptions in force, which Swap replaces.
+// Registry finds operations in the catalog in force, which Swap replaces.
 type Registry struct {
 	log     *slog.Logger
 	current atomic.Pointer[catalog.Catalog] // nil: no descriptions are in force
-	clock   func() time.Duration
+	clock   func() time.Duration            // the time since New
 
 	mu         sync.Mutex // protects the fields below
 	options    Options
@@ -59,7 +59,7 @@
 	logSampler rate.Sometimes
 }
 
-// New returns a Registry without descriptions.
+// New returns a Registry without a catalog.
 func New(o Options, log *slog.Logger) (*Registry, error) {
 	limiter, err := ratelimit.New(o.definitions())
 	if err != nil {
@@ -75,7 +75,8 @@
 	}, nil
 }
 
-// Swap replaces the descriptions as a whole; nil means that there are none. Requests in flight keep theirs.
+// Swap replaces the catalog; nil means that no descriptions are in force. Requests in flight keep the entry that they
+// have.
 func (r *Registry) Swap(next *catalog.Catalog, rejectUndescribed bool) {
 	r.mu.Lock()
 	r.options.RejectUndescribed = rejectUndescribed
@@ -86,7 +87,7 @@
 	}
 }
 
-// active returns the catalog in force; nil if there is none. A nil Registry has none.
+// active returns the catalog in force; nil if there is none or if r is nil.
 func (r *Registry) active() *catalog.Catalog {
 	if r == nil {
 		return nil
@@ -94,33 +95,33 @@
 	return r.current.Load()
 }
 
-// InForce reports whether there are descriptions.
+// InForce reports whether descriptions are in force.
 func (r *Registry) InForce() bool { return r.active() != nil }
 
-// ErrUndescribed rejects a call that no description has.
+// ErrUndescribed is the error for an undescribed call that is rejected. Clients see its text.
 var ErrUndescribed = errors.New("no description has this operation")
 
-// RateLimitedError rejects a call that exceeds the limit of calls that no description has.
+// RateLimitedError is the error for an undescribed call that exceeds the limit of such calls.
 type RateLimitedError struct{ RetryAfter time.Duration }
 
-// Error is meant for the client.
+// Error returns the text that is sent to the client.
 func (e RateLimitedError) Error() string {
 	return "too many requests of operations that no description has"
 }
 
-// Match is what the descriptions say of one request.
+// Match is the result of looking up one request in the catalog.
 type Match struct {
 	*catalog.Entry
 	Call       contract.Call
-	Parameters []string // the values of the path's parameters
+	Parameters []string // the values of the path parameters
 
 	registry *Registry
 	grant    ratelimit.Grant
 	hasGrant bool
 }
 
-// Begin finds the operation of a request. The error is ErrUndescribed or a RateLimitedError. The Match must be released
-// in either case; it is nil if no descriptions are in force.
+// Begin finds the operation of a request. Its error is ErrUndescribed or a RateLimitedError. The caller must release
+// the Match even after an error. The Match is nil if no descriptions are in force.
 func (r *Registry) Begin(call contract.Call) (*Match, error) {
 	current := r.active()
 	if current == nil {
@@ -134,8 +135,8 @@
 	return match, r.admitUndescribed(match)
 }
 
-// Release returns what the request holds. It is called once, when the request is answered or its client has
-// disconnected. A nil Match holds nothing.
+// Release returns the grant of the request to the rate limiter. It must be called once, when the response has been sent
+// or the client has disconnected. A nil Match has no grant.
 func (m *Match) Release() {
 	if m == nil || !m.hasGrant {
 		return
@@ -145,7 +146,7 @@
 	m.registry.limiter.Release(m.grant)
 }
 
-// Command returns what the descriptions say of a READ or WRITE of the iSCSI frontend; nil if they describe no command.
+// Command returns the entry of a READ or WRITE command of the iSCSI frontend; nil if no commands are described.
 func (r *Registry) Command(lun int, write bool) *catalog.Entry {
 	current := r.active()
 	if current == nil {
@@ -160,7 +161,7 @@
 	return entry
 }
 
-// admitUndescribed counts a call that no description has, and decides whether it is admitted.
+// admitUndescribed counts an undescribed call and decides whether it is admitted.
 func (r *Registry) admitUndescribed(match *Match) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/contract/registry/registry_test.go
+++ b/internal/contract/registry/registry_test.go
@@ -32,7 +32,7 @@
 	},
 }
 
-// sheetCatalog is the catalog of an example that describes GET /sheets/{project}/{crew}.
+// sheetCatalog returns the catalog of an example that describes GET /sheets/{project}/{crew}.
 func sheetCatalog(t testing.TB) *catalog.Catalog {
 	t.Helper()
 	operations, err := contract.Load("../../../examples/sheets.yaml")
@@ -46,7 +46,8 @@
 	return c
 }
 
-// Undescribed calls have a limit of their own. Described calls do not count, and what a call holds is returned.
+// Undescribed calls have a limit of their own, to which described calls do not count. A released call no longer counts
+// as in flight.
 func TestUndescribedCallsHaveALimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log strings.Builder
@@ -56,7 +57,7 @@
 		}
 		get := func(path string) (*Match, error) { return r.Begin(contract.Call{Method: "GET", Path: path}) }
 		if match, err := get("/x"); match != nil || err != nil || r.InForce() {
-			t.Fatal("there are no descriptions yet")
+			t.Fatalf("without a catalog: match %v, error %v, in force %v", match, err, r.InForce())
 		}
 		r.Swap(sheetCatalog(t), false)
 		var matches []*Match
@@ -64,38 +65,38 @@
 			match, err := get("/x/" + strings.Repeat("y", 500))
 			matches = append(matches, match)
 			if (err != nil) != (i == 2) || match.RetryPolicy.Idempotency != scheduler.NonIdempotent {
-				t.Fatalf("%d: %v", i, err)
+				t.Fatalf("call %d: error %v, retry policy %+v", i, err, match.RetryPolicy)
 			}
 			var limited RateLimitedError
 			if i == 2 && (!errors.As(err, &limited) || limited.RetryAfter <= 0) {
-				t.Error(err)
+				t.Errorf("call %d: error %v, want a RateLimitedError with a positive RetryAfter", i, err)
 			}
 		}
 		if match, err := get("/sheets/a/b"); err != nil || match.Operation == nil {
-			t.Error(err)
+			t.Errorf("described call: error %v, operation %v", err, match.Operation)
 		}
 		for _, match := range matches {
 			match.Release()
 		}
 		if match, err := get("/x"); err != nil {
-			t.Error(err)
+			t.Errorf("call after the release: %v", err)
 		} else {
 			match.Release()
 		}
 		if got, want := r.Counts(), (Counts{Undescribed: 4, RateLimited: 1, Last: "GET /x"}); got != want {
-			t.Errorf("%+v, want %+v", got, want)
+			t.Errorf("counts %+v, want %+v", got, want)
 		}
 		if n := len(log.String()); n > 4000 {
-			t.Errorf("%d bytes of log", n)
+			t.Errorf("%d bytes of log, want at most 4000", n)
 		}
 		r.Swap(sheetCatalog(t), true)
 		if _, err := get("/x"); !errors.Is(err, ErrUndescribed) {
-			t.Error(err)
+			t.Errorf("error %v, want %v", err, ErrUndescribed)
 		}
 	})
 }
 
-// BenchmarkBegin measures how the HTTP frontend finds the operation of a request.
+// BenchmarkBegin measures Begin and Release for a described call, as the HTTP frontend uses them.
 func BenchmarkBegin(b *testing.B) {
 	r, err := New(Options{}, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/contract/registry/report.go
+++ b/internal/contract/registry/report.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// reportInterval is how often counts are logged.
+// reportInterval is how often the counts of undescribed calls are logged.
 const reportInterval = time.Minute
 
-// maxSampleBytes bounds the path of a call in the log.
+// maxSampleBytes is the maximum length of the path of a call in the log.
 const maxSampleBytes = 96
 
-// Counts are the calls that no description has.
+// Counts are the numbers of undescribed calls since the last report.
 type Counts struct {
-	Undescribed int
-	RateLimited int    // of them, over their limit
-	Last        string // the last one
+	Undescribed int    // all undescribed calls
+	RateLimited int    // those that were rejected because they exceeded the limit
+	Last        string // the method and path of the latest one, or its command and logical unit
 }
 
-// countUndescribed counts a call. The caller holds the lock.
+// countUndescribed counts an undescribed call. The caller must hold r.mu.
 func (r *Registry) countUndescribed(sample string) {
 	r.counts.Undescribed++
 	r.counts.Last = sample
 }
 
-// Counts returns what was counted since the last call.
+// Counts returns the counts since the last call of Counts, and resets them.
 func (r *Registry) Counts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,7 +34,7 @@
 	return counts
 }
 
-// Run logs the counts in each interval that has any, until ctx ends.
+// Run logs the counts of each interval that has undescribed calls, until ctx is done.
 func (r *Registry) Run(ctx context.Context) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -48,6 +48,7 @@
 	}
 }
 
+// report logs the counts since the last report, unless there were no undescribed calls.
 func (r *Registry) report() {
 	counts := r.Counts()
 	if counts.Undescribed == 0 {
@@ -61,12 +62,12 @@
 	)
 }
 
-// handling says how undescribed calls are handled.
+// handling describes how undescribed calls are handled.
 func (r *Registry) handling() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.options.RejectUndescribed {
 		return "rejected"
 	}
-	return fmt.Sprintf("not retried, %v a second", r.options.Rate)
+	return fmt.Sprintf("admitted without retries, limit %v per second", r.options.Rate)
 }
