--- a/cmd/reachpulley/api.go
+++ b/cmd/reachpulley/api.go
@@ -11,19 +11,19 @@
 	"reachpulley/scheduler"
 )
 
-// apiCommands work with descriptions of operations.
+// apiCommands are the commands that work with descriptions of operations.
 type apiCommands struct {
-	Check  apiCheck  `cmd:"" help:"Check descriptions; everything that is wrong is reported at once."`
-	Routes apiRoutes `cmd:"" help:"List the described operations with what the descriptions say of each."`
+	Check  apiCheck  `cmd:"" help:"Check descriptions, and report all their faults at once."`
+	Routes apiRoutes `cmd:"" help:"List the described operations and what their descriptions say."`
 	Diff   apiDiff   `cmd:"" help:"Show what differs between two descriptions, and which differences are dangerous."`
 
-	Classify apiClassify `cmd:"" help:"Show which operations requests are, and how far each may be retried."`
+	Classify apiClassify `cmd:"" help:"Show which operation each request calls, and how far it may be retried."`
 	Distrust apiDistrust `cmd:"" name:"doubts" help:"Show which operations at which nodes are distrusted, and why."`
-	Doc      apiDoc      `cmd:"" help:"Write what descriptions promise, as Markdown for people."`
-	Schema   apiSchema   `cmd:"" help:"Write the JSON Schema of the vocabulary x-contract."`
+	Doc      apiDoc      `cmd:"" help:"Write what descriptions promise as a Markdown page."`
+	Schema   apiSchema   `cmd:"" help:"Write the JSON Schema of the x-contract vocabulary."`
 }
 
-// loadOperations loads and checks descriptions. It reports errors by itself.
+// loadOperations loads and checks descriptions. It reports its errors to the user, so that callers only return them.
 func loadOperations(env environment, files []string) ([]*contract.Operation, error) {
 	operations, err := contract.Load(files...)
 	if err == nil {
@@ -37,7 +37,8 @@
 	return operations, nil
 }
 
-// loadCatalog loads descriptions and compares them with the settings of a configuration. It reports errors by itself.
+// loadCatalog loads descriptions and compares them with the settings of the configuration at path. It reports its
+// errors to the user.
 func loadCatalog(env environment, path string, files []string) (*catalog.Catalog, error) {
 	settings, err := settingsForDescriptions(env, path)
 	if err != nil {
@@ -50,8 +51,9 @@
 	return described, nil
 }
 
-// settingsForDescriptions reads the settings of a configuration. If there is none, the settings have a single class,
-// the strictest there is, for descriptions that name none.
+// settingsForDescriptions reads the settings of the configuration at path or, if path is empty, of the one that the
+// environment names. Without any configuration, it returns settings with one class, of the strictest idempotency, for
+// operations whose descriptions name no class.
 func settingsForDescriptions(env environment, path string) (scheduler.Settings, error) {
 	if path != "" || env.getenv(config.EnvConfig) != "" {
 		return loadSettings(env, path)
@@ -67,11 +69,11 @@
 }
 
 type apiCheck struct {
-	Settings string   `placeholder:"FILE" help:"${settings_help} Descriptions must not contradict them."`
+	Settings string   `placeholder:"FILE" help:"${settings_help} Descriptions must not contradict the settings."`
 	Files    []string `arg:"" type:"existingfile" help:"${descriptions_help}"`
 }
 
-// Run reports faults and suspicions.
+// Run reports the faults of descriptions or, if there are none, what is suspicious in them.
 func (a apiCheck) Run(env environment) error {
 	operations, err := loadOperations(env, a.Files)
 	if err != nil {
@@ -101,7 +103,7 @@
 	Files []string `arg:"" type:"existingfile" help:"${descriptions_help}"`
 }
 
-// Run lists the operations.
+// Run lists the operations of descriptions.
 func (a apiRoutes) Run(env environment) error {
 	operations, err := loadOperations(env, a.Files)
 	if err != nil {
@@ -117,6 +119,7 @@
 	return out.Flush()
 }
 
+// describeKey returns where a call holds its idempotency key and how long nodes remember it, or "-" if it has no key.
 func describeKey(o *contract.Operation) string {
 	if o.Idempotency != contract.IdempotentWithKey {
 		return "-"
@@ -126,7 +129,7 @@
 
 type apiSchema struct{}
 
-// Run writes the schema.
+// Run writes the JSON Schema of the x-contract vocabulary.
 func (apiSchema) Run(env environment) error {
 	_, err := env.stdout.Write(contract.Schema)
 	return err
@@ -136,7 +139,7 @@
 	Files []string `arg:"" type:"existingfile" help:"${descriptions_help}"`
 }
 
-// Run writes the page.
+// Run writes a Markdown page about the operations.
 func (a apiDoc) Run(env environment) error {
 	operations, err := loadOperations(env, a.Files)
 	if err != nil {
--- a/cmd/reachpulley/api_classify.go
+++ b/cmd/reachpulley/api_classify.go
@@ -19,7 +19,7 @@
 type apiClassify struct {
 	Settings string   `placeholder:"FILE" help:"${settings_help}"`
 	Request  string   `placeholder:"REQUEST" help:"${request_help}"`
-	Requests string   `type:"existingfile" placeholder:"FILE" help:"Many requests, with a blank line between two."`
+	Requests string   `type:"existingfile" placeholder:"FILE" help:"${requests_help}"`
 	Files    []string `arg:"" type:"existingfile" help:"${descriptions_help}"`
 }
 
@@ -51,7 +51,7 @@
 		if entry.Operation == nil {
 			undescribed++
 		}
-		printClassified(out, &call, entry, values, settings)
+		printClassification(out, &call, entry, values, settings)
 	}
 	if err := out.Flush(); err != nil {
 		return err
@@ -73,6 +73,7 @@
 	return rules.ParseRequests(text)
 }
 
+// callOf returns the call that the catalog of operations looks up for a request.
 func callOf(request *expression.Facts) contract.Call {
 	return contract.Call{
 		Method: request.Method,
@@ -84,8 +85,9 @@
 	}
 }
 
-// printClassified prints the operation that a call is and what follows from its description and its class.
-func printClassified(
+// printClassification prints the row of a call: its operation, and what follows from the operation's description and
+// from its class.
+func printClassification(
 	w io.Writer, call *contract.Call, entry *catalog.Entry, values []string, settings scheduler.Settings,
 ) {
 	class := settings.Classes[entry.Class]
@@ -105,7 +107,7 @@
 		filepath.Base(operation.Position.File), operation.Position.Line)
 }
 
-// describeRetries says how far a call may be retried.
+// describeRetries returns in words how far a call may be retried.
 func describeRetries(policy scheduler.RetryPolicy) string {
 	switch policy.Idempotency {
 	case scheduler.Idempotent:
@@ -116,7 +118,7 @@
 	return "never"
 }
 
-// describeScope says which nodes recognize a key that one of them has seen.
+// describeScope returns in words which nodes recognize an idempotency key that one of them has seen.
 func describeScope(scope scheduler.DedupScope) string {
 	switch scope {
 	case scheduler.ScopeAll:
--- a/cmd/reachpulley/api_distrust.go
+++ b/cmd/reachpulley/api_distrust.go
@@ -15,11 +15,11 @@
 )
 
 type apiDistrust struct {
-	File string `arg:"" type:"existingfile" help:"The file that contracts.doubts names."`
+	File string `arg:"" type:"existingfile" help:"The file that the setting contracts.doubts names."`
 	JSON bool   `help:"Print JSON for programs."`
 }
 
-// Run lists distrust records. Each is a finding.
+// Run lists the distrust records of a file. Each record is a finding.
 func (a apiDistrust) Run(env environment) error {
 	file, err := conformance.ReadDistrustFile(filesystem.OS{}, a.File)
 	if err != nil {
@@ -49,6 +49,7 @@
 	return out.Flush()
 }
 
+// describeEvidence returns how often each kind of evidence was observed.
 func describeEvidence(record trust.Record) string {
 	var evidence []string
 	for _, kind := range slices.Sorted(maps.Keys(record.Counts)) {
--- a/cmd/reachpulley/api_test.go
+++ b/cmd/reachpulley/api_test.go
@@ -12,7 +12,7 @@
 	exampleConfig      = "../../examples/config.json"
 )
 
-// apiCases have $FAULTY, $LOOSER, $CONTRARY and $DISTRUST for files.
+// In apiCases, $FAULTY, $LOOSER, $CONFLICTING and $DISTRUST stand for files that TestAPICommands writes.
 var apiCases = []commandCase{
 	{
 		args: []string{"api", "check", testDescription},
@@ -39,9 +39,9 @@
 		want: []string{"2 classes are generated"},
 	},
 	{
-		args: []string{"api", "check", "--settings", exampleConfig, "$CONTRARY"},
+		args: []string{"api", "check", "--settings", exampleConfig, "$CONFLICTING"},
 		code: exitUsage,
-		want: []string{"$CONTRARY:", `it is called safe, and its class "entry-write" is keyed`},
+		want: []string{"$CONFLICTING:", `it is called safe, and its class "entry-write" is keyed`},
 	},
 	{
 		args: []string{"api", "diff", testDescription, testDescription},
@@ -138,6 +138,7 @@
 	},
 }
 
+// distrustRecords is a file of distrust records, as a gateway writes it.
 const distrustRecords = `{"taken": "2026-12-01T07:00:00Z", "doubts": [{"operation": "GET /a", "node": "n3",
 	"state": "distrusted", "level": "avoided", "sinceMs": 61000, "counts": {"repeat-ran": 3, "slow": 1},
 	"answers": 40, "sample": "GET /a: it took 2s"}]}`
@@ -148,11 +149,11 @@
 	faulty := strings.Replace(description, "aim: 80ms", "aim: 8s", 1)
 	faulty = strings.Replace(faulty, "operationId: pay", "operationId: pay"+safe, 1)
 	looser := strings.Replace(description, "operationId: openSheets", "operationId: openSheets"+safe, 1)
-	contrary := strings.Replace(readFile(t, exampleDescription), "class: sheet-read", "class: entry-write", 1)
+	conflicting := strings.Replace(readFile(t, exampleDescription), "class: sheet-read", "class: entry-write", 1)
 	runCommandCases(t, apiCases, strings.NewReplacer(
 		"$FAULTY", writeFile(t, "faulty.yaml", faulty),
 		"$LOOSER", writeFile(t, "looser.yaml", looser),
-		"$CONTRARY", writeFile(t, "contrary.yaml", contrary),
+		"$CONFLICTING", writeFile(t, "conflicting.yaml", conflicting),
 		"$DISTRUST", writeFile(t, "distrust.json", distrustRecords),
 	))
 }
--- a/cmd/reachpulley/capture.go
+++ b/cmd/reachpulley/capture.go
@@ -11,7 +11,7 @@
 	"reachpulley/internal/filesystem"
 )
 
-// captureCommands work with captures as files. They never change one.
+// captureCommands are the commands that work with capture files. None of them changes the capture that it reads.
 type captureCommands struct {
 	Info   captureInfo   `cmd:"" help:"Show what a capture holds, and how its requests ended."`
 	Verify captureVerify `cmd:"" help:"${verify_help}"`
@@ -35,7 +35,7 @@
 	return file, reader, nil
 }
 
-// records iterates over the records of a capture. An error is the last element.
+// records iterates over the records of a capture. It ends after the first error.
 func records(reader *capture.Reader) iter.Seq2[*capture.Record, error] {
 	return func(yield func(*capture.Record, error) bool) {
 		for {
@@ -59,10 +59,10 @@
 	return writeNewFile(env, path, content)
 }
 
-// writeNewFile writes a file that must not exist yet.
+// writeNewFile writes a file that must not exist yet, whole or not at all.
 func writeNewFile(env environment, path string, content []byte) error {
 	if _, err := os.Stat(path); err == nil {
-		return env.reportUsageError(fmt.Errorf("%s: is there already", path))
+		return env.reportUsageError(fmt.Errorf("%s: the file exists already", path))
 	}
 	if err := filesystem.ReplaceFile(filesystem.OS{}, path, content); err != nil {
 		return env.reportUsageError(err)
--- a/cmd/reachpulley/capture_convert.go
+++ b/cmd/reachpulley/capture_convert.go
@@ -15,8 +15,8 @@
 	Files []string `arg:"" type:"existingfile" help:"Segments, in the order of their numbers."`
 }
 
-// Run joins segments. They must be in order and of one incarnation of a gateway, which has one seed and one set of
-// settings. A replay reports segments that are missing in between.
+// Run joins segments. They must be in order and come from one incarnation of a gateway, which has one seed and one set
+// of settings. It does not notice a segment that is missing in between, but a replay of the result reports it.
 func (a captureMerge) Run(env environment) error {
 	merged := merger{}
 	for _, path := range a.Files {
@@ -27,15 +27,15 @@
 	return writeCapture(env, a.Out, merged.head, merged.records)
 }
 
-// merger joins segments.
+// merger collects the records of segments.
 type merger struct {
 	firstPath string // empty before the first segment
 	head      capture.Head
 	records   []capture.Record
-	lastEvent time.Duration
+	lastEvent time.Duration // time of the last event that was added
 }
 
-// add adds the segment at path.
+// add appends the records of the segment at path.
 func (m *merger) add(path string) error {
 	file, reader, err := openCapture(path)
 	if err != nil {
@@ -47,7 +47,7 @@
 		m.firstPath = path
 		m.head = reader.Head
 	case !equalHeads(m.head, reader.Head):
-		return fmt.Errorf("%s: is of another incarnation than %s", path, m.firstPath)
+		return fmt.Errorf("%s: was recorded by another incarnation of a gateway than %s", path, m.firstPath)
 	}
 	for record, err := range records(reader) {
 		if err != nil {
@@ -55,7 +55,7 @@
 		}
 		if record.Kind.IsEvent() {
 			if record.At < m.lastEvent {
-				return fmt.Errorf("%s: begins at %v, before the end of the file before it, %v",
+				return fmt.Errorf("%s: the event at %v is before the preceding event, at %v: segments must be in order",
 					path, record.At, m.lastEvent)
 			}
 			m.lastEvent = record.At
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// equalHeads compares heads by how they are written.
+// equalHeads compares two heads by their encoded form.
 func equalHeads(a, b capture.Head) bool {
 	encodedA, errA := capture.EncodeHeader(&a)
 	encodedB, errB := capture.EncodeHeader(&b)
@@ -83,7 +83,7 @@
 	*capture.Record
 }
 
-// Run writes the head, then one line for each record.
+// Run writes the head of a capture as a line of JSON, then each record as another.
 func (a captureExport) Run(env environment) error {
 	file, reader, err := openCapture(a.File)
 	if err != nil {
@@ -114,7 +114,7 @@
 	Key  string `required:"" type:"existingfile" help:"${hash_key_help}"`
 }
 
-// Run replaces names in a capture by hashes.
+// Run writes a copy of a capture in which hashes replace ids, volumes and keys.
 func (a captureHash) Run(env environment) error {
 	file, reader, err := openCapture(a.File)
 	if err != nil {
--- a/cmd/reachpulley/capture_cut.go
+++ b/cmd/reachpulley/capture_cut.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"time"
@@ -18,10 +17,11 @@
 	To   string `help:"Time of the last event."`
 }
 
+// endOfTime is later than any time on the clock of a recorder.
 const endOfTime = time.Duration(math.MaxInt64)
 
-// Run writes the parts that hold the events between two times. A part begins with a snapshot, so the first event may be
-// earlier than requested.
+// Run writes the parts of a capture that hold the events between two times. A part begins with a snapshot, so the first
+// event may be earlier than requested.
 func (a captureCut) Run(env environment) error {
 	file, reader, err := openCapture(a.File)
 	if err != nil {
@@ -41,7 +41,7 @@
 	clock := timeline.ClockFor(&reader.Head)
 	from := time.Duration(0)
 	to := endOfTime
-	var now time.Duration // of the last event
+	var now time.Duration // time of the last event that was read
 	foundEvent := false
 	for record, err := range records(reader) {
 		if err != nil {
@@ -59,18 +59,18 @@
 		if foundEvent && now > to {
 			break
 		}
-		if record.Kind == capture.KindSnapshot && record.At <= from { // a replay needs nothing before it
+		if record.Kind == capture.KindSnapshot && record.At <= from { // a replay starts from it
 			cut = cut[:0]
 		}
 		cut = append(cut, *record)
 	}
 	if !foundEvent || len(cut) == 0 {
-		return nil, errors.New("nothing is recorded between these times")
+		return nil, fmt.Errorf("%s: no events are recorded between --from %q and --to %q", a.File, a.From, a.To)
 	}
 	return cut, nil
 }
 
-// interval returns the requested times on the recorder's clock.
+// interval returns the requested times on the recorder's clock. A time of day is the first one from firstEvent on.
 func (a captureCut) interval(clock timeline.Clock, firstEvent time.Duration) (from, to time.Duration, err error) {
 	from = 0
 	to = endOfTime
@@ -85,7 +85,7 @@
 		}
 	}
 	if to < from {
-		return 0, 0, errors.New("--to: is before --from")
+		return 0, 0, fmt.Errorf("--to: %q is before --from, %q", a.To, a.From)
 	}
 	return from, to, nil
 }
--- a/cmd/reachpulley/capture_info.go
+++ b/cmd/reachpulley/capture_info.go
@@ -14,12 +14,12 @@
 	MaxNotes int    `name:"notes" default:"20" help:"Maximum number of notes that are shown."`
 }
 
-// captureContent counts what a capture holds.
+// captureContent counts the records of a capture by kind, and holds the times of its first and its last event.
 type captureContent struct {
 	events    int
 	snapshots int
 	gaps      int
-	lost      int // records, in the gaps
+	lost      int // records that are missing in the gaps
 	notes     int
 
 	firstEvent time.Duration
@@ -45,7 +45,7 @@
 	}
 }
 
-// Run reads a capture without replaying it.
+// Run prints what a capture holds and how its requests ended. It does not replay the capture.
 func (a captureInfo) Run(env environment) error {
 	file, reader, err := openCapture(a.File)
 	if err != nil {
--- a/cmd/reachpulley/capture_test.go
+++ b/cmd/reachpulley/capture_test.go
@@ -13,8 +13,8 @@
 	"reachpulley/internal/capture/capturetest"
 )
 
-// captureCases run in order, as some read what others wrote. $DIR is the directory of the files that newCaptureFiles
-// writes, $ID the id of a request that was sent to a node.
+// captureCases run in order, because some read files that others wrote. $DIR stands for the directory of the files that
+// newCaptureFiles writes, $ID for the id of a request that was sent to a node.
 var captureCases = []commandCase{
 	{
 		args: []string{"rooms", "state", "$DIR/whole"},
@@ -64,7 +64,7 @@
 	{
 		args: []string{"capture", "merge", "$DIR/merged", "$DIR/part-a"},
 		code: exitUsage,
-		want: []string{"is there already"},
+		want: []string{"merged: the file exists already"},
 	},
 	{
 		args: []string{"capture", "merge", "$DIR/with-gap", "$DIR/part-a", "$DIR/part-c"},
@@ -79,7 +79,7 @@
 	{
 		args: []string{"capture", "merge", "$DIR/reversed", "$DIR/part-b", "$DIR/part-a"},
 		code: exitUsage,
-		want: []string{"before the end of the file before it"},
+		want: []string{"part-a: the event at ", " is before the preceding event, at "},
 	},
 	{
 		args: []string{"capture", "cut", "--from", "07:00:05", "--to", "1h0m7s", "$DIR/whole", "$DIR/cut"},
@@ -104,7 +104,7 @@
 	{
 		args: []string{"capture", "cut", "--from", "7s", "--to", "6s", "$DIR/whole", "$DIR/none"},
 		code: exitUsage,
-		want: []string{"--to: is before --from"},
+		want: []string{`--to: "6s" is before --from, "7s"`},
 	},
 	{
 		args: []string{"capture", "export", "$DIR/whole"},
@@ -134,7 +134,7 @@
 	whole     string // path of the capture of a random workload
 }
 
-// newCaptureFiles writes a capture, each of its parts, variants of it and what else commands read.
+// newCaptureFiles writes a capture, each of its parts, variants of it and the other files that commands read.
 func newCaptureFiles(t *testing.T) captureFiles {
 	t.Helper()
 	files := captureFiles{directory: t.TempDir()}
@@ -159,7 +159,7 @@
 	}
 }
 
-// replacer fills in what the cases leave open.
+// replacer replaces $DIR and $ID in the cases.
 func (f captureFiles) replacer(t *testing.T) *strings.Replacer {
 	t.Helper()
 	return strings.NewReplacer("$DIR", f.directory, "$ID", sentRequestID(t, f.whole))
@@ -182,7 +182,7 @@
 	workload.Play(recorder, 4000)
 	recorder.Flush(time.Hour)
 	if len(sink.parts) < 4 {
-		t.Fatalf("%d parts", len(sink.parts))
+		t.Fatalf("the workload was recorded in %d parts, want at least 4", len(sink.parts))
 	}
 	head, err := capture.EncodeHeader(sink.head)
 	if err != nil {
@@ -214,7 +214,8 @@
 	return true
 }
 
-// withOtherAction returns a capture in which one request was sent to another node than the scheduler decides.
+// withOtherAction returns the capture at path with one action changed: a request is sent to another node than the
+// scheduler decides.
 func withOtherAction(t *testing.T, path string) []byte {
 	t.Helper()
 	file, reader, err := openCapture(path)
@@ -267,7 +268,7 @@
 	_, export, _ := runCommand(t, nil, "capture", "export", files.whole)
 	for i, line := range strings.Split(strings.TrimSpace(export), "\n") {
 		if !json.Valid([]byte(line)) {
-			t.Fatalf("line %d of the export: %s", i+1, line)
+			t.Fatalf("line %d of the export is not valid JSON: %s", i+1, line)
 		}
 	}
 }
--- a/cmd/reachpulley/capture_verify.go
+++ b/cmd/reachpulley/capture_verify.go
@@ -12,7 +12,7 @@
 
 type captureVerify struct {
 	File          string `arg:"" type:"existingfile" help:"A capture."`
-	Rules         bool   `help:"Check the rules of the deployment, too."`
+	Rules         bool   `help:"Check the rules of the deployment too."`
 	MaxViolations int    `name:"most" default:"50" help:"Maximum number of violations that are shown."`
 }
 
@@ -59,8 +59,9 @@
 	return nil
 }
 
-// ignores says whether an error of the replay does not matter: the capture of another build obeys the rules or
-// violates them, however its actions differ from those of this build.
+// ignores reports whether the check goes on after an error of the replay. With --rules, it goes on after an action that
+// differs from the recorded one: whether the capture of another build obeys the rules does not depend on what this
+// build would do.
 func (a captureVerify) ignores(err error) bool {
 	var difference *capture.Difference
 	return a.Rules && errors.As(err, &difference)
--- a/cmd/reachpulley/check.go
+++ b/cmd/reachpulley/check.go
@@ -8,7 +8,7 @@
 
 type checkCommand struct{}
 
-// Run checks the configuration that serveCommand would read.
+// Run checks the configuration that serveCommand would read, and prints what it holds.
 func (checkCommand) Run(env environment) error {
 	platform, operator, err := loadConfiguration(env.getenv, config.Load)
 	if err != nil {
--- a/cmd/reachpulley/demo.go
+++ b/cmd/reachpulley/demo.go
@@ -12,14 +12,14 @@
 )
 
 type demoCommand struct {
-	Config string `type:"existingfile" help:"A configuration in place of the built-in one; its discovery runs, too."`
-	Rules  string `type:"existingfile" help:"A rule file, by which old clients are served, too."`
+	Config string `type:"existingfile" help:"${demo_config_help}"`
+	Rules  string `type:"existingfile" help:"A rule file, with which the gateway also serves old clients."`
 }
 
 // Run runs the demo until SIGTERM or an interrupt.
 func (d demoCommand) Run(env environment) error {
 	log := logging.New(env.stderr, config.Log{Format: config.LogText}, env.isTerminal)
-	var configText []byte // nil: the built-in one
+	var configText []byte // nil selects the built-in configuration
 	if d.Config != "" {
 		var err error
 		if configText, err = os.ReadFile(d.Config); err != nil {
--- a/cmd/reachpulley/demo_test.go
+++ b/cmd/reachpulley/demo_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// What the demo prints works as it stands.
+// TestDemo checks that the commands that the demo prints work as they are printed.
 func TestDemo(t *testing.T) {
 	stdout, out := io.Pipe()
 	exited := make(chan int, 1)
@@ -24,7 +24,7 @@
 		})
 		out.Close()
 	}()
-	commands := map[string]string{} // by their labels; the gateway serves as soon as all are printed
+	commands := map[string]string{} // by label; the gateway serves as soon as all are printed
 	for lines := bufio.NewScanner(stdout); lines.Scan() && !strings.HasPrefix(lines.Text(), "Ctrl-C"); {
 		label, _, _ := strings.Cut(lines.Text(), ":")
 		commands[label] = lines.Text()
@@ -50,7 +50,8 @@
 
 var curlHeader = regexp.MustCompile(`-H '([^:]*): ([^']*)'`)
 
-// doCurl does what a curl command would do and returns the status and the body of the response.
+// doCurl sends the request of a curl command, with a body of its own, and returns the status and the body of the
+// response.
 func doCurl(t *testing.T, command string) string {
 	t.Helper()
 	method := http.MethodGet
--- a/cmd/reachpulley/errors.go
+++ b/cmd/reachpulley/errors.go
@@ -11,15 +11,15 @@
 // Exit codes.
 const (
 	exitSuccess = 0
-	exitFailure = 1 // the command failed, or has findings
-	exitUsage   = 2 // wrong use, faulty configuration or faulty file
+	exitFailure = 1 // the command failed or has findings
+	exitUsage   = 2 // wrong usage, a faulty configuration or a faulty file
 )
 
-// errUsage marks errors that the caller can correct: wrong use, a faulty configuration or a faulty file.
-var errUsage = errors.New("faulty use or configuration")
+// errUsage marks errors that the caller can correct: wrong usage, a faulty configuration or a faulty file.
+var errUsage = errors.New("wrong usage, configuration or file")
 
-// errFindings says that a command did its work and found something that its caller should know, as a failed test or a
-// dangerous change.
+// errFindings reports that a command did its work and found something that its caller should know about, such as a
+// failed test or a dangerous change.
 var errFindings = errors.New("findings")
 
 func exitCode(err error) int {
@@ -32,8 +32,8 @@
 	return exitFailure
 }
 
-// reportUsageError prints an error, each fault of a file with its line and a caret under its place, and returns the
-// error marked as one that the caller can correct.
+// reportUsageError prints an error to stderr and returns it marked as one that the caller can correct. It prints each
+// fault of a configuration or rule file with the line at fault and a caret under the position.
 func (e environment) reportUsageError(err error) error {
 	var faults configfile.Faults
 	if !errors.As(err, &faults) {
@@ -45,12 +45,12 @@
 	return errors.Join(errUsage, err)
 }
 
-// logFatalError logs the error that ends the program.
+// logFatalError logs an error that ends the program.
 func logFatalError(log *slog.Logger, err error) {
 	log.Error("fatal error", "err", err)
 }
 
-// logUsageError logs the error that ends the program and returns it marked as one that the caller can correct.
+// logUsageError logs an error that ends the program and returns it marked as one that the caller can correct.
 func logUsageError(log *slog.Logger, err error) error {
 	logFatalError(log, err)
 	return errors.Join(errUsage, err)
--- a/cmd/reachpulley/main_test.go
+++ b/cmd/reachpulley/main_test.go
@@ -10,7 +10,7 @@
 	"reachpulley/examples"
 )
 
-// runCommand runs a command that ends by itself.
+// runCommand runs a command that ends by itself, with the given environment variables and an empty standard input.
 func runCommand(t *testing.T, variables map[string]string, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -23,7 +23,7 @@
 	return code, out.String(), errs.String()
 }
 
-// commandCase is a command with the exit code and parts of the output that are expected.
+// commandCase is a command with its expected exit code and the parts that its output, stdout or stderr, must contain.
 type commandCase struct {
 	args []string
 	code int
@@ -42,18 +42,18 @@
 			}
 			code, stdout, stderr := runCommand(t, nil, args...)
 			if code != c.code {
-				t.Errorf("exit code %d, want %d\n%s\n%s", code, c.code, stdout, stderr)
+				t.Errorf("exit code %d, want %d\nstdout: %s\nstderr: %s", code, c.code, stdout, stderr)
 			}
 			for _, part := range c.want {
 				if want := replacer.Replace(part); !strings.Contains(stdout+stderr, want) {
-					t.Errorf("%q is missing in\n%.2000s\n%s", want, stdout, stderr)
+					t.Errorf("the output does not contain %q\nstdout: %.2000s\nstderr: %s", want, stdout, stderr)
 				}
 			}
 		})
 	}
 }
 
-// writeFile writes a file into a directory of the test and returns its path.
+// writeFile writes a file into a temporary directory of the test and returns its path.
 func writeFile(t *testing.T, name, text string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), name)
@@ -92,31 +92,31 @@
 			stdout: "Usage: reachpulley",
 		},
 		"unknown command": {
-			args:   []string{"fly"},
+			args:   []string{"unknown"},
 			code:   exitUsage,
-			stderr: "unexpected argument fly",
+			stderr: "unexpected argument unknown",
 		},
 		"completion": {
 			args:   []string{"completion", "--code", "bash"},
 			code:   exitSuccess,
 			stdout: "complete",
 		},
-		"check without configuration": {
+		"check without a configuration": {
 			args:   []string{"check"},
 			code:   exitUsage,
 			stderr: "BALANCER_CONFIG: is not set",
 		},
-		"serve without configuration": {
+		"serve without a configuration": {
 			code:   exitUsage,
 			stderr: "BALANCER_CONFIG: is not set",
 		},
-		"check of valid configuration": {
+		"check of a valid configuration": {
 			variables: map[string]string{"BALANCER_CONFIG": valid},
 			args:      []string{"check"},
 			code:      exitSuccess,
 			stdout:    "good: 2 classes",
 		},
-		"check of faulty operator's file": {
+		"check of a faulty operator's file": {
 			variables: map[string]string{"BALANCER_CONFIG": valid, "BALANCER_OPERATOR": faulty},
 			args:      []string{"check"},
 			code:      exitUsage,
@@ -126,7 +126,8 @@
 		t.Run(name, func(t *testing.T) {
 			code, stdout, stderr := runCommand(t, c.variables, c.args...)
 			if code != c.code || !strings.Contains(stdout, c.stdout) || !strings.Contains(stderr, c.stderr) {
-				t.Errorf("%d\n%s\n%s", code, stdout, stderr)
+				t.Errorf("exit code %d, want %d\nstdout: %s\nwant %q\nstderr: %s\nwant %q",
+					code, c.code, stdout, c.stdout, stderr, c.stderr)
 			}
 		})
 	}
--- a/cmd/reachpulley/replay.go
+++ b/cmd/reachpulley/replay.go
@@ -12,21 +12,21 @@
 type replayCommand struct {
 	File string `arg:"" type:"existingfile" help:"A capture."`
 
-	RequestID string `name:"why" xor:"what" placeholder:"REQUEST" help:"Show the timeline of a request, by its id."`
-	Time      string `name:"at" xor:"what" placeholder:"TIME" help:"Show nodes and volumes at that time: ${time_help}."`
+	RequestID string `name:"why" xor:"what" placeholder:"REQUEST" help:"Show the timeline of the request with this id."`
+	Time      string `name:"at" xor:"what" placeholder:"TIME" help:"Show nodes and volumes at this time: ${time_help}."`
 
 	Settings string `name:"with" xor:"what" type:"existingfile" placeholder:"SETTINGS" help:"${with_help}"`
 	Build    string `name:"against" xor:"what" type:"existingfile" placeholder:"BINARY" help:"${against_help}"`
 	Summary  bool   `name:"tally" xor:"what" hidden:"" help:"${tally_help}"`
-	Plot     bool   `help:"With --with or --against: draw, by second, how they would have ended."`
+	Plot     bool   `help:"With --with or --against: draw the outcomes of each second."`
 
-	Shrink     bool   `xor:"what" help:"Write the smallest capture on which --keep still holds, and a Go test with it."`
+	Shrink     bool   `xor:"what" help:"Write the smallest capture on which --keep still holds, and a Go test of it."`
 	Property   string `name:"keep" placeholder:"PROPERTY" help:"With --shrink: ${property_help}."`
 	Out        string `placeholder:"FILE" help:"With --shrink: the capture to write; the test is written beside it."`
 	MaxReplays int    `name:"tries" default:"20000" help:"With --shrink: maximum number of replays."`
 }
 
-// timesReplayed is more than once so that decisions that are not deterministic are noticed.
+// timesReplayed is how often a capture is replayed: more than once, to notice decisions that are not deterministic.
 const timesReplayed = 2
 
 // Run replays a capture and compares every action with the recorded one, or does what a flag names instead.
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// replayOnce returns the number of events and the program that recorded them. It reports errors by itself.
+// replayOnce replays the capture, and returns the number of its events and the program that recorded them. It reports
+// its errors to the user.
 func (r replayCommand) replayOnce(env environment) (events int, program string, err error) {
 	file, reader, err := openCapture(r.File)
 	if err != nil {
@@ -75,7 +76,8 @@
 	return events, reader.Head.Program, nil
 }
 
-// reportReplayError says why a replay ended early. A difference is a finding; anything else is the file's fault.
+// reportReplayError prints why a replay ended early. An action that differs from the recorded one is a finding; any
+// other error is a fault of the file.
 func reportReplayError(env environment, path string, events int, err error) error {
 	var difference *capture.Difference
 	if !errors.As(err, &difference) {
@@ -92,7 +94,8 @@
 	return errFindings
 }
 
-// showContext replays the capture up to a difference and prints the state of what the difference is about.
+// showContext replays the capture up to a difference, and prints the state of the requests, nodes and volumes that the
+// difference concerns.
 func showContext(env environment, path string, difference *capture.Difference) error {
 	file, reader, err := openCapture(path)
 	if err != nil {
--- a/cmd/reachpulley/replay_compare.go
+++ b/cmd/reachpulley/replay_compare.go
@@ -17,11 +17,12 @@
 // maxBuildTime bounds how long another build may run.
 const maxBuildTime = 10 * time.Minute
 
+// openLoopNotice precedes each comparison.
 const openLoopNotice = "An open loop: clients arrive as recorded, " +
 	"and nodes respond as they responded near that time, whatever the load would have been.\n" +
 	"Compare the second table with the third; the first shows how far the second is from what happened.\n"
 
-// compareSettings compares what was recorded with what would have happened on other settings.
+// compareSettings compares the recorded outcomes with those that the same arrivals have with other settings.
 func (r replayCommand) compareSettings(env environment) error {
 	text, err := os.ReadFile(r.Settings)
 	if err != nil {
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// compareBuilds compares what was recorded with what would have happened on another build.
+// compareBuilds compares the recorded outcomes with those that the same arrivals have with another build.
 func (r replayCommand) compareBuilds(env environment) error {
 	workload, baseline, err := r.loadWorkload(env)
 	if err != nil {
@@ -58,10 +59,11 @@
 	}
 	other := summary.New(workload.Head.Settings)
 	if err := json.Unmarshal(text, other); err != nil {
-		return env.reportUsageError(fmt.Errorf("%s: its answer is of another form: %w", r.Build, err))
+		return env.reportUsageError(fmt.Errorf("%s: the output of replay --tally cannot be parsed: %w", r.Build, err))
 	}
 	if got, want := len(other.Classes), len(workload.Head.Settings.Classes); got != want {
-		return env.reportUsageError(fmt.Errorf("%s: it reports %d classes, the capture %d", r.Build, got, want))
+		return env.reportUsageError(
+			fmt.Errorf("%s: replay --tally reports %d classes, but the capture has %d", r.Build, got, want))
 	}
 	r.printComparison(env, workload, baseline, summary.Series{
 		Name:    "its settings, the other build, open loop",
@@ -70,7 +72,7 @@
 	return nil
 }
 
-// runBuild runs another build of this program as printSummary does, and returns its output.
+// runBuild has another build of this program run printSummary on a capture, and returns the output.
 func runBuild(binary, file string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), maxBuildTime)
 	defer cancel()
@@ -84,7 +86,7 @@
 	return output, nil
 }
 
-// printSummary prints what this build makes of the arrivals, for another build that compares itself with this one.
+// printSummary prints the outcomes that the recorded arrivals have with this build, for compareBuilds of another build.
 func (r replayCommand) printSummary(env environment) error {
 	_, baseline, err := r.loadWorkload(env)
 	if err != nil {
@@ -93,8 +95,8 @@
 	return json.NewEncoder(env.stdout).Encode(baseline)
 }
 
-// loadWorkload reads what came from outside in a capture, and what this build makes of it on the recorded settings. It
-// reports errors by itself.
+// loadWorkload reads the recorded arrivals and responses of the capture, and plays them with this build and the
+// recorded settings. It reports its errors to the user.
 func (r replayCommand) loadWorkload(env environment) (*whatif.Workload, *summary.Summary, error) {
 	file, reader, err := openCapture(r.File)
 	if err != nil {
@@ -112,8 +114,8 @@
 	return workload, baseline, nil
 }
 
-// printComparison prints what was recorded, what this build makes of it on the recorded settings, and what something
-// else does.
+// printComparison prints the outcomes that were recorded, those with this build and the recorded settings (baseline),
+// and those with other settings or another build.
 func (r replayCommand) printComparison(
 	env environment, workload *whatif.Workload, baseline *summary.Summary, other summary.Series,
 ) {
@@ -123,9 +125,9 @@
 		{Name: "its settings, this build, open loop", Summary: baseline},
 		other,
 	}
-	for _, one := range series {
-		fmt.Fprintf(env.stdout, "\n%s\n", one.Name)
-		one.Summary.Write(env.stdout)
+	for _, s := range series {
+		fmt.Fprintf(env.stdout, "\n%s\n", s.Name)
+		s.Summary.Write(env.stdout)
 	}
 	if r.Plot {
 		summary.Plot(env.stdout, series)
--- a/cmd/reachpulley/replay_shrink.go
+++ b/cmd/reachpulley/replay_shrink.go
@@ -18,7 +18,7 @@
 		return env.reportUsageError(fmt.Errorf("--keep: %w", err))
 	}
 	if r.Out == "" {
-		return env.reportUsageError(errors.New("--out: is missing"))
+		return env.reportUsageError(errors.New("--out: is not set, but --shrink requires it"))
 	}
 	content, err := r.smallestCapture(env, property)
 	if err != nil {
@@ -33,6 +33,7 @@
 	return writeNewFile(env, testPath, []byte(test))
 }
 
+// smallestCapture returns the smallest capture on which the property holds. It prints its progress to stderr.
 func (r replayCommand) smallestCapture(env environment, property shrink.Property) ([]byte, error) {
 	file, reader, err := openCapture(r.File)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return smallest.Capture()
 }
 
-// testName makes a part of a test's name of a file's name: small-day.capture becomes SmallDay.
+// testName derives a part of the test's name from the name of a file: small-day.capture becomes SmallDay.
 func testName(file string) string {
 	var name strings.Builder
 	startsWord := true
--- a/cmd/reachpulley/replay_test.go
+++ b/cmd/reachpulley/replay_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// replayCases run in order, as some read what others wrote. Their files are those of captureCases, "other-build" and
-// "mute-build".
+// replayCases run in order, because some read files that others wrote. Their files are those of captureCases, and two
+// stand-ins for other builds of the program: "other-build" prints a valid summary, "faulty-build" something else.
 var replayCases = []commandCase{
 	{
 		args: []string{"replay", "--with", "$DIR/config.json", "--plot", "$DIR/whole"},
@@ -21,9 +21,9 @@
 		want: []string{"the other build, open loop"},
 	},
 	{
-		args: []string{"replay", "--against", "$DIR/mute-build", "$DIR/whole"},
+		args: []string{"replay", "--against", "$DIR/faulty-build", "$DIR/whole"},
 		code: exitUsage,
-		want: []string{"mute-build: its answer is of another form"},
+		want: []string{"faulty-build: the output of replay --tally cannot be parsed"},
 	},
 	{
 		args: []string{"replay", "--tally", "$DIR/whole"},
@@ -75,6 +75,6 @@
 	files := newCaptureFiles(t)
 	_, summary, _ := runCommand(t, nil, "replay", "--tally", files.whole)
 	files.write(t, "other-build", []byte("#!/bin/sh\ncat <<'END'\n"+summary+"END\n"), 0o700)
-	files.write(t, "mute-build", []byte("#!/bin/sh\necho no\n"), 0o700)
+	files.write(t, "faulty-build", []byte("#!/bin/sh\necho no\n"), 0o700)
 	runCommandCases(t, replayCases, files.replacer(t))
 }
--- a/cmd/reachpulley/rules.go
+++ b/cmd/reachpulley/rules.go
@@ -13,19 +13,19 @@
 	"reachpulley/scheduler"
 )
 
-// rulesCommands work with rule files.
+// rulesCommands are the commands that work with rule files.
 type rulesCommands struct {
 	Settings string `placeholder:"FILE" help:"${settings_help}"`
 	JSON     bool   `help:"Print JSON for programs."`
 
-	Check   rulesCheck   `cmd:"" help:"Check rule files, and show what they cost at worst."`
-	Explain rulesExplain `cmd:"" help:"Show which rules match a request, each term's value and cost, and what is set."`
-	Test    rulesTest    `cmd:"" help:"Run the table of requests in a rule file."`
-	Bench   rulesBench   `cmd:"" help:"Measure a rule file on the requests of its own table."`
+	Check   rulesCheck   `cmd:"" help:"Check rule files, and show their worst-case cost."`
+	Explain rulesExplain `cmd:"" help:"Show which rules match a request, each term's value and cost, and the results."`
+	Test    rulesTest    `cmd:"" help:"Run the tests of a rule file."`
+	Bench   rulesBench   `cmd:"" help:"Measure a rule file on the requests of its own tests."`
 	Diff    rulesDiff    `cmd:"" help:"Show for which requests two rule files give different results."`
 }
 
-// load reads a rule file. It reports errors by itself.
+// load reads the rule file at path with the settings that the command line names. It reports its errors to the user.
 func (c *rulesCommands) load(env environment, path string) (*rules.Set, error) {
 	settings, err := loadSettings(env, c.Settings)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return encoder.Encode(value)
 }
 
-// loadSettings reads the settings of the configuration at path or, if it is empty, of the one that the environment
+// loadSettings reads the settings of the configuration at path or, if path is empty, of the one that the environment
 // names.
 func loadSettings(env environment, path string) (scheduler.Settings, error) {
 	getenv := env.getenv
@@ -83,10 +83,10 @@
 	Hash   string `json:"hash"`
 	Rules  int    `json:"rules"`
 	Limits int    `json:"limits"`
-	Worst  int    `json:"worst"`
+	Worst  int    `json:"worst"` // highest cost of a request, in estimated nanoseconds
 }
 
-// Run checks every file, whatever is wrong with the others.
+// Run checks every file, also after faults in others.
 func (r rulesCheck) Run(env environment, c *rulesCommands) error {
 	var valid []checkedFile
 	var errs []error
@@ -114,10 +114,10 @@
 }
 
 type rulesTest struct {
-	File string `arg:"" help:"A rule file with a table of tests."`
+	File string `arg:"" help:"A rule file that holds tests."`
 }
 
-// Run runs the table.
+// Run runs the tests of a rule file. A failed test is a finding.
 func (r rulesTest) Run(env environment, c *rulesCommands) error {
 	set, err := c.load(env, r.File)
 	if err != nil {
--- a/cmd/reachpulley/rules_bench.go
+++ b/cmd/reachpulley/rules_bench.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	benchBatches       = 10  // of which the median counts
-	benchCallsPerCheck = 100 // evaluations between two checks of the time
+	benchBatches       = 10  // batches for each request; the result is their median
+	benchCallsPerCheck = 100 // evaluations between two checks of the elapsed time
 )
 
 type rulesBench struct {
-	File string        `arg:"" help:"A rule file with a table of tests."`
-	Time time.Duration `default:"300ms" help:"Time for each request."`
+	File string        `arg:"" help:"A rule file that holds tests."`
+	Time time.Duration `default:"300ms" help:"How long each request is measured."`
 }
 
-// measurement is what the evaluation of a request takes.
+// measurement holds what it takes to evaluate the rules for a request.
 type measurement struct {
 	Request     string  `json:"request"`
 	Nanoseconds float64 `json:"ns"` // median of the batches
 	Allocations float64 `json:"allocations"`
-	Cost        int     `json:"cost"`
-	Worst       int     `json:"worst"`
+	Cost        int     `json:"cost"`  // estimated nanoseconds
+	Worst       int     `json:"worst"` // highest cost of any request, in estimated nanoseconds
 }
 
-// Run measures each request of the table.
+// Run measures each request of the tests in a rule file.
 func (r rulesBench) Run(env environment, c *rulesCommands) error {
 	set, err := c.load(env, r.File)
 	if err != nil {
 		return err
 	}
 	if len(set.Cases) == 0 {
-		return env.reportUsageError(fmt.Errorf("%s: there is no [[test]] to measure", r.File))
+		return env.reportUsageError(fmt.Errorf("%s: the file has no [[test]] to measure", r.File))
 	}
 	var measurements []measurement
 	for _, testCase := range set.Cases {
@@ -51,14 +51,15 @@
 	})
 }
 
-func measure(set *rules.Set, testCase rules.Case, total time.Duration) measurement {
+// measure evaluates the rules for the request of a test, in batches that take duration together.
+func measure(set *rules.Set, testCase rules.Case, duration time.Duration) measurement {
 	cost := evaluate(set, testCase.Facts)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	var batchNanoseconds []float64
 	calls := 0
 	for range benchBatches {
-		batchCalls, elapsed := measureBatch(set, testCase.Facts, total/benchBatches)
+		batchCalls, elapsed := measureBatch(set, testCase.Facts, duration/benchBatches)
 		batchNanoseconds = append(batchNanoseconds, float64(elapsed.Nanoseconds())/float64(batchCalls))
 		calls += batchCalls
 	}
@@ -73,9 +74,10 @@
 	}
 }
 
-func measureBatch(set *rules.Set, facts *expression.Facts, total time.Duration) (calls int, elapsed time.Duration) {
+// measureBatch evaluates the rules for a request until duration has elapsed.
+func measureBatch(set *rules.Set, facts *expression.Facts, duration time.Duration) (calls int, elapsed time.Duration) {
 	start := time.Now()
-	for time.Since(start) < total {
+	for time.Since(start) < duration {
 		for range benchCallsPerCheck {
 			evaluate(set, facts)
 		}
@@ -84,7 +86,7 @@
 	return calls, time.Since(start)
 }
 
-// evaluate applies the rules to a request and returns the cost. A rejection is a result like any other.
+// evaluate applies the rules to a request and returns the cost, also if the rules reject the request.
 func evaluate(set *rules.Set, facts *expression.Facts) (cost int) {
 	evaluation := set.Begin(facts)
 	evaluation.Apply()
--- a/cmd/reachpulley/rules_diff.go
+++ b/cmd/reachpulley/rules_diff.go
@@ -9,8 +9,8 @@
 )
 
 type rulesDiff struct {
-	Old      string `arg:"" help:"A rule file."`
-	New      string `arg:"" help:"Another rule file."`
+	Old      string `arg:"" help:"The old rule file."`
+	New      string `arg:"" help:"The new rule file."`
 	Requests string `required:"" type:"existingfile" help:"${requests_help}"`
 }
 
@@ -20,7 +20,7 @@
 	Differences []rules.Difference `json:"differences"`
 }
 
-// Run compares two rule files by the requests of a third file.
+// Run compares the results that two rule files give for the requests of a third file.
 func (r rulesDiff) Run(env environment, c *rulesCommands) error {
 	oldSet, err := c.load(env, r.Old)
 	if err != nil {
@@ -38,7 +38,7 @@
 	if err != nil {
 		return env.reportUsageError(fmt.Errorf("%s: %w", r.Requests, err))
 	}
-	differing := []requestDifferences{} // printed as [] if there is none
+	differing := []requestDifferences{} // not nil, so that JSON shows [] if no request differs
 	for i, facts := range requests {
 		if differences := rules.Compare(facts, oldSet, newSet); len(differences) > 0 {
 			differing = append(differing, requestDifferences{
--- a/cmd/reachpulley/rules_explain.go
+++ b/cmd/reachpulley/rules_explain.go
@@ -10,7 +10,7 @@
 	"reachpulley/internal/rules"
 )
 
-// maxRequestBytes bounds a request that is read from standard input.
+// maxRequestBytes is the maximum length of a request that is read from standard input.
 const maxRequestBytes = 1 << 20
 
 type rulesExplain struct {
@@ -18,7 +18,7 @@
 	Request string `required:"" help:"${request_source_help}"`
 }
 
-// Run follows one request through the rules.
+// Run evaluates the rules for one request and prints each step.
 func (r rulesExplain) Run(env environment, c *rulesCommands) error {
 	set, err := c.load(env, r.File)
 	if err != nil {
@@ -36,7 +36,8 @@
 	return c.print(env, explanation, func(w io.Writer) { printExplanation(w, explanation) })
 }
 
-// requestText returns the request itself, whatever way it is given. Text that does not name a file is the request.
+// requestText returns the text of the request: standard input if the flag is "-", the content of the file that it
+// names, or else the text of the flag itself.
 func (r rulesExplain) requestText(env environment) (string, error) {
 	if r.Request == "-" {
 		text, err := io.ReadAll(io.LimitReader(env.stdin, maxRequestBytes))
--- a/cmd/reachpulley/rules_test.go
+++ b/cmd/reachpulley/rules_test.go
@@ -10,7 +10,8 @@
 
 const exampleRules = "../../examples/rules.toml"
 
-// rulesCases are arguments of "rules" in which $FAULTY, $FAILING, $CHANGED and $REQUESTS stand for files.
+// rulesCases are runs of the command "rules" with the expected exit code and parts of the output. In the arguments,
+// $FAULTY, $FAILING, $CHANGED and $REQUESTS stand for files that TestRulesCommands writes.
 var rulesCases = map[string]struct {
 	args           []string
 	code           int
@@ -21,7 +22,7 @@
 		code:   exitSuccess,
 		stdout: "rules.toml: good",
 	},
-	"check faulty": {
+	"check a faulty and a valid file": {
 		args:   []string{"check", "$FAULTY", exampleRules},
 		code:   exitUsage,
 		stdout: "rules.toml: good",
@@ -32,7 +33,7 @@
 		code:   exitSuccess,
 		stdout: `"rules": 10`,
 	},
-	"faults are shown": {
+	"check shows the line at fault": {
 		args:   []string{"check", "$FAULTY"},
 		code:   exitUsage,
 		stderr: "    set.class = 'heder(\"X\")'\n                 ^\n",
@@ -47,7 +48,7 @@
 		code:   exitSuccess,
 		stdout: `"class": "sheet-read (sheet)"`,
 	},
-	"explain nonsense": {
+	"explain a malformed request": {
 		args:   []string{"explain", exampleRules, "--request", "nonsense"},
 		code:   exitUsage,
 		stderr: "request: malformed HTTP request",
@@ -57,7 +58,7 @@
 		code:   exitSuccess,
 		stdout: "6 passed, 0 failed",
 	},
-	"test that fails": {
+	"a test fails": {
 		args:   []string{"test", "$FAILING"},
 		code:   exitFailure,
 		stdout: `units: "4", want "5"`,
@@ -72,7 +73,7 @@
 		code:   exitSuccess,
 		stdout: "1 of 2 requests differ",
 	},
-	"diff of the same": {
+	"diff of a file with itself": {
 		args:   []string{"diff", exampleRules, exampleRules, "--requests", "$REQUESTS"},
 		code:   exitSuccess,
 		stdout: "0 of 2 requests differ",
@@ -102,7 +103,8 @@
 			}
 			code, stdout, stderr := runCommand(t, variables, args...)
 			if code != c.code || !strings.Contains(stdout, c.stdout) || !strings.Contains(stderr, c.stderr) {
-				t.Errorf("%d\n%s\n%s", code, stdout, stderr)
+				t.Errorf("exit code %d, want %d\nstdout: %s\nwant %q\nstderr: %s\nwant %q",
+					code, c.code, stdout, c.stdout, stderr, c.stderr)
 			}
 		})
 	}
@@ -110,6 +112,7 @@
 	variables["BALANCER_OPERATOR"] = writeFile(t, "operator.toml", operator)
 	code, _, stderr := runCommand(t, variables, "check")
 	if code != exitUsage || !strings.Contains(stderr, "faulty.toml:4:") {
-		t.Errorf("faults of a rule file are not those of the configuration: %d\n%s", code, stderr)
+		t.Errorf("check of a configuration with a faulty rule file: exit code %d, want %d and the fault in line 4\n%s",
+			code, exitUsage, stderr)
 	}
 }
--- a/cmd/reachpulley/serve.go
+++ b/cmd/reachpulley/serve.go
@@ -15,10 +15,10 @@
 
 type serveCommand struct{}
 
-// Run serves until SIGTERM or an interrupt.
+// Run runs the gateway until SIGTERM or an interrupt.
 func (serveCommand) Run(env environment) error {
-	// SIGHUP would end the program before it is caught. A signal that waits while another one is handled stands for
-	// all that follow.
+	// The signals are caught before anything else, because a SIGHUP that is not caught ends the program. Each channel
+	// holds one signal: while one is being handled, a waiting signal stands for all that follow it.
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	defer signal.Stop(reloads)
@@ -57,7 +57,7 @@
 	return gateway.Serve(stop, options)
 }
 
-// loadConfiguration reads the platform's configuration by load, and the operator's file.
+// loadConfiguration reads the platform's configuration with load, and then the operator's file.
 func loadConfiguration(
 	getenv func(string) string, load func(func(string) string) (*config.Config, error),
 ) (*config.Config, *config.Operator, error) {
--- a/cmd/reachpulley/serve_test.go
+++ b/cmd/reachpulley/serve_test.go
@@ -15,13 +15,13 @@
 	"reachpulley/examples"
 )
 
-// loggingGateway is a gateway that serves in this process.
+// loggingGateway is a gateway that runs in the process of the test, with its log.
 type loggingGateway struct {
 	log    *bufio.Scanner
-	exited chan int
+	exited chan int // receives the exit code
 }
 
-// startGateway starts a gateway by the environment of the process.
+// startGateway starts a gateway that is configured by the environment of the process.
 func startGateway() *loggingGateway {
 	log, out := io.Pipe()
 	g := &loggingGateway{log: bufio.NewScanner(log), exited: make(chan int, 1)}
@@ -32,7 +32,7 @@
 	return g
 }
 
-// waitForLine reads the log up to a line that contains all of some parts.
+// waitForLine reads the log up to the first line that contains each of the parts.
 func (g *loggingGateway) waitForLine(t *testing.T, parts ...string) {
 	t.Helper()
 	for g.log.Scan() {
@@ -42,25 +42,25 @@
 			return
 		}
 	}
-	t.Fatalf("not in the log: %s", parts)
+	t.Fatalf("the log ended without a line that contains %q", parts)
 }
 
-// waitForExit waits for the end after a signal to stop.
+// waitForExit waits until the gateway has ended after a signal, and checks its exit code.
 func (g *loggingGateway) waitForExit(t *testing.T) {
 	t.Helper()
 	if code := <-g.exited; code != exitSuccess {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want %d", code, exitSuccess)
 	}
 }
 
 func sendSignal(signal syscall.Signal) { syscall.Kill(os.Getpid(), signal) }
 
-// onlyFile returns the one file that matches a pattern.
+// onlyFile returns the path of the only file that matches a pattern.
 func onlyFile(t *testing.T, pattern string) string {
 	t.Helper()
 	paths, err := filepath.Glob(pattern)
 	if err != nil || len(paths) != 1 {
-		t.Fatal(paths, err)
+		t.Fatalf("files that match %q: %q, want one (%v)", pattern, paths, err)
 	}
 	return paths[0]
 }
@@ -70,25 +70,25 @@
 	t.Helper()
 	code, stdout, stderr := runCommand(t, nil, "replay", path)
 	if code != exitSuccess || !strings.Contains(stdout, "replayed twice, every action as recorded") {
-		t.Errorf("%d\n%s\n%s", code, stdout, stderr)
+		t.Errorf("replay: exit code %d, want %d\nstdout: %s\nstderr: %s", code, exitSuccess, stdout, stderr)
 	}
 }
 
-// signalledGateway is the configuration of the gateway of TestSignals.
-type signalledGateway struct {
+// signalsConfig is the configuration of the gateway in TestSignals.
+type signalsConfig struct {
 	configPath string
 	captures   string // directory
 	settings   json.RawMessage
 }
 
-// newSignalledGateway writes the configuration and sets the environment.
-func newSignalledGateway(t *testing.T) signalledGateway {
+// newSignalsConfig writes the configuration files and sets the environment variables that name them.
+func newSignalsConfig(t *testing.T) signalsConfig {
 	t.Helper()
 	var example struct{ Settings json.RawMessage }
 	if err := json.Unmarshal(examples.Config(), &example); err != nil {
 		t.Fatal(err)
 	}
-	g := signalledGateway{
+	c := signalsConfig{
 		configPath: filepath.Join(t.TempDir(), "config.json"),
 		captures:   t.TempDir(),
 		settings:   example.Settings,
@@ -103,27 +103,28 @@
 quiet = "1h"
 [restart]
 directory = %q
-`, g.captures, g.captures)
+`, c.captures, c.captures)
 	t.Setenv("BALANCER_OPERATOR", writeFile(t, "operator.toml", operator))
-	t.Setenv("BALANCER_CONFIG", g.configPath)
-	t.Setenv("BALANCER_DISCOVERY", "127.0.0.1:1") // as at the start; the file takes precedence at a reload
-	g.writeConfig(t, "127.0.0.1:1")
-	return g
+	t.Setenv("BALANCER_CONFIG", c.configPath)
+	t.Setenv("BALANCER_DISCOVERY", "127.0.0.1:1") // the same as in the file, which takes precedence on a reload
+	c.writeConfig(t, "127.0.0.1:1")
+	return c
 }
 
-func (g signalledGateway) writeConfig(t *testing.T, discovery string) {
+// writeConfig writes the configuration with an address of discovery.
+func (c signalsConfig) writeConfig(t *testing.T, discovery string) {
 	t.Helper()
 	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"limits":{"cores":4,"memory_mb":4096},"settings":%s,`+
-		`"known":{"seq":1,"whole":true,"hosts":[]}}`, discovery, g.settings)
-	if err := os.WriteFile(g.configPath, []byte(text), 0o600); err != nil {
+		`"known":{"seq":1,"whole":true,"hosts":[]}}`, discovery, c.settings)
+	if err := os.WriteFile(c.configPath, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// The program handles SIGHUP, which would end it otherwise, and takes over what the file says by then. On SIGUSR2 it
-// writes a capture. Its next incarnation starts from the state that it saved.
+// TestSignals checks that the gateway reads its configuration again on SIGHUP, which would otherwise end the program,
+// that it writes a capture on SIGUSR2, and that its next incarnation starts from the state that it saved.
 func TestSignals(t *testing.T) {
-	configured := newSignalledGateway(t)
+	configured := newSignalsConfig(t)
 	g := startGateway()
 	g.waitForLine(t, `"msg":"serving"`)
 	configured.writeConfig(t, "here")
@@ -139,9 +140,9 @@
 	expectReplay(t, onlyFile(t, filepath.Join(configured.captures, "*-asked.capture")))
 	code, _, stderr := runCommand(t, nil, "replay", configured.configPath)
 	if code != exitUsage || !strings.Contains(stderr, "this is no capture") {
-		t.Errorf("%d\n%s", code, stderr)
+		t.Errorf("replay of a file that is no capture: exit code %d, want %d\n%s", code, exitUsage, stderr)
 	}
-	g.waitForLine(t, "capture written", `"trigger":"always"`) // a second after the start
+	g.waitForLine(t, "capture written", `"trigger":"always"`) // written a second after the start
 
 	sendSignal(syscall.SIGTERM)
 	g.waitForLine(t, `"msg":"stopped"`)
--- a/cmd/reachpulley/simulation_test.go
+++ b/cmd/reachpulley/simulation_test.go
@@ -15,7 +15,7 @@
 		{
 			args: []string{"storm", "--runs", "0"},
 			code: exitUsage,
-			want: []string{"--runs is from 1 to 100"},
+			want: []string{"--runs must be from 1 to 100"},
 		},
 		{
 			args: []string{"storm", "--share", "9"},
@@ -35,7 +35,7 @@
 		{
 			args: []string{"rooms", "play", "--part", "0"},
 			code: exitUsage,
-			want: []string{"a number is out of its bounds"},
+			want: []string{"flag out of range: --rooms must be from 2 to 100"},
 		},
 		{
 			args: []string{"rooms", "state", exampleDescription},
--- a/cmd/reachpulley/storm.go
+++ b/cmd/reachpulley/storm.go
@@ -12,38 +12,39 @@
 	"reachpulley/internal/simulation"
 )
 
-// stormCommand simulates a metastable failure: one that its retries keep alive after its cause is gone.
+// stormCommand simulates a metastable failure: an overload that retries sustain after its cause is gone.
 type stormCommand struct {
-	Seed    uint64        `default:"1" help:"Seed of the first run; those of the others follow."`
-	Runs    int           `default:"3" help:"Runs of each kind."`
-	Nodes   bool          `help:"Slow down the nodes themselves; by default, what all of them share slows down."`
-	Clients int           `help:"Clients that wait for their answers; 0: as many as the storm has by default."`
-	Tries   int           `help:"Tries of a client for one request; 0: as many as the storm has by default."`
+	Seed    uint64        `default:"1" help:"Seed of the first run; each later run has the next number."`
+	Runs    int           `default:"3" help:"Number of runs, each with every way to send retries."`
+	Nodes   bool          `help:"Slow down the nodes themselves; by default, a resource that they share slows down."`
+	Clients int           `help:"Number of clients, which wait for their answers; 0: the storm's default."`
+	Tries   int           `help:"How often a client tries one request; 0: the storm's default."`
 	Length  time.Duration `default:"120s" help:"Length of a run, in simulated time."`
-	Share   float64       `default:"0.2" help:"Share of the retry budgets, as in the table [retry]."`
-	Trickle float64       `default:"0.5" help:"Trickle of the retry budgets, as in the table [retry]."`
-	Plot    bool          `help:"Draw what was served in each second of the first run."`
+	Share   float64       `default:"0.2" help:"The setting share of the table [retry], for the retry budgets."`
+	Trickle float64       `default:"0.5" help:"The setting trickle of the table [retry], for the retry budgets."`
+	Plot    bool          `help:"Draw how many requests were served in each second of the first run."`
 }
 
-// Retry budgets of the simulation, apart from what flags set.
+// The settings of the simulated retry budgets that no flag sets.
 const (
-	stormBudgetBurst = 10
+	stormBudgetBurst = 10 // retries
 	stormBudgetCells = 1024
 )
 
 var errStormBounds = errors.New(
-	"--runs is from 1 to 100, --length from 40s to 1h, --clients up to 100000, --tries up to 10")
+	"flag out of range: --runs must be from 1 to 100, --length from 40s to 1h, " +
+		"--clients from 0 to 100000, --tries from 0 to 10")
 
-// stormVariant is a way to send retries.
+// stormVariant is a way to send retries, and the result of its first run.
 type stormVariant struct {
 	name        string
 	passthrough bool
 	retry       retrybudget.Settings
 
-	servedBySecond []float64 // of the first run
+	servedBySecond []float64 // requests served in each second of the first run
 }
 
-// Run simulates the same storms as a plain proxy, by the scheduler alone, and by the scheduler with retry budgets.
+// Run simulates the same storms with a plain proxy, with the scheduler alone, and with the scheduler and retry budgets.
 func (c stormCommand) Run(env environment) error {
 	budgets := retrybudget.Settings{
 		Share:   c.Share,
@@ -107,7 +108,8 @@
 	return storm
 }
 
-// stormRow returns a row of the table. The rates are those of the time after the cause is gone.
+// stormRow returns the row of a run in the table. Its rates after the storm are averages from the end of the slowdown
+// to the end of the run.
 func stormRow(name string, storm simulation.Storm, result simulation.StormResult) string {
 	end := storm.SlowdownStart + storm.SlowdownDuration
 	served := 0
--- a/cmd/reachpulley/zones.go
+++ b/cmd/reachpulley/zones.go
@@ -12,18 +12,18 @@
 	"reachpulley/scheduler"
 )
 
-// zonesCommands work with the loss and the recovery of zones.
+// zonesCommands are the commands that show and simulate the loss and the recovery of zones.
 type zonesCommands struct {
-	State zonesState `cmd:"" help:"Show the state of zones, nodes and spillover in a capture or saved state."`
+	State zonesState `cmd:"" help:"Show the state of zones, nodes and spillover in a capture or a saved state."`
 	Play  zonesPlay  `cmd:"" help:"Simulate the loss and recovery of a zone, with and without zone failover."`
 }
 
 type zonesState struct {
-	File string        `arg:"" type:"existingfile" help:"A capture, or a state file of restart.directory."`
-	At   time.Duration `help:"When, on the gateway's clock; 0: at the end."`
+	File string        `arg:"" type:"existingfile" help:"A capture, or a state file of the setting restart.directory."`
+	At   time.Duration `help:"Show the state at this time on the gateway's clock; 0: the end."`
 }
 
-// Run prints states, evidence and bounds.
+// Run prints the states of zones and nodes, the evidence for them, and how much work may spill over.
 func (z zonesState) Run(env environment) error {
 	file, reader, err := openCapture(z.File)
 	if err != nil {
@@ -32,7 +32,7 @@
 	defer file.Close()
 	settings := reader.Head.Settings
 	if !settings.ZoneFailover.Enabled() {
-		return env.reportUsageError(fmt.Errorf("%s: the gateway ran without zone failover", z.File))
+		return env.reportUsageError(fmt.Errorf("%s: the gateway that wrote it ran without zone failover", z.File))
 	}
 	if _, err := file.Seek(0, io.SeekStart); err != nil {
 		return env.reportUsageError(err)
@@ -43,13 +43,13 @@
 	}
 	snapshot, err := capture.At(file, at)
 	if err != nil {
-		return env.reportUsageError(err)
+		return env.reportUsageError(fmt.Errorf("%s: %w", z.File, err))
 	}
 	report := zoneReport{out: env.stdout, snapshot: snapshot, settings: settings}
 	return report.print()
 }
 
-// zoneReport prints what a snapshot holds of zones.
+// zoneReport prints the zones, the nodes and the spillover of a snapshot.
 type zoneReport struct {
 	out      io.Writer
 	snapshot *scheduler.Snapshot
@@ -75,7 +75,7 @@
 	fmt.Fprintln(table,
 		"zone\ttier\tstate\tfor\tnodes\tresponding\tsilent of those tried\tremoved\tflaps\trecovery time")
 	for zone, health := range r.snapshot.ZoneHealth.Zones {
-		tier := r.settings.ZoneFailover.Tier(zone, -1, -1) // of any class and plan
+		tier := r.settings.ZoneFailover.Tier(zone, -1, -1) // of work whose class and plan have no tiers of their own
 		fmt.Fprintf(table, "%s\t%d\t%v\t%v\t%d\t%.0f%%\t%.0f%%\t%.0f%%\t%d\t%v\n",
 			r.zoneName(zone), tier, health.State, r.since(health.Since), health.Nodes,
 			100*health.RespondingShare, 100*health.SilentShare, 100*health.RemovedShare,
@@ -126,7 +126,7 @@
 	return fmt.Sprint("zone ", zone)
 }
 
-// since returns the time from then to the snapshot.
+// since returns how long before the snapshot a time was, or 0 if it was later.
 func (r zoneReport) since(then time.Duration) time.Duration {
 	return max(0, r.snapshot.Now-then).Round(time.Millisecond)
 }
--- a/cmd/reachpulley/zones_play.go
+++ b/cmd/reachpulley/zones_play.go
@@ -15,45 +15,45 @@
 
 type zonesPlay struct {
 	Seed     uint64  `default:"1" help:"Seed of the simulation."`
-	Zones    int     `name:"rooms" default:"2" help:"Zones."`
-	Nodes    int     `default:"5" help:"Nodes in each zone."`
-	Gateways int     `default:"3" help:"Gateways, spread over the zones."`
-	Load     float64 `default:"0.35" help:"Load, as a share of what all nodes can do."`
+	Zones    int     `name:"rooms" default:"2" help:"Number of zones."`
+	Nodes    int     `default:"5" help:"Number of nodes in each zone."`
+	Gateways int     `default:"3" help:"Number of gateways, which are spread over the zones."`
+	Load     float64 `default:"0.35" help:"Load, as a share of the capacity of all nodes."`
 
 	UnavailableFor time.Duration `name:"dark" default:"20s" help:"How long the first zone is unavailable."`
-	Flaps          int           `default:"1" help:"How often that happens, with as much time between."`
-	RecoveredShare float64       `name:"part" default:"1" help:"Share of its nodes that recover."`
+	Flaps          int           `default:"1" help:"How often the first zone is lost, with equally long pauses."`
+	RecoveredShare float64       `name:"part" default:"1" help:"Share of the nodes of the first zone that recover."`
 
-	Spillover float64 `name:"spill" default:"60" help:"As in the table [rooms]."`
-	Burst     float64 `default:"24" help:"As in the table [rooms]."`
+	Spillover float64 `name:"spill" default:"60" help:"The setting spill of the table [rooms]: units a second."`
+	Burst     float64 `default:"24" help:"The setting burst of the table [rooms]: units."`
 	Plot      bool    `help:"Draw the spillover, and the load of nodes in slow start."`
 }
 
-// The first loss of the zone, and the time that is simulated after the last recovery.
 const (
-	firstZoneLoss     = 15 * time.Second
-	timeAfterRecovery = 40 * time.Second
+	firstZoneLoss     = 15 * time.Second // time of the first loss of the zone
+	timeAfterRecovery = 40 * time.Second // simulated time after the last recovery
 )
 
 const (
-	simulatedMembershipDelay = 5 * time.Second
-	simulatedNewObjectShare  = 0.35
+	simulatedMembershipDelay = 5 * time.Second // longest time until a gateway learns that a node has restarted
+	simulatedNewObjectShare  = 0.35            // share of the requests that write new objects
 )
 
-var errZonesPlayBounds = errors.New("a number is out of its bounds: --rooms from 2 to 100, " +
-	"--nodes and --gateways to 1000, --load to 10, --dark from 100ms to 10m, --flaps to 100, --part to 1")
+var errZonesPlayBounds = errors.New("flag out of range: --rooms must be from 2 to 100, " +
+	"--nodes and --gateways from 1 to 1000, --load above 0 and at most 10, --dark from 100ms to 10m, " +
+	"--flaps from 1 to 100, --part above 0 and at most 1")
 
-// zoneVariant is one run of the scenario and what it came to.
+// zoneVariant is a run of the scenario, with or without zone failover, and its results.
 type zoneVariant struct {
 	name             string
 	failoverDisabled bool
 
-	total                     simulation.ZoneSecond // maximum of the slow-start load, sums of all else
-	maxSpillover              float64               // units in a second
+	total                     simulation.ZoneSecond // the maximum of SlowStartLoad, the sums of the other fields
+	maxSpillover              float64               // most units in a second
 	spilloverWhileUnavailable float64               // units, during the first loss
 
 	spilloverBySecond     []float64
-	slowStartLoadBySecond []float64 // in percent
+	slowStartLoadBySecond []float64 // in percent of what crashes a node
 }
 
 // Run simulates the same scenario with and without zone failover.
@@ -130,7 +130,7 @@
 	return scenario
 }
 
-// add sums up the seconds of a run.
+// add adds the results of each second of the run.
 func (v *zoneVariant) add(seconds []simulation.ZoneSecond, unavailableFor time.Duration) {
 	for i, second := range seconds {
 		v.total.Served += second.Served
@@ -149,7 +149,7 @@
 	}
 }
 
-// row returns a row of the table.
+// row returns the row of the variant in the table.
 func (v *zoneVariant) row(result *simulation.ZoneResult) string {
 	overBound := "no bound"
 	if !v.failoverDisabled {
