--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -40,10 +40,10 @@
 	}
 }
 
-// adapter hosts the instances of the scheduler, by their numbers.
+// adapter hosts instances of the scheduler and sends their actions to the simulator.
 type adapter struct {
 	encoder   *simprotocol.Encoder
-	instances map[int]*scheduler.Scheduler
+	instances map[int]*scheduler.Scheduler // by number
 }
 
 // answer passes the events of a batch to their instances and writes the reply.
@@ -64,7 +64,7 @@
 	}
 	instance := a.instances[event.Instance]
 	if instance == nil {
-		return fmt.Errorf("at clock %v: event for instance %d before its init", batch.Now, event.Instance)
+		return fmt.Errorf("at clock %v: event for instance %d, which no init has started", batch.Now, event.Instance)
 	}
 	switch event.Kind {
 	case simprotocol.InstanceStopped:
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// start starts an instance, in place of an earlier one with its number. Unusable settings are reported to the
+// start starts an instance, in place of an earlier one with the same number. It reports unusable settings to the
 // simulator.
 func (a *adapter) start(event *simprotocol.Event) {
 	actions := simprotocol.Instance{Encoder: a.encoder, Number: event.Instance}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -7,12 +7,13 @@
 	"testing"
 )
 
+// settings are valid settings of an instance, as the simulator sends them.
 const settings = `{"siblings":2,"membershipMode":"push","ceilings":{"cancel":true,"maxAttempts":4,"retryAfter":true,` +
 	`"maxRetryAfterMs":1000},"classes":[{"aimMs":300,"deadlineMs":2500,"idempotency":"idempotent","name":"r",` +
 	`"points":2}],"contract":{},"familyInfo":{"meanUnits":2,"mostUnits":6},` +
 	`"policies":[{"baseRate":3,"guaranteed":2,"name":"p","price":1,"proportion":1}],"report":{"via":"off"}}`
 
-// nodeList declares an endpoint list of the given number of nodes.
+// nodeList returns the messages that declare an endpoint list with a number of nodes.
 func nodeList(nodes int) string {
 	text := fmt.Sprintf("catalog\tbank=0\tmembersList=%d\n", nodes)
 	for i := range nodes {
@@ -21,13 +22,14 @@
 	return text
 }
 
-// startInstance starts an instance with its number as its seed, and sends it the endpoint list.
+// startInstance returns the messages that start an instance, with its number as its seed, and send it the endpoint
+// list.
 func startInstance(number int) string {
 	return fmt.Sprintf("init\twho=%d\tinitSeed=%d\tconf=%s\n", number, number, settings) +
 		fmt.Sprintf("announce\twho=%d\tmode=remembered\tbank=0\n", number)
 }
 
-// mixedLoad sends the same 300 batches of requests and timers to some instances.
+// mixedLoad returns messages that start instances and send each of them the same 300 batches of a request and a timer.
 func mixedLoad(instances []int) *bytes.Buffer {
 	var input bytes.Buffer
 	input.WriteString("round\ttsMs=1000\n" + nodeList(2))
@@ -50,7 +52,7 @@
 	return &input
 }
 
-// replies returns the lines of each instance in the replies to a mixed load.
+// replies sends a mixed load to instances, and returns the lines of the replies by the number of their instance.
 func replies(t *testing.T, instances ...int) map[int]string {
 	t.Helper()
 	var output bytes.Buffer
@@ -69,23 +71,23 @@
 	return lines
 }
 
-func TestInstancesActAlikeTogetherAndApart(t *testing.T) {
+func TestInstancesAreIndependent(t *testing.T) {
 	together := replies(t, 1, 2, 3)
 	for instance := 1; instance <= 3; instance++ {
-		apart := replies(t, instance)[instance]
-		if strings.Count(apart, "deliver") < 5 || strings.Count(apart, "busy") < 5 {
-			t.Fatalf("the load is too light: %s", apart)
+		alone := replies(t, instance)[instance]
+		if strings.Count(alone, "deliver") < 5 || strings.Count(alone, "busy") < 5 {
+			t.Fatalf("instance %d: the load causes fewer than 5 sends or fewer than 5 rejections: %s", instance, alone)
 		}
-		if together[instance] != apart {
-			t.Errorf("instance %d acts differently in company", instance)
+		if together[instance] != alone {
+			t.Errorf("instance %d acts differently beside other instances than alone", instance)
 		}
 	}
 	if together[1] == strings.ReplaceAll(together[2], "who=2", "who=1") {
-		t.Error("the seed makes no difference")
+		t.Error("instances with different seeds act alike")
 	}
 }
 
-func TestRestartInOneBatchForgetsEverything(t *testing.T) {
+func TestRestartWithinOneBatchClearsState(t *testing.T) {
 	input := "round\ttsMs=1\n" + nodeList(1) + startInstance(1) +
 		"ingress\twho=1\topId=t/1\tpriority=0\tpatienceLeftMs=900\thomeCell=0\n" +
 		"power_off\twho=1\n" + startInstance(1) +
@@ -95,18 +97,18 @@
 		t.Fatal(err)
 	}
 	if sends := strings.Count(output.String(), "deliver"); sends != 1 {
-		t.Fatalf("%d sends in\n%s", sends, output.String())
+		t.Fatalf("%d sends, want 1, in\n%s", sends, output.String())
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestInvalidAndEmptyBatches(t *testing.T) {
 	var output bytes.Buffer
 	err := serve(strings.NewReader("round\ttsMs=1\nalarm\twho=4\tkeyBack=0\nflush\n"), &output)
-	if err == nil || !strings.Contains(err.Error(), "instance 4 before its init") {
-		t.Errorf("event before init: %v", err)
+	if err == nil || !strings.Contains(err.Error(), "at clock 1ms: event for instance 4, which no init has started") {
+		t.Errorf("event for an instance that has not been started: error %v", err)
 	}
 	if err := serve(strings.NewReader("nonsense\n"), &output); err == nil {
-		t.Error("nonsense was accepted")
+		t.Error("a malformed batch was accepted")
 	}
 	output.Reset()
 	unusable := strings.Replace(settings, `"siblings":2`, `"siblings":0`, 1)
@@ -115,10 +117,10 @@
 		t.Fatal(err)
 	}
 	if !strings.HasPrefix(output.String(), "fatal\twho=1\tmsg=scheduler: ") {
-		t.Errorf("settings: %q", output.String())
+		t.Errorf("unusable settings: reply %q", output.String())
 	}
 	output.Reset()
 	if err := serve(strings.NewReader("round\ttsMs=1\nflush\n"), &output); err != nil || output.String() != "ack\n" {
-		t.Errorf("empty batch: %v %q", err, output.String())
+		t.Errorf("empty batch: error %v, reply %q", err, output.String())
 	}
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo is a small deployment within one process, to try the gateway with: storage nodes that keep objects in
-// memory, their discovery, and a gateway in front of them. It listens on loopback only.
+// Package demo runs a small deployment in one process, for trying out the gateway: storage nodes that keep objects in
+// memory, their discovery, and a gateway in front of them. Nodes and discovery listen on loopback only.
 package demo
 
 import (
@@ -16,12 +16,13 @@
 )
 
 const (
-	shards   = 2
-	freePort = "127.0.0.1:0"
+	shards   = 2             // each on a node of its own
+	freePort = "127.0.0.1:0" // an address whose port the system chooses
 )
 
-// Run starts nodes, discovery and a gateway, and ends when stop does. The configuration is text, or the example on free
-// ports where text is nil; the rules are those of ruleFile, unless it is empty. Run writes to w how to try the gateway.
+// Run runs nodes, discovery and a gateway until stop ends. The configuration is text or, if text is nil, the example
+// configuration on free ports. The rules are those of ruleFile; if that is empty, there are none. Run writes to w how
+// to try the gateway.
 func Run(stop context.Context, text []byte, ruleFile string, w io.Writer, log *slog.Logger) error {
 	configuration, operator, err := configure(text, ruleFile)
 	if err != nil {
@@ -41,7 +42,7 @@
 	return gateway.Serve(stop, options)
 }
 
-// configure reads the configuration and the rules.
+// configure parses the configuration and loads the rules, as Run describes them.
 func configure(text []byte, ruleFile string) (*config.Config, *config.Operator, error) {
 	environment := map[string]string{}
 	if text == nil {
@@ -62,7 +63,7 @@
 	return configuration, operator, nil
 }
 
-// firstZone returns the zone in which the nodes are listed.
+// firstZone returns the zone in which discovery lists the nodes, or "" if the settings name no zone.
 func firstZone(settings scheduler.Settings) string {
 	if len(settings.Zones) == 0 {
 		return ""
@@ -73,9 +74,9 @@
 // printInstructions writes the addresses and a command for each thing to try. The commands work as they are printed.
 func printInstructions(w io.Writer, gatewayAddress string, nodes *Nodes, withRules bool) {
 	const (
-		curl  = "curl -sS -w '\\n' "
-		facts = "-H 'X-Qos-Policy: standard' -H 'X-Deadline: 1000m' -H 'X-Placement: units=1,shard=0,hosts=1' "
-		body  = "-X PUT -d 'crew 7: 8 hours' "
+		curl    = "curl -sS -w '\\n' "
+		headers = "-H 'X-Qos-Policy: standard' -H 'X-Deadline: 1000m' -H 'X-Placement: units=1,shard=0,hosts=1' "
+		body    = "-X PUT -d 'crew 7: 8 hours' "
 	)
 	gatewayURL := "http://" + gatewayAddress
 	fmt.Fprintf(w, "gateway   %s\ndiscovery http://%s\n", gatewayURL, nodes.Discovery)
@@ -84,8 +85,8 @@
 	}
 	object := gatewayURL + "/api/00000003b4d60021/7f3a9c21e0b4d655"
 	fmt.Fprintf(w, "\nwrite: %s%s-H 'X-Request-Id: 1' -H 'X-Class: entry-write' -H 'Idempotency-Key: 1' %s%s\n",
-		curl, body, facts, object)
-	fmt.Fprintf(w, "read:  %s-H 'X-Request-Id: 2' -H 'X-Class: sheet-read' %s%s\n", curl, facts, object)
+		curl, body, headers, object)
+	fmt.Fprintf(w, "read:  %s-H 'X-Request-Id: 2' -H 'X-Class: sheet-read' %s%s\n", curl, headers, object)
 	if withRules {
 		sheet := gatewayURL + "/api/bridge/sheets/7"
 		fmt.Fprintf(w, "old write: %s%s-H 'X-Project: bridge' -H 'Idempotency-Key: 2' %s\n", curl, body, sheet)
--- a/internal/demo/discovery.go
+++ b/internal/demo/discovery.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// heartbeat is the interval at which a watch writes an empty line, from which clients see that it is alive.
-const heartbeat = 2 * time.Second
+// heartbeatInterval is how often a watch without changes gets an empty line, which tells its client that it is alive.
+const heartbeatInterval = 2 * time.Second
 
-// endpointList is the response of discovery.
+// endpointList is the list of nodes in a response of discovery.
 type endpointList struct {
 	Hosts []host `json:"hosts"`
 	Seq   int    `json:"seq"`
@@ -28,14 +28,14 @@
 	Share   float64 `json:"share"`
 }
 
-// discoveryHandler serves the list of nodes, all of them in one zone.
+// discoveryHandler returns a handler that serves the list of nodes, all of them in one zone.
 func (n *Nodes) discoveryHandler(zone string) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) { n.serveEndpoints(w, r, zone) })
 	return mux
 }
 
-// serveEndpoints writes the list of nodes and, to a watch, each change of it.
+// serveEndpoints writes the list of nodes. To a watch, it writes the list again after each change.
 func (n *Nodes) serveEndpoints(w http.ResponseWriter, r *http.Request, zone string) {
 	for {
 		list, changed := n.endpoints(zone)
@@ -71,7 +71,7 @@
 	return endpointList{Hosts: hosts, Seq: n.seq, Whole: true}, n.changed
 }
 
-// awaitChange keeps a watch alive until changed is closed. It returns false when the request ends first.
+// awaitChange writes heartbeats to a watch until changed is closed. It returns false if the request ends first.
 func awaitChange(w http.ResponseWriter, r *http.Request, changed <-chan struct{}) bool {
 	for {
 		w.(http.Flusher).Flush()
@@ -80,7 +80,7 @@
 			return false
 		case <-changed:
 			return true
-		case <-time.After(heartbeat):
+		case <-time.After(heartbeatInterval):
 			fmt.Fprintln(w)
 		}
 	}
--- a/internal/demo/nodes.go
+++ b/internal/demo/nodes.go
@@ -16,8 +16,8 @@
 	shutdownTimeout = time.Second
 )
 
-// Nodes are storage nodes, each with a shard of its own, and their discovery. They share their objects. Nodes owns the
-// listeners and servers and ends them in Close.
+// Nodes is a set of storage nodes, each with a shard of its own, and their discovery. All nodes hold the same objects.
+// Nodes owns the listeners and servers, and ends them in Close.
 type Nodes struct {
 	Discovery string   // address of discovery
 	Addresses []string // addresses of the nodes, by shard
@@ -30,7 +30,8 @@
 	servers  []*http.Server
 }
 
-// StartNodes starts count nodes and their discovery, which listens at an address of loopback.
+// StartNodes starts count nodes on free ports, and their discovery, which listens at the given loopback address and
+// lists the nodes in a zone.
 func StartNodes(count int, discovery, zone string) (*Nodes, error) {
 	n := &Nodes{
 		objects:  map[string][]byte{},
@@ -53,7 +54,8 @@
 	return n, nil
 }
 
-// nodeHandler serves the objects, also under the paths of old clients, and the drain of one node.
+// nodeHandler returns the handler of a node. It serves the objects, also under the paths of old clients, and the path
+// that begins and ends the drain of the node.
 func (n *Nodes) nodeHandler(shard int) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/", n.read)
@@ -63,16 +65,16 @@
 	return mux
 }
 
-// serve starts a server on loopback and returns the address that it listens at.
+// serve starts a server on loopback and returns the address at which it listens.
 func (n *Nodes) serve(address string, handler http.Handler) (listening string, err error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", err
 	}
-	if host, ok := listener.Addr().(*net.TCPAddr); !ok || !host.IP.IsLoopback() {
-		return "", errors.Join(fmt.Errorf("%s is not on loopback", address), listener.Close())
+	if tcp, ok := listener.Addr().(*net.TCPAddr); !ok || !tcp.IP.IsLoopback() {
+		return "", errors.Join(fmt.Errorf("listen address %q: not a loopback address", address), listener.Close())
 	}
-	// Requests end with the server, long-lived watches too.
+	// Shutdown cancels the requests, so that it does not wait for watches, which otherwise never end.
 	ctx, cancel := context.WithCancel(context.Background())
 	server := &http.Server{
 		Handler:     handler,
@@ -95,7 +97,7 @@
 	return errors.Join(errs...)
 }
 
-// toggleDrain begins or ends the drain of a node.
+// toggleDrain begins the drain of a node, or ends it if the node is draining.
 func (n *Nodes) toggleDrain(shard int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
