--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,4 +1,5 @@
-// Package examples holds files that show how to configure the gateway. Tests load them, and the demo runs by them.
+// Package examples holds files that show how to configure the gateway. Tests load them, and the demo runs a gateway
+// with the example configuration.
 package examples
 
 import (
--- a/tools/doccheck/check.go
+++ b/tools/doccheck/check.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// skippedDirectories hold no source code of the product.
+// skippedDirectories holds the names of directories without source code of the product.
 var skippedDirectories = []string{".git", "journal", "testdata", "tools"}
 
 // check walks the source tree below root and returns a line for each missing doc comment, ordered by file and position.
@@ -23,15 +23,15 @@
 	return append(checker.findings, checker.undocumentedPackages()...), nil
 }
 
-// checker collects what lacks a doc comment.
+// checker collects the packages and exported names that lack a doc comment.
 type checker struct {
 	root     string
 	fileSet  *token.FileSet
 	findings []string
-	packages map[string]bool // by directory: whether any file documents the package
+	packages map[string]bool // by directory: whether any of its files documents the package
 }
 
-// visit is an fs.WalkDirFunc that reads each source file that is not a test.
+// visit is an fs.WalkDirFunc that checks each Go file other than tests.
 func (c *checker) visit(path string, entry fs.DirEntry, err error) error {
 	if err != nil {
 		return err
@@ -95,6 +95,7 @@
 	c.findings = append(c.findings, finding)
 }
 
+// undocumentedPackages returns a finding for each package without a doc comment.
 func (c *checker) undocumentedPackages() []string {
 	var findings []string
 	for directory, documented := range c.packages {
@@ -106,6 +107,7 @@
 	return findings
 }
 
+// relative returns a path relative to the root.
 func (c *checker) relative(path string) string {
 	relative, err := filepath.Rel(c.root, path)
 	if err != nil {
--- a/tools/doccheck/check_test.go
+++ b/tools/doccheck/check_test.go
@@ -10,8 +10,11 @@
 func TestCheckFindsMissingDocComments(t *testing.T) {
 	root := t.TempDir()
 	files := map[string]string{
-		"good/good.go": "// Package good is documented.\npackage good\n\n// Exported is documented.\nfunc Exported() {}\n\nfunc internal() {}\n",
-		"bad/bad.go": "package bad\n\nfunc Function() {}\n\ntype Type struct{}\n\nfunc (*Type) Method() {}\n\ntype private struct{}\n\n" +
+		"good/good.go": "// Package good is documented.\npackage good\n\n" +
+			"// Exported is documented.\nfunc Exported() {}\n\n" +
+			"func internal() {}\n",
+		"bad/bad.go": "package bad\n\nfunc Function() {}\n\ntype Type struct{}\n\nfunc (*Type) Method() {}\n\n" +
+			"type private struct{}\n\n" +
 			"func (private) Method() {}\n\nconst Constant = 1\n\n// Group is documented.\nconst (\n\tGrouped = 1\n)\n",
 		"bad/bad_test.go":     "package bad\n\nfunc Helper() {}\n",
 		"testdata/ignored.go": "package ignored\n",
@@ -47,6 +50,6 @@
 		t.Fatal(err)
 	}
 	if _, err := check(root); err == nil {
-		t.Error("a file that does not parse gives no error")
+		t.Error("check of a file that cannot be parsed returned no error")
 	}
 }
