--- a/docs/external_names_test.go
+++ b/docs/external_names_test.go
@@ -63,7 +63,7 @@
 			kind = match[1]
 		}
 		if kind == "" {
-			return nil, fmt.Errorf("%d: %q stands under no kind of names", i+1, line)
+			return nil, fmt.Errorf("line %d: %q is not below a line that says which kind of names follow", i+1, line)
 		}
 		for _, match := range quotedName.FindAllStringSubmatch(line, -1) {
 			names = append(names, externalName{line: i + 1, section: section, kind: kind, name: match[1]})
@@ -152,12 +152,12 @@
 	}
 }
 
-// newSourceNames returns names to which files can be added.
+// newSourceNames returns an empty sourceNames.
 func newSourceNames() *sourceNames {
 	return &sourceNames{fields: map[string]bool{}, tags: map[string]bool{}, strings: map[string]bool{}}
 }
 
-// namesOfSection reads the product code of a directory, or the keys of a TOML file.
+// namesOfSection returns the names in the product code of a directory, or the keys of a TOML file.
 func namesOfSection(t *testing.T, section string) *sourceNames {
 	t.Helper()
 	names := newSourceNames()
@@ -190,7 +190,7 @@
 	}
 	names, err := parseExternalNames(string(page))
 	if err != nil {
-		t.Fatalf("%s:%v", externalNamesPage, err)
+		t.Fatalf("%s: %v", externalNamesPage, err)
 	}
 	if len(names) == 0 {
 		t.Fatalf("%s lists no name", externalNamesPage)
@@ -236,7 +236,7 @@
 	}
 	want := []string{"7: Stored fields Weight", "10: Tags At", "12: Strings X-Plan"}
 	if diff := cmp.Diff(want, missing); diff != "" {
-		t.Error(diff)
+		t.Errorf("missing names (-want +got):\n%s", diff)
 	}
 	if _, err := parseExternalNames("## `one`\n\n`At`\n"); err == nil {
 		t.Error("a name that stands under no kind is accepted")
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -72,7 +72,7 @@
 	spanCommand = regexp.MustCompile("`(go test [^`]*)`")
 	lineCommand = regexp.MustCompile(`(?m)^    .*\b(go test .*)$`)
 
-	// Paths of packages and their files, also as in ./internal/...
+	// modulePath matches paths of the module's packages and files, with or without "./" before and "/..." after them.
 	modulePath = regexp.MustCompile(`(?:^|[\s(\x60]|\./)` +
 		`((?:internal|cmd|scheduler)/(?:[\w./\-]*(?:\w|/\.\.\.)|\.\.\.)|scheduler\b)`)
 )
