--- a/internal/capture/difference.go
+++ b/internal/capture/difference.go
@@ -8,11 +8,13 @@
 // Difference is the error of a replay of which an action or a state differs from the recorded one. It describes the
 // first difference.
 type Difference struct {
-	Event    uint64   // number of the event since the Recorder's start, from 0
+	// Event is the number of the event since the Recorder's start, from 0. If a state differs, it is the number of the
+	// event after the snapshot.
+	Event    uint64
 	Input    *Record  // the event, or the recorded snapshot if a state differs
 	Recorded *Record  // the action or the snapshot that was recorded; nil: none
 	Replayed *Record  // the action or the snapshot of the replay; nil: none
-	Before   []Record // the last events before this one, the oldest first
+	Before   []Record // the events before this one, up to maxEventsBefore, the oldest first
 }
 
 // maxEventsBefore is the maximum number of events in Difference.Before.
@@ -36,10 +38,10 @@
 	return fmt.Sprintf("%s (request %q, node %q, encoded as %x, error: %v)", r.Kind, r.ID, r.Node, encoded, err)
 }
 
-// sameAction compares a recorded action with a replayed one, except for the text of a log line. The text is written
-// for people and may differ between builds, so another text is not another decision. That a line was logged, and its
-// position among the actions, are compared as for any action. Head.Program can't limit this to captures of other
-// builds, because it is the same string for all builds from a source tree.
+// sameAction reports whether a recorded action and a replayed one are equal, apart from the text of a log line. The
+// text is written for people and may differ between builds, so another text is not another decision. That a line was
+// logged, and its position among the actions, are compared as for any action. Head.Program can't limit this to captures
+// of other builds, because it is the same string for all builds from a source tree.
 func sameAction(recorded, replayed *Record) bool {
 	if recorded.Kind == KindLog && replayed.Kind == KindLog {
 		withoutText := *recorded
@@ -49,7 +51,7 @@
 	return sameRecord(recorded, replayed)
 }
 
-// sameRecord compares two records by their encoding.
+// sameRecord reports whether two records have the same encoding.
 func sameRecord(a, b *Record) bool {
 	if *a == *b { // equal values have the same encoding; most actions end here, as they hold no pointers
 		return true
--- a/internal/capture/frame.go
+++ b/internal/capture/frame.go
@@ -13,7 +13,7 @@
 
 // MaxFrame and MaxBlock bound what is read into memory at once.
 const (
-	MaxFrame = 4 << 20  // maximum length of a frame's body in bytes; the longest frames are those of snapshots
+	MaxFrame = 4 << 20  // maximum length of a frame's body in bytes; the longest records are snapshots
 	MaxBlock = 32 << 20 // maximum length of a block's frames in bytes, before compression
 )
 
@@ -87,7 +87,7 @@
 // maxEncodeBuffer is the capacity in bytes above which a buffer does not go back to encodeBuffers.
 const maxEncodeBuffer = 64 << 10
 
-// appendFrame encodes a value and appends it as a frame. On an error, it returns to unchanged.
+// appendFrame encodes a value and appends it to a slice as a frame. On an error, it returns the slice unchanged.
 func appendFrame(to []byte, value any) ([]byte, error) {
 	buffer := encodeBuffers.Get().(*bytes.Buffer)
 	defer func() {
--- a/internal/capture/hash.go
+++ b/internal/capture/hash.go
@@ -15,13 +15,14 @@
 // all keys.
 const MinHashKey = 16
 
-// hashLength is the number of hex digits that replace a name. Among a million names, two have the same digits in one
-// of 300 million captures.
+// hashLength is the number of hex digits that replace a name. The probability that among a million names two have the
+// same digits is below 1e-17.
 const hashLength = 24
 
-// Hash returns a copy of a capture in which IDs, volumes and keys are replaced by keyed hashes. Nodes keep their
-// names. No decision depends on the order or the content of a hashed name, so the copy replays as the original
-// does. Only the order in which snapshots list volumes and keys follows the new names.
+// Hash returns a copy of a capture in which the IDs of requests, the volumes and the data keys are replaced by keyed
+// hashes. All else stays as it is, including the names of nodes and operations and the texts of log lines and notes. No
+// decision depends on the order or the content of a hashed name, so the copy replays as the original does. Only the
+// order in which snapshots list volumes and data keys follows the new names.
 func Hash(r *Reader, key []byte) ([]byte, error) {
 	if len(key) < MinHashKey {
 		return nil, fmt.Errorf("capture: hash key has %d bytes, less than the minimum of %d", len(key), MinHashKey)
--- a/internal/capture/options.go
+++ b/internal/capture/options.go
@@ -4,9 +4,11 @@
 
 // Options say what a Recorder records and who receives it.
 type Options struct {
-	Program  string // version of the program, for readers of the capture
-	MaxBytes int    // maximum size of the records in memory; the oldest parts are dropped first
-	Sink     Sink   // receives all chunks; nil: records are kept in memory only
+	Program string // version of the program, for readers of the capture
+	// MaxBytes is the size of the records in memory, in bytes, beyond which the oldest parts are dropped. The current
+	// part stays even if it alone is larger. A snapshot that is larger is not recorded.
+	MaxBytes int
+	Sink     Sink // receives all chunks; nil: records are kept in memory only
 	// Triggers decides when a Recording is passed to OnTrigger. If it is nil, none is.
 	Triggers Watcher
 	// OnTrigger receives the recording of a trigger. It must not block.
@@ -22,8 +24,8 @@
 type Chunk struct {
 	Head       *Head
 	Frames     []byte
-	StartsPart bool // it is the first chunk of its part, so a replay can begin with it
-	Lost       int  // records that were lost since the last chunk that the Sink took
+	StartsPart bool // the chunk is the first one of its part, so a replay can begin with it
+	Lost       int  // records that the Sink did not take since the last chunk that it took
 	Records    int  // records in this chunk
 }
 
--- a/internal/capture/player.go
+++ b/internal/capture/player.go
@@ -20,7 +20,8 @@
 
 // Player replays a capture event by event on a Scheduler of this build.
 type Player struct {
-	// Gaps is the number of gaps so far, and Lost is the number of records that were lost in them.
+	// Gaps is the number of gaps so far, and Lost is the number of records that were lost in them. Of a missing
+	// segment, only the events are counted.
 	Gaps int
 	Lost int
 
@@ -32,7 +33,7 @@
 	replayedActions []Record // the actions to which the last event led in the replay
 	replayedEvents  int      // number of events that were replayed
 	nextNumber      uint64   // number of the next event
-	lastEvents      []Record // the last events, for a Difference
+	lastEvents      []Record // the newest events that were replayed, up to maxEventsBefore, the oldest first
 }
 
 // NewPlayer returns a Player that begins with the next record of a Reader. A replay must be able to begin there.
@@ -44,8 +45,8 @@
 // Next replays the next event. It compares the actions with the recorded ones and the states with recorded snapshots,
 // byte for byte. Of a log line, it compares the position among the actions but not the text.
 //
-// The error is io.EOF at the end of the capture and a *Difference if the replay differs. Any other error says where
-// the capture can't be read any further.
+// The error is io.EOF at the end of the capture and a *Difference if the replay differs. Any other error says why
+// the capture can't be read or replayed any further.
 func (p *Player) Next() (*Step, error) {
 	event, err := p.nextEvent()
 	if err != nil {
@@ -74,8 +75,8 @@
 	return step, err
 }
 
-// Upcoming returns the number of the event that Next replays next. After that, Scheduler returns the Scheduler in its
-// state before that event.
+// Upcoming returns the number of the event that Next replays next. After a call of Upcoming, Scheduler returns the
+// Scheduler in its state before that event.
 func (p *Player) Upcoming() (uint64, error) {
 	_, err := p.nextEvent()
 	if err == nil && p.scheduler == nil {
@@ -178,7 +179,7 @@
 	return err
 }
 
-// compare compares the actions of the replay with those that were recorded.
+// compare compares the actions of the replay with those that were recorded, and returns their first difference.
 func (p *Player) compare(step *Step) error {
 	for i := range max(len(step.Actions), len(p.replayedActions)) {
 		var recorded, replayed *Record
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -190,8 +190,8 @@
 	return flags, body, nil
 }
 
-// CompleteLength returns the length in bytes of the complete frames at the beginning of a file. The bytes after them
-// are incomplete or damaged. It fails if the file has no complete head.
+// CompleteLength returns the length in bytes of the head and the complete frames after it. The bytes after them are
+// incomplete or damaged. It fails as NewReader does if the head can't be read.
 func CompleteLength(input io.Reader) (int64, error) {
 	r, err := NewReader(input)
 	if err != nil {
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -74,12 +74,13 @@
 	return k >= KindRequestArrived && k <= KindStreamStarted || k == KindRestored || k == KindRestricted
 }
 
-// isAction reports whether records of this kind are actions, which the Scheduler calls for.
+// isAction reports whether records of this kind are actions, which the Scheduler calls for. Kinds that this program
+// does not know count as actions, too.
 func (k Kind) isAction() bool {
 	return !k.IsEvent() && k != KindGap && k != KindSnapshot && k != KindNote
 }
 
-// Record is one event or action, or a remark about the capture. Fields that its kind does not use are zero and take no
+// Record is an event, an action, a snapshot, a gap or a note. Fields that its kind does not use are zero and take no
 // space in a file. The JSON names are those of exported captures.
 type Record struct {
 	Kind Kind `cbor:"1,keyasint"`
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -11,16 +11,16 @@
 const (
 	// minPartBytes is the minimum size of a part's events and actions in bytes, unless the memory is too small for it.
 	minPartBytes = 256 << 10
-	// snapshotMultiple is the minimum size of a part's events and actions, in multiples of its snapshot's size. It
-	// keeps the snapshots below a fifth of all bytes.
+	// snapshotMultiple is the minimum size of a part's events and actions, in multiples of its snapshot's size. Unless
+	// the memory is too small for it, snapshots take at most a fifth of all bytes.
 	snapshotMultiple = 4
 	// partSlack is the space in bytes for the last event of a part with its actions, and for a snapshot that is larger
 	// than the one before it.
 	partSlack = 8 << 10
-	// minPartsInMemory is the minimum number of parts that fit into memory. With four of them, dropping the oldest
-	// part drops a quarter of the history at most.
+	// minPartsInMemory is the minimum number of parts that fit into memory, not counting their snapshots. With four of
+	// them, dropping the oldest part drops about a quarter of the history at most.
 	minPartsInMemory = 4
-	// chunkInterval is the time after which a chunk is offered to the sink.
+	// chunkInterval is the minimum time between two chunks that are offered to the sink, except at the end of a part.
 	chunkInterval = time.Second
 	// restartBackoff is the time between two attempts to begin a part while the snapshot does not fit into memory.
 	restartBackoff = 10 * time.Second
@@ -38,7 +38,7 @@
 
 	// The parts in memory.
 	completed      [][]byte        // complete parts, the oldest first
-	completedBytes int             // capacity of the complete parts
+	completedBytes int             // capacity of the complete parts in bytes
 	startedAt      []time.Duration // start times of the complete parts and, last, of the current one
 
 	// The current part.
@@ -52,7 +52,7 @@
 	offeredBytes    int           // bytes of the current part that were offered
 	offeredAt       time.Duration // time of the last chunk
 	newRecords      int           // records since the last chunk
-	sinkSkipsPart   bool          // the sink refused a chunk of this part, without which the rest can't be replayed
+	sinkSkipsPart   bool          // the sink refused a chunk of this part, so the rest is of no use and not offered
 	sinkLostRecords int           // records that the sink did not take since the last chunk that it took
 
 	// The record that is being added, its request and its outcome. They are fields so that recording does not allocate
--- a/internal/capture/recording.go
+++ b/internal/capture/recording.go
@@ -19,7 +19,7 @@
 	return Recording{head: r.head, parts: parts, lost: r.lost}
 }
 
-// recordingFrom returns a Recording of the parts that hold the records from a time on.
+// recordingFrom returns a Recording of the parts in memory that hold the records from the time from on.
 func (r *Recorder) recordingFrom(from time.Duration) Recording {
 	recording := r.Recording()
 	for i := 1; i < len(r.startedAt) && r.startedAt[i] <= from; i++ {
@@ -28,7 +28,8 @@
 	return recording
 }
 
-// File returns the recording as a capture file with one block for each part. A gap at the end stands for lost records.
+// File returns the recording as a capture file with one block for each part. If records were lost after the
+// last part, a gap at the end stands for them.
 func (r Recording) File() ([]byte, error) {
 	out, err := EncodeHeader(&r.head)
 	if err != nil {
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -12,8 +12,9 @@
 // ErrGap says that records of a capture were lost.
 var ErrGap = errors.New("capture: records were lost")
 
-// Replay replays a whole capture and returns the number of events. The error is a *Difference if an action or a state
-// of the replay differs from the recorded one. If nothing differs but records were lost, the error is ErrGap.
+// Replay replays a whole capture and returns the number of events that were replayed. The error is a *Difference if an
+// action or a state of the replay differs from the recorded one. If nothing differs but records were lost, the error is
+// ErrGap.
 func Replay(r *Reader) (events int, err error) {
 	player := NewPlayer(r)
 	for {
@@ -32,8 +33,8 @@
 	return player.replayedEvents, nil
 }
 
-// At returns the state at a time. It replays the capture from the last snapshot up to that time, so it reads the
-// source twice: to find that snapshot, and to replay.
+// At returns the Scheduler's state after all events up to the time at. It replays the capture from the last part that
+// begins at or before that time, so it reads the source twice: to find that part, and to replay.
 func At(source io.ReadSeeker, at time.Duration) (*scheduler.Snapshot, error) {
 	reader, err := NewReader(source)
 	if err != nil {
@@ -49,8 +50,8 @@
 	return NewPlayer(reader).stateAt(at)
 }
 
-// findLastStart returns the offset of the last frame up to a time at which a replay can begin, or -1 if there is
-// none. An error ends the search and is ignored: damage after the frame that is looked for does not matter.
+// findLastStart returns the offset of the last block that begins a part at or before the time at, or -1 if there is
+// none. An error ends the search and is ignored: damage after the block that is looked for does not matter.
 func (r *Reader) findLastStart(at time.Duration) (offset int64) {
 	offset = -1
 	for {
@@ -70,7 +71,7 @@
 	}
 }
 
-// stateAt replays up to a time and returns the state at that time.
+// stateAt replays all events up to the time at and returns the state after them.
 func (p *Player) stateAt(at time.Duration) (*scheduler.Snapshot, error) {
 	for {
 		event, err := p.nextEvent()
