--- a/internal/capture/invariants/answers.go
+++ b/internal/capture/invariants/answers.go
@@ -6,7 +6,7 @@
 // and the event after it are recorded one after the other, not at the same time.
 const answerTolerance = 100 * time.Millisecond
 
-// answer checks that a request gets only one answer, and in time; how says which answer it gets.
+// answer checks that a request gets only one answer, and in time, and notes the answer; how says which one it is.
 func (c *Checker) answer(r *request, how string) {
 	late := c.now - r.arrivedAt - r.ClientTimeout
 	inTime := late <= answerTolerance || r.streamStarted || r.overdue
--- a/internal/capture/invariants/checker.go
+++ b/internal/capture/invariants/checker.go
@@ -8,10 +8,10 @@
 	"reachpulley/scheduler"
 )
 
-// Checker follows a capture step by step and checks the rules. It keeps the open requests and, for a while, those that
-// were answered.
+// Checker follows a capture step by step and checks the invariants. It keeps the open requests and, for the time
+// retainAnswered, those that were answered.
 type Checker struct {
-	// Checked counts how often each rule was checked.
+	// Checked counts how often each invariant was checked.
 	Checked map[Rule]int
 
 	settings     scheduler.Settings
@@ -36,7 +36,7 @@
 	return c
 }
 
-// Step processes an event and its actions, and returns the violations of rules.
+// Step processes an event and its actions, and returns the violations of invariants that it finds.
 func (c *Checker) Step(step *capture.Step) []Violation {
 	c.violations = nil
 	if step.ResumedFrom != nil {
@@ -52,7 +52,7 @@
 	return c.violations
 }
 
-// check counts a check of a rule and reports a violation unless the rule holds.
+// check counts a check of an invariant and reports a violation unless the invariant holds.
 func (c *Checker) check(rule Rule, holds bool, id, node, format string, args ...any) {
 	c.Checked[rule]++
 	if !holds {
@@ -154,7 +154,7 @@
 	}
 }
 
-// send checks all rules of an attempt that is sent.
+// send checks all invariants that concern the sending of an attempt, and notes the attempt.
 func (c *Checker) send(id, nodeID string) {
 	r, n := c.requests[id], c.nodes[nodeID]
 	c.check(RuleKnownNames, r != nil && n != nil, id, nodeID, "sent, but the request or the node is unknown")
--- a/internal/capture/invariants/retry_budget.go
+++ b/internal/capture/invariants/retry_budget.go
@@ -22,7 +22,7 @@
 	b.retriedAt = slices.DeleteFunc(b.retriedAt, outside)
 }
 
-// checkRetryBudget checks that a retry is within the budget.
+// checkRetryBudget checks that an attempt, if it is a retry, is within the budget of retries.
 func (c *Checker) checkRetryBudget(r *request) {
 	rules := &c.settings.Rules
 	window := rules.RetryBudgetWindow
--- a/internal/capture/invariants/state.go
+++ b/internal/capture/invariants/state.go
@@ -33,11 +33,11 @@
 
 type node struct {
 	scheduler.Node
-	warmingSince time.Duration
-	recentSends  []sentUnits // units that were sent within the window of slow start
+	warmingSince time.Duration // start of the node's slow start; 0: the node is warm
+	recentSends  []sentUnits   // units that were sent within Rules.SlowStartWindow
 }
 
-// sentUnits are the units of an attempt that was sent at a time.
+// sentUnits are the units of an attempt and the time at which it was sent.
 type sentUnits struct {
 	at    time.Duration
 	units float64
@@ -140,7 +140,8 @@
 	c.orderedKeys[r.Key] = others
 }
 
-// membershipChanged applies a change of the endpoint list. A full list removes the nodes that it does not name.
+// membershipChanged applies a change of the endpoint list. A list that is not a DeltaList removes the nodes that
+// it does not name.
 func (c *Checker) membershipChanged(membership *scheduler.Membership) {
 	if membership.Kind == scheduler.WatchFailed {
 		return
@@ -173,11 +174,13 @@
 	sweepInterval = 50 * time.Millisecond
 	// retainAnswered is the time for which an answered request is kept, so that later actions for it are noticed.
 	retainAnswered = 10 * time.Second
-	// volumeSweepEvents is the number of events from one sweep of the volumes to the next.
+	// A sweep covers the volumes only if the number of its event is a multiple of volumeSweepEvents.
 	volumeSweepEvents = 10_000
 )
 
-// sweep reports overdue requests and forgets those that were answered more than retainAnswered ago.
+// sweep reports overdue requests. It forgets those that were answered more than retainAnswered ago and have no attempt
+// in flight. If the event's number is a multiple of volumeSweepEvents, it also forgets the volumes whose token
+// buckets are full.
 func (c *Checker) sweep() {
 	if c.now-c.sweptAt < sweepInterval {
 		return
--- a/internal/capture/invariants/volume_limit.go
+++ b/internal/capture/invariants/volume_limit.go
@@ -9,9 +9,9 @@
 // volume is the token bucket of a volume's limit. Its size is this host's share of the plan's burst and slack,
 // which are divided equally among the hosts. The scheduler keeps to less than that.
 type volume struct {
-	tokens     float64
-	rate       float64
-	burst      float64
+	tokens     float64 // in units
+	rate       float64 // in units a second
+	burst      float64 // the size, in units
 	refilledAt time.Duration
 }
 
--- a/internal/capture/segment/names.go
+++ b/internal/capture/segment/names.go
@@ -7,8 +7,8 @@
 	"unicode"
 )
 
-// Names is the common prefix of the file names of one gateway's segments. Gateways with different names may share a
-// directory.
+// Names is the common prefix of the file names of one gateway's segments. Gateways may share a
+// directory if SafeName returns different names for them.
 type Names string
 
 // NamesOf returns the Names of the gateway with this name.
--- a/internal/capture/segment/retention.go
+++ b/internal/capture/segment/retention.go
@@ -13,7 +13,7 @@
 	Total int64         // maximum size of all segments in bytes; the oldest are removed first
 }
 
-// file is a segment on disk.
+// file is a segment on disk. Its size is in bytes.
 type file struct {
 	number uint64
 	size   int64
@@ -44,8 +44,9 @@
 // maxBackoff is the maximum pause after a failure.
 const maxBackoff = time.Minute
 
-// backoff returns the time for which nothing is written after this number of failures in a row. It doubles with each
-// failure, so that a full disk is not tried every second.
+// backoff returns the time for which nothing is written after this number of failures in a row. It is one
+// second after the first failure and doubles with each further one, up to maxBackoff, so that a full disk is not tried
+// every second.
 func backoff(failures int) time.Duration {
 	const maxDoublings = 10
 	return min(time.Second<<min(failures-1, maxDoublings), maxBackoff)
--- a/internal/capture/segment/writer.go
+++ b/internal/capture/segment/writer.go
@@ -1,6 +1,7 @@
-// Package segment writes captures to disk as segments. A segment is a file that is only appended to. It ends when it
-// reaches a size or an age, and the oldest segments are removed when the total size exceeds its limit. The recorder
-// never waits for the disk: records that are not written in time are lost, and a gap in the capture stands for them.
+// Package segment writes captures to disk as segments. A segment is a file to which chunks are appended. It ends when
+// it reaches a size or an age, or when a write fails. The oldest segments are removed when the total size exceeds its
+// limit. The recorder never waits for the disk: records that are not written in time are lost, and a gap in the capture
+// stands for them.
 package segment
 
 import (
@@ -33,8 +34,8 @@
 }
 
 // Writer is a capture.Sink that writes chunks to segments. Offer may be called from any goroutine. Everything else
-// belongs to the goroutine that calls Run. The Writer owns the open segment. It closes it when the segment is full,
-// when a write fails, and when Run ends.
+// belongs to the goroutine that calls Run. The Writer owns the open segment. It closes a segment that is full,
+// and the open one when a write fails and when Run ends.
 type Writer struct {
 	options     Options
 	queue       chan capture.Chunk
@@ -78,9 +79,9 @@
 	return w, w.removeOutdated()
 }
 
-// recoverNewest truncates the newest segment to its complete frames. Earlier segments were complete when they were
-// closed. A file that is not a capture or has another format version stays unchanged, because it may belong to
-// somebody else.
+// recoverNewest truncates the newest segment to its complete frames, or removes it if its head is incomplete. Earlier
+// segments were complete when they were closed. A file that is not a capture or has another format version stays
+// unchanged, because it may belong to somebody else.
 func (w *Writer) recoverNewest() error {
 	if len(w.files) == 0 {
 		return nil
@@ -112,7 +113,8 @@
 	return filepath.Join(w.options.Directory, w.options.Names.File(number))
 }
 
-// Offer queues a chunk for the disk unless too much is queued. It never blocks.
+// Offer queues a chunk for the disk and reports whether it did. It does not if too much is queued already. It never
+// blocks.
 func (w *Writer) Offer(chunk capture.Chunk) bool {
 	size := int64(len(chunk.Frames))
 	if w.queuedBytes.Add(size) > maxQueuedBytes {
@@ -186,8 +188,8 @@
 	return true, nil
 }
 
-// prepareSegment opens or rotates the segment for a chunk. No segment is open afterwards if the chunk does not
-// start a part, because a replay could not begin with it, or during the pause after a failure.
+// prepareSegment opens or rotates the segment for a chunk. It creates no segment for a chunk that does not start a
+// part, because a replay could not begin with it, and none during the pause after a failure.
 func (w *Writer) prepareSegment(chunk capture.Chunk) error {
 	now := w.options.Now()
 	if w.open != nil && chunk.StartsPart && w.options.Limits.full(w.size, now.Sub(w.openedAt)) {
--- a/internal/capture/shrink/property.go
+++ b/internal/capture/shrink/property.go
@@ -51,7 +51,7 @@
 // String returns the text that was parsed.
 func (p Property) String() string { return p.text }
 
-// holds reports whether the property holds at a step with these violations of rules.
+// holds reports whether the property holds at a step, given the invariants that the step violates.
 func (p Property) holds(step *capture.Step, violations []invariants.Violation) bool {
 	if p.kind == kindViolation {
 		return slices.ContainsFunc(violations, func(v invariants.Violation) bool {
@@ -63,7 +63,7 @@
 	})
 }
 
-// matches reports whether an action is of the property's kind.
+// matches reports whether an action is of the property's kind and, for a send, goes to the property's node.
 func (p Property) matches(action *capture.Record) bool {
 	switch action.Kind {
 	case capture.KindReject:
--- a/internal/capture/shrink/shrink.go
+++ b/internal/capture/shrink/shrink.go
@@ -1,5 +1,5 @@
-// Package shrink finds the smallest capture on which something still happens, by delta debugging (Zeller and
-// Hildebrandt, Simplifying and Isolating Failure-Inducing Input, 2002).
+// Package shrink reduces a capture to few events on which a property of the capture still holds, by delta debugging
+// (Zeller and Hildebrandt, Simplifying and Isolating Failure-Inducing Input, 2002).
 package shrink
 
 import (
@@ -34,7 +34,8 @@
 	progress    func(events int)
 }
 
-// try replays a smaller set of events. If the property holds on them, they become the best case.
+// try replays a smaller set of events and reports whether the property holds on them. If it does, they become the best
+// case. It returns false without a replay if no replay is left.
 func (s *shrinker) try(events []capture.Record) bool {
 	if s.replaysLeft <= 0 {
 		return false
@@ -80,7 +81,7 @@
 }
 
 // removeOnePart leaves out the first part of this number of events that the property does not need. It returns false
-// if there is no such part.
+// if there is no such part, or no replay is left to find it.
 func (s *shrinker) removeOnePart(size int) bool {
 	events := s.best.Events
 	for from := 0; from < len(events); from += size {
--- a/internal/capture/summary/summary.go
+++ b/internal/capture/summary/summary.go
@@ -37,9 +37,9 @@
 // Class counts the requests of a class.
 type Class struct {
 	Arrived   int
-	Ended     [outcomeCount]int
-	Attempts  int
-	Latencies []time.Duration // times from arrival to answer of the answered requests
+	Ended     [outcomeCount]int // numbers of requests by Outcome
+	Attempts  int               // attempts of the requests that ended
+	Latencies []time.Duration   // times from arrival to answer of the answered requests
 	// EarnedWeight is the sum of the priority weights of the answered requests, of which late ones earn a share only.
 	// OfferedWeight is the sum that would have been earned if all requests had been answered within the objective.
 	EarnedWeight  float64 `json:"Worth"`
@@ -48,8 +48,8 @@
 
 // Second counts the requests that ended within one second.
 type Second struct {
-	Ended      [outcomeCount]int
-	LatencySum time.Duration `json:"Sum"` // sum of the latencies of the answered requests
+	Ended      [outcomeCount]int // numbers of requests by Outcome
+	LatencySum time.Duration     `json:"Sum"` // sum of the latencies of the answered requests
 }
 
 // openRequest is a request that has not ended.
--- a/internal/capture/timeline/request.go
+++ b/internal/capture/timeline/request.go
@@ -93,7 +93,7 @@
 	lines     int // lines that were written
 }
 
-// writeEvents replays a capture up to the last of the events and writes each of them.
+// writeEvents replays a capture up to the last of the events with these numbers, and writes each of them.
 func (w *requestWriter) writeEvents(player *capture.Player, events []uint64) error {
 	for len(events) > 0 {
 		number, err := player.Upcoming()
@@ -146,7 +146,8 @@
 	return event.Kind == capture.KindRequestArrived && event.Request.ID == w.id
 }
 
-// writeEarlierArrival writes the arrival of a request that was already open when the capture began.
+// writeEarlierArrival writes the arrival of a request whose arrival is not in the capture: the request was already
+// open in the snapshot with which the capture began or went on after a gap.
 func (w *requestWriter) writeEarlierArrival(before *scheduler.Snapshot) {
 	for i := range before.Requests {
 		open := &before.Requests[i]
@@ -249,8 +250,8 @@
 	return cause
 }
 
-// writeCandidates writes a table of the nodes that hold the request's data, in their state before the event that took
-// place at a time.
+// writeCandidates writes a table of the nodes that hold the request's data. It shows them in the state before the event
+// that took place at the time at.
 func (w *requestWriter) writeCandidates(before *scheduler.Snapshot, at time.Duration) {
 	state := *before
 	state.Now = max(before.Now, at)
--- a/internal/capture/timeline/state.go
+++ b/internal/capture/timeline/state.go
@@ -14,8 +14,8 @@
 // Filter selects by name the nodes and volumes that are written. An empty list selects none.
 type Filter struct{ Nodes, Volumes []string }
 
-// WriteState writes a table of the nodes and one of the volumes in a state: those that the filter selects, or all
-// if it is nil.
+// WriteState writes the number of open requests in a state, a table of the listed nodes and one of the volumes. The
+// tables show the nodes and volumes that the filter selects, or all if it is nil.
 func WriteState(
 	state *scheduler.Snapshot, clock Clock, settings scheduler.Settings, filter *Filter, out io.Writer,
 ) error {
@@ -97,7 +97,7 @@
 		openRequests)
 }
 
-// WriteContext writes the parts of a state that a difference is about: its requests, nodes and volumes.
+// WriteContext writes the requests, nodes and volumes of a state that a difference is about.
 func WriteContext(
 	state *scheduler.Snapshot, clock Clock, settings scheduler.Settings, difference *capture.Difference, out io.Writer,
 ) error {
@@ -117,7 +117,8 @@
 	return WriteState(state, clock, settings, filter, out)
 }
 
-// involved returns the IDs of the requests that a difference is about, and a filter for its nodes and volumes.
+// involved returns the IDs of the requests that a difference names, and a filter for the nodes and volumes that it
+// names.
 func involved(difference *capture.Difference) (ids []string, filter *Filter) {
 	filter = &Filter{}
 	for _, r := range []*capture.Record{difference.Input, difference.Recorded, difference.Replayed} {
--- a/internal/capture/trigger/second.go
+++ b/internal/capture/trigger/second.go
@@ -3,8 +3,9 @@
 // noAnswer is Second.MinTimeLeft of a second without a final answer, in milliseconds.
 const noAnswer = 1e9
 
-// Second counts what happened within one second of the recorder's clock. Conditions use the names in the tags, which
-// are part of the operators' configuration and do not change.
+// Second counts what happened within one second of the Scheduler's clock. The second lasts longer if no event takes
+// place at its end: it ends at the next event. Conditions use the names in the tags, which are part of the operators'
+// configuration and do not change.
 type Second struct {
 	// Requests.
 	Arrived      int `expr:"arrived"`
--- a/internal/capture/trigger/watcher.go
+++ b/internal/capture/trigger/watcher.go
@@ -16,7 +16,7 @@
 	Condition *expression.Predicate[Second]
 	Before    time.Duration // time before the condition held that is kept, as far as the recorder's memory reaches
 	After     time.Duration // time after the condition held that is kept
-	Quiet     time.Duration // minimum time between two recordings of this trigger
+	Quiet     time.Duration // time after a recording of this trigger in which it does not fire again
 }
 
 // ruleState says whether a rule can fire, waits for the end of its recording, or is quiet.
@@ -143,7 +143,8 @@
 	}
 }
 
-// answered removes a request that got its final answer, and returns it. It returns false if the request is not open.
+// answered removes a request that got its final answer, counts the time that was left until its client timeout, and
+// returns the request. It returns false if the request is not open.
 func (w *Watcher) answered(id string, now time.Duration) (request openRequest, open bool) {
 	request, open = w.requests[id]
 	if !open {
@@ -167,7 +168,7 @@
 			delete(w.nodes, listed.ID)
 			continue
 		}
-		// Marking it as sent to keeps a new node from being counted as unused in this second.
+		// A node that was just listed must not be counted as unused in this second, so sent is set.
 		w.nodes[listed.ID] = &node{phase: listed.Phase, sent: true}
 	}
 }
--- a/internal/capture/whatif/play.go
+++ b/internal/capture/whatif/play.go
@@ -10,7 +10,7 @@
 	"reachpulley/scheduler"
 )
 
-// settleTime is the time after the last event within which requests may still end.
+// settleTime is the time after the last recorded event within which requests may still end.
 const settleTime = 5 * time.Second
 
 // Play gives the events to a Scheduler with other settings and returns how the requests would have ended with them.
@@ -44,7 +44,8 @@
 	summary  *summary.Summary
 }
 
-// run gives the events of the workload and the pending ones to a Scheduler, in the order of their times.
+// run gives the events of the workload and the pending ones to a Scheduler, in the order of their times. It ends when
+// none is left or settleTime has passed since the last event of the workload.
 func (p *playback) run(s *scheduler.Scheduler) {
 	events := p.workload.events
 	for len(events) > 0 || len(p.pending) > 0 {
--- a/internal/capture/whatif/workload.go
+++ b/internal/capture/whatif/workload.go
@@ -123,7 +123,7 @@
 	a.counts[id]++
 }
 
-// ended returns the response to an attempt. It returns false if the attempt was sent before the capture began, and if
+// ended returns the response to an attempt. It returns false if the attempt was sent before the capture began, or if
 // its outcome follows from a decision of the scheduler and not from the node.
 func (a *attempts) ended(outcome *scheduler.Outcome) (response, bool) {
 	key := attemptKey{outcome.ID, outcome.Attempt}
@@ -139,11 +139,12 @@
 	}, true
 }
 
-// nearbyResponses is the number of a node's responses near a time from which one is drawn.
+// nearbyResponses is the number of responses from which drawResponse draws one.
 const nearbyResponses = 9
 
-// drawResponse draws one of a node's responses near a time and scales its latency to the units of a request. If
-// nothing was ever sent to the node, it draws from the responses of all nodes.
+// drawResponse draws one of a node's responses to the attempts that were sent around the time at. If the attempt was
+// served, it scales the latency to the units of the new request. If the capture holds no response of the node, it draws
+// from the responses of all nodes.
 func (w *Workload) drawResponse(random *rand.Rand, node string, at time.Duration, units float64) response {
 	responses := w.responses[node]
 	if len(responses) == 0 {
