--- a/internal/capture/benchmark_test.go
+++ b/internal/capture/benchmark_test.go
@@ -14,9 +14,9 @@
 func BenchmarkRecord(b *testing.B) {
 	const events = 20_000
 	for name, options := range map[string]*Options{
-		"off":  nil,
-		"ring": {MaxBytes: 4 << 20},
-		"sink": {MaxBytes: 4 << 20, Sink: discardSink{}},
+		"off":    nil,
+		"memory": {MaxBytes: 4 << 20},
+		"sink":   {MaxBytes: 4 << 20, Sink: discardSink{}},
 	} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/capture/capturetest/workload.go
+++ b/internal/capture/capturetest/workload.go
@@ -20,8 +20,8 @@
 	TimerFired(now time.Duration, key uint64)
 }
 
-// Workload is a random sequence of events that follows from its seed. It carries out the actions that a Scheduler
-// calls for: attempts end at some time, and timers fire.
+// Workload is a random sequence of events that follows from its seed. Of the actions that a Scheduler calls for, it
+// carries out two: attempts that are sent end at a random time, and timers that are set fire.
 type Workload struct {
 	random   *rand.Rand
 	now      time.Duration
@@ -35,10 +35,10 @@
 	key uint64
 }
 
-// NewWorkload returns the workload of a seed.
+// NewWorkload returns the workload of a seed. Its events begin at one hour on the Scheduler's clock.
 func NewWorkload(seed uint64) *Workload { return NewWorkloadAt(seed, time.Hour) }
 
-// NewWorkloadAt returns the workload of a seed, with events from a time on.
+// NewWorkloadAt returns the workload of a seed. Its events begin at the time now on the Scheduler's clock.
 func NewWorkloadAt(seed uint64, now time.Duration) *Workload {
 	return &Workload{
 		random:   rand.New(rand.NewPCG(seed, 7)),
@@ -58,7 +58,7 @@
 	w.attempts[id]++
 }
 
-// SetTimer sets a timer, which fires at the first event after its time.
+// SetTimer sets a timer, which fires before the first random event at or after its time.
 func (w *Workload) SetTimer(after time.Duration, key uint64) {
 	w.timers = append(w.timers, timer{w.now + after, key})
 }
--- a/internal/capture/hash_test.go
+++ b/internal/capture/hash_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A capture whose names are hashed can be replayed, contains none of the names, and is the same each time it is made.
+// A capture whose names are hashed can be replayed, and its requests contain none of the names. The same key gives the
+// same capture, and another key another one.
 func TestHashedCaptureReplaysAndHidesNames(t *testing.T) {
 	key := []byte("a key of sixteen")
 	for seed := range uint64(5) {
@@ -24,7 +25,7 @@
 			t.Errorf("seed %d: %d events of the hashed capture replayed, want %d; error: %v", seed, events, want, err)
 		}
 		if !bytes.Equal(hashed, hash(key)) || bytes.Equal(hashed, hash([]byte("another key, too"))) {
-			t.Errorf("seed %d: the same key gave other hashes, or another key the same ones", seed)
+			t.Errorf("seed %d: hashing with the same key again gave another capture, or with another key the same one", seed)
 		}
 		_, records := readFile(t, hashed)
 		for _, record := range records {
@@ -34,12 +35,12 @@
 			}
 			if strings.HasPrefix(request.Volume, "v") || len(request.ID) != hashLength ||
 				request.Volume == request.Key {
-				t.Fatalf("seed %d: request is not hashed: %+v", seed, request)
+				t.Fatalf("seed %d: request %+v, want hashes of %d hex digits in place of names", seed, request, hashLength)
 			}
 		}
 	}
 	if _, err := Hash(openFile(t, recordFile(t, 1, 20, 1<<20)), []byte("short")); err == nil {
-		t.Error("a key of 5 bytes was accepted")
+		t.Errorf("a key of 5 bytes was accepted, want an error: the minimum is %d", MinHashKey)
 	}
 }
 
--- a/internal/capture/invariants/checker_test.go
+++ b/internal/capture/invariants/checker_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The scheduler keeps the rules on random workloads, every rule is checked, and the memory of the checker does not
-// grow with the length of the capture.
+// The scheduler keeps the invariants on random workloads, each invariant is checked at least once, and the memory of
+// the checker does not grow with the length of the capture.
 func TestRandomWorkloadsKeepTheRules(t *testing.T) {
 	checked := map[Rule]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -23,7 +23,7 @@
 				t.Fatal(err)
 			}
 			if violations := checker.Step(step); len(violations) > 0 {
-				t.Fatalf("violations of rules: %v", violations)
+				t.Fatalf("event %d: violations of invariants %v, want none", step.Number, violations)
 			}
 		}
 		for rule, n := range checker.Checked {
@@ -32,7 +32,7 @@
 		requests, arrivals := len(checker.requests), len(checker.arrivals)
 		volumes, keys := len(checker.volumes), len(checker.orderedKeys)
 		if requests > 2500 || arrivals > 2500 || volumes > 5 || keys > 9 {
-			t.Fatalf("the checker keeps too much: %d requests, %d arrivals, %d volumes, %d ordered keys",
+			t.Fatalf("the checker keeps %d requests, %d arrivals, %d volumes, %d ordered keys, want at most 2500, 2500, 5, 9",
 				requests, arrivals, volumes, keys)
 		}
 	})
@@ -43,10 +43,10 @@
 	}
 }
 
-// BenchmarkModel measures a replay without the checker, and a replay of which the checker follows each step.
-func BenchmarkModel(b *testing.B) {
+// BenchmarkChecker measures a replay without the checker, and a replay of which the checker follows each step.
+func BenchmarkChecker(b *testing.B) {
 	file := recordFile(b, 1, 20_000, 64<<20)
-	for name, withChecker := range map[string]bool{"replay": false, "replay and model": true} {
+	for name, withChecker := range map[string]bool{"replay": false, "replay and check": true} {
 		b.Run(name, func(b *testing.B) {
 			events := 0
 			for b.Loop() {
--- a/internal/capture/invariants/helpers_test.go
+++ b/internal/capture/invariants/helpers_test.go
@@ -60,9 +60,9 @@
 // scenario is a sequence of events with their actions, which begins with an empty state.
 type scenario struct{ steps []*capture.Step }
 
-// event adds an event at a time in milliseconds.
-func (s *scenario) event(at int, event capture.Record, actions ...capture.Record) *scenario {
-	event.At = time.Hour + time.Duration(at)*ms
+// event adds an event with its actions. Its time is one hour and this number of milliseconds on the Scheduler's clock.
+func (s *scenario) event(milliseconds int, event capture.Record, actions ...capture.Record) *scenario {
+	event.At = time.Hour + time.Duration(milliseconds)*ms
 	step := &capture.Step{Number: uint64(len(s.steps)), Event: &event, Actions: actions}
 	if len(s.steps) == 0 {
 		step.ResumedFrom = &scheduler.Snapshot{}
--- a/internal/capture/reader_test.go
+++ b/internal/capture/reader_test.go
@@ -22,10 +22,11 @@
 	_, recordsAgain := readFile(t, second)
 	third := writeFile(t, head, recordsAgain)
 	if len(recordsAgain) != len(records) || !bytes.Equal(second, third) {
-		t.Errorf("rewritten capture differs: %d records, then %d", len(records), len(recordsAgain))
+		t.Errorf("capture rewritten twice: %d records, then %d, same bytes: %t; want the same records and bytes",
+			len(records), len(recordsAgain), bytes.Equal(second, third))
 	}
 	if events, err := replayFile(third); err != nil || events == 0 {
-		t.Errorf("%d events of the rewritten capture replayed, error: %v", events, err)
+		t.Errorf("%d events of the rewritten capture replayed, want some; error: %v", events, err)
 	}
 }
 
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -19,8 +19,8 @@
 		held += cap(part)
 	}
 	if held > maxBytes || len(r.completed) == 0 {
-		t.Errorf("%d bytes in memory, of which %d are allowed, with %d complete parts",
-			held, maxBytes, len(r.completed))
+		t.Errorf("%d bytes in memory with %d complete parts, want at most %d bytes and at least one complete part",
+			held, len(r.completed), maxBytes)
 	}
 	allEvents, _ := replayFile(recordFile(t, 2, 20_000, 64<<20))
 	events, err := replayFile(fileOf(t, r))
@@ -54,7 +54,8 @@
 		}
 	}
 	if !r.broken || r.lost == 0 {
-		t.Errorf("the state still fits into %d bytes", maxBytes)
+		t.Errorf("part broken: %t, %d records lost; want a state that does not fit into %d bytes",
+			r.broken, r.lost, maxBytes)
 	}
 	for i := range 1000 {
 		r.ClientDisconnected(now, requestID(i))
@@ -65,7 +66,7 @@
 	}
 	events, err := replayFile(fileOf(t, r))
 	if r.broken || events == 0 || err != nil && !errors.Is(err, ErrGap) {
-		t.Errorf("recording did not go on: current part broken: %t, %d events replayed, error: %v",
+		t.Errorf("part broken: %t, %d events replayed, error: %v; want an unbroken part, some events, at most a gap",
 			r.broken, events, err)
 	}
 }
@@ -126,13 +127,13 @@
 func TestRecordingWhileTheStateExceedsTheMemory(t *testing.T) {
 	r, now := recordOutgrowingState(t, Options{MaxBytes: 30_000})
 	if !r.broken || r.lost == 0 {
-		t.Fatal("the state still fits into the recorder's memory")
+		t.Fatalf("part broken: %t, %d records lost; want a state that does not fit into the memory", r.broken, r.lost)
 	}
 	file, err := r.recordingFrom(now).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, records := readFile(t, file); len(records) == 0 || records[len(records)-1].Kind != KindGap {
-		t.Errorf("the last of %d records is not a gap", len(records))
+		t.Errorf("%d records, want several of which the last is a gap", len(records))
 	}
 }
--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -190,8 +190,8 @@
 	}
 }
 
-// The state at a time is the same whether the capture is replayed from its beginning or from the last snapshot before
-// that time.
+// At, which replays a capture from the last part before a time, returns the same state for that time as a replay of the
+// capture from its beginning.
 func TestStateAtATimeEqualsTheReplayedOne(t *testing.T) {
 	file := recordFile(t, 4, 6000, 64<<20)
 	player := NewPlayer(openFile(t, file))
--- a/internal/capture/replaytest/replaytest.go
+++ b/internal/capture/replaytest/replaytest.go
@@ -12,7 +12,7 @@
 )
 
 // ReplayTwice replays a capture two times and returns the number of its events. The test fails if an action differs
-// from the recorded one, if a record is missing, or if the capture violates an invariant.
+// from the recorded one, if records were lost, or if the capture violates an invariant.
 func ReplayTwice(t testing.TB, file []byte) (events int) {
 	t.Helper()
 	for range 2 {
@@ -38,18 +38,18 @@
 			t.Fatalf("after %d events: %v", events, err)
 		}
 		for _, violation := range checker.Step(step) {
-			t.Error(violation)
+			t.Errorf("violation of an invariant, want none: %v", violation)
 		}
 		events++
 	}
 	if player.Gaps > 0 {
-		t.Errorf("%d gaps", player.Gaps)
+		t.Errorf("%d gaps with %d lost records, want none", player.Gaps, player.Lost)
 	}
 	return events
 }
 
 // WarmUp creates the compressor and the decompressor. A test calls it before its bubble (testing/synctest) begins,
-// because what is created within a bubble must not be used by another one.
+// because what is created within a bubble must not be used by another bubble.
 func WarmUp() {
 	header, err := capture.EncodeHeader(&capture.Head{Version: capture.Version})
 	if err != nil {
--- a/internal/capture/segment/recovery_test.go
+++ b/internal/capture/segment/recovery_test.go
@@ -43,7 +43,7 @@
 			name := fmt.Sprintf("power loss after byte %d, %d unsynced bytes kept", lossAt, unsyncedBytes)
 			found, files := continueRecording(t, name, restarted, limits)
 			if found < events {
-				t.Fatalf("%s: %d events, but %d after an earlier power loss", name, found, events)
+				t.Fatalf("%s: %d events, want at least the %d after an earlier power loss", name, found, events)
 			}
 			if unsyncedBytes == 0 {
 				events, segments = found, files
@@ -97,7 +97,7 @@
 	next.record(100)
 	next.finish()
 	if len(list(t, fs)) == 0 {
-		t.Fatalf("%s: the next incarnation recorded nothing", name)
+		t.Fatalf("%s: no segments after the next incarnation, want at least one", name)
 	}
 	return events, segments
 }
@@ -113,9 +113,9 @@
 	if string(fs.Content(directory+"/notes.txt")) != "mine" ||
 		len(fs.Content(pathOf(7))) == 0 || len(fs.Content(pathOf(8))) == 0 {
 		files, err := fs.List(directory)
-		t.Errorf("a file was changed, or no new segment was written; files: %v, error: %v", files, err)
+		t.Errorf("files: %v, error: %v; want notes.txt unchanged, segment 7 not empty and a new segment 8", files, err)
 	}
 	if !strings.Contains(f.log.String(), "unreadable segment left unchanged") {
-		t.Errorf("the unreadable segment is not logged:\n%s", f.log.String())
+		t.Errorf("log without the unreadable segment that was left unchanged:\n%s", f.log.String())
 	}
 }
--- a/internal/capture/segment/retention_test.go
+++ b/internal/capture/segment/retention_test.go
@@ -21,7 +21,7 @@
 		left := limits.Size
 		for i, f := range files {
 			if i < len(outdated) && outdated[i].number != f.number {
-				t.Fatal("a newer segment is removed before an older one")
+				t.Fatalf("outdated segment %d has number %d, want %d", i, outdated[i].number, f.number)
 			}
 			if i >= len(outdated) {
 				left += f.size
@@ -31,7 +31,8 @@
 			t.Fatalf("%d bytes are left, more than the limit of %d", left, limits.Total)
 		}
 		if len(outdated) > 0 && left+outdated[len(outdated)-1].size <= limits.Total {
-			t.Fatal("more segments are removed than necessary")
+			t.Fatalf("%d segments are removed and %d bytes left, but fewer would do for the limit of %d",
+				len(outdated), left, limits.Total)
 		}
 	})
 }
@@ -54,7 +55,7 @@
 		names.File(3) + "x",
 	} {
 		if _, ok := names.Number(name); ok {
-			t.Errorf("%q is taken for a segment", name)
+			t.Errorf("%q is taken for a segment of the gateway", name)
 		}
 	}
 	if number, ok := names.Number(names.File(123)); !ok || number != 123 {
--- a/internal/capture/segment/writer_test.go
+++ b/internal/capture/segment/writer_test.go
@@ -105,7 +105,7 @@
 	}
 	f.writer.drain()
 	if left := f.writer.queuedBytes.Load(); left != 0 {
-		t.Errorf("the empty queue counts %d bytes", left)
+		t.Errorf("%d bytes are queued after the queue was drained, want 0", left)
 	}
 	f.record(2000)
 	f.finish()
--- a/internal/capture/shrink/shrink_test.go
+++ b/internal/capture/shrink/shrink_test.go
@@ -90,7 +90,7 @@
 				t.Fatal(err)
 			}
 			if events, err := capture.Replay(openFile(t, file)); err != nil || events != len(shrunk.Events) {
-				t.Errorf("%d of %d events of the shrunk case replayed, error: %v", events, len(shrunk.Events), err)
+				t.Errorf("%d events of the shrunk case replayed, want all %d; error: %v", events, len(shrunk.Events), err)
 			}
 		})
 	}
@@ -107,7 +107,7 @@
 		smaller := *c
 		smaller.Events = slices.Delete(slices.Clone(c.Events), i, i+1)
 		if held, _ := smaller.Holds(p); held && len(smaller.Events) > 0 {
-			t.Errorf("event %d of %d can be left out", i, len(c.Events))
+			t.Errorf("event %d of %d can be left out, want a minimal case", i, len(c.Events))
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	}
 	c.Events = slices.Insert(c.Events, 50, unexpected)
 	if held, err := c.Holds(parse(t, "crash")); held || err != nil {
-		t.Errorf("crash: %t, error: %v; want neither", held, err)
+		t.Errorf("crash: %t, error: %v; want no crash and no error", held, err)
 	}
 }
 
@@ -131,7 +131,7 @@
 	for _, text := range []string{"", "sent", "sent=", "refused=a@b", "breach=nothing", "late=5"} {
 		t.Run(text, func(t *testing.T) {
 			if _, err := Parse(text); err == nil {
-				t.Errorf("property %q was accepted", text)
+				t.Errorf("property %q was accepted, want an error", text)
 			}
 		})
 	}
@@ -144,6 +144,6 @@
 	source := TestSource("NobodyIsSentTwice", "testdata/a.capture", parse(t, "sent=7@n1"))
 	_, err := parser.ParseFile(token.NewFileSet(), "x_test.go", source, 0)
 	if err != nil || !strings.Contains(source, "func TestNobodyIsSentTwice(") {
-		t.Errorf("generated test is not valid or has another name; error: %v\n%s", err, source)
+		t.Errorf("generated test is not valid Go (error: %v) or is not named TestNobodyIsSentTwice:\n%s", err, source)
 	}
 }
--- a/internal/capture/summary/summary_test.go
+++ b/internal/capture/summary/summary_test.go
@@ -43,14 +43,17 @@
 	wantEnded := [outcomeCount]int{InObjective: 1, Late: 1, Rejected: 1, Failed: 1, Disconnected: 1}
 	if class.Arrived != 6 || class.Ended != wantEnded || class.Attempts != 5 || s.Open != 1 ||
 		class.EarnedWeight != 3 || class.OfferedWeight != 18 {
-		t.Errorf("class read: %+v, %d open requests", class, s.Open)
+		t.Errorf("class read: %+v, %d open requests; want 6 arrived, ended %v, 5 attempts, weight 3 of 18, 1 open",
+			class, s.Open, wantEnded)
 	}
 	if class.Quantile(0.4) != 20*ms || class.Quantile(0.99) != 301*ms || (&Class{}).Quantile(0.5) != 0 {
-		t.Errorf("wrong quantiles of the latencies %v", class.Latencies)
+		t.Errorf("quantiles 0.4 and 0.99 of the latencies %v: %v and %v, want 20ms and 301ms; of none: %v, want 0",
+			class.Latencies, class.Quantile(0.4), class.Quantile(0.99), (&Class{}).Quantile(0.5))
 	}
 	if s.Seconds[1].Ended[Failed] != 1 || s.Seconds[0].Ended[InObjective] != 1 ||
 		s.Results["n"][scheduler.Served] != 3 {
-		t.Errorf("wrong counts by second or node: seconds %+v, results %+v", s.Seconds, s.Results)
+		t.Errorf("second 0: %+v, second 1: %+v, results %v; want 1 in objective, then 1 failed, and 3 served at node n",
+			s.Seconds[0], s.Seconds[1], s.Results)
 	}
 	var out strings.Builder
 	if err := s.Write(&out); err != nil || !strings.Contains(out.String(), "3 of 18") {
--- a/internal/capture/timeline/request_test.go
+++ b/internal/capture/timeline/request_test.go
@@ -117,7 +117,7 @@
 			continue
 		}
 		if err != nil || !strings.Contains(out.String(), "Arrived") {
-			t.Fatalf("request %d: error: %v, timeline\n%s", id, err, out.String())
+			t.Fatalf("request %d: error: %v, want a timeline with \"Arrived\", got\n%s", id, err, out.String())
 		}
 		written++
 	}
--- a/internal/capture/timeline/state_test.go
+++ b/internal/capture/timeline/state_test.go
@@ -23,7 +23,8 @@
 		!strings.HasPrefix(lines[2], "n ") ||
 		!strings.HasPrefix(lines[3], "m ") || !strings.Contains(lines[3], "draining") ||
 		!strings.HasPrefix(lines[6], "v ") || !strings.Contains(lines[6], "gold") {
-		t.Errorf("a line of the state is wrong or in another place:\n%s", out.String())
+		t.Errorf("want 1 open request, node n, draining node m and volume v of plan gold, in this order, got\n%s",
+			out.String())
 	}
 }
 
--- a/internal/capture/trigger/second_test.go
+++ b/internal/capture/trigger/second_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// The names in conditions are a part of the operators' configuration, so they do not change.
+// The names in conditions are part of the operators' configuration, so they do not change.
 func TestNamesInConditions(t *testing.T) {
 	want := []string{
 		"again", "arrived", "errors", "failed", "full", "late", "left", "left_out",
--- a/internal/capture/trigger/watcher_test.go
+++ b/internal/capture/trigger/watcher_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// workload gives events to a Watcher and records when its rules are due.
+// workload gives events to a Watcher and notes when its rules are due.
 type workload struct {
 	t       *testing.T
 	watcher *Watcher
@@ -59,7 +59,7 @@
 	w.add(now, capture.Record{Kind: capture.KindReject, ID: id})
 }
 
-// serve sends a request to node a, then to another node, and has it served.
+// serve sends a request to node a, then to the given node, and has it served.
 func (w *workload) serve(now time.Duration, id, node string) {
 	w.add(now,
 		capture.Record{Kind: capture.KindSend, ID: id, Node: "a"},
@@ -147,11 +147,12 @@
 	}
 	workload.Play(r, 6000)
 	if recordings == 0 {
-		t.Error("the trigger did not fire")
+		t.Error("the trigger did not fire, want at least one recording")
 	}
 }
 
-// replaySpan replays a capture and returns the times of its last snapshot to begin from and of its last event.
+// replaySpan replays a capture. It returns the time of the last snapshot from which the replay resumed, and that of the
+// last event.
 func replaySpan(file []byte) (first, last time.Duration, err error) {
 	reader, err := capture.NewReader(bytes.NewReader(file))
 	if err != nil {
--- a/internal/capture/whatif/whatif_test.go
+++ b/internal/capture/whatif/whatif_test.go
@@ -55,7 +55,7 @@
 		results = append(results, result)
 	}
 	if !bytes.Equal(results[0], results[1]) {
-		t.Errorf("results of two plays differ:\n%s\n%s", results[0], results[1])
+		t.Errorf("results of two plays, want the same:\n%s\n%s", results[0], results[1])
 	}
 }
 
@@ -70,6 +70,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Read(reader); err == nil {
-		t.Error("a capture without responses was accepted")
+		t.Error("a capture without responses was accepted, want an error")
 	}
 }
