--- a/internal/capture/invariants/rules_test.go
+++ b/internal/capture/invariants/rules_test.go
@@ -201,7 +201,7 @@
 		}
 		return
 	}
-	t.Error("15 retries of 15 requests were within the budget")
+	t.Errorf("15 retries of 15 requests led to no violation, want one of rule %q", RuleRetryBudget)
 }
 
 // The names of rules are used on the command line, so they do not change.
--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -32,7 +32,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := record(t, rapid.Uint64().Draw(t, "seed"), 1500, 160_000)
 		if len(r.completed) == 0 {
-			t.Fatal("the recorder holds only one part")
+			t.Fatal("the recorder holds no complete part, want at least one")
 		}
 		all := r.Recording()
 		for i := range r.completed {
@@ -217,7 +217,7 @@
 		t.Errorf("states at %d times were compared, want at least 2", compared)
 	}
 	if _, err := At(bytes.NewReader(file), -1); err == nil {
-		t.Error("At returned a state for a time before the beginning of the capture")
+		t.Error("At returned a state for a time before the beginning of the capture, want an error")
 	}
 }
 
--- a/internal/capture/timeline/clock_test.go
+++ b/internal/capture/timeline/clock_test.go
@@ -25,6 +25,6 @@
 		t.Errorf("error %v, want one that names the text", err)
 	}
 	if _, err := (Clock{}).Parse("07:00", 0); err == nil {
-		t.Error("a time of day was accepted for a capture without an origin")
+		t.Error("a time of day was accepted for a capture without an origin, want an error")
 	}
 }
--- a/internal/capture/trigger/second_test.go
+++ b/internal/capture/trigger/second_test.go
@@ -34,7 +34,7 @@
 	}
 	condition, err := expression.CompilePredicate[Second]("refused / arrived > 0.5 and left_out == 0")
 	if err != nil || !condition.Holds(Second{Arrived: 2, Rejected: 2}) || condition.Holds(Second{}) {
-		t.Errorf("a valid condition was rejected or gave a wrong result; error: %v", err)
+		t.Errorf("valid condition: error %v; want none, and that it holds for 2 rejected of 2 requests but not for none", err)
 	}
 }
 
