--- a/internal/capture/trigger/second_test.go
+++ b/internal/capture/trigger/second_test.go
@@ -34,11 +34,11 @@
 	}
 	condition, err := expression.CompilePredicate[Second]("refused / arrived > 0.5 and left_out == 0")
 	if err != nil || !condition.Holds(Second{Arrived: 2, Rejected: 2}) || condition.Holds(Second{}) {
-		t.Errorf("a valid condition was rejected or gave a wrong result; error: %v", err)
+		t.Errorf("valid condition: error %v; want none, and that it holds for 2 rejected of 2 requests but not for none", err)
 	}
 }
 
-// The names in conditions are a part of the operators' configuration, so they do not change.
+// The names in conditions are part of the operators' configuration, so they do not change.
 func TestNamesInConditions(t *testing.T) {
 	want := []string{
 		"again", "arrived", "errors", "failed", "full", "late", "left", "left_out",
