--- a/internal/rules/cost.go
+++ b/internal/rules/cost.go
@@ -53,8 +53,9 @@
 	return slices.ContainsFunc(x.rules, func(r *Rule) bool { return r.SkipOnFault })
 }
 
-// worstAssignmentCost returns the highest cost of the values that the one matching rule sets. If rules can be skipped,
-// it returns 0, as worstCandidateCost counts the values of every candidate.
+// worstAssignmentCost returns the highest cost, over all rules, of evaluating the expressions of the values that a rule
+// sets: only those of the first rule that matches are evaluated. If rules can be skipped, those of several rules may be
+// evaluated; worstCandidateCost then includes their cost, and worstAssignmentCost returns 0.
 func (x *ruleIndex) worstAssignmentCost() expression.Amount {
 	var highest expression.Amount
 	if x.hasSkippableRules() {
@@ -66,7 +67,7 @@
 	return highest
 }
 
-// worstCandidateCost returns the highest cost that trying the candidates of one request can have.
+// worstCandidateCost returns the highest cost that finding and trying the candidates of one request can have.
 func (x *ruleIndex) worstCandidateCost() expression.Amount {
 	skippable := x.hasSkippableRules()
 	return x.worstCase(func(r *Rule) expression.Amount {
@@ -81,7 +82,7 @@
 	})
 }
 
-// assignmentCost returns the worst-case cost of the values that the rule sets.
+// assignmentCost returns the worst-case cost of evaluating the expressions of all values that the rule sets.
 func (r *Rule) assignmentCost() expression.Amount {
 	var total expression.Amount
 	for _, assignment := range r.assignments {
--- a/internal/rules/difference.go
+++ b/internal/rules/difference.go
@@ -19,7 +19,7 @@
 }
 
 // Differences evaluates a request by s and returns how the result differs from that of another set, which has been
-// evaluated already.
+// evaluated already. If either set rejects the request, only the rejections are compared.
 func (s *Set) Differences(f *expression.Facts, other *Result, otherErr error) []Difference {
 	evaluation := s.Begin(f)
 	result, err := evaluation.Apply()
--- a/internal/rules/engine/engine.go
+++ b/internal/rules/engine/engine.go
@@ -18,7 +18,8 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// maxLoggedSamples is the number of requests whose shadow differences are logged in each report interval.
+// maxLoggedSamples is the number of requests whose shadow differences are logged at first. After these, differences are
+// logged only if reportInterval has passed since the last ones were.
 const maxLoggedSamples = 5
 
 // Engine evaluates requests by the rules in force, which Swap replaces.
@@ -33,8 +34,8 @@
 	sample  rate.Sometimes // limits how often shadow differences are logged
 }
 
-// generation is the rules by which a request is evaluated from its beginning to its end. They are kept together because
-// claims refer to the limits of the set that made them.
+// generation holds the rules by which a request is evaluated from its beginning to its end. A request keeps its set
+// because claims refer to the limits of the set that made them.
 type generation struct {
 	set    *rules.Set // nil: there are no rules
 	shadow *rules.Set // nil: there is no shadow
@@ -136,8 +137,8 @@
 	return request, err
 }
 
-// Client returns the name of the client that the first stage of the rules sets, or "" if it sets none. It does not
-// count faults, because Begin evaluates the same request again and counts them.
+// Client returns the name of the client that the first stage of the rules sets, or "" if it sets none or rejects the
+// request. It does not count faults, because Begin evaluates the same request again and counts them.
 func (e *Engine) Client(f *expression.Facts) string {
 	g := e.active()
 	if g == nil {
@@ -152,8 +153,8 @@
 	return result.Client
 }
 
-// compareShadow evaluates a request by the shadow set and counts the fields in which its result differs. The result of
-// the shadow set is not applied.
+// compareShadow evaluates a request by the shadow set, counts the fields in which its result differs and logs some of
+// the differences. The result of the shadow set is not applied.
 func (e *Engine) compareShadow(shadow *rules.Set, f *expression.Facts, result *rules.Result, resultErr error) {
 	differences := shadow.Differences(f, result, resultErr)
 	if len(differences) == 0 {
--- a/internal/rules/engine/engine_test.go
+++ b/internal/rules/engine/engine_test.go
@@ -63,7 +63,7 @@
 	}
 	request, _, err := e.Begin(facts("none"))
 	if err == nil {
-		t.Error("the request is not rejected: the value of the shadow set was applied")
+		t.Error("the request is admitted, want an error: the value of the shadow set must not be applied")
 	}
 	request.Release()
 	want := map[string]map[string]int{
@@ -72,13 +72,13 @@
 		"u":       {"unread": 1},
 	}
 	if diff := cmp.Diff(want, e.Counts()); diff != "" {
-		t.Error(diff)
+		t.Errorf("counts (-want +got):\n%s", diff)
 	}
 	if n := strings.Count(log.String(), "shadow rules differ"); n != maxLoggedSamples {
 		t.Errorf("%d shadow differences in the log, want %d", n, maxLoggedSamples)
 	}
 	if len(e.Counts()) != 0 {
-		t.Error("Counts does not reset the counts")
+		t.Error("Counts returns the same events twice, want the counts to be reset")
 	}
 }
 
@@ -101,14 +101,14 @@
 		three, err3 := admit()
 		var rejection LimitError
 		if err1 != nil || err2 != nil || !errors.As(err3, &rejection) || rejection.RetryAfter != time.Second {
-			t.Fatalf("errors %v, %v, %v; want only the third request to be rejected", err1, err2, err3)
+			t.Fatalf("errors %v, %v, %v; want only a LimitError with a RetryAfter of 1s for the third request", err1, err2, err3)
 		}
 		for _, request := range []*Request{one, two, three} {
 			request.Release()
 		}
 	}
 	if n := e.limiter.ActiveKeys(0); n != 0 {
-		t.Errorf("%d keys still have open requests", n)
+		t.Errorf("%d keys still have open requests, want none", n)
 	}
 	var none *Request
 	none.Release()
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	if n := e.limiter.ActiveKeys(0); n != 0 {
-		t.Errorf("%d keys still have open requests", n)
+		t.Errorf("%d keys still have open requests, want none", n)
 	}
 }
 
--- a/internal/rules/engine/request.go
+++ b/internal/rules/engine/request.go
@@ -32,8 +32,9 @@
 // Error tells the client which limit rejects the request.
 func (e LimitError) Error() string { return "limit " + e.Limit + " is reached" }
 
-// AcquireLimits counts the request by all limits that apply to it, or by none if one of them rejects it. The error is a
-// LimitError, or a rules.RuleFault if the condition or the key of a limit can't be evaluated.
+// AcquireLimits counts the request by all limits that apply to it, or by none if one of them rejects it. If the rules
+// have been replaced since the request arrived, it is admitted without being counted. The error is a LimitError, or a
+// rules.RuleFault if the condition or the key of a limit can't be evaluated. AcquireLimits must be called at most once.
 func (r *Request) AcquireLimits(class, plan, volume string) error {
 	var buffer [ratelimit.MaxClaims]ratelimit.Claim
 	claims, faults, err := r.evaluation.Claims(class, plan, volume, buffer[:0])
--- a/internal/rules/evaluate.go
+++ b/internal/rules/evaluate.go
@@ -18,8 +18,8 @@
 	return &pooledEvaluator{Evaluator: expression.NewEvaluator(s.lets, s.seed, s.costLimit())}
 }
 
-// costLimit returns the cost at which an evaluation is stopped. It lies above the worst case of the set, so that it is
-// reached only if the estimate was too low.
+// costLimit returns the cost at which the evaluation of a request is stopped, in estimated nanoseconds. It lies above
+// the worst case of the set, so that it is reached only if the estimate was too low.
 func (s *Set) costLimit() int { return 2*s.Cost + 1000 }
 
 // Evaluation evaluates the rules for one request. The caller must call End exactly once, which returns the evaluator to
@@ -30,7 +30,7 @@
 	evaluator      *pooledEvaluator
 	findCandidates candidateFinder
 	trace          traceFunc         // nil: no trace
-	fault          *expression.Fault // nil unless the request as a whole exceeds the declared sizes
+	fault          *expression.Fault // set if the request exceeds the declared sizes; otherwise nil
 }
 
 // traceFunc is called for each rule and limit that was tried.
@@ -60,7 +60,7 @@
 	}
 }
 
-// End returns the evaluator to the pool and returns the cost of the evaluation.
+// End returns the evaluator to the pool and returns the cost of the evaluation, in estimated nanoseconds.
 func (e *Evaluation) End() (cost int) {
 	cost = e.evaluator.Cost()
 	e.evaluator.Clear()
@@ -179,7 +179,7 @@
 	return claims, faults, nil
 }
 
-// limitKey returns the key by which a limit counts the request, and whether it counts it at all.
+// limitKey returns the key by which a limit counts the request, and whether the limit counts the request at all.
 func (e *Evaluation) limitKey(limit *limitRule) (key string, holds bool, fault *RuleFault) {
 	holds, fault = e.conditionHolds(&limit.Rule)
 	if fault != nil || !holds {
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -6,7 +6,8 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// Explanation records the evaluation of one request: the rules that were tried, and what they and the limits gave.
+// Explanation records the evaluation of one request: the rules and limits that were tried, the values that the rules
+// set, and the keys by which limits count the request.
 type Explanation struct {
 	Tried     []TriedRule       `json:"tried"`
 	Assigned  map[string]string `json:"gives,omitempty"`   // by field: the value, and the rule in parentheses
@@ -19,7 +20,7 @@
 // TriedRule records how a rule or limit was evaluated.
 type TriedRule struct {
 	Rule     string            `json:"rule"`
-	Stage    string            `json:"stage"`
+	Stage    string            `json:"stage"` // limitStage for a limit
 	Position string            `json:"place"`
 	Matched  bool              `json:"matched"`
 	Fault    string            `json:"fault,omitempty"`
--- a/internal/rules/expression/environment.go
+++ b/internal/rules/expression/environment.go
@@ -47,7 +47,7 @@
 	cost         int // counted for the request, in estimated nanoseconds
 	costLimit    int // the cost at which an evaluation is ended, in estimated nanoseconds
 	lets         []namedExpression
-	run          func(*Program) any // runs a program and panics with its *Fault
+	run          func(*Program) any // runs a program; if it has a fault, panics with the *Fault
 	seed         uint64             // of the function hash
 }
 
@@ -71,8 +71,9 @@
 	e.LetBool = func(i int) bool { return e.let(i).(bool) }
 }
 
-// charge adds the cost of a call to the cost of the request. The argument length is that of the function's first
-// argument. An evaluation that exceeds the cost limit ends with a fault, in case the estimate at load was too low.
+// charge adds the cost of a call to the cost of the request. The argument length is the number of bytes for which the
+// function's cost per byte is counted; it is 0 if there is no such cost. An evaluation that exceeds the cost limit ends
+// with a fault, in case the estimate at load was too low.
 func (e *environment) charge(function string, length int) {
 	callCost := functionCosts[function]
 	e.cost += callCost.base + int(callCost.perByte*float64(length))
--- a/internal/rules/expression/evaluator.go
+++ b/internal/rules/expression/evaluator.go
@@ -15,7 +15,8 @@
 }
 
 // NewEvaluator returns an Evaluator for the programs of one file, given its named expressions and the seed of the
-// function hash. An evaluation that costs more than costLimit, in estimated nanoseconds, ends with a fault.
+// function hash. An evaluation ends with a fault once the cost of the request exceeds costLimit, in estimated
+// nanoseconds.
 func NewEvaluator(lets []*Program, seed uint64, costLimit int) *Evaluator {
 	e := &Evaluator{}
 	e.env.seed = seed
@@ -34,7 +35,8 @@
 	return e
 }
 
-// Begin sets the request that programs read. It returns a fault, and sets nothing, if the request exceeds the sizes.
+// Begin sets the request that programs read. It returns a fault, and sets nothing, if the request exceeds the sizes or
+// its host or method is longer than MaxNameBytes.
 func (e *Evaluator) Begin(f *Facts, sizes Sizes) *Fault {
 	if !sizes.Within(f) || len(f.Host) > MaxNameBytes || len(f.Method) > MaxNameBytes {
 		return errTooLarge
--- a/internal/rules/expression/explain.go
+++ b/internal/rules/expression/explain.go
@@ -13,21 +13,22 @@
 	Text      string `json:"text"`
 	Value     string `json:"value"`
 	Cost      int    `json:"cost"`  // counted by this evaluation, in estimated nanoseconds
-	WorstCase int    `json:"worst"` // in estimated nanoseconds; 0 except for the whole expression
+	WorstCase int    `json:"worst"` // in estimated nanoseconds, with headers of the default size; 0 for a part
 }
 
 // maxTermValueBytes is the length to which Terms shortens values.
 const maxTermValueBytes = 80
 
-// Terms evaluates an expression and each of its parts that is more than a name or a constant. The first Term is the
-// whole expression. The argument lets holds the names of the named expressions in the order of their numbers. As Terms
-// compiles every part again, it is meant only for explanations.
+// Terms evaluates an expression, and those of its calls, operators and conditional expressions that can be evaluated by
+// themselves. The first Term is the whole expression. The argument lets holds the names of the named expressions in the
+// order of their numbers. As Terms compiles every part again, it is meant only for explanations.
 func (e *Evaluator) Terms(p *Program, lets []string) []Term {
 	collector := &termCollector{}
 	ast.Walk(&p.tree, collector)
 	terms := []Term{e.term(p, lets)}
 	seen := map[string]bool{terms[0].Text: true}
-	for i := len(collector.nodes) - 2; i >= 0; i-- { // The last node is the whole expression.
+	// The last node is left out: it is the whole expression or, if that is a loop or begins with let, one of its parts.
+	for i := len(collector.nodes) - 2; i >= 0; i-- {
 		source := collector.nodes[i].String()
 		code, err := expr.Compile(source, languageOptions()...)
 		if err != nil {
@@ -43,7 +44,7 @@
 	return terms
 }
 
-// term evaluates one program. Its cost does not count towards the cost limit of the request.
+// term evaluates one program. Afterwards, the cost counted for the request is what it was before.
 func (e *Evaluator) term(p *Program, lets []string) Term {
 	before := e.env.cost
 	value, fault := e.Run(p)
--- a/internal/rules/expression/expression_test.go
+++ b/internal/rules/expression/expression_test.go
@@ -112,16 +112,16 @@
 				return
 			}
 			if err != nil || fault != nil {
-				t.Fatalf("fault %v, error %v", fault, err)
+				t.Fatalf("fault %v, error %v; want the value %v", fault, err, want)
 			}
 			if diff := cmp.Diff(want, value); diff != "" {
-				t.Error(diff)
+				t.Errorf("value (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// A rule file can contain these expressions, and compiling them once panicked.
+// A rule file can contain these expressions. Compiling them must return an error and must not panic.
 func TestHiddenNamesAndDateConstantsAreRejected(t *testing.T) {
 	scope := Scope{
 		Sizes:     DefaultSizes,
@@ -160,10 +160,10 @@
 		t.Run(source, func(t *testing.T) {
 			_, fault, err := evaluate(source, Scope{}, testFacts())
 			if err != nil || fault == nil {
-				t.Fatalf("fault %v, error %v", fault, err)
+				t.Fatalf("fault %v, error %v; want the fault %+v", fault, err, want)
 			}
 			if diff := cmp.Diff(want, *fault); diff != "" {
-				t.Error(diff)
+				t.Errorf("fault (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/internal/rules/expression/fault.go
+++ b/internal/rules/expression/fault.go
@@ -13,7 +13,7 @@
 
 // The causes of faults.
 const (
-	CauseMissing    Cause = "missing"  // the request lacks a header, a query parameter or a path segment
+	CauseMissing    Cause = "missing"  // a header, a query parameter, a path segment or a part of a text is missing
 	CauseUnparsable Cause = "unread"   // a value is not of the required form, or out of range
 	CauseCostLimit  Cause = "too-dear" // the evaluation exceeded its cost limit
 	CauseTooLarge   Cause = "too-long" // the request is larger than the declared sizes
--- a/internal/rules/expression/functions.go
+++ b/internal/rules/expression/functions.go
@@ -14,7 +14,7 @@
 )
 
 // functionCost is the worst-case cost of calling a function, in estimated nanoseconds: base, and perByte for each byte
-// of its first argument.
+// of its first argument or, for the functions that hash, of all arguments.
 type functionCost struct {
 	base    int
 	perByte float64
@@ -182,9 +182,10 @@
 	signature any                                  // a pointer to the function type, with the environment
 }
 
-// environmentFunctions are functions whose signatures the library would call by reflection if they were fields of the
-// environment. That takes a microsecond and several allocations. The library calls them without reflection if they are
-// declared by expr.Function; the rewriter then passes the environment as their first argument.
+// environmentFunctions are functions that the library, because of their signatures, would call by reflection if they
+// were fields of the environment. Such a call takes a microsecond and several allocations. The library calls functions
+// without reflection if they are declared by expr.Function; the rewriter then passes the environment as their first
+// argument.
 var environmentFunctions = map[string]environmentFunction{
 	"first":      {callFirst, new(func(*environment, string, int) string)},
 	"field":      {callField, new(func(*environment, string, string, int) string)},
--- a/internal/rules/field_values.go
+++ b/internal/rules/field_values.go
@@ -49,7 +49,7 @@
 	return value, checkPlainValue(f, value)
 }
 
-// checkUnits checks the units of a request, which may be a whole number or a fraction.
+// checkUnits checks the units of a request, which may be a whole number or a fraction, and returns them as a float64.
 func (s *Set) checkUnits(value any) (any, *expression.Fault) {
 	units, ok := value.(float64)
 	if !ok {
@@ -93,14 +93,14 @@
 	return nil
 }
 
-// isIdempotencyKey reports whether a text is an idempotency key: 1 to maxIdempotencyKeyBytes
-// printable ASCII characters other than spaces.
+// isIdempotencyKey reports whether a text is an idempotency key: 1 to maxIdempotencyKeyBytes printable ASCII characters
+// other than spaces.
 func isIdempotencyKey(text string) bool {
 	unprintable := func(r rune) bool { return r <= ' ' || r > '~' }
 	return text != "" && len(text) <= maxIdempotencyKeyBytes && !strings.ContainsFunc(text, unprintable)
 }
 
-// IsID reports whether a text is the ID of a volume or the key of a piece of data: 16 hex digits.
+// IsID reports whether a text has the form of a volume ID or of a data key: 16 hex digits.
 func IsID(text string) bool {
 	return len(text) == 16 && strings.Trim(text, "0123456789abcdefABCDEF") == ""
 }
--- a/internal/rules/file.go
+++ b/internal/rules/file.go
@@ -47,13 +47,13 @@
 	OnFault   string  `toml:"on_fault"`
 }
 
-// testEntry is a test of a rule file: a request, and what the rules must set for it.
+// testEntry is a test of a rule file: a request, and what the rules and limits must give for it.
 type testEntry struct {
 	Name     string            `toml:"name"`
 	Request  string            `toml:"request"` // the head of an HTTP/1.1 message, or JSON
-	Assigned map[string]string `toml:"gives"`
-	Limits   map[string]string `toml:"limits"`
-	Rejected string            `toml:"refused"` // a part of the error; empty: the request must not be rejected
+	Assigned map[string]string `toml:"gives"`   // by field: the value that the rules must set
+	Limits   map[string]string `toml:"limits"`  // by limit: the key by which it must count the request
+	Rejected string            `toml:"refused"` // a substring of the error; empty: the request must not be rejected
 }
 
 // fileVersion is the version of rule files that this program reads.
@@ -61,7 +61,7 @@
 
 // The values of on_fault, which say what a fault does to a request.
 const (
-	faultRejects = "refuse" // the request is rejected with status 400, which names the rule and what it requires
+	faultRejects = "refuse" // the request is rejected with status 400, and the error names the rule and what it requires
 	faultSkips   = "skip"   // the rule does not apply, and the next one is tried
 )
 
@@ -83,7 +83,7 @@
 	maxBudget          = 1_000_000 // estimated nanoseconds per request
 	maxRules           = 10_000
 	maxLets            = 256
-	minSize            = 256     // bytes, for each of the declared sizes
-	maxSize            = 1 << 20 // bytes, for each of the declared sizes
+	minSize            = 256     // minimum of each size in the table sizes (headers, path, query), in bytes
+	maxSize            = 1 << 20 // maximum of each of these sizes, in bytes
 	maxIdentifierBytes = 64
 )
--- a/internal/rules/index.go
+++ b/internal/rules/index.go
@@ -96,8 +96,8 @@
 	return found
 }
 
-// coveringCandidates returns the rules that may match every request that r matches. They are found by the path template
-// and the conditions of r itself, as such a rule requires nothing that r does not require.
+// coveringCandidates returns the numbers of the rules that may match every request that r matches. Such a rule requires
+// nothing beyond what r requires, so the path template and the conditions of r find it in the index.
 func (x *ruleIndex) coveringCandidates(r *Rule) []int {
 	found := slices.Clone(x.alwaysTried)
 	if !r.pathTemplate.any {
@@ -118,8 +118,8 @@
 	return found
 }
 
-// worstCase returns the highest cost that the candidates of one request can have. A request finds at most one entry in
-// each map of the index.
+// worstCase returns the highest cost of finding and trying the candidates of one request, given the cost of evaluating
+// a rule. A request finds at most one entry in each map of the index.
 func (x *ruleIndex) worstCase(cost func(*Rule) expression.Amount) expression.Amount {
 	costOf := func(number int) expression.Amount {
 		return cost(x.rules[number]).Plus(expression.Fixed(candidateCost))
--- a/internal/rules/index_test.go
+++ b/internal/rules/index_test.go
@@ -113,7 +113,7 @@
 	} {
 		t.Run(fmt.Sprintf("invalid %.20s", template), func(t *testing.T) {
 			if _, err := parsePathTemplate(template); err == nil {
-				t.Errorf("%q is accepted as a template", template)
+				t.Errorf("%q is accepted as a template, want an error", template)
 			}
 		})
 	}
--- a/internal/rules/load.go
+++ b/internal/rules/load.go
@@ -16,7 +16,8 @@
 )
 
 // Load reads, checks and compiles the rule file at path. If the file is readable but faulty, the error is a
-// configfile.Faults that lists everything that is wrong with it.
+// configfile.Faults that lists the faults found. Expressions are checked only if every key of the file is known and has
+// the right type, and the cost of the rules only if there is no other fault.
 func Load(path string, settings scheduler.Settings) (*Set, error) {
 	document, err := configfile.Read(path)
 	if err != nil {
@@ -55,7 +56,7 @@
 		set: newSet(document, settings),
 	}
 	l.faults = document.Decode(&l.file)
-	if len(l.faults) == 0 { // Otherwise a key of the wrong type would be reported again, as missing.
+	if len(l.faults) == 0 { // After a fault, a key of the wrong type would be reported again, as missing.
 		l.loadHeader()
 		l.loadLets()
 		l.loadRules()
@@ -96,7 +97,8 @@
 // position returns the position of a key as FILE:LINE.
 func (l *loader) position(key string) string { return l.document.Fault(key, "").Position() }
 
-// loadHeader checks and stores the settings that hold for the whole file.
+// loadHeader checks and stores the settings that hold for the whole file. It also checks the numbers of rules and of
+// named expressions.
 func (l *loader) loadHeader() {
 	file := &l.file
 	if file.Version != fileVersion {
@@ -197,7 +199,7 @@
 }
 
 // skipsOnFault reports whether a fault skips the rule or limit at a key, given its own value of on_fault. If that is
-// empty, the value of the whole file applies.
+// empty, the value of the whole file applies. If it is invalid, skipsOnFault adds a fault.
 func (l *loader) skipsOnFault(key, value string) bool {
 	if value == "" {
 		return l.file.OnFault == faultSkips
@@ -206,7 +208,8 @@
 	return value == faultSkips
 }
 
-// compileCondition compiles the condition of the rule or limit at a key. An empty source stands for no condition.
+// compileCondition compiles the condition of the rule or limit at a key and stores it in r. An empty source stands for
+// no condition.
 func (l *loader) compileCondition(key, source string, scope expression.Scope, r *Rule) {
 	if source == "" {
 		return
--- a/internal/rules/load_limits.go
+++ b/internal/rules/load_limits.go
@@ -41,7 +41,8 @@
 	return limit
 }
 
-// shareCount returns the number of gateways among which a limit is divided.
+// shareCount returns the number of gateways among which a limit is divided, given its value of per. It is 1 if the
+// limit holds at each gateway.
 func (l *loader) shareCount(key, per string) float64 {
 	switch per {
 	case perTier, "":
--- a/internal/rules/load_rules.go
+++ b/internal/rules/load_rules.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// loadRule compiles the rule at a key. If the rule is faulty, the result is incomplete.
+// loadRule compiles the rule at a key. If the rule is faulty, loadRule adds its faults and the result is incomplete.
 func (l *loader) loadRule(key string, entry ruleEntry) *Rule {
 	r := &Rule{
 		Name:             entry.Name,
@@ -142,8 +142,8 @@
 	}
 }
 
-// Writes reports whether a method changes data. Every method counts as one that does unless it is known to be safe
-// (RFC 9110, section 9.2.1).
+// Writes reports whether a method counts as one that changes data. All methods do, except the safe methods GET, HEAD
+// and OPTIONS (RFC 9110, section 9.2.1).
 func Writes(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
--- a/internal/rules/load_test.go
+++ b/internal/rules/load_test.go
@@ -23,7 +23,8 @@
 	return "[[rule]]\nname = 'a'\nstage = 'key'\n" + strings.Join(lines, "\n")
 }
 
-// faultyFile is the text of a rule file and a part of its only fault. If want is empty, the file has no fault.
+// faultyFile is the text of a rule file and a substring of the error that loading it must return. If want is empty, the
+// file must load.
 type faultyFile struct{ text, want string }
 
 var faultyExpressions = map[string]faultyFile{
@@ -150,7 +151,7 @@
 	},
 }
 
-// Loading reports the one fault of each file, with its position and what is wrong.
+// Loading a file with one fault returns just that fault, with its key and what is wrong.
 func TestFaultsAtLoad(t *testing.T) {
 	for _, files := range []map[string]faultyFile{faultyExpressions, faultyRules} {
 		for name, file := range files {
@@ -158,7 +159,7 @@
 				_, err := Parse("r.toml", []byte(file.text), settings)
 				if file.want == "" {
 					if err != nil {
-						t.Error(err)
+						t.Errorf("error %v, want none", err)
 					}
 					return
 				}
@@ -195,6 +196,6 @@
 		got.WriteString(fault.Snippet() + "\n")
 	}
 	if diff := cmp.Diff(want, got.String()); diff != "" {
-		t.Error(diff)
+		t.Errorf("faults (-want +got):\n%s", diff)
 	}
 }
--- a/internal/rules/parse_request.go
+++ b/internal/rules/parse_request.go
@@ -87,7 +87,7 @@
 	return request, nil
 }
 
-// completeHead adds what a handwritten head may leave out: the protocol, carriage returns and the final empty line.
+// completeHead adds what a handwritten head may leave out: the HTTP version, carriage returns and the final empty line.
 func completeHead(text string) string {
 	text = strings.ReplaceAll(text, "\r\n", "\n")
 	requestLine, headers, _ := strings.Cut(text, "\n")
--- a/internal/rules/path_trie.go
+++ b/internal/rules/path_trie.go
@@ -44,7 +44,7 @@
 	return n.literals[segment]
 }
 
-// find appends to found the rules whose template matches the segments.
+// find appends to found the numbers of the rules whose template matches the segments.
 func (n *pathTrie) find(segments []string, found []int) []int {
 	found = append(found, n.openEnded...)
 	if len(segments) == 0 {
--- a/internal/rules/result.go
+++ b/internal/rules/result.go
@@ -24,7 +24,8 @@
 	Cost        int         // as counted, in estimated nanoseconds; 0 unless the caller stored it here
 }
 
-// RuleFault reports that a rule or limit could not be evaluated for a request.
+// RuleFault reports that a rule or limit could not be evaluated for a request. If the request exceeds the declared
+// sizes, no rule is evaluated: the name of the rule is then "any", and Field is "the request".
 type RuleFault struct {
 	Rule  *Rule
 	Field string // the field whose value is at fault; "when" for the condition, "key" for the key of a limit
@@ -37,14 +38,14 @@
 	return "rule " + f.Rule.Name + ": " + f.Field + ": wants " + f.Fault.Requirement
 }
 
-// Unwrap returns the fault that the expression or the check of its value gave.
+// Unwrap returns the fault of the expression, of its value or of the request.
 func (f RuleFault) Unwrap() error { return f.Fault }
 
 // overridesHeader reports whether the rule that set a field overrides the platform's header for that field.
 func (r *Result) overridesHeader(f Field) bool { return r.Has[f] && r.By[f].OverridesHeaders }
 
-// Overrides reports whether the value that the rules set for a field applies. The argument headerGiven says whether the
-// request has a platform header for the field.
+// Overrides reports whether the request gets the value that the rules set for a field. The argument headerGiven is true
+// if the request has a platform header for the field: the header then takes precedence, unless the rule overrides it.
 func (r *Result) Overrides(f Field, headerGiven bool) bool {
 	return r.Has[f] && (!headerGiven || r.overridesHeader(f))
 }
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -116,7 +116,7 @@
 	want := "0 1 1s 2 " + hash("bridge") + " " + hash("bridge/2026-12-02") + " 0"
 	got := fmt.Sprint(r.Class, r.Plan, r.Deadline, r.Units, " ", r.Volume, " ", r.Key, " ", r.Shard)
 	if got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("class, plan, deadline, units, volume, key and shard: %s, want %s", got, want)
 	}
 	if r.By[Key].Name != "project and date" {
 		t.Errorf("the key was set by rule %q, want %q", r.By[Key].Name, "project and date")
@@ -178,7 +178,7 @@
 			_, err := parse(t, strings.Replace(sheetRules, test.old, test.new, 1)).evaluate(test.request)
 			var fault RuleFault
 			if !errors.As(err, &fault) || err.Error() != test.want || fault.Fault.Cause != test.cause {
-				t.Errorf("error %v, want %s", err, test.want)
+				t.Errorf("error %v, want %s with the cause %s", err, test.want, test.cause)
 			}
 		})
 	}
@@ -213,7 +213,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(first.Key, second.Key); diff == "" {
-		t.Error("a named expression kept the value of a previous request")
+		t.Errorf("both requests have the key %s: a named expression kept the value of the first one", second.Key)
 	}
 	if _, err := set.evaluate(request("GET", "/api/one/1", "X-Crew", "c")); err == nil {
 		t.Error("a named expression kept a header of a previous request")
