--- a/internal/contract/catalog/catalog_test.go
+++ b/internal/contract/catalog/catalog_test.go
@@ -136,11 +136,11 @@
 				t.Fatal(err)
 			}
 			if len(got.Volume) != len(test.placement.Volume) || len(got.Data) != len(test.placement.Data) {
-				t.Errorf("placement %+v: the identifiers do not have 16 digits", got)
+				t.Errorf("placement %+v, want a volume and data of the same lengths as in %+v", got, test.placement)
 			}
 			got.Volume, got.Data = test.placement.Volume, test.placement.Data
 			if diff := cmp.Diff(test.placement, got); diff != "" {
-				t.Error(diff)
+				t.Errorf("placement (-want +got):\n%s", diff)
 			}
 		})
 	}
@@ -171,10 +171,10 @@
 		got[status] = entry.StatusMeaning(status)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("status meanings (-want +got):\n%s", diff)
 	}
-	if c.Undescribed.StatusMeaning(200) != httpmsg.Undescribed {
-		t.Error("a status of an undescribed call has a meaning")
+	if got := c.Undescribed.StatusMeaning(200); got != httpmsg.Undescribed {
+		t.Errorf("status 200 of an undescribed call has the meaning %v, want %v", got, httpmsg.Undescribed)
 	}
 }
 
@@ -182,7 +182,7 @@
 func TestContradictions(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(*contract.Operation)
-		want   string // part of a fault; empty: no fault
+		want   string // a substring of the faults; empty: there must be none
 	}{
 		"no contradiction": {func(*contract.Operation) {}, ""},
 		"the description allows less": {func(o *contract.Operation) {
@@ -248,10 +248,11 @@
 		t.Errorf("faults %v, %d generated classes, want 3", faults, len(c.GeneratedClasses))
 	}
 	if len(c.Settings(settings).Classes) != 5 || len(settings.Classes) != 2 {
-		t.Errorf("%d and %d classes, want 5 and 2", len(c.Settings(settings).Classes), len(settings.Classes))
+		const message = "%d classes with the generated ones, %d in the settings themselves; want 5 and 2"
+		t.Errorf(message, len(c.Settings(settings).Classes), len(settings.Classes))
 	}
 	if _, err := scheduler.New(c.Settings(settings), 1, nil); err != nil {
-		t.Error(err)
+		t.Errorf("making a scheduler with the generated classes: error %v, want none", err)
 	}
 	for i, operation := range operations {
 		operation.Deadline = time.Duration(2+i) * time.Second
--- a/internal/contract/catalog/class.go
+++ b/internal/contract/catalog/class.go
@@ -15,7 +15,8 @@
 const maxGeneratedClasses = 64
 
 // classAssigner assigns a class to each entry: the class that the description names, or one generated from its latency
-// objective and deadline. An operation with neither keeps the class of undescribed calls.
+// objective and deadline. An operation that names no class and lacks one of the two keeps the class of undescribed
+// calls.
 type classAssigner struct {
 	settings  scheduler.Settings
 	generated []scheduler.Class
--- a/internal/contract/catalog/entry.go
+++ b/internal/contract/catalog/entry.go
@@ -90,7 +90,8 @@
 }
 
 // Placement returns the placement of a call with a body of length bytes. A positive maxUnits limits units that are
-// computed from the length. The error is sent to the client and says which value the call lacks.
+// computed from the length. The error is sent to the client and says which value the call lacks, or that its shard is
+// invalid.
 func (e *Entry) Placement(
 	call *contract.Call, parameters []string, length int, maxUnits float64,
 ) (Placement, error) {
@@ -113,8 +114,8 @@
 	return placement, err
 }
 
-// identifier returns the platform's identifier of the volume or of the piece of data, whichever is named by what. It is
-// empty if the operation has no location for it.
+// identifier returns the volume ID or the data key of a call, from the name at a location. The argument what is the
+// word for the name in errors. The result is empty if the operation specifies no location.
 func (e *Entry) identifier(
 	call *contract.Call, parameters []string, what string, at contract.Location,
 ) (string, error) {
@@ -128,8 +129,8 @@
 	return platformID(name), nil
 }
 
-// platformID returns the 16 hex digits by which the platform identifies a volume or a piece of data. A name that
-// already has this form is returned unchanged.
+// platformID returns the volume ID or data key for a name: its XXH64 hash in 16 hex digits. A name that already
+// consists of 16 hex digits is returned unchanged.
 func platformID(name string) string {
 	if len(name) == 16 {
 		if _, err := strconv.ParseUint(name, 16, 64); err == nil {
--- a/internal/contract/catalog/retry_test.go
+++ b/internal/contract/catalog/retry_test.go
@@ -140,6 +140,6 @@
 		}
 	})
 	if retries == 0 {
-		t.Error("no request was retried")
+		t.Error("0 requests ran more than once, want some: otherwise nothing was checked")
 	}
 }
--- a/internal/contract/check.go
+++ b/internal/contract/check.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// ambiguous reports whether a request can match both of two operations with the same method, host and path, and neither
-// takes precedence by having more conditions.
+// ambiguous reports whether a request can match both of two operations with the same method, host and shape of the
+// path, and neither takes precedence by having more conditions. Only equal media types count as overlapping.
 func ambiguous(a, b *Operation) bool {
 	if len(a.When) != len(b.When) {
 		return false
@@ -170,7 +170,8 @@
 	c.warnUndescribedResponse(status, meaning)
 }
 
-// warnUndescribedResponse warns of a status that is declared served, if the description has no response with it.
+// warnUndescribedResponse warns of a status that is declared served, if the description has responses but none with
+// this status. It does not warn of status 200 or of ranges such as 2XX.
 func (c *operationChecker) warnUndescribedResponse(status string, meaning StatusMeaning) {
 	number, err := strconv.Atoi(status)
 	if err != nil || c.operation.Responses == nil || meaning != Served || number == http.StatusOK {
--- a/internal/contract/check_test.go
+++ b/internal/contract/check_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// faultyEdits are edits of testdata/sheets.yaml, each with a part of the fault that it causes.
+// faultyEdits are edits of testdata/sheets.yaml, each with a substring of the error that it must cause.
 var faultyEdits = map[string]struct{ old, new, want string }{
 	"an invalid word": {
 		"repeats: safe, aim",
@@ -92,7 +92,7 @@
 	}
 	t.Run("a nonexistent file", func(t *testing.T) {
 		if _, err := Load("testdata/none.yaml"); err == nil {
-			t.Error("loading a nonexistent file succeeded")
+			t.Error("loading a nonexistent file succeeded, want an error")
 		}
 	})
 }
@@ -105,6 +105,6 @@
 	}
 	faults, _ := Check(operations)
 	if len(faults) != 1 || !strings.Contains(faults[0].Message, "matches the same requests as GET /a/{x}") {
-		t.Errorf("faults: %v", faults)
+		t.Errorf("faults %v, want one that names GET /a/{x}", faults)
 	}
 }
--- a/internal/contract/conformance/distrust_file_test.go
+++ b/internal/contract/conformance/distrust_file_test.go
@@ -30,7 +30,7 @@
 	Answers:   9,
 }
 
-// saveRecord saves the record so many times and ends the Store. It returns the log.
+// saveRecord saves record the given number of times through a Store, and ends the Store. It returns the log.
 func saveRecord(fs filesystem.FS, path string, times int) string {
 	var log bytes.Buffer
 	store := NewStore(fs, path, slog.New(slog.NewTextHandler(&log, nil)))
@@ -54,7 +54,7 @@
 	saveRecord(filesystem.OS{}, path, 3)
 	records, age := NewStore(filesystem.OS{}, path, slog.New(slog.DiscardHandler)).Load()
 	if diff := cmp.Diff([]trust.Record{record}, records); diff != "" || age > time.Minute {
-		t.Errorf("records differ (or their age, %v, is over a minute): %s", age, diff)
+		t.Errorf("age %v, want at most a minute; records (-want +got):\n%s", age, diff)
 	}
 	t.Run("the scheduler is notified", func(t *testing.T) {
 		var notified []scheduler.Restriction
@@ -64,7 +64,7 @@
 			Log:            slog.New(slog.DiscardHandler),
 		}, records, age)
 		if len(notified) > 0 {
-			t.Errorf("notified of %+v before the scheduler is ready", notified)
+			t.Errorf("notified of %+v before NotifyRestored, want nothing", notified)
 		}
 		o.NotifyRestored()
 		if len(notified) != 1 || notified[0].Level != scheduler.AvoidNode {
@@ -81,7 +81,7 @@
 			t.Errorf("records %v, log %q; want no records and a warning", records, log.String())
 		}
 		if _, err := os.Stat(path + ".set-aside"); err != nil {
-			t.Error(err)
+			t.Errorf("the file under its new name: error %v, want none", err)
 		}
 	})
 	t.Run("a full disk is reported once", func(t *testing.T) {
--- a/internal/contract/conformance/inspect_retry.go
+++ b/internal/contract/conformance/inspect_retry.go
@@ -68,7 +68,8 @@
 }
 
 // sharesKeysWith reports whether the node of the response should still remember the key of an earlier response: it is
-// the same node or one of the same shard, and the window is not over.
+// the same node or, if the nodes of a shard share their keys, one of the same shard; and dedupWindowShare of the window
+// has not passed yet.
 func (r *Response) sharesKeysWith(before *rememberedResponse, now time.Duration) bool {
 	operation := r.Entry.Operation
 	if float64(now-before.at) >= dedupWindowShare*float64(operation.DedupWindow) {
--- a/internal/contract/conformance/inspect_stability.go
+++ b/internal/contract/conformance/inspect_stability.go
@@ -26,9 +26,9 @@
 	"Range",
 }
 
-// checkStability compares the bodies of responses to the same idempotent call. They must be equal if the responses have
-// the same strong validator (RFC 9110, section 8.8.3), and within the described time if nothing was written to the
-// volume.
+// checkStability compares the bodies of responses with status 200 to the same idempotent call. They must be equal if
+// the responses have the same strong validator (RFC 9110, section 8.8.3). They must also be equal within the described
+// time (StableFor), if nothing was written to the volume in that time before the first response or since then.
 func (i *Inspector) checkStability(now time.Duration, c *evidenceCollector) {
 	response := c.response
 	stableFor := response.Entry.Operation.StableFor
--- a/internal/contract/conformance/inspector_test.go
+++ b/internal/contract/conformance/inspector_test.go
@@ -283,7 +283,7 @@
 					}
 					slices.Sort(got)
 					if strings.Join(got, " ") != want {
-						t.Errorf("%s: evidence %v", line, got)
+						t.Errorf("%s: evidence %v, want [%s]", text, got, want)
 					}
 				}
 			})
--- a/internal/contract/conformance/observer.go
+++ b/internal/contract/conformance/observer.go
@@ -83,13 +83,14 @@
 	return observer
 }
 
-// NotifyRestored publishes the restored records. It is called once, before the first request is admitted.
+// NotifyRestored publishes the changes by restored records. It is called once, before the first request is admitted.
 func (o *Observer) NotifyRestored() {
 	o.publish(o.restored)
 	o.restored = nil
 }
 
-// Observe queues a response for inspection. It never blocks. The observation must not be modified after the call.
+// Observe queues a response for inspection, unless its call is undescribed. It never blocks. The observation must not
+// be modified after the call.
 func (o *Observer) Observe(observation httpbackend.Observation) {
 	entry, ok := observation.Request.Statuses.(*catalog.Entry)
 	if !ok || entry.Operation == nil {
@@ -162,7 +163,7 @@
 	return initialSchemaTime + time.Duration(schemaTimeShare*float64(now-o.started))
 }
 
-// report logs the evidence since the last report, unless all responses conform and none was dropped.
+// report logs the evidence since the last report if a response contradicted its description or was dropped.
 func (o *Observer) report() {
 	dropped := o.dropped.Swap(0)
 	conforming := o.evidence[trust.Conforms.String()]
--- a/internal/contract/conformance/observer_test.go
+++ b/internal/contract/conformance/observer_test.go
@@ -64,7 +64,7 @@
 			{Operation: "PUT /s/{x}", Node: "n", Level: scheduler.NoRetries},
 		}
 		if diff := cmp.Diff(want, notified); diff != "" {
-			t.Error(diff)
+			t.Errorf("restrictions (-want +got):\n%s", diff)
 		}
 		if !strings.Contains(log.String(), "answers_dropped=50") || !strings.Contains(log.String(), "not-run-ran:256") {
 			t.Errorf("log %q, want 50 dropped responses and 256 times the evidence", log.String())
--- a/internal/contract/difference.go
+++ b/internal/contract/difference.go
@@ -40,8 +40,10 @@
 	ScopeAll:   2,
 }
 
-// Diff returns the changes between two versions of a description. Operations are matched by host, shape of the path,
-// method, conditions and media types, or by channel and action, and the changes are sorted by these.
+// Diff returns the changes between two versions of a description: new and removed operations, and changes of the
+// idempotency, the key, the latency objective, the deadline, the class and the meanings of statuses. Operations are
+// matched by host, shape of the path, method, conditions and media types, or by channel and action, and the changes are
+// sorted by these.
 func Diff(before, after []*Operation) []Change {
 	oldOperations := byIdentity(before)
 	newOperations := byIdentity(after)
@@ -119,7 +121,7 @@
 	return true
 }
 
-// operationChanges returns the changes between the versions a and b of an operation.
+// operationChanges returns the changes between the versions a and b of an operation, in the properties that Diff names.
 func operationChanges(a, b *Operation) []Change {
 	var changes []Change
 	add := func(dangerous bool, format string, args ...any) {
--- a/internal/contract/difference_test.go
+++ b/internal/contract/difference_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// withKey returns an operation with a key that nodes remember for a time.
+// withKey returns an operation with a key that nodes remember for the given window.
 func withKey(in, name string, window time.Duration) *Operation {
 	return &Operation{
 		Method:      "PUT",
@@ -31,7 +31,7 @@
 	for name, test := range map[string]struct {
 		before, after *Operation
 		dangerous     bool
-		want          string // part of a change; empty: no change
+		want          string // a substring of the changes; empty: there must be none
 	}{
 		"no change": {withoutKey("/a", Idempotent), withoutKey("/a", Idempotent), false, ""},
 		"safe instead of unsafe": {
--- a/internal/contract/fuzz_test.go
+++ b/internal/contract/fuzz_test.go
@@ -27,7 +27,7 @@
 		operations, faults := Parse("f", []byte(text))
 		for _, fault := range faults {
 			if fault.Message == "" || fault.Position.File != "f" {
-				t.Errorf("%+v", fault)
+				t.Errorf("fault %+v, want one with a message and the file f", fault)
 			}
 		}
 		if len(faults) > 0 {
@@ -40,7 +40,7 @@
 			checkConsistent(t, o)
 		}
 		if _, err := NewRouter(operations); err != nil {
-			t.Error(err)
+			t.Errorf("making a Router for operations without faults: error %v, want none", err)
 		}
 	})
 }
@@ -52,13 +52,14 @@
 	case Idempotent, NonIdempotent:
 	case IdempotentWithKey:
 		if o.Key.Name == "" || o.DedupWindow <= 0 {
-			t.Errorf("keyed operation without a key or a window: %+v", o)
+			t.Errorf("keyed operation %+v, want one with a key and a window", o)
 		}
 	default:
-		t.Errorf("unknown idempotency: %+v", o)
+		t.Errorf("idempotency %q of %+v, want safe, keyed or unsafe", o.Idempotency, o)
 	}
 	if o.LatencyObjective < 0 || o.Deadline < 0 || o.Deadline > 0 && o.Deadline < o.LatencyObjective {
-		t.Errorf("negative time, or a deadline before the latency objective: %+v", o)
+		t.Errorf("latency objective %v, deadline %v of %+v; want neither to be negative, and the deadline not to be shorter",
+			o.LatencyObjective, o.Deadline, o)
 	}
 }
 
@@ -88,11 +89,11 @@
 		faults := o.applyExtension(content)
 		changed := o.Idempotency != NonIdempotent || o.Key != Location{} || o.Statuses != nil
 		if len(faults) > 0 && changed {
-			t.Errorf("%s was stored in spite of %v: %+v", text, faults, o)
+			t.Errorf("%s was stored in spite of %v: %+v, want an unchanged operation", text, faults, o)
 		}
 		negativeTime := o.LatencyObjective < 0 || o.Deadline < 0 || o.DedupWindow < 0
 		if negativeTime || o.Units < 0 || o.UnitBytes < 0 || o.Shard.Number < 0 {
-			t.Errorf("%s: negative value in %+v", text, o)
+			t.Errorf("%s: negative value in %+v, want none", text, o)
 		}
 	})
 }
--- a/internal/contract/load.go
+++ b/internal/contract/load.go
@@ -9,8 +9,8 @@
 // MaxFileBytes is the maximum size of a description file.
 const MaxFileBytes = 32 << 20
 
-// Load reads OpenAPI and AsyncAPI descriptions in JSON or YAML. The error is of type Faults and lists everything that
-// is wrong with them.
+// Load reads OpenAPI and AsyncAPI descriptions in JSON or YAML. The error is of type Faults and lists the faults of all
+// files. Of a file that is not valid YAML or not valid OpenAPI, it has only one fault.
 func Load(paths ...string) ([]*Operation, error) {
 	var all []*Operation
 	var faults Faults
--- a/internal/contract/load_test.go
+++ b/internal/contract/load_test.go
@@ -20,7 +20,7 @@
 		got = append(got, fmt.Sprintf("%s %s %s %s %s %v %v %v",
 			o.ID, o.Method, o.Template, o.Idempotency, o.Key.Name, o.DedupWindow, o.LatencyObjective, o.Deadline))
 		if o.Position.Line == 0 {
-			t.Errorf("operation %s has no line", o.ID)
+			t.Errorf("the position of operation %s has line 0, want its line in the file", o.ID)
 		}
 	}
 	want := []string{
@@ -30,12 +30,12 @@
 		"writeSheet PUT /sheets/{id} keyed Idempotency-Key 4s 100ms 840ms",
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("operations (-want +got):\n%s", diff)
 	}
 	faults, warnings := Check(operations)
 	const warning = "the operation is not declared safe"
 	if len(faults) > 0 || len(warnings) != 1 || !strings.Contains(warnings[0].Message, warning) {
-		t.Errorf("faults %v, warnings %v", faults, warnings)
+		t.Errorf("faults %v, warnings %v; want no faults and one warning that contains %q", faults, warnings, warning)
 	}
 }
 
@@ -44,10 +44,10 @@
 func TestLoadOpenAPI31(t *testing.T) {
 	operations, err := Load("testdata/later.yaml")
 	if err != nil || len(operations) != 1 {
-		t.Fatalf("operations %v, error %v", operations, err)
+		t.Fatalf("operations %v, error %v; want one operation", operations, err)
 	}
 	if o := operations[0]; o.Idempotency != Idempotent || o.Position.Line != 5 {
-		t.Errorf("%+v", o)
+		t.Errorf("idempotency %s, line %d; want %s, line 5", o.Idempotency, o.Position.Line, Idempotent)
 	}
 }
 
@@ -80,10 +80,10 @@
 			o.Position.Line, o.ID, o.Signature(), o.Idempotency, o.Key.Name, o.Deadline))
 	}
 	if faults, _ := Check(operations); len(faults) > 0 {
-		t.Error(faults)
+		t.Errorf("faults %v, want none", faults)
 	}
 	if _, err := NewRouter(operations); err != nil {
-		t.Error(err)
+		t.Errorf("making a Router: error %v, want none", err)
 	}
 	return strings.Join(formatted, "; "), err
 }
--- a/internal/contract/openapi.go
+++ b/internal/contract/openapi.go
@@ -76,7 +76,8 @@
 	return all
 }
 
-// parseServer parses the URL of a server. A loopback address, a relative URL and a URL with variables name no host.
+// parseServer parses the URL of a server. The host is empty for a relative URL, for localhost and for 127.0.0.0/8. A
+// URL that has variables or can't be parsed gives neither a host nor a base path.
 func parseServer(serverURL string) server {
 	u, err := url.Parse(serverURL)
 	if err != nil || strings.ContainsAny(serverURL, "{}") {
--- a/internal/contract/operation.go
+++ b/internal/contract/operation.go
@@ -65,7 +65,7 @@
 	UnitBytes        int           // bytes of the body that count as one unit, in place of Units
 	StableFor        time.Duration // how long responses to the same idempotent call stay the same without a write
 	Volume           Location      // where the name of the volume is
-	Data             Location      // where the name of the piece of data is
+	Data             Location      // where the name is from which the data key is derived
 	Shard            Shard
 	Statuses         map[string]StatusMeaning // by number or by range, such as 4XX
 
--- a/internal/contract/path_template.go
+++ b/internal/contract/path_template.go
@@ -88,8 +88,9 @@
 	return shape.String()
 }
 
-// decodeSegment decodes a segment of a path. It rejects segments by which software behind the gateway might resolve the
-// path to another one: empty ones, "." and "..", and those with an encoded slash, backslash or control character.
+// decodeSegment decodes a segment of a path. It rejects segments that are encoded wrongly, and those by which software
+// behind the gateway might resolve the path to another one: empty segments, "." and "..", and segments with a slash,
+// backslash or control character.
 func decodeSegment(part string) (string, bool) {
 	text := part
 	if strings.IndexByte(part, '%') >= 0 {
--- a/internal/contract/registry/registry.go
+++ b/internal/contract/registry/registry.go
@@ -22,7 +22,7 @@
 type Options struct {
 	RejectUndescribed bool    // whether they are rejected; otherwise they are admitted but never retried
 	Rate              float64 // admitted calls per second; 0: no limit
-	Burst             float64 // admitted calls at once
+	Burst             float64 // calls admitted at once after an idle time; less than 1: 1
 	Open              int     // calls in flight; 0: no limit
 }
 
@@ -43,7 +43,8 @@
 	}}
 }
 
-// maxLoggedSamples is the maximum number of undescribed calls that are logged individually in each report interval.
+// maxLoggedSamples is the number of undescribed calls that are logged individually at first. After these, a call is
+// logged only if reportInterval has passed since the last one was.
 const maxLoggedSamples = 5
 
 // Registry finds operations in the catalog in force, which Swap replaces.
@@ -75,8 +76,8 @@
 	}, nil
 }
 
-// Swap replaces the catalog; nil means that no descriptions are in force. Requests in flight keep the entry that they
-// have.
+// Swap replaces the catalog, and sets whether undescribed calls are rejected. If next is nil, no descriptions are in
+// force. Requests in flight keep the entry that they have.
 func (r *Registry) Swap(next *catalog.Catalog, rejectUndescribed bool) {
 	r.mu.Lock()
 	r.options.RejectUndescribed = rejectUndescribed
@@ -161,7 +162,7 @@
 	return entry
 }
 
-// admitUndescribed counts an undescribed call and decides whether it is admitted.
+// admitUndescribed counts an undescribed call, may log it, and returns an error if it is not admitted.
 func (r *Registry) admitUndescribed(match *Match) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/contract/registry/registry_test.go
+++ b/internal/contract/registry/registry_test.go
@@ -57,7 +57,7 @@
 		}
 		get := func(path string) (*Match, error) { return r.Begin(contract.Call{Method: "GET", Path: path}) }
 		if match, err := get("/x"); match != nil || err != nil || r.InForce() {
-			t.Fatalf("without a catalog: match %v, error %v, in force %v", match, err, r.InForce())
+			t.Fatalf("without a catalog: match %v, error %v, in force %v; want nil, nil, false", match, err, r.InForce())
 		}
 		r.Swap(sheetCatalog(t), false)
 		var matches []*Match
@@ -65,7 +65,8 @@
 			match, err := get("/x/" + strings.Repeat("y", 500))
 			matches = append(matches, match)
 			if (err != nil) != (i == 2) || match.RetryPolicy.Idempotency != scheduler.NonIdempotent {
-				t.Fatalf("call %d: error %v, retry policy %+v", i, err, match.RetryPolicy)
+				t.Fatalf("call %d: error %v, retry policy %+v; want an error only for call 2, and no retries of any",
+					i, err, match.RetryPolicy)
 			}
 			var limited RateLimitedError
 			if i == 2 && (!errors.As(err, &limited) || limited.RetryAfter <= 0) {
@@ -73,13 +74,13 @@
 			}
 		}
 		if match, err := get("/sheets/a/b"); err != nil || match.Operation == nil {
-			t.Errorf("described call: error %v, operation %v", err, match.Operation)
+			t.Errorf("described call: error %v, operation %v; want no error and an operation", err, match.Operation)
 		}
 		for _, match := range matches {
 			match.Release()
 		}
 		if match, err := get("/x"); err != nil {
-			t.Errorf("call after the release: %v", err)
+			t.Errorf("call after the release: error %v, want none", err)
 		} else {
 			match.Release()
 		}
--- a/internal/contract/registry/report.go
+++ b/internal/contract/registry/report.go
@@ -12,11 +12,11 @@
 // maxSampleBytes is the maximum length of the path of a call in the log.
 const maxSampleBytes = 96
 
-// Counts are the numbers of undescribed calls since the last report.
+// Counts are the numbers of undescribed calls since the last report, and the latest such call.
 type Counts struct {
 	Undescribed int    // all undescribed calls
 	RateLimited int    // those that were rejected because they exceeded the limit
-	Last        string // the method and path of the latest one, or its command and logical unit
+	Last        string // the method and path of the latest call, or its logical unit and whether it writes
 }
 
 // countUndescribed counts an undescribed call. The caller must hold r.mu.
@@ -25,7 +25,7 @@
 	r.counts.Last = sample
 }
 
-// Counts returns the counts since the last call of Counts, and resets them.
+// Counts returns the counts since the last call of Counts, and resets all of them but Last.
 func (r *Registry) Counts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/contract/response.go
+++ b/internal/contract/response.go
@@ -14,11 +14,11 @@
 
 // Response is the description of the response with one status.
 type Response struct {
-	Types          map[string]*openapi3.Schema // by media type; a nil schema allows any body; no types: there is no body
+	Types          map[string]*openapi3.Schema // by media type; nil schema: any body; empty map: no body is described
 	JSONSchema2020 bool                        // the schemas follow JSON Schema 2020-12, as in OpenAPI 3.1
 }
 
-// DropSchemas drops the schemas of all responses to save memory: they take most of that of a large description.
+// DropSchemas drops the schemas of all responses to save memory: they take most of the memory of a large description.
 func DropSchemas(operations []*Operation) {
 	for _, operation := range operations {
 		for _, response := range operation.Responses {
--- a/internal/contract/router.go
+++ b/internal/contract/router.go
@@ -6,7 +6,8 @@
 )
 
 // Router finds the operation that a request calls. It has a tree of path segments for each host. If several operations
-// match, literal segments take precedence over parameters from left to right, and then more conditions over fewer.
+// match, one that names the host takes precedence over one that names none; then literal segments take precedence over
+// parameters from left to right, and then more conditions over fewer.
 type Router struct {
 	anyHost *routeNode            // of operations that name no host
 	hosts   map[string]*routeNode // by host
@@ -15,7 +16,7 @@
 // routeNode is a node of the tree. Its routes are the operations whose templates end at it.
 type routeNode struct {
 	literals  map[string]*routeNode // the next node for a literal segment
-	parameter *routeNode            // the next node for any other segment; nil: there is none
+	parameter *routeNode            // the next node for a parameter; nil: there is none
 	routes    []route               // sorted by descending number of conditions
 }
 
@@ -122,7 +123,7 @@
 }
 
 // matchTail matches the rest of a path after the segment that led to n. If there is no rest, it returns the first
-// operation of n that accepts the call.
+// operation of n that has the call's method and accepts the call.
 func (n *routeNode) matchTail(
 	c *Call, tail string, more bool, values []string, segmentsLeft int,
 ) (*Operation, []string) {
--- a/internal/contract/router_test.go
+++ b/internal/contract/router_test.go
@@ -230,13 +230,13 @@
 				got = fmt.Sprint(o.Template, " ", values)
 			}
 			if got != want {
-				t.Errorf("matches %q, want %q", got, want)
+				t.Errorf("path %.60q matches %q, want %q", path, got, want)
 			}
 		})
 	}
 	t.Run("another method", func(t *testing.T) {
 		if o, _ := r.Match(&Call{Method: "POST", Path: "/admin"}, nil); o != nil {
-			t.Errorf("POST /admin matches %s", o.Signature())
+			t.Errorf("POST /admin matches %s, want no operation", o.Signature())
 		}
 	})
 }
@@ -260,7 +260,7 @@
 	call := Call{Method: "GET", Path: "/area5/things/12345/part102"}
 	allocations := testing.AllocsPerRun(100, func() {
 		if o, _ := r.Match(&call, values); o == nil {
-			t.Fatal("no match")
+			t.Fatalf("path %s matches no operation, want one", call.Path)
 		}
 	})
 	if allocations > 0 {
