--- a/internal/rules/cost.go
+++ b/internal/rules/cost.go
@@ -12,8 +12,8 @@
 const (
 	requestCost   = 500 // of a request without any rule
 	lookupCost    = 60  // of a lookup in one of the indexes of a stage
-	candidateCost = 25  // of each candidate that is found, beside its expressions
-	limitCost     = 300 // of counting a request by one limit, beside its expressions
+	candidateCost = 25  // of each candidate that is found, without its expressions
+	limitCost     = 300 // of counting a request by one limit, without its expressions
 )
 
 // checkBudget estimates the worst-case cost of the set and adds a fault if it exceeds the file's budget.
--- a/internal/rules/engine/engine.go
+++ b/internal/rules/engine/engine.go
@@ -1,6 +1,7 @@
-// Package engine holds the rules that are in force: the set by which requests are evaluated, an optional second set
-// that shadows it, the rate limits, and counts of faults and rejections. An Engine may be used by many goroutines at
-// once. Packages rules and ratelimit make the decisions; this package holds their state and guards it by a lock.
+// Package engine holds the rules that are in force: the set by which requests are evaluated, an optional shadow set
+// whose results are compared but not applied, the rate limits, and counts of faults, rejections and shadow differences.
+// An Engine may be used by many goroutines at once. Packages rules and ratelimit make the decisions; this package holds
+// their state and guards it by a lock.
 package engine
 
 import (
--- a/internal/rules/load_test.go
+++ b/internal/rules/load_test.go
@@ -151,7 +151,7 @@
 	},
 }
 
-// Loading a file with one fault returns just that fault, with its key and what is wrong.
+// Loading a file with one fault returns just that fault, with its position and what is wrong.
 func TestFaultsAtLoad(t *testing.T) {
 	for _, files := range []map[string]faultyFile{faultyExpressions, faultyRules} {
 		for name, file := range files {
