--- a/internal/rules/evaluate.go
+++ b/internal/rules/evaluate.go
@@ -151,7 +151,7 @@
 	return holds.(bool), nil
 }
 
-// limitStage names the evaluation of limits in traces, beside the stages of rules.
+// limitStage is the name under which traces list the evaluation of limits, in place of a stage of rules.
 const limitStage = "limit"
 
 // Claims appends to claims the limits that count a request of the given class, plan and volume, with their keys. It
--- a/internal/rules/expression/compile.go
+++ b/internal/rules/expression/compile.go
@@ -38,7 +38,7 @@
 	maxLength Amount // of a string value, in bytes
 	code      *vm.Program
 	tree      ast.Node
-	constant  any // the value, if it is the same for every request; otherwise nil
+	constant  any // the value, if foldConstant has evaluated the expression; otherwise nil
 }
 
 // Compile checks and compiles an expression, which must have one of the wanted types. The error is a *SourceError.
@@ -95,7 +95,7 @@
 	return estimator.err
 }
 
-// foldConstant evaluates an expression that does not depend on the request and stores its value. If the evaluation
+// foldConstant evaluates an expression that uses no names but pureIdentifiers, and stores its value. If the evaluation
 // fails, the expression is evaluated for each request, where it fails again.
 func (p *Program) foldConstant() {
 	detector := constantDetector{constant: true}
@@ -112,14 +112,16 @@
 	p.Cost = Fixed(nodeCost)
 }
 
-// Constant returns the value of an expression whose value is the same for every request. Otherwise, ok is false.
+// Constant returns the value of an expression that was evaluated when it was compiled, because it consists only of
+// constants, operators and the functions seconds and millis. Otherwise, ok is false.
 func (p *Program) Constant() (value any, ok bool) { return p.constant, p.constant != nil }
 
-// constantDetector detects whether an expression depends on neither the request nor named expressions.
+// constantDetector detects whether an expression uses no names but pureIdentifiers.
 type constantDetector struct{ constant bool }
 
-// pureIdentifiers are the identifiers that a constant expression may use: the functions seconds and millis, and the
-// environment, which the rewriter passes to them and which they do not read.
+// pureIdentifiers are the names that an expression may use if its value is to be computed when it is compiled: the
+// functions seconds and millis, and the environment, which the rewriter passes to them and which they do not read.
+// Other functions are not among them, even if their result depends only on their arguments.
 var pureIdentifiers = []string{"seconds", "millis", environmentName}
 
 // Visit implements ast.Visitor.
--- a/internal/rules/expression/doc.go
+++ b/internal/rules/expression/doc.go
@@ -10,7 +10,8 @@
 //   - the rewriter replaces the names that a rule file defines and checks what the library does not, such as patterns;
 //   - the library checks types and compiles;
 //   - the costEstimator bounds the cost and the length of the value;
-//   - an expression that does not depend on the request is evaluated once and replaced by its value.
+//   - an expression of constants, operators and the functions seconds and millis is evaluated once and replaced by its
+//     value.
 //
 // An Evaluator runs compiled programs for one request after another. CompilePredicate compiles conditions over other Go
 // structs, such as the trigger conditions of captures.
