--- a/internal/frontend/httpfrontend/client_conn.go
+++ b/internal/frontend/httpfrontend/client_conn.go
@@ -24,7 +24,7 @@
 
 	state      connState
 	stateSince time.Time
-	served     bool // a node answered the last request
+	served     bool // the last response, apart from those to readiness checks, had status 200
 }
 
 func newClientConn(t *connTracker, conn net.Conn) *clientConn {
@@ -48,7 +48,7 @@
 }
 
 // enterState changes the state. It returns false if the connection is closing; the caller must then not serve a
-// request.
+// request. While the server drains, a connection that becomes idle starts to close.
 func (c *clientConn) enterState(state connState) bool {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
@@ -83,7 +83,8 @@
 	}
 }
 
-// hasUnreadInput reports whether anything has been received that http.Server has not read.
+// hasUnreadInput reports whether anything has been received that http.Server has not read: bytes or, on the socket, the
+// end of the connection.
 func (c *clientConn) hasUnreadInput() bool { return c.input.hasUnread() || socketpeek.Ready(c.Conn) }
 
 // Read reads from the read-ahead. The first bytes of a request change the state to stateReading.
--- a/internal/frontend/httpfrontend/conn_tracker.go
+++ b/internal/frontend/httpfrontend/conn_tracker.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	minIdleBeforeEviction    = 2 * time.Second        // for connections whose last request a node served
-	minReadingBeforeEviction = 500 * time.Millisecond // for connections whose request is still arriving
+	minIdleBeforeEviction    = 2 * time.Second        // minimum time in stateIdle of connections marked as served
+	minReadingBeforeEviction = 500 * time.Millisecond // minimum time in stateReading
 	maxNewDivisor            = 4                      // at most 1/4 of the connections may be in stateNew
 	keepAliveDivisor         = 3                      // connections are kept alive while at most 1/3 are in use
 )
@@ -17,10 +17,11 @@
 // closes each of them in releaseLocked.
 //
 // It never stops accepting, since clients that connect and send nothing would then keep everybody else out. At the
-// limit it evicts the least useful connection instead.
+// limit it evicts the least useful connection instead, or closes the new one if none may be evicted.
 //
-// Its lock, mu, orders closes and requests: a connection is closed either before its next request is begun or after
-// that request is answered. mu is taken before the lock of a connection's readAhead.
+// Its lock, mu, orders evictions and requests: a connection is evicted, or closed by drain, either before it enters
+// stateActive for its next request or after that request is answered. mu is taken before the lock of a connection's
+// readAhead.
 type connTracker struct {
 	net.Listener
 	maxConns int
@@ -63,7 +64,8 @@
 	}
 }
 
-// admit adds a connection if there is capacity, or if another connection can be evicted for it.
+// admit adds a connection if there is capacity, or if another connection can be evicted for it, and reports whether it
+// did. If too many connections are new, it first evicts the oldest of them.
 func (t *connTracker) admit(c *clientConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,10 +91,10 @@
 	return n
 }
 
-// evictOneLocked evicts one connection, if there is one that may be evicted.
+// evictOneLocked evicts one connection and reports whether there was one that may be evicted.
 //
-// Idle connections whose last request no node served go before other idle ones: clients that send one readiness check
-// or one invalid request each and stay connected could otherwise take all connections within half a second, and
+// Idle connections that are not marked as served are evicted before other idle ones: clients that send one readiness
+// check or one invalid request each and stay connected could otherwise take all connections within half a second, and
 // nobody else could send a request until minIdleBeforeEviction has passed.
 func (t *connTracker) evictOneLocked() bool {
 	return t.evictLocked(t.oldestInLocked(stateLingering, 0)) ||
@@ -108,8 +110,9 @@
 	return t.oldestLocked(state, minAge, func(*clientConn) bool { return true })
 }
 
-// oldestIdleUnservedLocked returns the longest idle connection whose last request no node served: a readiness check,
-// an invalid request or a rejected one.
+// oldestIdleUnservedLocked returns, of the idle connections that are not marked as served, the one that has been idle
+// for longest; nil if there is none. Such a connection has had readiness checks only, or its last other request was
+// invalid, rejected or failed.
 func (t *connTracker) oldestIdleUnservedLocked() *clientConn {
 	return t.oldestLocked(stateIdle, 0, func(c *clientConn) bool { return !c.served })
 }
@@ -137,8 +140,9 @@
 	return oldest
 }
 
-// evictLocked closes a connection to make room for another one. It returns false if c is nil. In the goroutine that
-// serves the connection, the next read fails or, if that goroutine has just read a request, enterState does.
+// evictLocked closes a connection to make room for another one. It returns false if c is nil. The goroutine that serves
+// the connection notices the eviction when its next read fails or, if it has just read a request, when enterState
+// returns false.
 func (t *connTracker) evictLocked(c *clientConn) bool {
 	if c == nil {
 		return false
@@ -172,8 +176,8 @@
 	}
 }
 
-// drain closes new and idle connections, and makes others close when they become idle. Requests in flight are answered
-// first. The channel drained is closed once all connections are.
+// drain closes new and idle connections without unread input, and makes others close when they become idle. Requests in
+// flight are answered first. The channel drained is closed once all connections are closed.
 func (t *connTracker) drain() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -186,12 +190,11 @@
 	t.signalDrainedLocked()
 }
 
-// recordResponse records whether a node served the connection's request. It reports whether so many connections are in
-// use, or were within minIdleBeforeEviction, that this one should not be kept alive: clients that hold idle connections
-// keep new clients out.
+// recordResponse marks a connection as served or as not served. It reports whether so many connections are in use, or
+// were within minIdleBeforeEviction, that this one should not be kept alive: clients that hold idle connections keep
+// new clients out.
 //
-// Only connections whose last request was served count, so that misbehaving clients do not cost others their
-// connections.
+// Only connections that are marked as served count, so that misbehaving clients do not cost others their connections.
 func (t *connTracker) recordResponse(c *clientConn, served bool) (saturated bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/frontend/httpfrontend/conn_tracker_test.go
+++ b/internal/frontend/httpfrontend/conn_tracker_test.go
@@ -44,7 +44,7 @@
 		defer cancel()
 		s.Shutdown(ctx)
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Errorf("Serve returned %v after Shutdown, want no error", err)
 		}
 	})
 	return s, l.Addr().String()
@@ -62,9 +62,9 @@
 	}
 }
 
-// The client keeps sending while the last response on its connection is in transit. If the server closed the socket
-// with unread input, the connection would be reset, and the part of the response that the client's kernel has not
-// received would be lost.
+// The client keeps sending while the last response on its connection is in transit, and must still receive the whole
+// response. If the server closed the socket with unread input, the connection would be reset, and the part of the
+// response that the client's kernel has not received would be lost.
 func TestLastResponseArrivesDespiteUnreadInput(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), 1<<15)
 	s, address := serveOnLoopback(t, fixedLoop{body})
@@ -86,11 +86,11 @@
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the response: got error %v, want none", err)
 	}
 	got, err := io.ReadAll(resp.Body)
 	if err != nil || !bytes.Equal(got, body) {
-		t.Fatalf("received %d of %d bytes: %v", len(got), len(body), err)
+		t.Fatalf("received %d bytes and error %v, want the body of %d bytes without an error", len(got), err, len(body))
 	}
 }
 
@@ -125,10 +125,10 @@
 	tracker.drain()
 	paused.resume <- true
 	if n, err := c.Read(make([]byte, 100)); n > 0 || err == nil {
-		t.Errorf("read %d bytes from a closed connection: %v", n, err)
+		t.Errorf("a read from a closed connection returned %d bytes and error %v, want 0 bytes and an error", n, err)
 	}
 	if c.enterState(stateActive) {
-		t.Error("a request can become active on a closed connection")
+		t.Error("enterState(stateActive) returned true on a closed connection, want false")
 	}
 	<-tracker.drained
 }
--- a/internal/frontend/httpfrontend/counters.go
+++ b/internal/frontend/httpfrontend/counters.go
@@ -6,6 +6,7 @@
 )
 
 // Counts holds the numbers of connections, and of requests that never reached the event loop, since the server started.
+// Of the requests that come through Frontend.Handle, it counts only those that Frontend.reject answers.
 type Counts struct {
 	Accepted        int64 // connections
 	Rejected        int64 // accepted connections that were closed at once, as the limit was reached
@@ -30,7 +31,8 @@
 	}
 }
 
-// Since describes the increases since earlier counts. It returns "" if no connection and no request was rejected.
+// Since describes the increases since earlier counts. It returns "" if no connection was rejected or evicted, and no
+// request was invalid or over a limit.
 func (c Counts) Since(earlier Counts) string {
 	increases := [...]struct {
 		count       int64
--- a/internal/frontend/httpfrontend/counters_test.go
+++ b/internal/frontend/httpfrontend/counters_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Rejected connections and requests are counted by reason, and described only if there were any.
+// Rejected and evicted connections, and rejected requests, are counted by reason. Since describes the counts only if
+// there were any of these.
 func TestCounts(t *testing.T) {
 	tracker := newConnTracker(nil, 1)
 	s := &Server{frontend: &Frontend{}, conns: tracker}
@@ -20,24 +21,24 @@
 	}
 	first, ok := admit()
 	if got := s.Counts().Since(Counts{}); !ok || got != "" {
-		t.Errorf("first connection: admitted %v and described as %q, want true and nothing", ok, got)
+		t.Errorf("first connection: admitted is %v and Since returned %q, want true and \"\"", ok, got)
 	}
 	first.enterState(stateActive)
 	if _, ok := admit(); ok {
-		t.Error("a connection was admitted beyond the limit")
+		t.Error("admit returned true beyond the limit, want false")
 	}
 	first.enterState(stateIdle)
 	if _, ok := admit(); !ok {
-		t.Error("an idle connection was not evicted")
+		t.Error("admit returned false while an idle connection could be evicted, want true")
 	}
 	s.frontend.rateLimited.Add(3)
 	now := s.Counts()
 	want := "3 connections accepted, 1 connections rejected at the limit, 1 connections evicted, " +
 		"3 requests over a limit"
 	if got := now.Since(Counts{}); got != want {
-		t.Errorf("got %q, want %q", got, want)
+		t.Errorf("Since returned %q, want %q", got, want)
 	}
 	if got := now.Since(now); got != "" {
-		t.Errorf("without any change: got %q, want nothing", got)
+		t.Errorf("Since returned %q for unchanged counts, want \"\"", got)
 	}
 }
--- a/internal/frontend/httpfrontend/frontend.go
+++ b/internal/frontend/httpfrontend/frontend.go
@@ -35,11 +35,12 @@
 	Log      *slog.Logger
 
 	Contracts   *contracts.Registry // nil: no contracts
-	DefaultPlan string              // plan of requests under a contract that have no other plan; empty: rejected
+	DefaultPlan string              // plan of requests under a contract that have no other; if empty, they are rejected
 }
 
-// Frontend is the http.Handler of the gateway. An httputil.ReverseProxy does the HTTP work; its transport turns each
-// request into an exchange of the event loop.
+// Frontend answers HTTP requests through exchanges of the event loop. For HTTP/1.1 it is an http.Handler: an
+// httputil.ReverseProxy removes hop-by-hop headers and writes the responses, and its transport turns each request into
+// an exchange. Another frontend passes its requests to Handle, which does without the proxy.
 type Frontend struct {
 	loop     Loop
 	settings scheduler.Settings
@@ -52,10 +53,11 @@
 	contracts   *contracts.Registry
 	defaultPlan int // index of Options.DefaultPlan in settings.Plans; -1: none
 
-	draining  atomic.Bool               // set by BeginDrain: each response ends its connection
+	draining  atomic.Bool               // set by BeginDrain
 	stoppedAt atomic.Pointer[time.Time] // requests that arrive later are answered 503; nil: the server is not stopping
 
-	// Counters of requests that never reached the event loop.
+	// Counters of requests that never reached the event loop. Handle does not count readiness checks, nor requests that
+	// checkFramingAndMethod rejects.
 	readinessChecks atomic.Int64
 	invalidRequests atomic.Int64
 	rateLimited     atomic.Int64
@@ -102,7 +104,7 @@
 }
 
 // closeAfterLastResponse marks a response as the last one on its connection when the gateway drains, or when too many
-// connections are in use to keep this one alive.
+// connections are in use to keep this one alive, unless a further request already waits on the connection.
 func (f *Frontend) closeAfterLastResponse(resp *http.Response) error {
 	c := connOf(resp.Request)
 	last := c != nil && c.tracker.recordResponse(c, resp.StatusCode == http.StatusOK) || f.draining.Load()
@@ -130,11 +132,13 @@
 // Put recycles a buffer.
 func (b *bufferPool) Put(buffer []byte) { b.pool.Put((*[copyBufferSize]byte)(buffer)) }
 
-// BeginDrain makes each further response the last one on its connection.
+// BeginDrain makes each further response that the proxy writes the last one on its connection, unless a further request
+// already waits there. Readiness checks are answered as before, and so are requests that come through Handle.
 func (f *Frontend) BeginDrain() { f.draining.Store(true) }
 
-// ServeHTTP serves one request. It reads the whole request before it opens an exchange. A request that cannot be read
-// is answered with the reason, and its connection is closed because the start of the next request is unknown.
+// ServeHTTP serves one request. It reads the whole request before it opens an exchange. A request that
+// checkFramingAndMethod rejects or whose body cannot be read is answered with the reason. Its connection is then
+// closed, because the start of the next request may be unknown.
 func (f *Frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == httpmsg.ReadyPath {
 		f.serveReadiness(w, r)
@@ -165,7 +169,8 @@
 	f.proxy.ServeHTTP(w, r)
 }
 
-// serveReadiness answers a readiness check. It closes the connection afterwards if too many connections are open.
+// serveReadiness answers a readiness check. It closes the connection afterwards if too many connections are open and no
+// further request waits on this one.
 func (f *Frontend) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	f.readinessChecks.Add(1)
 	if c := connOf(r); c != nil && c.tracker.saturated() && !c.hasUnreadInput() {
@@ -174,8 +179,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Handle returns the response to a request that another frontend has read, including its body. The checks and rules
-// are those of ServeHTTP. The context of the request must end when its client disconnects.
+// Handle returns the response to a request that another frontend has read completely, with the body in memory. The
+// checks and rules are those of ServeHTTP. The context of the request must end when its client disconnects.
 func (f *Frontend) Handle(r *http.Request) *http.Response {
 	if r.URL.Path == httpmsg.ReadyPath {
 		return newResponse(r, http.StatusOK, nil, nil)
@@ -201,7 +206,8 @@
 	return (*Frontend)(t).roundTrip(r)
 }
 
-// roundTrip opens an exchange for a request and waits for its answer or for the client to disconnect.
+// roundTrip opens an exchange for a request and waits for its answer or for the client to disconnect. If the request is
+// not admitted, roundTrip returns the rejection without an exchange.
 func (f *Frontend) roundTrip(r *http.Request) (*http.Response, error) {
 	arrival := time.Now()
 	var disconnected <-chan struct{}
@@ -244,7 +250,8 @@
 	}
 }
 
-// ClientID identifies the client of a request: by the name that the rules give it, otherwise by its address.
+// ClientID identifies the client of a request: by the name that the rules give it, otherwise by its address without the
+// port.
 func (f *Frontend) ClientID(r *http.Request) string {
 	if f.rules != nil && f.rules.InForce() {
 		if client := f.rules.Client(ruleFacts(r, time.Now())); client != "" {
@@ -255,11 +262,11 @@
 }
 
 // checkFramingAndMethod rejects a request whose end is ambiguous, whose body is too long or whose method is not
-// accepted.
+// accepted, and any request in HTTP/1.0.
 //
 // A Transfer-Encoding makes the end ambiguous: net/http drops a Content-Length beside it, so this check cannot tell
-// whether another server would take a part of the body for a second request. Under HTTP/1.0, net/http ignores the
-// Transfer-Encoding instead.
+// whether another server would take a part of the body for a second request. In HTTP/1.0, net/http ignores the
+// Transfer-Encoding instead, so the check cannot see whether there is one.
 func (f *Frontend) checkFramingAndMethod(r *http.Request) *statusError {
 	switch {
 	case len(r.TransferEncoding) > 0:
--- a/internal/frontend/httpfrontend/frontend_test.go
+++ b/internal/frontend/httpfrontend/frontend_test.go
@@ -60,6 +60,6 @@
 		t.Errorf("each response allocates %d bytes, want at most %d", each, 24<<10)
 	}
 	if loop.left > time.Second {
-		t.Errorf("the request may take %v, but its class allows 1s", loop.left)
+		t.Errorf("the deadline of the request was in %v, want at most the 1s of its class", loop.left)
 	}
 }
--- a/internal/frontend/httpfrontend/read_ahead.go
+++ b/internal/frontend/httpfrontend/read_ahead.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxReadAhead     = 64 << 10 // bytes buffered for a connection; further input waits in the kernel
+	maxReadAhead     = 64 << 10 // buffered bytes from which on run reads no more, so that input waits in the kernel
 	ownBufferSize    = 512      // bytes of the buffer that each connection has
 	pooledBufferSize = 16 << 10 // bytes of a buffer that is borrowed while much input arrives at once
 )
@@ -34,9 +34,9 @@
 	discarded bool            // all input is dropped, and Read returns io.EOF
 	boundary  boundaryScanner // has scanned the input that Read has returned
 
-	lastByteAt time.Time // arrival of the last byte that Read has returned
+	lastByteAt time.Time // result of lastArrival
 
-	deadline time.Time // of Read; zero: none
+	deadline time.Time // time until which Read waits; zero: without limit
 	timer    *time.Timer
 	expired  bool // deadline has passed
 }
@@ -148,7 +148,8 @@
 	return a.buffered > 0
 }
 
-// lastArrival returns when the last byte arrived that Read has returned.
+// lastArrival returns when the last byte arrived that Read has returned. A call that read a single byte does not count
+// (see takeLocked).
 func (a *readAhead) lastArrival() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/frontend/httpfrontend/read_ahead_test.go
+++ b/internal/frontend/httpfrontend/read_ahead_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The input of a client that never stops sending is buffered up to a limit.
+// The input of a client that sends without end is buffered up to maxReadAhead plus the size of one read.
 func TestReadAheadIsBounded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,7 +45,7 @@
 	for read := 0; read < 4<<20; {
 		n, err := a.Read(make([]byte, 4<<10))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Read after %d bytes: got error %v, want none", read, err)
 		}
 		read += n
 		full()
--- a/internal/frontend/httpfrontend/request.go
+++ b/internal/frontend/httpfrontend/request.go
@@ -67,7 +67,8 @@
 	a.contract.Release()
 }
 
-// addContract passes the operation's contract to the backend, which interprets the status of the node's response by it.
+// addContract adds the operation's contract and the client's address to a request to a node. The backend interprets the
+// status of the node's response by the contract.
 func (a *admission) addContract(to *httpmsg.Request, r *http.Request) {
 	if a.contract == nil {
 		return
@@ -153,8 +154,8 @@
 	return host
 }
 
-// hasPlatformHeaders reports whether a request has any of the platform's headers. Such a request gets no default class
-// or plan, so that no client can raise its priority by leaving out a header.
+// hasPlatformHeaders reports whether a request has the platform's header for the ID, class, plan or placement. Such a
+// request gets no default class or plan, so that no client can raise its priority by leaving out a header.
 func hasPlatformHeaders(h http.Header) bool {
 	for _, name := range [...]string{
 		httpmsg.IDHeader,
--- a/internal/frontend/httpfrontend/request_boundary.go
+++ b/internal/frontend/httpfrontend/request_boundary.go
@@ -18,7 +18,7 @@
 	bodyLeft      int    // bytes of the current body that are still to come
 }
 
-// next returns how many bytes of data belong to the current request.
+// next scans data up to the end of the current request, and returns how many bytes it has scanned.
 func (s *boundaryScanner) next(data []byte) (n int) {
 	for n < len(data) {
 		if s.bodyLeft > 0 {
@@ -44,7 +44,7 @@
 	return n
 }
 
-// appendToLine adds to the current header line, up to maxScannedLine.
+// appendToLine adds data to the current header line, of which it keeps at most maxScannedLine bytes.
 func (s *boundaryScanner) appendToLine(data []byte) {
 	s.line = append(s.line, data[:min(len(data), maxScannedLine-len(s.line))]...)
 }
--- a/internal/frontend/httpfrontend/request_builder.go
+++ b/internal/frontend/httpfrontend/request_builder.go
@@ -22,21 +22,21 @@
 // first of these sources that states it:
 //
 //  1. a rule that overrides the platform's headers;
-//  2. the platform's header;
+//  2. the platform's header or, for the volume and the data key, the end of the path;
 //  3. any other rule;
-//  4. the contract of the operation.
+//  4. the contract of the operation or, for the plan, Options.DefaultPlan.
 //
-// The retry policy is an exception: it is the strictest one that class and contract allow, whichever source assigned
-// the class.
+// The retry policy is an exception: it is the class's policy narrowed by the contract's, whichever source assigned the
+// class.
 type requestBuilder struct {
 	frontend *Frontend
 	http     *http.Request
-	header   http.Header // of the request to the node
+	header   http.Header // header of the request to the node
 	rules    *rules.Result
 	contract *contracts.Match // nil: no contracts are in force
 
-	// fromPlatform is set for requests that have headers of the platform, and for all requests while neither rules
-	// nor contracts are in force. Such a request gets no default for a header that it leaves out.
+	// fromPlatform is set for requests that have headers of the platform (see hasPlatformHeaders), and for all requests
+	// while neither rules nor contracts are in force. Such a request gets no default for a header that it leaves out.
 	fromPlatform bool
 }
 
@@ -150,8 +150,9 @@
 	return 0, fmt.Errorf("%s: unknown %s %q", fact.header, fact.kind, given)
 }
 
-// checkClassAllowsMethod rejects a write to which a rule assigned a class for reads, since the write would be retried
-// as freely as a read. A rule may apply to any method, so this cannot be checked before a request arrives.
+// checkClassAllowsMethod rejects a write whose class is for reads if a rule sets a class for it, since the write would
+// be retried as freely as a read. It does so even if the class comes from the header. A rule may apply to any method,
+// so this cannot be checked before a request arrives.
 func (b *requestBuilder) checkClassAllowsMethod(class *scheduler.Class) error {
 	if b.rules.Has[rules.Class] && rules.Writes(b.http.Method) && !class.Writes {
 		rule := b.rules.By[rules.Class].Name
@@ -160,7 +161,8 @@
 	return nil
 }
 
-// contractPlacement returns what the contract states about the data's location and the size of the work.
+// contractPlacement returns what the contract states about the data's location and the size of the work. The result is
+// empty if there is no contract.
 func (b *requestBuilder) contractPlacement() (catalog.Placement, error) {
 	if b.contract == nil {
 		return catalog.Placement{}, nil
@@ -193,7 +195,7 @@
 	return nil
 }
 
-// splitPath returns the volume and the key at the end of a path.
+// splitPath returns the volume and the data key at the end of a path. It reports whether the path ends in both.
 func splitPath(path string) (volume, key string, ok bool) {
 	parts := strings.Split(path, "/")
 	if len(parts) < 3 {
@@ -204,7 +206,7 @@
 }
 
 // clientTimeout returns how long the client waits for its answer. It is at most the deadlines of the class and of the
-// operation, whatever the client states.
+// operation, whatever the client or a rule states.
 func (b *requestBuilder) clientTimeout(class *scheduler.Class) (time.Duration, error) {
 	longest := class.Deadline
 	if b.contract != nil && b.contract.Deadline() > 0 {
@@ -225,7 +227,7 @@
 }
 
 // setPlacement determines units, shard and hosts. Units and shard have no default, since they state how much work the
-// request is and which nodes hold its data.
+// request is and which nodes hold its data. The default of hosts is 1.
 func (b *requestBuilder) setPlacement(request *scheduler.Request, fromContract catalog.Placement) error {
 	header := b.http.Header.Get(httpmsg.PlacementHeader)
 	given := header != ""
@@ -268,8 +270,8 @@
 	return nil
 }
 
-// ensureIdempotencyKey rejects a request that has no idempotency key although its retries need one: nodes recognise a
-// retry by its key.
+// ensureIdempotencyKey adds the idempotency key that the rules set, if there is one. It rejects a request that has no
+// idempotency key although its retries need one: nodes recognise a retry by its key.
 func (b *requestBuilder) ensureIdempotencyKey(request *scheduler.Request, class *scheduler.Class) error {
 	key := b.http.Header.Get(httpmsg.KeyHeader)
 	source := httpmsg.KeyHeader
--- a/internal/frontend/httpfrontend/server.go
+++ b/internal/frontend/httpfrontend/server.go
@@ -31,8 +31,8 @@
 	conns    *connTracker
 }
 
-// NewServer returns a Server that accepts connections from l. It has at most maxConns connections open and accepts at
-// most maxHeaderBytes in the header of a request.
+// NewServer returns a Server that accepts connections from l. It has at most maxConns connections open. maxHeaderBytes
+// limits the header of a request, but http.Server reads 4 KiB more before it rejects the request.
 func NewServer(frontend *Frontend, l net.Listener, maxConns, maxHeaderBytes int, log *slog.Logger) *Server {
 	return &Server{
 		frontend: frontend,
@@ -63,9 +63,10 @@
 	return err
 }
 
-// Shutdown stops accepting connections and requests, and waits until every request that has arrived is answered, or
-// ctx ends. http.Server.Shutdown does not do that: it closes a connection on which a request is just arriving and drops
-// the request without a response.
+// Shutdown stops accepting connections and requests, and waits until every request that has arrived is answered and all
+// connections are closed. When ctx ends, it closes the connections that are left. http.Server.Shutdown would not wait
+// for every request: it closes a connection on which a request is just arriving and drops the request without a
+// response.
 func (s *Server) Shutdown(ctx context.Context) error {
 	now := time.Now()
 	s.frontend.stoppedAt.Store(&now)
--- a/internal/frontend/httpfrontend/server_test.go
+++ b/internal/frontend/httpfrontend/server_test.go
@@ -42,12 +42,12 @@
 	return strings.Replace(platformHeaders, old, replacement, 1)
 }
 
-// unansweredRequestWithID returns a request with an ID of its own that selectiveLoop does not answer.
+// unansweredRequestWithID returns a request with an ID other than "now", so that selectiveLoop does not answer it.
 func unansweredRequestWithID(id string) string {
 	return requestLine + withHeader("X-Request-Id: r", "X-Request-Id: "+id) + noBody
 }
 
-// runServerScripts plays each script against a server with a limit of four connections, one of them new.
+// runServerScripts plays each script against a server that allows four connections, of which one may be new.
 func runServerScripts(t *testing.T, scripts map[string]string) {
 	for name, script := range scripts {
 		t.Run(name, func(t *testing.T) { scenariotest.Run(t, script, startServer(t)) })
@@ -74,7 +74,7 @@
 		return func() {
 			server.Shutdown(context.Background())
 			if err := <-ended; err != nil {
-				t.Error(err)
+				t.Errorf("Serve returned %v after Shutdown, want no error", err)
 			}
 		}
 	}
@@ -126,7 +126,7 @@
 			e expect 200
 			a expect end
 			b expect nothing`,
-	"a readiness check closes its connection when saturated": `
+	"a readiness check ends its connection when more than a third of the limit is open": `
 			a send GET /ready
 			a expect 200
 			b send GET /ready
@@ -135,7 +135,7 @@
 			a send raw ` + answeredRequest + `
 			a expect 200`,
 	// Idle connections of clients that were served would keep new clients out, too.
-	"a response closes its connection when saturated": `
+	"a response ends its connection when more than a third of the limit is in use": `
 			a send raw ` + answeredRequest + `
 			a expect 200
 			b send raw ` + answeredRequest + `
