--- a/internal/frontend/h2frontend/attack_test.go
+++ b/internal/frontend/h2frontend/attack_test.go
@@ -157,9 +157,9 @@
 	})
 }
 
-// TestUnreadResponsesAreReset has ten clients ask for 100 responses of 256 KiB in total, while the server may hold
-// 4 MiB. The windows of their streams are 0 and are never raised. Their streams must be reset, and a client that reads
-// its responses must be served.
+// TestUnreadResponsesAreReset has ten clients ask for ten responses of 256 KiB each, together 25 MiB, while the server
+// may hold 4 MiB. The windows of their streams are 0 and are never raised. Their streams must be reset, and a client
+// that reads its responses must be served.
 func TestUnreadResponsesAreReset(t *testing.T) {
 	runWithServer(t, nil, func(s *testServer) {
 		var stalled []*rawClient
@@ -182,7 +182,7 @@
 		for i, client := range stalled {
 			client.expect("rst")
 			if client.received("data") {
-				s.t.Errorf("client %d received DATA beyond its window of 0 bytes", i)
+				s.t.Errorf("client %d received DATA, want none as its window is 0 bytes", i)
 			}
 		}
 	})
--- a/internal/frontend/h2frontend/bench_test.go
+++ b/internal/frontend/h2frontend/bench_test.go
@@ -311,7 +311,8 @@
 				writeRequest(w, 2*i+1, unansweredKey)
 			}
 		}
-		// The frame writers are not used from here on. The garbage collector frees them, and their memory is not measured.
+		// The frame writers are not used from here on. The garbage collector frees them, and their memory is not
+		// measured.
 		time.Sleep(3 * time.Second)
 		b.ReportMetric((usedMemory()-idle)/connections/streams, "B/open-stream")
 		for _, conn := range conns {
--- a/internal/frontend/h2frontend/conn.go
+++ b/internal/frontend/h2frontend/conn.go
@@ -59,7 +59,7 @@
 	controlFrames   []func() error // functions that write the queued control frames, which go before responses
 	controlOverflow bool           // controlFrames has grown too long, and no more frames are queued
 	settingsSent    bool           // the client's preface has arrived, and the server's SETTINGS are queued
-	ended           bool           // the writing goroutine stops when it has written everything
+	ended           bool           // the writing goroutine stops when it has nothing left that it can write
 	writeCount      uint64         // number of response parts taken by the writing goroutine
 
 	sendWindow              int64 // bytes of response bodies that may still be sent
@@ -71,7 +71,7 @@
 	windowUpdateQueued bool // a WINDOW_UPDATE that returns unreturnedWindow is in controlFrames
 	incompleteBytes    int  // bytes that have arrived of request bodies that are not complete yet
 
-	goAwayAt          time.Time // when the first GOAWAY was queued; zero if it was not
+	goAwayAt          time.Time // when the first of the two GOAWAYs was queued; zero: none was
 	ignoresNewStreams bool      // the second GOAWAY is queued, so new streams are ignored
 }
 
@@ -100,7 +100,8 @@
 	return c
 }
 
-// serve reads from the connection until it ends, and releases everything that belongs to it.
+// serve reads from the connection until the connection ends or has to be closed, lets the writing goroutine write what
+// is queued, and releases everything that belongs to the connection.
 func (c *conn) serve() {
 	c.goroutines.Go(c.write)
 	code, reason := c.read()
@@ -114,7 +115,7 @@
 	c.ended = true
 	c.wake.Broadcast()
 	c.mu.Unlock()
-	c.cancel() // ends the requests of all streams: their client has disconnected
+	c.cancel() // cancels the requests of all streams, as their connection has ended
 	c.goroutines.Wait()
 	c.netConn.Close()
 	c.server.removeConn(c)
@@ -203,8 +204,8 @@
 	}
 }
 
-// closingGoAwayLocked returns a control frame, a GOAWAY with the reason why the connection is closed. The writing
-// goroutine closes the connection after it has written this frame.
+// closingGoAwayLocked returns a function for controlFrames that writes a GOAWAY with the reason why the connection is
+// closed. The function's error makes the writing goroutine close the connection afterwards.
 func (c *conn) closingGoAwayLocked(reason string) func() error {
 	lastStream := c.highestStream
 	return func() error {
--- a/internal/frontend/h2frontend/read.go
+++ b/internal/frontend/h2frontend/read.go
@@ -81,7 +81,8 @@
 	return false
 }
 
-// isHTTP1 reports whether the first bytes of a connection look like an HTTP/1 request.
+// isHTTP1 reports whether the first bytes of a connection look like an HTTP/1 request: they contain "HTTP/1" or begin
+// with GET.
 func isHTTP1(start []byte) bool {
 	if strings.Contains(string(start), "HTTP/1") {
 		return true
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// handlePing acknowledges a PING, which counts as a violation.
+// handlePing acknowledges a PING and records it as a violation. Acknowledgements of PINGs are ignored.
 func (c *conn) handlePing(frame *http2.PingFrame) {
 	if frame.IsAck() {
 		return
@@ -181,7 +182,7 @@
 	}
 }
 
-// handleSettings applies the client's settings (RFC 9113, section 6.5).
+// handleSettings applies the client's settings and acknowledges them (RFC 9113, section 6.5).
 func (c *conn) handleSettings(frame *http2.SettingsFrame) error {
 	if frame.IsAck() {
 		return nil
--- a/internal/frontend/h2frontend/request.go
+++ b/internal/frontend/h2frontend/request.go
@@ -54,8 +54,8 @@
 	return c.completeRequest(st)
 }
 
-// openStream opens a stream for a new request, unless the server ignores new streams, the client already has as many as
-// it may have, or the field section is too long or malformed.
+// openStream opens a stream for a new request. It ignores the request once the second GOAWAY is queued, and rejects it
+// if the client already has as many streams as it may have, or if the field section is too long or malformed.
 func (c *conn) openStream(frame *http2.MetaHeadersFrame) error {
 	id := frame.StreamID
 	c.mu.Lock()
@@ -232,7 +232,8 @@
 }
 
 // returnWindow gives size bytes of the connection's receive window back to the client. If more bytes of incomplete
-// bodies have arrived than a connection may hold in memory, it keeps them back until some of the bodies are complete.
+// bodies have arrived than a connection may hold in memory, the window is held back until enough of the bodies are
+// complete or their streams have ended.
 func (c *conn) returnWindow(size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -240,9 +241,10 @@
 	c.returnWindowLocked()
 }
 
-// returnWindowLocked queues a WINDOW_UPDATE unless one is queued already. When it is written, it returns the whole
-// unreturned window. With a WINDOW_UPDATE for each DATA frame instead, a client that sends its body byte by byte, and
-// faster than it reads, would fill the queue of control frames and so lose its connection.
+// returnWindowLocked queues a WINDOW_UPDATE, unless one is queued already or the window is held back (see
+// returnWindow). The WINDOW_UPDATE returns the whole window that is unreturned when it is written. With a WINDOW_UPDATE
+// for each DATA frame instead, a client that sends its body byte by byte, and faster than it reads, would fill the
+// queue of control frames and so lose its connection.
 func (c *conn) returnWindowLocked() {
 	if c.unreturnedWindow == 0 || c.windowUpdateQueued {
 		return
--- a/internal/frontend/h2frontend/server.go
+++ b/internal/frontend/h2frontend/server.go
@@ -36,7 +36,7 @@
 	idleTimeout    = 5 * time.Minute        // time after which a connection without streams is closed
 	tickInterval   = 250 * time.Millisecond // interval between two checks of the timeouts
 
-	// goAwayInterval separates the two GOAWAYs that a connection gets. Requests that the client sends before it
+	// goAwayInterval separates the two GOAWAYs by which a client is asked to leave. Requests that it sends before it
 	// receives the first one are still served.
 	goAwayInterval = 500 * time.Millisecond
 
@@ -55,7 +55,7 @@
 	lastID     admission.ConnectionID // ID of the latest connection
 }
 
-// New returns a Server. The error says which option is invalid.
+// New returns a Server. It returns an error if Options.Admission is invalid.
 func New(o Options) (*Server, error) {
 	controller, err := admission.New(o.Admission, o.Seed)
 	if err != nil {
@@ -161,7 +161,8 @@
 }
 
 // Drain asks all clients to leave. They get a GOAWAY at once that still allows new streams, and a second one after
-// goAwayInterval that does not. The caller must have closed the listener.
+// goAwayInterval that does not. Connections whose preface has not arrived are closed at once. The caller must have
+// closed the listener.
 func (s *Server) Drain() { s.notifyAdmission((*admission.Controller).Drain) }
 
 // Shutdown drains the server and waits until all connections have ended. When ctx is done, it closes those that are
--- a/internal/frontend/h2frontend/server_test.go
+++ b/internal/frontend/h2frontend/server_test.go
@@ -38,7 +38,7 @@
 }
 
 // TestDrainWithOpenStreamsAndStalledClient drains the server while one client has 100 open streams and another client
-// does not raise its windows. Each stream must get exactly one response, and none may be delayed.
+// does not raise its windows. Each stream of the first client must get exactly one response, and none may be delayed.
 func TestDrainWithOpenStreamsAndStalledClient(t *testing.T) {
 	runWithServer(t, nil, func(s *testServer) {
 		stalled := s.rawClient()
@@ -92,8 +92,8 @@
 	})
 }
 
-// TestResetWhileHandled checks that a request that is reset while it is handled ends at once. It is handled only once
-// and never answered.
+// TestResetWhileHandled checks that the context of a request ends at once when its stream is reset while it is handled,
+// and that the request is handled only once and not answered.
 func TestResetWhileHandled(t *testing.T) {
 	runWithServer(t, nil, func(s *testServer) {
 		c := s.rawClient()
@@ -109,7 +109,7 @@
 		c.request(3, "GET", "/a", true)
 		c.expect("headers 3")
 		if c.received("headers 1") {
-			s.t.Error("the client received a response on a stream that it had reset")
+			s.t.Error("the client received a response on the stream that it had reset, want none")
 		}
 	})
 }
@@ -124,7 +124,7 @@
 		runWithServer(t, nil, func(s *testServer) {
 			conn, err := s.network.Dial(context.Background(), "tcp", "gate:1")
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("connecting for %q: got error %v, want none", request, err)
 			}
 			go conn.Write([]byte(request))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -185,8 +185,8 @@
 	})
 }
 
-// TestGoAwayAtMaxAge checks that an old connection gets a GOAWAY that still allows new streams, and then a second one
-// that does not. A request sent between the two is answered.
+// TestGoAwayAtMaxAge checks that a connection at its maximum age gets a GOAWAY that still allows new streams, and then
+// a second one that does not. A request sent between the two is answered.
 func TestGoAwayAtMaxAge(t *testing.T) {
 	withMaxAge := func(config *admission.Config) { config.Age = 2 * time.Second }
 	runWithServer(t, withMaxAge, func(s *testServer) {
@@ -216,7 +216,7 @@
 		time.Sleep(1100 * time.Millisecond)
 		c.expect("headers 21 200")
 		if c.received("headers 3 200") {
-			s.t.Error("two requests of the greedy client were handled at once")
+			s.t.Error("the second request of the greedy client has been answered, too, want it to wait")
 		}
 	})
 }
--- a/internal/frontend/h2frontend/stream.go
+++ b/internal/frontend/h2frontend/stream.go
@@ -56,7 +56,7 @@
 	resp := c.server.options.Handler.Handle(st.request)
 	body, _ := io.ReadAll(resp.Body) // the body is in memory, so reading it cannot fail
 	if st.request.Context().Err() != nil {
-		return // the stream was reset, which also removed it
+		return // the stream was reset or its connection has ended, so nobody waits for the response
 	}
 	var err error
 	c.server.notifyAdmission(func(a *admission.Controller, now time.Duration) (actions []admission.Action) {
@@ -90,7 +90,7 @@
 	c.wake.Signal()
 }
 
-// respondError answers a request that is not passed to admission with an error status and a reason as text.
+// respondError answers a request with an error status and a reason as text, and without passing it to admission.
 func (c *conn) respondError(st *stream, status int, reason string) {
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	c.respond(st, &http.Response{StatusCode: status, Header: header}, []byte(reason+"\n"))
@@ -102,7 +102,8 @@
 	c.respondError(st, http.StatusRequestEntityTooLarge, "the body is longer than "+limit+" bytes")
 }
 
-// rejectRequest answers a request whose field section cannot be used, on a new stream without a request.
+// rejectRequest answers a request whose field section cannot be used. It opens a stream that has no http.Request, only
+// the response.
 func (c *conn) rejectRequest(id uint32, status int, reason string) {
 	st := &stream{id: id, startedAt: time.Now(), cancel: func() {}}
 	c.addStream(st)
@@ -144,13 +145,14 @@
 }
 
 // resetLocked removes a stream and queues an RST_STREAM. The caller calls reportEnd, unless admission has asked for the
-// reset.
+// reset or the request is incomplete, so that admission does not know the stream.
 func (c *conn) resetLocked(st *stream, code http2.ErrCode) {
 	c.removeLocked(st)
 	c.queueControlLocked(func() error { return c.framer.WriteRSTStream(st.id, code) })
 }
 
-// removeLocked removes a stream from the connection's table and cancels the context of its request.
+// removeLocked removes a stream from the connection's table and cancels the context of its request. It does nothing if
+// the stream has been removed before.
 func (c *conn) removeLocked(st *stream) {
 	if c.streams[st.id] != st {
 		return
--- a/internal/frontend/h2frontend/write.go
+++ b/internal/frontend/h2frontend/write.go
@@ -20,8 +20,9 @@
 	c.queueControlLocked(write)
 }
 
-// queueControlLocked does the work of queueControl. If a client causes control frames faster than it reads them, a
-// GOAWAY takes the place of all that are queued, and its connection is closed.
+// queueControlLocked is queueControl for a caller that holds c.mu. If a client causes control frames faster than it
+// reads them, so that maxControlFrames are queued, a GOAWAY takes the place of all of them, and the connection is
+// closed.
 func (c *conn) queueControlLocked(write func() error) {
 	if c.controlOverflow {
 		return
@@ -43,8 +44,8 @@
 	endStream bool // the stream ends with this part
 }
 
-// pendingWrite tells the writing goroutine what to do next. It writes the control frames if there are any, or else the
-// part of a response if there is one, or else flushes the buffer.
+// pendingWrite tells the writing goroutine what to do next. The goroutine writes the control frames if there are any,
+// or else the part of a response if there is one, or else flushes the buffer.
 type pendingWrite struct {
 	controlFrames []func() error
 	part          responsePart // its stream is nil if there is nothing to write
