--- a/internal/frontend/iscsitarget/command.go
+++ b/internal/frontend/iscsitarget/command.go
@@ -17,7 +17,8 @@
 // frontendName is the name of this frontend in rules.
 const frontendName = "iscsi"
 
-// handleCommand handles a SCSI Command: a READ or WRITE becomes a task, others are answered at once.
+// handleCommand handles a SCSI Command. A valid READ or WRITE of at least one block becomes a task. Other commands are
+// answered at once.
 func (s *session) handleCommand(p *iscsi.PDU) error {
 	lba, blocks, write, isTransfer := p.CDB().Transfer()
 	allowsData := isTransfer && write && s.params.ImmediateData && len(p.Data) <= s.params.FirstBurst
@@ -102,7 +103,7 @@
 }
 
 // acquireLimits acquires the limits that count a command. It returns nil if no rules are in force. The result must be
-// released whatever the error.
+// released even if there is an error.
 func (s *session) acquireLimits(t *task, request scheduler.Request) (*engine.Request, error) {
 	options := &s.target.options
 	if options.Rules == nil || !options.Rules.InForce() {
--- a/internal/frontend/iscsitarget/data.go
+++ b/internal/frontend/iscsitarget/data.go
@@ -2,8 +2,8 @@
 
 import "reachpulley/internal/proto/iscsi"
 
-// requestData asks the client for the next burst of a write's data. Once all data has arrived, it closes dataComplete,
-// for which session.execute waits.
+// requestData asks the client for the next burst of a WRITE's data. For a READ, or once all data of a WRITE has
+// arrived, it closes dataComplete instead, for which session.execute waits.
 func (s *session) requestData(t *task) error {
 	received, total := len(t.command.Data), t.command.Length()
 	if !t.command.Write || received == total {
@@ -57,7 +57,8 @@
 		received+len(p.Data) <= t.burstEnd
 }
 
-// sendDataIn sends data in segments no longer than the initiator accepts. The last one carries the status.
+// sendDataIn sends data in segments no longer than the initiator accepts, and at most expectedLength bytes. The last
+// segment carries the status Good and tells by how much the data is longer or shorter than expectedLength.
 func (s *session) sendDataIn(tag uint32, lun uint16, data []byte, expectedLength int) error {
 	residual, residualFlag := uint32(0), byte(0)
 	switch {
--- a/internal/frontend/iscsitarget/doc.go
+++ b/internal/frontend/iscsitarget/doc.go
@@ -4,14 +4,17 @@
 //
 // A Target accepts connections. Each connection has a session of its own, which is in one of these states:
 //
-//	login         session.login negotiates; the target's table has the session, but it has no TSIH yet
+//	login         session.login negotiates; the session is in the target's table, but has no TSIH yet
 //	full feature  session.serve reads requests; Target.register has set the TSIH
 //	ended         session.run releases everything; the table no longer has the session
 //
 // A session has one goroutine that reads (session.run), one that pings a silent client (session.pingWhenSilent) and one
-// for each READ or WRITE (session.execute). A READ or WRITE is a task from session.addTask until session.takeTask. Only
-// the goroutine that takes a task sends its response, so a task has at most one. All goroutines of a session end before
-// session.run returns.
+// for each READ or WRITE (session.execute). These end before session.run returns. While the target stops, another one
+// asks the client to log out (session.requestLogout); it ends soon after the session.
 //
-// Locks are taken in these orders: session.writeMu, session.mu; Target.mu alone.
+// A READ or WRITE is a task from session.addTask until session.takeTask. Only the goroutine that takes a task sends its
+// response, so a task has at most one response.
+//
+// A goroutine that needs both session.writeMu and session.mu takes session.writeMu first. A goroutine that holds
+// Target.mu takes neither of them.
 package iscsitarget
--- a/internal/frontend/iscsitarget/event.go
+++ b/internal/frontend/iscsitarget/event.go
@@ -72,7 +72,7 @@
 	return &ms
 }
 
-// logEvent logs an event. Events of commands are logged at debug level only, since there are many.
+// logEvent logs an event. Events of commands are logged only at debug level, since there are many of them.
 func (t *Target) logEvent(e Event) {
 	level := slog.LevelInfo
 	if e.Kind == commandEnded {
--- a/internal/frontend/iscsitarget/liveness.go
+++ b/internal/frontend/iscsitarget/liveness.go
@@ -6,7 +6,7 @@
 	"reachpulley/internal/proto/iscsi"
 )
 
-// noteReceived records the time at which the client has sent something.
+// noteReceived records the current time as that of the last PDU from the client.
 func (s *session) noteReceived() { s.lastReceived.Store(int64(time.Since(s.startedAt))) }
 
 // silence returns for how long the client has sent nothing.
--- a/internal/frontend/iscsitarget/local_command.go
+++ b/internal/frontend/iscsitarget/local_command.go
@@ -15,7 +15,7 @@
 		return s.failCommand(p, iscsi.NoSuchUnit)
 	}
 	var data []byte
-	allocationLength := 0 // the initiator's buffer for the data
+	allocationLength := 0 // size of the initiator's buffer for the data, in bytes
 	switch cdb[0] {
 	case iscsi.TestUnitReady:
 		return s.send(s.response(&task{tag: p.Get(iscsi.TaskTag)}, iscsi.Good, 0), true)
@@ -59,7 +59,7 @@
 	return append(data, make([]byte, 20)...)
 }
 
-// reportLUNsData returns the data of REPORT LUNS: the length of the list and all LUNs.
+// reportLUNsData returns the data of REPORT LUNS: the length of the list of LUNs in bytes, and the list.
 func (t *Target) reportLUNsData() []byte {
 	data := binary.BigEndian.AppendUint32(nil, uint32(8*len(t.options.Units)))
 	data = append(data, 0, 0, 0, 0)
--- a/internal/frontend/iscsitarget/login.go
+++ b/internal/frontend/iscsitarget/login.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxLoginText = 8 << 10 // bytes of text in a Login Request, over all its PDUs
-	maxLoginPDUs = 8       // PDUs of a login
+	maxLoginText = 8 << 10 // maximum size of the text in a Login Request, in bytes over all its PDUs
+	maxLoginPDUs = 8       // maximum number of PDUs that a client may send in a login
 )
 
 // Offsets in the headers of Login Requests and Responses (sections 11.12 and 11.13).
@@ -30,12 +30,12 @@
 
 // loginRequest is a Login Request, which may consist of several PDUs.
 type loginRequest struct {
-	*iscsi.PDU        // the last one
-	text       []byte // of all PDUs
+	*iscsi.PDU        // the last PDU of the request that has arrived
+	text       []byte // text of all PDUs of the request; set once it is complete
 	stage      byte   // current stage (CSG)
 	next       byte   // next stage (NSG), if the initiator wants to proceed
 	transit    bool   // the initiator wants to proceed
-	leading    bool   // the first PDU of the login
+	leading    bool   // PDU is the first PDU of the login
 }
 
 func newLoginRequest(p *iscsi.PDU, leading bool) loginRequest {
@@ -48,7 +48,8 @@
 	}
 }
 
-// login negotiates with the client until the session is in its full feature phase.
+// login negotiates with the client until the session is in its full feature phase. An error means that the login
+// failed.
 func (s *session) login() error {
 	s.conn.SetDeadline(time.Now().Add(loginTimeout))
 	var text []byte
@@ -90,7 +91,8 @@
 	return fmt.Errorf("login not complete after %d PDUs", maxLoginPDUs)
 }
 
-// startNumbering sets the first sequence numbers of the session, which the initiator chooses.
+// startNumbering takes the first sequence numbers of the session and its ISID, which the initiator chooses, from the
+// first PDU of the login.
 func (s *session) startNumbering(p *iscsi.PDU) {
 	s.statSN = p.Get(iscsi.ExpStatSN)
 	s.expCmdSN = p.Get(iscsi.CmdSN)
--- a/internal/frontend/iscsitarget/response.go
+++ b/internal/frontend/iscsitarget/response.go
@@ -69,8 +69,8 @@
 // statusOffset is the offset of the SCSI status in a SCSI Response (section 11.4).
 const statusOffset = 3
 
-// response returns the SCSI Response of a task that has transferred a number of bytes. A successful write has
-// transferred all of its data, whatever the number.
+// response returns the SCSI Response of a task that has transferred a number of bytes. The number is ignored for a
+// successful write, which has transferred all of its data.
 func (s *session) response(t *task, status iscsi.Status, transferred int) *iscsi.PDU {
 	if t.command.Write && status == iscsi.Good {
 		transferred = t.command.Length()
@@ -84,7 +84,7 @@
 	return p
 }
 
-// checkCondition returns the SCSI Response of a task that has failed.
+// checkCondition returns the SCSI Response of a task that has failed, with sense data that states the reason.
 func (s *session) checkCondition(t *task, sense iscsi.Sense) *iscsi.PDU {
 	p := s.response(t, iscsi.CheckCondition, 0)
 	p.Data = sense.Bytes()
--- a/internal/frontend/iscsitarget/session.go
+++ b/internal/frontend/iscsitarget/session.go
@@ -22,7 +22,7 @@
 	startedAt  time.Time
 	ctx        context.Context // ends with the session
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup // those of pingWhenSilent and execute
+	goroutines sync.WaitGroup // the goroutines of pingWhenSilent and execute
 
 	overLimit    bool         // there are too many sessions, so the login will be rejected
 	lastReceived atomic.Int64 // nanoseconds from startedAt to the last PDU from the client
@@ -31,7 +31,7 @@
 
 	params iscsi.Params
 	isid   [6]byte
-	tsih   uint16 // 0 during the login; written with the target's lock
+	tsih   uint16 // 0 during the login; written while the target's lock is held
 
 	writeMu sync.Mutex // held while a PDU is numbered and written
 
@@ -39,7 +39,7 @@
 	statSN   uint32
 	expCmdSN uint32
 	maxCmdSN uint32
-	tasks    map[uint32]*task // by Initiator Task Tag; see takeTask
+	tasks    map[uint32]*task // outstanding tasks by Initiator Task Tag
 	lastTTT  uint32           // the Target Transfer Tag that was assigned last
 }
 
@@ -103,8 +103,8 @@
 	}
 }
 
-// handle handles a PDU. An error ends the session. Its text is the reason in the session-closed event; clients that
-// read these events may match it, so it must not change.
+// handle processes a PDU of the full feature phase. An error ends the session. Its text is the reason in the
+// session-closed event; clients that read these events may match it, so it must not change.
 func (s *session) handle(p *iscsi.PDU) error {
 	switch p.Op() {
 	case iscsi.DataOut: // has no CmdSN
--- a/internal/frontend/iscsitarget/target.go
+++ b/internal/frontend/iscsitarget/target.go
@@ -37,11 +37,11 @@
 }
 
 const (
-	loginTimeout     = 2500 * time.Millisecond // for a login to complete
-	writeTimeout     = 10 * time.Second        // for a PDU to be written to the socket
+	loginTimeout     = 2500 * time.Millisecond // time within which a login must be complete
+	writeTimeout     = 10 * time.Second        // time within which a PDU must be written to the socket
 	pingInterval     = 20 * time.Second        // silence until a client is pinged; its session ends after twice that
-	logoutTimeout    = 2 * time.Second         // for a client to log out when the target stops
-	acceptRetryDelay = 50 * time.Millisecond   // after a failure to accept a connection
+	logoutTimeout    = 2 * time.Second         // time that a client has to log out when the target stops
+	acceptRetryDelay = 50 * time.Millisecond   // pause after a connection could not be accepted
 )
 
 // Target accepts connections and serves a session on each. It owns the connections, which session.run closes.
@@ -53,7 +53,7 @@
 	sessions map[*session]bool
 	stopping bool
 	lastTSIH uint16
-	running  sync.WaitGroup // one for each session that was added
+	running  sync.WaitGroup // counts the sessions from add to remove
 }
 
 // New returns a Target with the given options.
@@ -94,7 +94,7 @@
 	}
 }
 
-// add adds a session to the table and reports whether it did. The table holds twice as many sessions as
+// add adds a session to the table and reports whether it did. The table holds up to twice as many sessions as
 // Options.Sessions allows: those above the limit only receive a Login Response that states the reason. When the table
 // is full, the session that has been in its login for longest is evicted, so that clients that connect and send nothing
 // do not keep others out.
@@ -129,7 +129,7 @@
 	return oldest
 }
 
-// remove removes a session that has ended.
+// remove removes a session that has ended from the table.
 func (t *Target) remove(s *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,7 +155,8 @@
 }
 
 // Shutdown asks all clients to log out and waits until all sessions have ended. A session ends when its client logs
-// out, or after logoutTimeout as soon as it has no outstanding command, or at the latest when ctx ends.
+// out, or after logoutTimeout as soon as it has no outstanding command, or at the latest when ctx ends. Sessions that
+// are still in their login end at once.
 func (t *Target) Shutdown(ctx context.Context) {
 	t.mu.Lock()
 	t.stopping = true
--- a/internal/frontend/iscsitarget/task.go
+++ b/internal/frontend/iscsitarget/task.go
@@ -25,7 +25,7 @@
 	// The current R2T of a write. Only the session's reading goroutine uses these fields.
 
 	transferTag uint32
-	dataSN      uint32 // of the next Data-Out
+	dataSN      uint32 // DataSN of the next Data-Out
 	burstEnd    int    // offset at which the requested data ends; 0: no R2T is outstanding
 }
 
@@ -58,7 +58,8 @@
 	return true
 }
 
-// execute waits for the data of a task, passes the task to the event loop and answers it, unless it is aborted.
+// execute waits for the data of a task, passes the task to the event loop and answers it, unless the task is aborted or
+// the session ends.
 func (s *session) execute(t *task, request scheduler.Request) {
 	timeout := time.NewTimer(time.Until(t.deadline))
 	defer timeout.Stop()
@@ -89,7 +90,8 @@
 // taskResponseOffset is the offset of the response in a Task Management Function Response (section 11.6).
 const taskResponseOffset = 2
 
-// handleTaskManagement handles task management functions. It aborts a task by taking it and sending no response to it.
+// handleTaskManagement answers a request for a task management function. It supports only ABORT TASK: it takes the
+// task, so that no response to the task is sent.
 func (s *session) handleTaskManagement(p *iscsi.PDU) error {
 	result := byte(iscsi.TaskFunctionNotSupported)
 	if p.Flags()&^iscsi.Final == iscsi.AbortTask {
--- a/internal/frontend/iscsitarget/unit.go
+++ b/internal/frontend/iscsitarget/unit.go
@@ -29,7 +29,8 @@
 	return u.ReadClass
 }
 
-// request returns the facts by which a command is scheduled. A command counts as at least one unit of work.
+// request returns the facts by which a command is scheduled. A command counts as at least one unit of work. The data
+// key is the address of its first block.
 func (u *Unit) request(id string, c *iscsi.Command) scheduler.Request {
 	units := max(1, (c.Length()+u.UnitBytes-1)/u.UnitBytes)
 	return scheduler.Request{
