--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -19,7 +19,7 @@
 )
 
 // admit puts an arriving request into a queue, or rejects it if its final answer is already due. It fails a
-// request whose class the settings do not have, and returns false for that one only.
+// request whose class the settings do not have, and returns false only then.
 func (s *Scheduler) admit(arrived Request) (admitted bool) {
 	if arrived.Class < 0 || arrived.Class >= len(s.settings.Classes) {
 		s.actions.Fail(arrived.ID)
@@ -35,15 +35,15 @@
 }
 
 // rejectLate goes through the node's queue in sending order and rejects the requests that probably cannot be
-// answered within their objective. Requests beyond their volume's share are last in that order, so the
-// rejections lose as little priority weight as possible.
+// answered within their objective, or that may have no more attempts. Requests beyond their volume's share
+// are last in that order, so the rejections lose as little priority weight as possible.
 func (s *Scheduler) rejectLate(node *nodeState) {
 	if len(node.waiting) == 0 {
 		return
 	}
 	s.sortQueue(node)
 	unitsAhead := node.unitsInFlight
-	limitedAhead := map[*volumeState]float64{} // units ahead that the volume's limit has not yet let through
+	limitedAhead := map[*volumeState]float64{} // by volume; units ahead not yet charged to its limit
 	var late []*requestState
 	for _, request := range node.waiting {
 		wait := waitForCapacity(request, node, unitsAhead)
@@ -69,7 +69,7 @@
 }
 
 // waitForCapacity is the time, in seconds, until the node's concurrency limit lets a request be sent that has
-// unitsAhead units ahead of it. The first request for an idle node is sent at once.
+// unitsAhead units in flight or ahead of it in the queue. The first request for an idle node is sent at once.
 func waitForCapacity(request *requestState, node *nodeState, unitsAhead float64) float64 {
 	if node.attemptsInFlight == 0 && unitsAhead == node.unitsInFlight {
 		return 0
@@ -85,24 +85,25 @@
 	return missing / limit.rate
 }
 
-// tooLate says whether a request has to be rejected now: because it would probably miss its objective after
-// waiting for the given number of seconds, or because the node is saturated for it.
+// tooLate reports whether a request has to be rejected now: because it would probably miss its objective
+// after waiting for the given number of seconds, or because the node is saturated for it.
 func (s *Scheduler) tooLate(request *requestState, node *nodeState, wait float64) bool {
 	left := (request.objectiveAt - s.now).Seconds()
 	atNode := s.estimatedQueueTime(node) + s.serviceTime(request, node)
 	return wait+optimisticFactor*atNode > left || s.saturated(request, node, unreservedAdmitShare)
 }
 
-// saturated says whether the request is unreserved and the queue at the node takes more than the given share
-// of the shortest objective. The rest of that time is left to the reserved requests of other volumes. A
-// request with more weight for its work may use a larger share.
+// saturated reports whether the request is unreserved and the queue at the node takes more than the given
+// share of the shortest objective. The rest of that time is left to the reserved requests of other volumes.
+// The share is multiplied by the request's relativeWeight.
 func (s *Scheduler) saturated(request *requestState, node *nodeState, share float64) bool {
 	return request.tier != reservedTier &&
 		s.estimatedQueueTime(node) > share*s.shortestObjective()*s.relativeWeight(request)
 }
 
 // shortestObjective is the shortest time, in seconds, within which the clients of any class want an answer:
-// the latency objective, or the time after which many clients of a class disconnect.
+// the latency objective, or the time after which clients disconnect in a class that exceeds
+// minDisconnectShare.
 func (s *Scheduler) shortestObjective() float64 {
 	shortest := s.minClassObjective.Seconds()
 	for class, share := range s.disconnectShare {
@@ -113,8 +114,8 @@
 	return shortest
 }
 
-// relativeWeight is the square root of the ratio of the request's weight per work to the highest weight per
-// work of any class. The root dampens the differences between classes.
+// relativeWeight is the square root of the ratio between the weightPerWork of the request's class and the
+// highest one of all classes. The root dampens the differences between classes.
 func (s *Scheduler) relativeWeight(request *requestState) float64 {
 	highest := 0.0
 	for i := range s.settings.Classes {
@@ -130,8 +131,9 @@
 	}
 }
 
-// retryAfter is the Retry-After of a rejection: the time until the node's queue has drained, or the minimum
-// if node is nil. A random part keeps clients from all coming back at the same time.
+// retryAfter is the Retry-After of a rejection: the time until the node's queue has drained, but at least
+// minRetryAfter, which also applies if node is nil. A random part keeps clients from all coming back at the
+// same time. It is 0 if the settings do not allow a Retry-After.
 func (s *Scheduler) retryAfter(node *nodeState) time.Duration {
 	if !s.settings.Allowed.RetryAfter {
 		return 0
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// hasCapacity says whether the node's concurrency limit leaves capacity for the request. An idle node always
-// has capacity for one request, and a node that failed gets one request at a time until it serves one.
+// hasCapacity reports whether the node's concurrency limit leaves capacity for the request. An idle node
+// always has capacity for one request, and a node that failed gets one request at a time until it serves one.
 // Unreserved requests wait at this host until the queue at the node is short, because they would delay
 // reserved requests there.
 func (s *Scheduler) hasCapacity(request *requestState, node *nodeState) bool {
@@ -38,7 +38,7 @@
 		!s.saturated(request, node, unreservedSendShare)
 }
 
-// send sends the request to the node if all guards permit it, and says whether it did. No other function
+// send sends the request to the node if all guards permit it, and reports whether it did. No other function
 // sends requests.
 func (s *Scheduler) send(request *requestState, node *nodeState) bool {
 	if !s.permitted(request, node) {
--- a/scheduler/guards.go
+++ b/scheduler/guards.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// permitted says whether all guards let the request be sent to the node. Each guard enforces one rule and
+// permitted reports whether all guards let the request be sent to the node. Each guard enforces one rule and
 // returns true if the request complies with it.
 func (s *Scheduler) permitted(request *requestState, node *nodeState) bool {
 	return s.guardEnded(request) &&
@@ -36,8 +36,8 @@
 	return len(request.inFlight) == 0 && !s.maxAttemptsReached(request) && s.safeToRetry(request, node)
 }
 
-// guardOrderedKey lets the requests of an ordered key run one at a time, in the order of their arrival, and
-// holds them back during the key's quiet period.
+// guardOrderedKey lets the requests of an ordered key run one at a time, in the order of their arrival.
+// During the key's quiet period, only the request whose attempt started it may run.
 func (s *Scheduler) guardOrderedKey(request *requestState) bool {
 	queue := s.orderedKeyQueue(request)
 	if queue == nil || len(queue.waiters) == 0 {
@@ -46,8 +46,8 @@
 	return queue.waiters[0] == request && (queue.quietExempt == request || s.now >= queue.quietUntil)
 }
 
-// guardVolumeLimit keeps the first attempts of a volume within this host's part of the volume's limit. A
-// request that is larger than the token bucket is sent once the bucket is full.
+// guardVolumeLimit keeps the first attempts of a volume's requests within this host's part of the volume's
+// limit. A request that is larger than the token bucket is sent once the bucket is full.
 func (s *Scheduler) guardVolumeLimit(request *requestState) bool {
 	limit := &request.volume.limit
 	return request.charged ||
--- a/scheduler/node_health.go
+++ b/scheduler/node_health.go
@@ -3,7 +3,7 @@
 import "time"
 
 // The shortest and the longest backoff of a node that rejects requests or cannot be reached. The backoff
-// doubles with each failure in a row.
+// doubles with each failure in a row, not counting failures during a backoff.
 const (
 	initialBackoff = 40 * time.Millisecond
 	maxBackoff     = 2 * time.Second
@@ -23,9 +23,9 @@
 	}
 }
 
-// markServing records that the node has served an attempt. The attempts that were sent earlier and are still
-// pending have been overtaken by it. If the node was down, it may just have restarted, so it counts as
-// warming up since the attempt was sent.
+// markServing records that the node has served an attempt, and ends the node's backoff. The attempts that
+// were sent earlier and are still pending have been overtaken by this one. If the node was down, it may just
+// have restarted, so it counts as warming up since the attempt was sent.
 func (s *Scheduler) markServing(attempt *attemptState) {
 	node := attempt.node
 	for _, other := range node.pending {
@@ -41,9 +41,9 @@
 	node.backoffUntil = 0
 }
 
-// backOff starts the backoff of a node that rejected a request or could not be reached. A single failed
-// connection may come from a full connection table, so the node counts as down only when a connection fails
-// at the second failure in a row or later.
+// backOff starts the backoff of a node that rejected a request or could not be reached, unless the node is in
+// backoff already. A single failed connection may come from a full connection table, so the node counts as
+// down only when a connection fails at the second failure in a row or later.
 func (s *Scheduler) backOff(node *nodeState, result Result) {
 	if s.now >= node.backoffUntil {
 		node.backoffUntil = s.now + min(initialBackoff<<min(node.failures, 10), maxBackoff)
--- a/scheduler/node_selection.go
+++ b/scheduler/node_selection.go
@@ -6,15 +6,16 @@
 )
 
 // selection is the result of selecting a node for a request. Without a node, the request is rejected if
-// rejected is set; otherwise it waits until the membership changes.
+// rejected is set; otherwise it waits as unassigned until a node may take it.
 type selection struct {
 	node       *nodeState
 	rejected   bool
 	retryAfter time.Duration // time after which a retry of a rejected request may succeed
 }
 
-// enqueue selects a node for a request and puts the request into the node's queue. It rejects the request if
-// the selection says so, and keeps it as unassigned if no node may take it now.
+// enqueue selects a node for a request, puts the request into the node's queue, and rejects the requests of
+// this queue that are now late. It rejects the request if the selection says so, and keeps it as unassigned
+// if no node may take it now.
 func (s *Scheduler) enqueue(request *requestState) {
 	selected := s.selectNode(request)
 	if selected.rejected {
@@ -71,12 +72,12 @@
 // anyNode is the filter of shortestWait under which every node is eligible.
 func anyNode(*nodeState) bool { return true }
 
-// holdsData says whether the node is up and holds the data of the request. Any node may hold a new object.
+// holdsData reports whether the node is up and holds the data of the request. Any node may hold a new object.
 func (n *nodeState) holdsData(request *requestState) bool {
 	return n.Phase == Up && (request.Shard == AnyShard || request.Shard == n.Shard)
 }
 
-// mayWaitFor says whether the request may be queued for the node: the node holds its data, no restriction
+// mayWaitFor reports whether the request may be queued for the node: the node holds its data, no restriction
 // excludes the node, and an attempt there is safe.
 func (s *Scheduler) mayWaitFor(request *requestState, node *nodeState) bool {
 	return node.holdsData(request) &&
@@ -104,8 +105,8 @@
 	node.waiting = nil
 }
 
-// reassign selects nodes for the unassigned requests. It rejects those whose objective has passed, that may
-// have no more attempts, or whose operation avoids all nodes that hold their data.
+// reassign selects nodes for the unassigned requests. It rejects or fails those whose objective has passed,
+// that may have no more attempts, or whose operation has to avoid all nodes that hold their data.
 func (s *Scheduler) reassign() {
 	unassigned := s.unassigned
 	s.unassigned = nil
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -7,14 +7,14 @@
 
 // The tiers of the requests that wait for a node, in the order in which they are sent.
 const (
-	reservedTier = iota // requests within the reserves of their volumes
-	sharedTier          // requests beyond the reserves; volumes share the capacity by their weights
+	reservedTier = iota // requests within the reserves of their volumes that have not spilled over
+	sharedTier          // all other requests; volumes share the capacity by their weights
 	queueTiers          // number of tiers
 )
 
 // sortQueue sorts the node's queue into the order in which its requests are expected to be sent: by tier,
 // then by the start tags of weighted fair queueing among volumes. The requests of one volume are ordered by
-// weight per work, then by objective. The first of them use up the volume's reserve, so those that exceed the
+// weightPerWork, then by objective. The first of them use up the volume's reserve, so those that exceed the
 // volume's share come last.
 func (s *Scheduler) sortQueue(node *nodeState) {
 	slices.SortFunc(node.waiting, func(a, b *requestState) int {
@@ -45,7 +45,8 @@
 	})
 }
 
-// weightPerWork is the priority weight of a request in relation to the work that a unit of its class causes.
+// weightPerWork is the priority weight of the request's class, divided by the work that a unit of the class
+// causes relative to the mean over all classes (see Scheduler.classWork).
 func (s *Scheduler) weightPerWork(request *requestState) float64 {
 	return request.class.PriorityWeight / s.classWork[request.Class]
 }
--- a/scheduler/restrictions.go
+++ b/scheduler/restrictions.go
@@ -6,13 +6,14 @@
 )
 
 // MaxRestrictions is the largest number of restrictions that a Scheduler stores. Once it is reached, new
-// restrictions are not stored; the strictest level among them applies to all named operations at every node.
+// restrictions are not stored; the strictest level among them applies to every request that names an
+// operation, at every node.
 const MaxRestrictions = 4096
 
 // restrictionKey identifies what a restriction applies to.
 type restrictionKey struct {
 	operation string
-	node      string // empty: all nodes
+	node      string // empty for a restriction that applies to all nodes
 }
 
 // Restrict sets how cautiously an operation is handled at a node from now on. Waiting requests that may no
@@ -59,14 +60,14 @@
 	)
 }
 
-// distrusted says whether restrictions at the node forbid sending the request again after it may have run.
+// distrusted reports whether restrictions at the node forbid sending the request again after it may have run.
 func (s *Scheduler) distrusted(request *requestState, node *nodeState) bool {
 	level := s.restrictionLevel(request, node)
 	return level >= NoRetries || level == NoHedging && request.mayStillRun
 }
 
-// avoidedEverywhere says whether the operation of the request has to avoid every node that holds its data, so
-// that no node can take the request.
+// avoidedEverywhere reports whether the operation of the request has to avoid every node that holds its data,
+// so that no node can take the request. It returns false if no listed node holds the data.
 func (s *Scheduler) avoidedEverywhere(request *requestState) bool {
 	found := false
 	for _, node := range s.listed {
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// mayRetry says whether a request may wait for another attempt after one at the node ended. An attempt that
-// was never sent costs no token of the retry budget.
+// mayRetry reports whether a request may wait for another attempt after one at the node ended. An attempt
+// that was never sent costs no token of the retry budget.
 func (s *Scheduler) mayRetry(request *requestState, node *nodeState, result Result) bool {
 	if result == TimedOut || s.noMoreAttempts(request) || s.now >= request.answerBy {
 		return false
@@ -71,19 +71,20 @@
 	return result == NotSent || s.takeRetryToken(request, node)
 }
 
-// noMoreAttempts says whether a request may not be sent again to any node, so that it must not keep waiting.
+// noMoreAttempts reports whether no node may get another attempt of the request, so that it must not keep
+// waiting.
 func (s *Scheduler) noMoreAttempts(request *requestState) bool {
 	return s.maxAttemptsReached(request) ||
 		request.firstNode != nil && !s.safeToRetry(request, request.firstNode)
 }
 
-// maxAttemptsReached says whether a request has had as many attempts as the settings allow.
+// maxAttemptsReached reports whether a request has had as many attempts as the settings allow.
 func (s *Scheduler) maxAttemptsReached(request *requestState) bool {
 	return s.settings.Allowed.MaxAttempts > 0 && request.attempts >= s.settings.Allowed.MaxAttempts
 }
 
-// safeToRetry says whether the request may be sent to the node although an earlier attempt may have run,
-// because a second run at the node would have no further effect.
+// safeToRetry reports whether the request may be sent to the node: no earlier attempt may have run, or a
+// second run at the node would have no further effect.
 func (s *Scheduler) safeToRetry(request *requestState, node *nodeState) bool {
 	if request.firstNode == nil {
 		return true
@@ -107,7 +108,7 @@
 	return node.Shard == request.firstNode.Shard
 }
 
-// safeToReject says whether the client may safely send the request again, which a rejection promises.
+// safeToReject reports whether the client may safely send the request again, which a rejection promises.
 func (s *Scheduler) safeToReject(request *requestState) bool {
 	if request.firstNode == nil {
 		return true
@@ -134,9 +135,10 @@
 	}
 }
 
-// RetryWindowLeft returns the time that is left for the latest attempt of a request to reach its node. It
-// returns limited only for a retry of a keyed request, because nodes discard repeats for a limited time and a
-// retry that reaches its node later could run twice. It may be called while the attempt is being sent.
+// RetryWindowLeft returns the time that is left for the latest attempt of a request to reach its node. This
+// time is limited only for a retry under IdempotentWithKey, because nodes discard repeated requests for a
+// limited time, and a retry that reaches its node later could run twice. RetryWindowLeft may be called while
+// the attempt is being sent.
 func (s *Scheduler) RetryWindowLeft(id string) (left time.Duration, limited bool) {
 	request := s.requests[id]
 	if request == nil || request.firstNode == nil || request.firstAttempt == request.attempts-1 {
@@ -148,11 +150,11 @@
 	return request.firstSentAt + request.effectivePolicy.Window - s.now, true
 }
 
-// cancelLost cancels attempts that will probably never be answered: those that take far longer than expected
-// although attempts that were sent later have been served. Otherwise they would hold capacity until their
-// clients give up. Attempts that were overtaken several times stop holding capacity even earlier. This covers
-// requests and answers that were lost on the network, and stuck workers. In return, an attempt whose work is
-// far greater than its size suggests may run twice.
+// cancelLost cancels, if the settings allow it, attempts that will probably never be answered: those that
+// take far longer than expected although attempts that were sent later have been served. Otherwise they would
+// hold capacity until their clients give up. Attempts that were overtaken several times stop holding capacity
+// even earlier. This covers requests and answers that were lost on the network, and stuck workers. In return,
+// an attempt whose work is far greater than its size suggests may run twice.
 func (s *Scheduler) cancelLost(node *nodeState) {
 	for _, attempt := range slices.Clone(node.pending) {
 		age := (s.now - attempt.sentAt).Seconds()
@@ -170,8 +172,8 @@
 	}
 }
 
-// takeRetryToken takes a token for a retry from the budget of the operation at the node and says whether
-// there was one. Without retry budgets, every retry is allowed.
+// takeRetryToken takes a token for a retry from the retry budget that covers the request at the node, and
+// reports whether there was one. Without retry budgets, every retry is allowed.
 func (s *Scheduler) takeRetryToken(request *requestState, node *nodeState) bool {
 	if s.retryBudget == nil || s.retryBudget.Take(s.now, retryBudgetKey(request, node)) {
 		return true
@@ -180,8 +182,8 @@
 	return false
 }
 
-// reportToRetryBudget reports the end of an attempt to the retry budget of its operation, if there are
-// budgets.
+// reportToRetryBudget reports the end of an attempt to the retry budget that covers it, if the settings
+// define retry budgets.
 func (s *Scheduler) reportToRetryBudget(attempt *attemptState, result Result) {
 	if s.retryBudget != nil {
 		key := retryBudgetKey(attempt.request, attempt.node)
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -12,10 +12,10 @@
 // slow-start allowance, which such a node can always take. The allowance grows as the node warms up, at the
 // slowest pace that the rules permit.
 //
-// With many hosts, the part of each is smaller than a request, and rounding it up would overload the node.
-// Requests then pass at random, so that the part is kept on average: the chance of requests for the node's
-// data follows from the demand at this host, that of new objects from a random draw that the host makes once
-// a window.
+// With many hosts, the part of each is smaller than the largest request, and rounding it up would overload
+// the node. Requests then pass at random, so that the part is kept on average: the chance of requests for the
+// node's data follows from the demand at this host, that of new objects from a random draw that the host
+// makes once in each SlowStartWindow.
 func (s *Scheduler) guardSlowStart(request *requestState, node *nodeState) bool {
 	if !s.warmingUp(node) {
 		return true
@@ -23,7 +23,7 @@
 	rules := &s.settings.Rules
 	elapsedShare := max(0, s.now-node.warmingSince).Seconds() / rules.SlowStartDuration.Seconds()
 	capacity := rules.SlowStartShare + (1-rules.SlowStartShare)*elapsedShare // as a share of the warm node's
-	// The units that this host may send within a window.
+	// The units that this host may send to the node within one SlowStartWindow.
 	allowance := rules.SlowStartAllowance / float64(s.settings.Siblings) * capacity / rules.SlowStartShare
 	sent := node.unitsSentSince(s.now - rules.SlowStartWindow)
 	if allowance >= s.settings.Sizes.MaxUnits {
@@ -37,7 +37,7 @@
 	return request.randomDraw*max(demand, usualDemand, allowance) < 2*slowStartDrawShare*allowance
 }
 
-// warmingUp says whether the node has started, or recovered from a failure, so recently that it may not be
+// warmingUp reports whether the node has started, or recovered from a failure, so recently that it may not be
 // warm.
 func (s *Scheduler) warmingUp(node *nodeState) bool {
 	rules := &s.settings.Rules
@@ -46,7 +46,8 @@
 		s.now-node.warmingSince < rules.SlowStartDuration
 }
 
-// drawSlowStart makes the random draw for the next slow-start window of a warming node.
+// drawSlowStart makes a new random draw for a warming node once the last draw has been in use for a
+// SlowStartWindow.
 func (s *Scheduler) drawSlowStart(node *nodeState) {
 	if s.warmingUp(node) && s.now >= node.slowStartDrawUntil {
 		node.slowStartDraw = s.random.Float64()
--- a/scheduler/zone_failover.go
+++ b/scheduler/zone_failover.go
@@ -3,7 +3,8 @@
 import "reachpulley/internal/zonefailover"
 
 // selectForData selects a node that holds the data of the request. If all such nodes are unavailable, the
-// request is rejected. Where nodes may not be probed, a request is let through from time to time as a trial.
+// request is rejected, except that a request is let through from time to time as a trial if the settings do
+// not allow probes.
 func (s *Scheduler) selectForData(request *requestState) selection {
 	node, _ := s.shortestWait(request, func(node *nodeState) bool {
 		return s.zoneTracker.Node(node.ID) != zonefailover.Unavailable
@@ -19,7 +20,8 @@
 }
 
 // selectForNewObject selects a node for a new object in the first tier that has a node which is expected to
-// respond in time. Nodes beyond the home tier are selected only as far as the spillover limit allows.
+// respond in time; in the last tier, the node may also be late. Nodes beyond the home tier are selected only
+// as far as the spillover limit allows. If no tier has such a node, a late node of the home tier is selected.
 func (s *Scheduler) selectForNewObject(request *requestState) selection {
 	home, last := s.zoneTiers(request)
 	left := (request.objectiveAt - s.now).Seconds()
@@ -50,10 +52,10 @@
 	return s.selectWithoutResponses(request, home, spilloverDenied)
 }
 
-// selectWithoutResponses selects for a new object that cannot spill over, when no node of the home tier is
-// expected to respond. A node that does not respond may lose the object. So it is sent there as a trial only
-// if no other request or probe has tried the node, or if this host is isolated and the health of all zones is
-// unknown.
+// selectWithoutResponses selects a node for a new object that cannot spill over, when no node of the home
+// tier is expected to respond. A node that does not respond may lose the object. So the object is sent there
+// only if no other request or probe has tried the node for long (see overdueForTrial), or if this host is
+// isolated and the health of all zones is unknown.
 func (s *Scheduler) selectWithoutResponses(request *requestState, home int, spilloverDenied bool) selection {
 	node, _ := s.shortestWait(request, func(node *nodeState) bool {
 		return s.zoneTier(request, node.Zone) == home
@@ -68,8 +70,8 @@
 	return selection{rejected: true, retryAfter: wait}
 }
 
-// overdueForTrial says whether a new object may be sent to an unavailable node as a trial, because nodes may
-// not be probed and the trial of this node is overdue. It uses up the trial.
+// overdueForTrial reports whether a new object may be sent to an unavailable node as a trial, because the
+// settings do not allow probes and the trial of this node is overdue. It uses up the trial.
 func (s *Scheduler) overdueForTrial(node *nodeState) bool {
 	return !s.settings.Allowed.Probes &&
 		s.zoneTracker.TrialOverdue(s.now, node.ID) &&
@@ -98,9 +100,9 @@
 	return max(home, 0), last
 }
 
-// expectedToRespond says whether the node is expected to respond to a request for a new object. The longer a
-// recovering zone has responded, the more new objects it gets. A zone that flaps gets none until its recovery
-// time is over.
+// expectedToRespond reports whether the node is expected to respond to a request for a new object. The longer
+// a recovering zone has responded, the more new objects it gets. A zone that flaps gets none until its
+// recovery time is over.
 func (s *Scheduler) expectedToRespond(request *requestState, node *nodeState) bool {
 	if s.zoneTracker.Isolated() {
 		return true // this host is cut off, so its observations say nothing about the zones
@@ -119,8 +121,9 @@
 	return state == zonefailover.Available || state == zonefailover.Recovering
 }
 
-// updateZoneHealth passes the observations of all nodes to the zone tracker and probes unavailable nodes. The
-// requests that wait for a node which has become unavailable are unassigned.
+// updateZoneHealth passes the observations of all nodes to the zone tracker, probes unavailable nodes if the
+// settings allow it, and refills the spillover limit according to the spare rates of the zones. It unassigns
+// the requests that wait for a node which has become unavailable.
 func (s *Scheduler) updateZoneHealth() {
 	if s.zoneTracker == nil {
 		return
