--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -15,7 +15,8 @@
 	Reject(id string, retryAfter time.Duration)
 	// Fail ends a request without a promise that it did not run or may safely be sent again.
 	Fail(id string)
-	// Probe requests a load report from a node. Its result is reported with Scheduler.ProbeEnded.
+	// Probe requests a load report from a node, to learn whether the node responds. The result of the probe is
+	// reported with Scheduler.ProbeEnded.
 	Probe(node string)
 	// SetTimer sets a timer that calls Scheduler.TimerFired with the key after the given time.
 	SetTimer(after time.Duration, key uint64)
--- a/scheduler/concurrency_limit.go
+++ b/scheduler/concurrency_limit.go
@@ -35,7 +35,7 @@
 	work      float64       // work of the served requests, in mean requests
 }
 
-// due says whether the window has been open for windowDuration.
+// due reports whether the window has been open for windowDuration.
 func (w *latencyWindow) due(now time.Duration) bool { return now-w.openedAt >= windowDuration }
 
 // recordServed updates the estimates of a node with a served attempt.
@@ -87,7 +87,8 @@
 	node.learnedAt = s.now
 }
 
-// setConcurrencyLimit sets the limit at which, by Little's law, the node's latency stays within the tolerance.
+// setConcurrencyLimit sets the limit at which, by Little's law, the node's latency stays within the tolerance. The
+// limit is at least the largest request and at most maxLimitRequests; a cut lowers it.
 func (s *Scheduler) setConcurrencyLimit(node *nodeState) {
 	if node.minLatency == 0 {
 		return
@@ -100,8 +101,9 @@
 	node.concurrencyLimit = min(max(limit, sizes.MaxUnits), maxLimitRequests*sizes.MeanUnits)
 }
 
-// retestMinLatency cuts the limit below the units in flight from time to time, so that the node's queue drains. The
-// latency that is measured then becomes the minimum latency, which could only fall otherwise.
+// retestMinLatency cuts the limit below the units in flight every retestInterval, so that the node's queue drains. The
+// latency that is measured then replaces the minimum latency, but raises it by no more than the factor maxRetestRaise.
+// Without cuts, the minimum latency could only fall.
 func (s *Scheduler) retestMinLatency(node *nodeState) {
 	if node.minLatency == 0 || s.now < node.retestAt {
 		return
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -25,7 +25,7 @@
 // decides anything about a request. The other files keep the state that the policy uses: concurrency_limit.go and
 // latency_estimates.go estimate the capacity and the latency of nodes, zone_observation.go records whether nodes
 // respond, token_bucket.go, volume.go and ordered_keys.go track what the volumes are entitled to and in which order
-// requests may run, and the snapshot_*.go files and restore.go save and restore the state.
+// requests may run, and snapshot.go, the snapshot_*.go files and restore.go save and restore the state.
 //
 // docs/design.md explains the reasons for the policy.
 package scheduler
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -12,7 +12,7 @@
 	Expected         time.Duration // expected time until the node has served the request
 	Queue            time.Duration // time that the request is expected to spend in the node's queue
 	ServiceTime      time.Duration // time that the request takes there without a queue
-	InFlight         float64       // units in flight at the node
+	InFlight         float64       // units that this host has in flight at the node
 	Waiting          float64       // units that wait for the node at this host
 	ConcurrencyLimit float64       // in units
 	Backoff          time.Duration // time until the node's backoff ends
@@ -54,7 +54,7 @@
 }
 
 // hypotheticalRequest returns the state of a request that might arrive now. Its random draw is above those of all real
-// requests, so the guards hold it back first.
+// requests, so guardSlowStart holds it back wherever it might hold back a real request for the same data.
 func (s *Scheduler) hypotheticalRequest(arriving Request) *requestState {
 	request := &requestState{
 		Request:    arriving,
--- a/scheduler/latency_estimates.go
+++ b/scheduler/latency_estimates.go
@@ -20,13 +20,15 @@
 	// lostAfterObjectives is the time after which an answer counts as lost, as a multiple of the shortest latency
 	// objective of all classes.
 	lostAfterObjectives = 4
-	// maxFleetSampleAge is the age up to which the last response of a node makes it count in the fleet's medians.
+	// maxFleetSampleAge is the age below which the last measurement of a node's queue makes the node count in the
+	// fleet's medians.
 	maxFleetSampleAge = 3 * time.Second
 	// fleetPriorResponses is the weight of the fleet's median queue, in responses.
 	fleetPriorResponses = 1
 )
 
-// recordWork updates the mean service time of a unit, and the work of a unit of the request's class relative to it.
+// recordWork updates the mean latency per unit, and the classWork of the request's class: the ratio of its latency per
+// unit to that mean.
 func (s *Scheduler) recordWork(request *requestState, latency time.Duration) {
 	perUnit := latency.Seconds() / max(request.Units, 1)
 	s.serviceTimePerUnit += workGain * (perUnit - s.serviceTimePerUnit)
@@ -62,7 +64,7 @@
 }
 
 // currentQueueWeight returns the number of responses that the node's measured queue is worth now. It decays with the
-// time since the last response.
+// time since the last measurement.
 func (s *Scheduler) currentQueueWeight(node *nodeState) float64 {
 	return node.queueWeight * math.Exp(-(s.now-node.lastServedAt).Seconds()/estimateDecayTime.Seconds())
 }
@@ -110,8 +112,9 @@
 	return (s.now - attempt.sentAt).Seconds()
 }
 
-// updateFleetEstimates computes the medians of the queues and the minimum latencies of the nodes that answered
-// recently. They are the prior for nodes that rarely answer. A minority of slow nodes does not move a median.
+// updateFleetEstimates computes the medians of the queues and the minimum latencies of the nodes whose queue was
+// measured recently or that have an overdue attempt. The medians are the prior for nodes that rarely answer. A minority
+// of slow nodes does not move a median.
 func (s *Scheduler) updateFleetEstimates() {
 	var queues, minLatencies []float64
 	for _, node := range s.listed {
@@ -126,7 +129,8 @@
 	s.minLatencyMedian = cmp.Or(median(minLatencies), s.minLatencyMedian)
 }
 
-// median sorts the values and returns the upper one in the middle; 0 if there is none.
+// median sorts the values and returns their median, which is the higher of the two middle ones if their number is even.
+// It returns 0 for no values.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/scheduler/membership.go
+++ b/scheduler/membership.go
@@ -38,7 +38,8 @@
 
 // scheduleWatch schedules the next watch after one has failed. If discovery fails, all hosts lose their watches at
 // once, and discovery can serve only a few of them at a time, so each host waits for a random time. A local agent
-// serves this host alone, and what the agent has counts as known, so it is watched again without a pause.
+// serves this host alone, and a list that the agent holds counts as known to the host, so the agent is watched again
+// without a pause.
 func (s *Scheduler) scheduleWatch() {
 	if s.nextWatchAt == 0 {
 		s.watchBackoff = min(max(2*s.watchBackoff, initialWatchBackoff), maxWatchBackoff)
@@ -57,7 +58,8 @@
 	}
 }
 
-// listNode adds or updates the node of an entry of the endpoint list.
+// listNode adds or updates the node of an entry of the endpoint list. If the entry has a later start time than the node
+// had, the node counts as warming up since then.
 func (s *Scheduler) listNode(entry Node) {
 	node := s.nodes[entry.ID]
 	if node == nil {
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -11,10 +11,10 @@
 	waiting []*requestState // requests in the order in which they are expected to be sent
 	pending []*attemptState // attempts without an outcome, in the order in which they were sent
 
-	unitsInFlight    float64       // units of the pending attempts, without the discounted ones
-	attemptsInFlight int           // number of the pending attempts, without the discounted ones
+	unitsInFlight    float64       // units of the pending attempts for which attemptState.discounted is not set
+	attemptsInFlight int           // number of the pending attempts for which attemptState.discounted is not set
 	sentAt           time.Duration // when the last attempt was sent
-	recentSends      []recentSend  // attempts sent within the slow-start window
+	recentSends      []recentSend  // attempts sent within the SlowStartWindow before the last one
 
 	// Estimates from the node's answers; see concurrency_limit.go and latency_estimates.go.
 	concurrencyLimit float64 // limit of the units in flight
@@ -28,17 +28,17 @@
 	cutLimit         float64       // limit while a cut lasts, in units
 	queueTime        float64       // time that a request spends in the node's queue, in seconds, smoothed
 	queueWeight      float64       // number of responses that queueTime was worth at lastServedAt
-	lastServedAt     time.Duration
+	lastServedAt     time.Duration // when queueTime was last updated, also by an attempt without an answer
 
 	// Order of the node's queue; see queue.go.
-	virtualTime [queueTiers]float64                  // tag of the last request that was sent, by tier
+	virtualTime [queueTiers]float64                  // highest tag of the requests that were sent, by tier
 	finishTags  [queueTiers]map[*volumeState]float64 // tag at which each volume's last request ends, by tier
 
 	// Health of the node; see node_health.go.
-	failures        int // rejections and failed connections in a row
+	failures        int // rejections and failed connections in a row, without those during a backoff
 	backoffUntil    time.Duration
 	down            bool          // the node seems to have failed, and has not served a request since then
-	unansweredSince time.Duration // when the first attempt since the last response was sent; 0 if there is none
+	unansweredSince time.Duration // since when attempts there have had no response; 0 if there is no such attempt
 	lastResponseAt  time.Duration // when the node last answered or refused a connection
 	resetAt         time.Duration // when a connection last broke
 	// recoveredAt is when the node answered after it was down. It is 0 once it is known whether the node had
@@ -47,12 +47,12 @@
 
 	// Slow start of the node; see slow_start.go.
 	warmingSince       time.Duration // when the node started or recovered from a failure; 0 if it is warm
-	demand             decayingSum   // units requested for the node's data
-	slowStartDraw      float64       // random draw that decides whether new objects pass in the current window
-	slowStartDrawUntil time.Duration
+	demand             decayingSum   // units requested for its data, smoothed over demandWindows SlowStartWindows
+	slowStartDraw      float64       // random draw that decides whether new objects pass in the current SlowStartWindow
+	slowStartDrawUntil time.Duration // when the next random draw is due
 }
 
-// recentSend is an attempt that was sent within the slow-start window and counts toward the allowance.
+// recentSend is an attempt that was sent within the last SlowStartWindow and counts toward the slow-start allowance.
 type recentSend struct {
 	at    time.Duration
 	units float64
@@ -87,7 +87,7 @@
 	n.attemptsInFlight--
 }
 
-// unitsSentSince returns the number of units sent to the node after a time.
+// unitsSentSince returns the number of units sent to the node after at, a time within the last SlowStartWindow.
 func (n *nodeState) unitsSentSince(at time.Duration) float64 {
 	sum := 0.0
 	for _, send := range n.recentSends {
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -8,8 +8,8 @@
 const (
 	// answerMargin is the time between the final answer of a request and the moment at which its client gives up.
 	answerMargin = 3 * time.Millisecond
-	// minDisconnectShare is the share of a class's clients that have to disconnect early for the time after which
-	// they do so to limit the objective of the class.
+	// minDisconnectShare is the share of a class's requests above which early disconnects of their clients limit the
+	// objective of the class to the mean time after which these clients disconnect.
 	minDisconnectShare = 0.2
 	// demandWindows is the number of slow-start windows over which the demand at a node is smoothed.
 	demandWindows = 6
@@ -27,7 +27,7 @@
 	arrivedAt       time.Duration
 	objectiveAt     time.Duration // end of the time within which an answer earns the full weight
 	answerBy        time.Duration // time at which the final answer is due
-	clientTimeoutAt time.Duration // time at which the client gives up, over all its tries
+	clientTimeoutAt time.Duration // time at which the client gives up for good and makes no further try
 
 	node *nodeState // node in whose queue the request waits; nil if it waits in none
 	tier int        // queue tier
@@ -56,7 +56,7 @@
 	sentAt     time.Duration
 	overtaken  int  // number of attempts that were sent to the node later but served earlier
 	canceled   bool // canceled because the attempt seems lost
-	discounted bool // no longer counted as in flight, because the attempt is probably no longer at the node
+	discounted bool // no longer counted as in flight, so that the attempt holds no capacity at the node
 }
 
 // discount stops counting an attempt as in flight at its node, so that it holds no capacity there.
@@ -67,7 +67,7 @@
 	}
 }
 
-// requestFingerprint holds the properties that all tries of a client for the same purpose share.
+// requestFingerprint holds the properties that a client's first try and its retries have in common.
 type requestFingerprint struct {
 	volume string
 	key    string
@@ -120,8 +120,9 @@
 }
 
 // setDeadlines sets when the final answer of a request is due and until when an answer earns the full weight. If the
-// request is a client's retry of a rejected request, the objective and deadline of that first try apply. A retry is
-// recognized by its fingerprint and by a client timeout that ends within the deadline of the first try.
+// request is a client's retry of a request that was rejected or failed, the deadline of the client's first try applies,
+// and its objective if that ends earlier. A retry is recognized by its fingerprint and by a client timeout that ends
+// within the deadline of the first try.
 func (s *Scheduler) setDeadlines(request *requestState) {
 	serviceTime := request.Units * s.classWork[request.Class] * s.serviceTimePerUnit // in seconds
 	stretch := time.Duration(request.class.ObjectiveStretch * serviceTime * float64(time.Second))
@@ -140,14 +141,16 @@
 	}
 }
 
-// recordDisconnect updates the share of a class's clients that disconnect early, and the time after which they do.
+// recordDisconnect updates, for the class of a request whose client has disconnected early, the mean time after which
+// such clients disconnect, and raises their share. The function end lowers the share with every request.
 func (s *Scheduler) recordDisconnect(request *requestState) {
 	waited := (s.now - request.arrivedAt).Seconds()
 	s.disconnectAfter[request.Class] += responseGain * (waited - s.disconnectAfter[request.Class])
 	s.disconnectShare[request.Class] += responseGain
 }
 
-// end marks a request as ended, clears its timer and takes it out of the queue in which it waits.
+// end marks a request as ended, clears its timer, takes it out of the queue in which it waits, and lowers the share of
+// early disconnects of its class.
 func (s *Scheduler) end(request *requestState) {
 	request.ended = true
 	s.disconnectShare[request.Class] -= responseGain * s.disconnectShare[request.Class]
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// startTimeTolerance is the difference up to which two start times of a node count as the same start. The times
-	// come from two clocks.
+	// startTimeTolerance is the difference up to which a later start time of a node counts as the same start. The two
+	// times come from two clocks.
 	startTimeTolerance = time.Second
 	// restoreRetention is the time for which restored nodes and volumes are kept until they are listed or used. After
 	// this time, the token buckets of an unused volume would be full or nearly full anyway.
@@ -37,26 +37,27 @@
 type LearnedNode struct {
 	_  struct{} `cbor:",toarray"`
 	ID string
-	// StartedAt is the start time of the node as it was listed. If the node is listed with a later start, its
-	// estimates no longer hold, but what the guards need does.
+	// StartedAt is the start time of the node as it was listed. If the node is listed with a later start, the
+	// estimates below no longer hold, but WarmingSince, Down and RecentSends still do.
 	StartedAt time.Duration
 
-	// Estimates; a ConcurrencyLimit of 0 says that they are unknown.
-	ConcurrencyLimit float64 `json:"Cap"`
-	MaxRate          float64
-	Latency          float64
-	MinLatency       float64
-	Queue            float64
-	QueueConfidence  float64       `json:"Known"`
-	LastServedAt     time.Duration `json:"HeardAt"`
+	// Estimates of the node's capacity and latency. A ConcurrencyLimit of 0 means that there are none.
+	ConcurrencyLimit float64       `json:"Cap"` // in units
+	MaxRate          float64       // in units a second
+	Latency          float64       // in seconds
+	MinLatency       float64       // in seconds
+	Queue            float64       // time in the node's queue, in seconds
+	QueueConfidence  float64       `json:"Known"`   // number of responses that Queue is worth
+	LastServedAt     time.Duration `json:"HeardAt"` // when Queue was last updated
 
-	// State that the guards need.
-	WarmingSince time.Duration `json:"ColdSince"` // 0 if the node is warm
-	Down         bool
-	RecentSends  []SnapshotSend `json:"Sent"`
+	// State by which guardSlowStart limits the units that are sent to the node.
+	WarmingSince time.Duration  `json:"ColdSince"` // 0 if the node is warm
+	Down         bool           // the node seems to have failed, and warms up once it serves a request
+	RecentSends  []SnapshotSend `json:"Sent"` // attempts sent within the SlowStartWindow before the last one
 }
 
-// LearnedVolume is what the previous incarnation had left in a volume's token buckets at a time.
+// LearnedVolume holds the tokens, in units, that a volume's buckets held at the time At, before the restart of the
+// host.
 type LearnedVolume struct {
 	_             struct{} `cbor:",toarray"`
 	Name          string
@@ -128,7 +129,8 @@
 	node.learnedAt = learned.LastServedAt
 }
 
-// restoreVolume lowers the token buckets of a volume that is used for the first time to what was left in them.
+// restoreVolume lowers the token buckets of a volume that is used for the first time to what was left in them, and
+// restores the host's part of the volume's reserve if that is larger than an equal part.
 func (s *Scheduler) restoreVolume(name string, volume *volumeState) {
 	learned := s.restoredVolumes[name]
 	if learned == nil {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -33,7 +33,7 @@
 
 	nodes        map[string]*nodeState
 	listed       []*nodeState         // every node that was ever listed, in the order of listing, until it is swept
-	nodesByShard map[int][]*nodeState // the nodes of listed by shard, in the same order
+	nodesByShard map[int][]*nodeState // the nodes in listed, grouped by shard, in the same order
 	volumes      map[string]*volumeState
 
 	requests      map[string]*requestState // requests that have not ended or have an attempt without an outcome
@@ -45,31 +45,31 @@
 
 	minClassObjective   time.Duration
 	classWork           []float64 // work of a unit of each class, relative to the mean over all classes
-	disconnectShare     []float64 // share of each class's clients that disconnect early
-	disconnectAfter     []float64 // seconds after which the early ones of each class disconnect, on average
-	serviceTimePerUnit  float64   // mean, in seconds
+	disconnectShare     []float64 // share of requests whose client disconnects before they end, by class
+	disconnectAfter     []float64 // mean time after which such a client disconnects, in seconds, by class
+	serviceTimePerUnit  float64   // mean latency of a request, divided by its units, in seconds
 	queueTimePerRequest float64   // seconds that a request waiting at a node adds to the node's queue
-	fleetQueueTime      float64   // median queue of the nodes that answered recently, in seconds
+	fleetQueueTime      float64   // median queue of the nodes that updateFleetEstimates selects, in seconds
 	minLatencyMedian    float64   // median of the minimum latencies of these nodes, in seconds
 
-	arrivedAt   []time.Duration    // arrivals of requests within the window of the rules' retry budget
-	retriedAt   []time.Duration    // retries within this window
+	arrivedAt   []time.Duration    // times at which requests arrived within Rules.RetryBudgetWindow
+	retriedAt   []time.Duration    // times at which retries were sent within Rules.RetryBudgetWindow
 	retryBudget *retrybudget.Table // nil if retries need no tokens
 
 	restrictions        map[restrictionKey]RestrictionLevel
 	overflowRestriction RestrictionLevel // level for all operations, from restrictions beyond MaxRestrictions
 
-	zoneTracker *zonefailover.Tracker // nil if all zones are alike
+	zoneTracker *zonefailover.Tracker // nil if the settings treat all zones alike
 	spillover   *zonefailover.SpilloverLimiter
 
-	nextWatchAt  time.Duration // 0 unless the last watch has failed
+	nextWatchAt  time.Duration // time at which a failed watch is repeated; 0 if none has to be
 	watchBackoff time.Duration
-	loggedAt     time.Duration
+	loggedAt     time.Duration // time of the last log line
 	sweepAt      time.Duration // time of the next sweep
 
-	restoredNodes   map[string]*LearnedNode // nodes known from the previous incarnation that are not listed yet
-	restoredVolumes map[string]*LearnedVolume
-	restoredUntil   time.Duration
+	restoredNodes   map[string]*LearnedNode   // nodes known from the previous incarnation that are not listed yet
+	restoredVolumes map[string]*LearnedVolume // volumes known from it that have not been used yet
+	restoredUntil   time.Duration             // time at which restoredNodes and restoredVolumes are dropped; 0 if never
 }
 
 // New returns a Scheduler that calls actions. Schedulers with the same settings and seed make the same decisions on
@@ -111,8 +111,9 @@
 	return s, nil
 }
 
-// RequestArrived reports a client's request. The request gets one final answer before its client gives up. A
-// request whose ID is that of a request still in the Scheduler is ignored.
+// RequestArrived reports a client's request. The request gets one final answer before its client gives up, unless the
+// client disconnects first or the response has started as a stream. A request whose ID is that of a request still in
+// the Scheduler is ignored.
 func (s *Scheduler) RequestArrived(now time.Duration, arrived Request) {
 	s.tick(now)
 	if s.requests[arrived.ID] != nil {
@@ -181,7 +182,8 @@
 	s.dispatch()
 }
 
-// tick advances the clock. At the first event it starts the housekeeping and the watch of the endpoint list.
+// tick advances the clock. At the first event it starts the housekeeping and, if the settings require one, the watch of
+// the endpoint list.
 func (s *Scheduler) tick(now time.Duration) {
 	s.now = max(s.now, now)
 	if s.started {
@@ -195,7 +197,7 @@
 }
 
 // housekeep does the periodic work: it closes latency windows that are due, updates the state of nodes and zones,
-// and rejects or reassigns requests.
+// cancels lost attempts, rejects or reassigns requests, repeats failed watches and releases unused state.
 func (s *Scheduler) housekeep() {
 	for _, node := range s.listed {
 		if node.window.due(s.now) && (node.window.responses > 0 || node.attemptsInFlight > 0) {
@@ -230,7 +232,8 @@
 	s.sweepNodes()
 }
 
-// sweepNodes releases the fair-queueing tags of idle volumes, and nodes that were removed long ago.
+// sweepNodes releases the fair-queueing tags of idle volumes, and the removed nodes that have no pending attempt and
+// were sent none for Rules.SlowStartDuration.
 func (s *Scheduler) sweepNodes() {
 	before := len(s.listed)
 	s.listed = slices.DeleteFunc(s.listed, func(node *nodeState) bool {
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -68,7 +68,8 @@
 	}
 	for _, plan := range s.Plans {
 		if plan.Rate < 0 || plan.Reserve < 0 || plan.Limit < 0 || plan.Burst < 0 || plan.Weight < 0 {
-			return fmt.Errorf("%w: plan %q: rate, reserve, limit, burst or weight is negative", ErrSettings, plan.Name)
+			return fmt.Errorf("%w: plan %q: rate %v, reserve %v, limit %v, burst %v and weight %v must not be negative",
+				ErrSettings, plan.Name, plan.Rate, plan.Reserve, plan.Limit, plan.Burst, plan.Weight)
 		}
 	}
 	return nil
@@ -102,7 +103,7 @@
 // The values of Idempotency, from the most permissive to the strictest.
 const (
 	Idempotent        Idempotency = iota // the request may run any number of times
-	IdempotentWithKey                    // the nodes of a scope discard repeated requests for some time
+	IdempotentWithKey                    // the nodes of a DedupScope discard repeated requests for a limited time
 	NonIdempotent                        // the request may run at most once
 )
 
@@ -131,6 +132,7 @@
 
 // Rules are the limits that a deployment sets for its schedulers.
 type Rules struct {
+	// DrainGrace is the grace period of a drain. The Scheduler itself does not use it.
 	DrainGrace time.Duration
 	// SlowStartShare is the smallest share of its capacity that a node has when it starts.
 	SlowStartShare float64 `json:"ColdFrom"`
@@ -170,8 +172,8 @@
 
 // Sizes describe the sizes of requests, and what units beyond the reserve of a volume earn.
 type Sizes struct {
-	MeanUnits float64 // of a request
-	MaxUnits  float64 `json:"MostUnits"` // of a request
+	MeanUnits float64 // mean size of a request, in units
+	MaxUnits  float64 `json:"MostUnits"` // size of the largest request, in units
 	// ShareWeight is the share of the priority weight that units beyond the reserve but within the volume's share
 	// of the capacity earn.
 	ShareWeight float64 `json:"ShareWorth"`
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -90,7 +90,7 @@
 	BackoffUntil       time.Duration `json:"HoldUntil"`
 	Down               bool
 	WarmingSince       time.Duration     `json:"ColdSince"`
-	Pending            []SnapshotAttempt // only with Request and Number
+	Pending            []SnapshotAttempt // attempts without an outcome; only their Request and Number are set
 	SentAt             time.Duration
 	Demand             float64        `json:"Asked"`
 	DemandAt           time.Duration  `json:"AskedFor"`
@@ -110,7 +110,7 @@
 	Tag    float64
 }
 
-// SnapshotSend is an attempt that was sent within the slow-start window of its node.
+// SnapshotSend is an attempt that was sent to a node recently and counts toward the node's slow-start allowance.
 type SnapshotSend struct {
 	_     struct{} `cbor:",toarray"`
 	At    time.Duration
--- a/scheduler/snapshot_decode.go
+++ b/scheduler/snapshot_decode.go
@@ -49,10 +49,10 @@
 	requests  []*requestState
 }
 
-// validIndex says whether i is an index of a list of the given length.
+// validIndex reports whether i is an index of a list of the given length.
 func validIndex(i, length int) bool { return i >= 0 && i < length }
 
-// validIndexOrNone says whether i is an index of a list of the given length, or -1.
+// validIndexOrNone reports whether i is an index of a list of the given length, or -1.
 func validIndexOrNone(i, length int) bool { return i == -1 || validIndex(i, length) }
 
 // invalid returns an ErrSnapshot that says what is wrong with the snapshot.
@@ -84,7 +84,7 @@
 	s, from := d.scheduler, d.snapshot
 	classes := len(s.settings.Classes)
 	if len(from.ClassWork) != classes || len(from.DisconnectShare) != classes || len(from.DisconnectAfter) != classes {
-		return invalid("work of %d, disconnect share of %d and disconnect time of %d classes, settings have %d",
+		return invalid("work of %d, disconnect share of %d and disconnect time of %d classes, want each of %d classes",
 			len(from.ClassWork), len(from.DisconnectShare), len(from.DisconnectAfter), classes)
 	}
 	s.now = from.Now
@@ -242,7 +242,8 @@
 	for i := range d.snapshot.Requests {
 		from := &d.snapshot.Requests[i]
 		if !d.validRequest(from) {
-			return invalid("request %q has a class, volume, node or queue tier that does not exist", from.Request.ID)
+			return invalid("class %d, volume %d, node %d, first node %d or queue tier %d of request %q does not exist",
+				from.Request.Class, from.Volume, from.Node, from.FirstNode, from.Tier, from.Request.ID)
 		}
 		request := d.newRequest(from)
 		for _, a := range from.InFlight {
@@ -269,7 +270,7 @@
 	return nil
 }
 
-// validRequest says whether all parts that a request refers to exist.
+// validRequest reports whether the class, volume, nodes and queue tier of a request exist.
 func (d *snapshotDecoder) validRequest(from *SnapshotRequest) bool {
 	return validIndex(from.Request.Class, len(d.scheduler.settings.Classes)) &&
 		validIndex(from.Volume, len(d.volumes)) &&
--- a/scheduler/snapshot_encode.go
+++ b/scheduler/snapshot_encode.go
@@ -238,7 +238,8 @@
 	return tags
 }
 
-// pending returns the request and number of each attempt at a node. Its other properties are stored with its request.
+// pending returns the request and the number of each attempt at a node. The other properties of the attempt are stored
+// with its request.
 func (e *snapshotEncoder) pending(node *nodeState) []SnapshotAttempt {
 	var attempts []SnapshotAttempt
 	for _, attempt := range node.pending {
@@ -247,7 +248,7 @@
 	return attempts
 }
 
-// snapshotSends returns the attempts that were sent to the node within the slow-start window.
+// snapshotSends returns the attempts that were recently sent to the node and count toward its slow-start allowance.
 func (n *nodeState) snapshotSends() []SnapshotSend {
 	var sends []SnapshotSend
 	for _, send := range n.recentSends {
--- a/scheduler/token_bucket.go
+++ b/scheduler/token_bucket.go
@@ -13,7 +13,7 @@
 	refilledAt time.Duration
 }
 
-// refill adds the tokens since the last refill and returns the number of tokens.
+// refill adds the tokens for the time since the last refill and returns the number of tokens in the bucket.
 func (b *tokenBucket) refill(now time.Duration) float64 {
 	b.tokens = min(b.burst, b.tokens+b.rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
@@ -26,12 +26,12 @@
 	updatedAt time.Duration
 }
 
-// valueAt returns the sum at a time.
+// valueAt returns the sum at the time now, which is not before the last update.
 func (d *decayingSum) valueAt(now, span time.Duration) float64 {
 	return d.value * math.Exp(-(now-d.updatedAt).Seconds()/max(span, time.Millisecond).Seconds())
 }
 
-// add adds a value at a time.
+// add adds a value to the sum at the time now.
 func (d *decayingSum) add(now, span time.Duration, value float64) {
 	d.value = d.valueAt(now, span) + value
 	d.updatedAt = now
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -15,7 +15,7 @@
 	hosts    float64     // number of schedulers that receive requests of the volume
 	reserve  tokenBucket // this host's part of the volume's reserve
 	limit    tokenBucket // this host's part of the volume's limit
-	ownUnits decayingSum // units of the volume served through this host
+	ownUnits decayingSum // units of the volume served through this host, smoothed over reserveSmoothingSpan
 }
 
 // volumeOf returns the volume of a request. It creates the volume at its first request.
@@ -59,9 +59,10 @@
 	}
 }
 
-// updateReserveShare gives this host the part of a volume's reserve that corresponds to its part of the volume's
-// requests, instead of an equal part, because clients use their hosts unevenly. The argument use is the recent rate of
-// the volume through all hosts, as a share of the plan's rate, as the nodes report it.
+// updateReserveShare gives this host the part of a volume's reserve that corresponds to its part of the volume's served
+// units, but at least an equal part, because clients use their hosts unevenly. The argument units is the size of the
+// request that was served; use is the recent rate of the volume through all hosts, as a share of the plan's rate, as
+// the nodes report it.
 func (s *Scheduler) updateReserveShare(volume *volumeState, units, use float64) {
 	volume.ownUnits.add(s.now, reserveSmoothingSpan, units)
 	if use > 0 && volume.plan.Reserve > 0 {
@@ -72,8 +73,8 @@
 	}
 }
 
-// idle says whether the last request of the volume was over some time ago and the bucket of its limit is full again, so
-// that releasing the volume and creating it anew gains it no tokens.
+// idle reports whether the last request of the volume was over some time ago and the bucket of its limit is full again,
+// so that releasing the volume and creating it anew gains it no tokens.
 func (v *volumeState) idle(now time.Duration) bool {
 	return now >= v.idleAt && v.limit.refill(now) >= v.limit.burst
 }
--- a/scheduler/zone_observation.go
+++ b/scheduler/zone_observation.go
@@ -7,14 +7,16 @@
 )
 
 const (
-	// resetBurstSpan is the time within which connections to a node that break are taken to break for one reason.
+	// resetBurstSpan is the time within which two connections to a node that break are taken to have broken for the
+	// same reason.
 	resetBurstSpan = 50 * time.Millisecond
 	// minUnanswered is the time that an unanswered attempt has to last to show that a node does not respond.
 	minUnanswered = 100 * time.Millisecond
 )
 
-// recordResponse records, for the zone tracker, whether an outcome shows that its node responds. Rejections and
-// connections that are refused at once show this as well as answers do.
+// recordResponse records, for the zone tracker, whether an outcome shows that its node responds. Answers, rejections
+// and connections that are refused quickly show this. An attempt that ends before a response could be expected shows
+// neither that the node responds nor that it does not.
 func (s *Scheduler) recordResponse(attempt *attemptState, outcome Outcome) {
 	if s.zoneTracker == nil {
 		return
@@ -80,8 +82,8 @@
 	}
 }
 
-// markUnavailable records that the zone tracker considers the node unavailable. The attempts in flight there are
-// discounted, because they say nothing about the node's queue once it has recovered.
+// markUnavailable records that the zone tracker considers the node unavailable. The attempts that are pending there no
+// longer count as in flight, because they say nothing about the node's queue once it has recovered.
 func (s *Scheduler) markUnavailable(node *nodeState) {
 	node.down = true
 	node.recoveredAt = 0
@@ -90,8 +92,8 @@
 	}
 }
 
-// endMistakenSlowStart ends the slow start of a recovered node if the endpoint list does not report a restart within
-// the membership delay. Then only the network path to the node was cut, and the node has stayed warm.
+// endMistakenSlowStart ends the slow start of a recovered node if the endpoint list is current and does not report a
+// restart within the membership delay. Then only the network path to the node was cut, and the node has stayed warm.
 func (s *Scheduler) endMistakenSlowStart(node *nodeState) {
 	delay := s.settings.ZoneFailover.MembershipDelay
 	if node.recoveredAt == 0 || delay == 0 || s.now-node.recoveredAt < delay {
@@ -105,7 +107,7 @@
 	node.recoveredAt = 0
 }
 
-// observation returns the observation of the node for the zone tracker.
+// observation returns what the zone tracker needs to know of the node: its entry, its latency and when it responded.
 func (s *Scheduler) observation(node *nodeState) zonefailover.Observation {
 	observation := zonefailover.Observation{
 		ID:           node.ID,
