--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -27,7 +27,7 @@
 }
 
 // Service times vary. A request whose mean service time is slightly longer than its objective of 0.5 s is often served
-// in time.
+// in time, so it must be sent. A request that takes far longer must not be.
 func TestRequestWithSlightlyLateEstimateIsAdmitted(t *testing.T) {
 	for latency, sends := range map[float64]int{0.7: 1, 0.9: 0} {
 		t.Run(fmt.Sprint("latency ", latency, " s"), func(t *testing.T) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// Under a light load, the measured rate is far below what the node could serve. Requests were once rejected because of
-// that rate.
+// Under a light load, the measured rate is far below what the node could serve. Requests must not be rejected because
+// of that rate.
 func TestLowMeasuredRateCausesNoRejections(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	node := h.nodes["a"]
@@ -105,7 +105,8 @@
 	h.wantActions("send", 1)
 }
 
-// Requests with a short client timeout were once mistaken for late retries and rejected.
+// A request with a shorter client timeout than an earlier request must not be taken for a late retry of that request,
+// which was not rejected.
 func TestShortClientTimeoutIsNotTakenForARetry(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.arrive(Request{})
@@ -126,6 +127,6 @@
 	h.wantActions("reject r3", 0)
 	h.arrive(Request{Key: "k2", ClientTimeout: 1300 * ms})
 	h.wantActions("reject r4", 1)
-	h.arrive(Request{Key: "k2", ClientTimeout: 1300 * ms}) // the objective of the first try applies to it as well
+	h.arrive(Request{Key: "k2", ClientTimeout: 1300 * ms}) // the second retry: its objective also counts from r2
 	h.wantActions("reject r5", 1)
 }
--- a/scheduler/concurrency_limit_test.go
+++ b/scheduler/concurrency_limit_test.go
@@ -12,7 +12,7 @@
 	}
 	node := h.nodes["a"]
 	if node.unitsInFlight > InitialRequests*2 {
-		t.Fatalf("%v units in flight, more than the initial limit of %v", node.unitsInFlight, InitialRequests*2)
+		t.Fatalf("%v units in flight, want at most the initial limit of %v", node.unitsInFlight, InitialRequests*2)
 	}
 	h.wantActions("send", 5)
 }
@@ -53,7 +53,7 @@
 	h.Scheduler.now = h.now
 	h.retestMinLatency(node)
 	if node.concurrencyLimit > retestCutShare*40 {
-		t.Fatalf("limit of %v was not cut to %v or less", node.concurrencyLimit, retestCutShare*40)
+		t.Fatalf("concurrency limit after a cut is %v, want at most %v", node.concurrencyLimit, retestCutShare*40)
 	}
 	h.Scheduler.now += time.Second
 	h.smoothLatency(node, 1, 4)
@@ -62,6 +62,6 @@
 	}
 	h.smoothLatency(node, 1, 4)
 	if node.minLatency != maxRetestRaise*0.02 {
-		t.Fatalf("minimum latency was raised to %v s without a cut", node.minLatency)
+		t.Fatalf("minimum latency changed to %v s without a cut, want %v s", node.minLatency, maxRetestRaise*0.02)
 	}
 }
--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -114,7 +114,7 @@
 	h.advance(50 * ms)
 	h.wantActions("send", 2)
 	h.arrive(Request{Shard: 1})
-	h.wantActions("send", 4) // the first attempt of r2 and, as two requests allow two retries, another retry of r1
+	h.wantActions("send", 4) // one more for r2 and one for r1, as the budget of 1 + 2*0.5 now allows two retries
 }
 
 func TestGuardBackoff(t *testing.T) {
--- a/scheduler/latency_estimates_test.go
+++ b/scheduler/latency_estimates_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A node that has not answered for long is assumed to have the median queue of the nodes that have answered recently.
+// A node that has never answered is assumed to have the median queue of the nodes that have answered recently.
 // One slow node of three does not cause rejections at such a node, but two slow nodes do.
 func TestFleetMedianQueueIsThePriorOfAnUnobservedNode(t *testing.T) {
 	for slow, rejections := range map[int]int{1: 0, 2: 1} {
@@ -67,8 +67,8 @@
 	}
 }
 
-// If clients disconnect early, only the quick answers still arrive, and only unanswered attempts indicate the queue.
-// Nodes once filled up with the work of clients that had disconnected.
+// If clients disconnect early, only the quick answers still arrive, and only unanswered attempts indicate the queue. If
+// those did not count, nodes would fill up with the work of clients that have disconnected.
 func TestUnansweredAttemptIndicatesAQueue(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	node := h.nodes["a"]
--- a/scheduler/membership_test.go
+++ b/scheduler/membership_test.go
@@ -26,8 +26,8 @@
 	pushed.wantActions("watch", 0)
 }
 
-// After an outage of discovery, the hosts of a fleet once repeated their watches at the same times. Most watches were
-// rejected again and again, and the hosts learned of drains too late.
+// After an outage of discovery, the hosts of a fleet must not repeat their watches at the same times. Discovery would
+// reject most of the watches again and again, and the hosts would learn of drains too late.
 func TestWatchRetriesOfAFleetSpreadOut(t *testing.T) {
 	settings := baseSettings()
 	settings.PollMembership = true
@@ -62,8 +62,8 @@
 	return now
 }
 
-// An agent on this machine does not answer while discovery is down. When it answers again, what it has counts as known,
-// so no time may be lost.
+// A discovery agent on this machine does not answer while discovery is down. When it answers again, its list counts as
+// known to the host, so the host must watch it again without backoff.
 func TestLocalAgentIsWatchedWithoutBackoff(t *testing.T) {
 	settings := baseSettings()
 	settings.LocalAgent = true
--- a/scheduler/random_events_test.go
+++ b/scheduler/random_events_test.go
@@ -10,8 +10,8 @@
 )
 
 // Whatever valid events come in a random order, the rules hold: a request has one attempt at a time and none after its
-// end, attempts go only to nodes that are up, requests of an ordered key run in their order, retries of keyed requests
-// stay within their scope and window, and each request gets one answer.
+// end, attempts go only to listed nodes, requests of an ordered key run in the order of their arrival, retries of
+// requests with IdempotentWithKey stay within their scope and window, and each request gets one answer.
 func TestRandomEventsNeverBreakTheRules(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -125,7 +125,8 @@
 func (run *randomRun) checkSend(id, node string) {
 	r := run.observed[id]
 	if r.inFlight || r.ended || node != "a" && node != "b" {
-		run.t.Fatalf("request %s was sent to node %q: already in flight %v, ended %v", id, node, r.inFlight, r.ended)
+		run.t.Fatalf("request %s was sent to node %q, in flight already %v, ended %v; want node a or b, false, false",
+			id, node, r.inFlight, r.ended)
 	}
 	window := run.settings.Classes[0].DedupWindow
 	if r.ranOn != "" && (r.ranOn != node || run.now >= r.ranAt+window) {
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -30,15 +30,16 @@
 				sameZone, sameShard := i&1 > 0, i&2 > 0
 				allows := func(p RetryPolicy) bool { return allowsRetry(p, sameZone, sameShard, after) }
 				if allows(both) && !(allows(a) && allows(b)) {
-					t.Fatalf("%+v narrowed by %+v is %+v, which allows more", a, b, both)
+					t.Fatalf("%+v narrowed by %+v is %+v, which allows a retry that one of them forbids: "+
+						"after %v, same zone %v, same shard %v", a, b, both, after, sameZone, sameShard)
 				}
 			}
 		}
 	})
 }
 
-// allowsRetry says whether a policy allows a retry after some time, at a node that is or is not in the same zone and
-// shard.
+// allowsRetry reports whether a policy allows a retry at a time after the first attempt, at a node that is or is not in
+// the zone and shard of the node of that attempt.
 func allowsRetry(policy RetryPolicy, sameZone, sameShard bool, after time.Duration) bool {
 	switch policy.Idempotency {
 	case Idempotent:
@@ -142,7 +143,8 @@
 	}
 }
 
-// Attempts that were never answered once held capacity until their clients gave up.
+// An attempt that gets no answer, although a later one has been served, must be canceled if the settings allow it, and
+// its request must be sent again if that is safe. Otherwise it would hold capacity until its client gives up.
 func TestLostAttemptIsCanceledAndRetried(t *testing.T) {
 	withoutCancel := baseSettings()
 	withoutCancel.Allowed.Cancel = false
@@ -165,7 +167,7 @@
 			lost := h.arrive(Request{})
 			h.advance(20 * ms)
 			h.serve(Request{})
-			h.wantActions("cancel", 0) // the attempt has not been in flight for long enough
+			h.wantActions("cancel", 0) // the lost attempt has not been in flight for long enough
 			h.advance(400 * ms)
 			if h.count("cancel") > 0 {
 				h.endAttempt(lost, 0, Canceled)
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/google/go-cmp/cmp"
 )
 
 func TestEveryRequestIsAnsweredOnceBeforeItsTimeout(t *testing.T) {
@@ -23,7 +25,7 @@
 	h.wantActions("send", 1)
 	h.wantActions("reject", 1)
 	if len(h.requests) != 0 {
-		t.Fatal("the request was not released")
+		t.Fatalf("%d requests were not released, want none", len(h.requests))
 	}
 }
 
@@ -53,7 +55,7 @@
 	h.ProbeEnded(h.now, ProbeResult{Node: "never"})
 	h.StreamStarted(h.now, "never", 0)
 	if len(h.recorded) != before {
-		t.Fatalf("late or unknown events caused actions: %v", h.recorded[before:])
+		t.Fatalf("late or unknown events caused the actions %q, want none", h.recorded[before:])
 	}
 }
 
@@ -102,8 +104,8 @@
 	settings.Classes[0].Ordered = true
 	first := playMixedLoad(newHarness(t, settings))
 	for range 5 {
-		if playMixedLoad(newHarness(t, settings)) != first {
-			t.Fatal("the same events gave different actions")
+		if again := playMixedLoad(newHarness(t, settings)); again != first {
+			t.Fatalf("the same events gave different actions (-first +again):\n%s", cmp.Diff(first, again))
 		}
 	}
 	if strings.Count(first, "send ") < 50 {
@@ -142,7 +144,8 @@
 	left := h.volumes["w"].limit.tokens
 	h.arrive(Request{Volume: "w", Units: 6}) // the request exceeds the limit and is rejected
 	if h.volumes["w"].limit.tokens > left {
-		t.Fatalf("volume w regained %v units of its limit", h.volumes["w"].limit.tokens-left)
+		t.Fatalf("volume w has %v tokens of its limit, want at most the %v that were left",
+			h.volumes["w"].limit.tokens, left)
 	}
 	h.advance(3 * time.Second)
 	h.serveAll()
@@ -183,7 +186,7 @@
 	}
 	h.advance(50 * ms)
 	if len(h.sends) > sends {
-		t.Fatalf("%d attempts were sent for requests whose clients had given up", len(h.sends)-sends)
+		t.Fatalf("%d attempts were sent for requests whose clients had given up, want none", len(h.sends)-sends)
 	}
 	for i, id := range ids {
 		answers := h.count("reject "+id+" ") + h.count("fail "+id)
@@ -196,6 +199,6 @@
 		}
 	}
 	if len(h.requests) > 0 {
-		t.Errorf("%d requests were not released", len(h.requests))
+		t.Errorf("%d requests were not released, want none", len(h.requests))
 	}
 }
--- a/scheduler/slow_start_fleet_test.go
+++ b/scheduler/slow_start_fleet_test.go
@@ -9,8 +9,8 @@
 )
 
 // Whatever the demand at a fleet, and however uneven it is, a warming node is used and gets no more load than it can
-// take, except by chance. Thirty hosts together once overloaded the node, when each host was allowed at least one
-// request, or a fixed share of its demand.
+// take, except by chance. If each host could always send one request, or a fixed share of its demand, thirty hosts
+// together would overload the node.
 func TestFleetKeepsTheSlowStartAllowanceUnderUnevenDemand(t *testing.T) {
 	for _, hosts := range []int{3, 12, 30, 300} {
 		for _, demand := range []float64{0.5, 1, 2.5, 5} { // as a multiple of the warm node's capacity
@@ -33,13 +33,13 @@
 type warmingFleet struct {
 	t         *testing.T
 	settings  Settings
-	demand    float64 // after the burst, as a multiple of the warm node's capacity
+	demand    float64 // demand from burstAt on, as a multiple of the warm node's capacity
 	warmRate  float64 // units a second that the warm node can serve
 	random    *rand.Rand
 	harnesses []*harness
 	now       time.Duration // time since the start of the fleet
-	sent      []recentSend  // attempts sent to the replacement within a window
-	sentUnits float64       // units sent to the replacement
+	sent      []recentSend  // attempts sent to the node "new" within the last SlowStartWindow
+	sentUnits float64       // units sent to the node "new"
 }
 
 func newWarmingFleet(t *testing.T, hosts int, demand float64, seed uint64) *warmingFleet {
@@ -86,7 +86,9 @@
 			f.checkWindow()
 		}
 	}
-	// The demand, or the units that the node can serve while it warms up, whichever is less.
+	// The demand, or the units that the node can serve while it warms up, whichever is less, in the 16 s from
+	// replacedAt to the end. The demand is at least 0.8 of f.demand on average; 0.59 is the mean of SlowStartShare and
+	// 1.
 	possible := min(f.demand*0.8, 0.59) * f.warmRate * 16
 	if f.sentUnits < possible/4 {
 		f.t.Errorf("%.0f units sent, want at least a quarter of the %.0f that the node could serve",
@@ -94,8 +96,8 @@
 	}
 }
 
-// pause returns the random time until the next request. Requests have 2.2 units on average. Before the burst, the
-// demand is half of what it is afterwards.
+// pause returns the random time until the next request. Requests have 2.2 units on average. Before burstAt, the demand
+// is half of what it is afterwards.
 func (f *warmingFleet) pause() time.Duration {
 	rate := f.demand * f.warmRate / 2 / 2.2
 	if f.now >= burstAt {
@@ -121,7 +123,7 @@
 	}
 }
 
-// request sends a request to a host, serves it if the host sends it to the node, and says whether the host did.
+// request sends a request to a host, serves it if the host sends it to the node, and reports whether the host did.
 func (f *warmingFleet) request(h *harness, number int, units float64) (sent bool) {
 	h.TimerFired(h.now, housekeepingTimer)
 	before := len(h.sends)
@@ -146,8 +148,8 @@
 	return len(h.sends) > before
 }
 
-// checkWindow checks that the requests sent within the last window do not overload the node by more than chance
-// explains.
+// checkWindow checks that the requests sent within the last SlowStartWindow do not overload the node by more than
+// chance explains, which is taken to be two standard deviations and two requests.
 func (f *warmingFleet) checkWindow() {
 	for f.sent[0].at < replacedAt || f.sent[0].at <= f.now-f.settings.Rules.SlowStartWindow {
 		f.sent = f.sent[1:]
@@ -157,9 +159,9 @@
 		units += send.units
 	}
 	warmth := min(1, 0.18+0.82*(f.now-replacedAt).Seconds()/17)
-	bearable := 4 * warmth * f.warmRate * 3 / 2
+	bearable := 4 * warmth * f.warmRate * 3 / 2 // requests of two units in a SlowStartWindow
 	if requests := units / 2; requests > bearable+2*math.Sqrt(bearable)+2 {
-		f.t.Fatalf("%v requests of two units in a window, %v after the node started; the node can take %.0f",
-			requests, f.now-replacedAt, bearable)
+		f.t.Fatalf("%v requests of two units in a SlowStartWindow, %v after the node started; the node can take %.0f, "+
+			"want at most %.0f", requests, f.now-replacedAt, bearable, bearable+2*math.Sqrt(bearable)+2)
 	}
 }
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -30,7 +30,7 @@
 	h := newHarness(t, slowStartSettings())
 	h.arrive(Request{})
 	h.endAttempt("r1", 0, ConnectFailed)
-	h.advance(50 * ms) // its backoff is over
+	h.advance(50 * ms) // until the node's backoff is over
 	h.endAttempt("r1", 1, ConnectFailed)
 	h.wantActions("log node unreachable: node=a ", 1)
 	h.now += 2 * time.Second
@@ -41,7 +41,8 @@
 	h.wantActions("send", 2+3) // the two failed attempts, and 6 units within a second, including those of r2
 }
 
-// Connection resets at all nodes once made every node count as restarted.
+// Connections that break, for example at all nodes at once, must not by themselves make a node count as restarted: it
+// keeps getting every request.
 func TestConnectionResetsDoNotCountAsARestart(t *testing.T) {
 	h := newHarness(t, slowStartSettings())
 	h.arrive(Request{})
@@ -68,7 +69,8 @@
 		SlowStartMultiple:  2.5,
 	}
 	settings.Rules = rules
-	warmUnits := rules.SlowStartAllowance / rules.SlowStartShare / rules.SlowStartMultiple // in a window
+	// The units that the warm node can serve within one SlowStartWindow.
+	warmUnits := rules.SlowStartAllowance / rules.SlowStartShare / rules.SlowStartMultiple
 	harnesses := make([]*harness, hosts)
 	for i := range harnesses {
 		harnesses[i] = newEmptyHarness(t, settings, uint64(i))
@@ -91,7 +93,7 @@
 		sent += units
 		bearable := warmUnits * rules.SlowStartMultiple * (0.2 + 0.8*float64(second)/10)
 		if units > bearable {
-			t.Errorf("second %d: sent %v units, more than the %v that the node can take", second, units, bearable)
+			t.Errorf("second %d: sent %v units, want at most the %v that the node can take", second, units, bearable)
 		}
 	}
 	if sent < requested/3 {
--- a/scheduler/volume_limit_test.go
+++ b/scheduler/volume_limit_test.go
@@ -11,7 +11,9 @@
 	h := newHarness(t, limitedSettings())
 	plan := h.settings.Plans[0]
 	burst := (plan.Burst + plan.Slack) / 2 / 2
-	refilled := plan.Limit / 2 // in the second that unitsServed takes
+	// The units that the bucket regains in the second by which unitsServed advances the clock: half of the limit, as
+	// the volume has two hosts.
+	refilled := plan.Limit / 2
 	unitsServed := func() float64 {
 		before := h.count("send")
 		for i := range 20 {
@@ -98,6 +100,6 @@
 	h.endAttempt("r1", 0, Errored)
 	h.wantActions("send r1", 2)
 	if limit.refill(h.now) != before {
-		t.Fatalf("the retry changed the tokens of the limit from %v to %v", before, limit.refill(h.now))
+		t.Fatalf("after the retry, the limit has %v tokens, want %v as before", limit.refill(h.now), before)
 	}
 }
--- a/scheduler/zone_failover_test.go
+++ b/scheduler/zone_failover_test.go
@@ -124,7 +124,7 @@
 			h.endAttempt("r1", 0, Served)
 			node := h.nodes["a"]
 			if !h.warmingUp(node) {
-				t.Error("the recovered node counts as warm at once")
+				t.Error("the recovered node counts as warm at once, want warming up")
 			}
 			if restarted {
 				h.advance(2 * time.Second)
