--- a/scheduler/concurrency_limit.go
+++ b/scheduler/concurrency_limit.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// InitialRequests is the concurrency limit of a node of which nothing is known, in mean requests.
+// InitialRequests is the concurrency limit of a node of which nothing is known, in requests of mean size.
 const InitialRequests = 8
 
 // InitialRequests, maxLimitRequests, latencyTolerance, windowDuration, retestInterval and retestDrainLatencies are
 // those of the published design that docs/design.md describes.
 const (
-	maxLimitRequests     = 32                     // highest concurrency limit, in mean requests
+	maxLimitRequests     = 32                     // highest concurrency limit, in requests of mean size
 	latencyTolerance     = 0.3                    // relative growth of the latency that the limit tolerates
 	minLatencyGain       = 0.1                    // weight of a window with a lower latency in the minimum latency
 	maxRateGain          = minLatencyGain / 10    // weight of a window with a lower rate in the maximum rate
@@ -23,7 +23,7 @@
 	retestCutShare       = 0.5                    // share of the units in flight that a cut keeps as the limit
 	retestDrainLatencies = 2                      // time until the queue has drained after a cut, in latencies
 	maxRetestRaise       = 1.05                   // largest factor by which a cut raises the minimum latency
-	initialLatency       = 50 * time.Millisecond  // latency of a mean request before the first response
+	initialLatency       = 50 * time.Millisecond  // latency of a request of mean size before the first response
 )
 
 // latencyWindow collects the responses of a node from which its next concurrency limit is computed.
@@ -32,7 +32,7 @@
 	units     float64       // units served
 	responses int           // number of responses
 	latency   time.Duration // sum of the latencies
-	work      float64       // work of the served requests, in mean requests
+	work      float64       // work of the served requests, as a multiple of that of a request of mean size
 }
 
 // due reports whether the window has been open for windowDuration.
--- a/scheduler/messages.go
+++ b/scheduler/messages.go
@@ -94,13 +94,13 @@
 	StartedAt time.Duration // 0 if the node started long ago
 }
 
-// MembershipKind says what a Membership contains.
+// MembershipKind says what a Membership contains. A node that is absent from a whole list counts as removed.
 type MembershipKind int
 
 // The values of MembershipKind.
 const (
 	CachedList  MembershipKind = iota // the whole list as it was last known, which may be outdated
-	FullList                          // the whole current list; a node that is absent has been removed
+	FullList                          // the whole current list
 	DeltaList                         // only the entries that changed
 	WatchFailed                       // no entries, because a watch failed or broke off
 )
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -20,11 +20,11 @@
 	concurrencyLimit float64 // limit of the units in flight
 	window           latencyWindow
 	maxRate          float64       // highest rate at which the node served units, in units a second
-	latency          float64       // latency of a mean request, in seconds, smoothed
-	minLatency       float64       // latency of a mean request without a queue, in seconds; 0 if unknown
+	latency          float64       // latency of a request of mean size, in seconds, smoothed
+	minLatency       float64       // latency of a request of mean size without a queue, in seconds; 0 if unknown
 	learnedAt        time.Duration // when the last window that contained a response was closed
 	retestAt         time.Duration // when the limit is next cut to measure the minimum latency again
-	cutDrainedAt     time.Duration // when the queue will have drained after a cut; 0 if there was no cut
+	cutDrainedAt     time.Duration // when the queue will have drained after a cut; 0 if no cut lasts
 	cutLimit         float64       // limit while a cut lasts, in units
 	queueTime        float64       // time that a request spends in the node's queue, in seconds, smoothed
 	queueWeight      float64       // number of responses that queueTime was worth at lastServedAt
--- a/scheduler/snapshot_decode.go
+++ b/scheduler/snapshot_decode.go
@@ -406,7 +406,8 @@
 	return nil
 }
 
-// rejected restores, of the recently rejected requests, the values that apply to their clients' next tries.
+// rejected restores the requests that were recently rejected or failed, as far as they apply to their clients' next
+// tries.
 func (d *snapshotDecoder) rejected() {
 	for _, from := range d.snapshot.Rejected {
 		request := &requestState{objectiveAt: from.ObjectiveAt, clientTimeoutAt: from.ClientTimeoutAt}
--- a/scheduler/snapshot_encode.go
+++ b/scheduler/snapshot_encode.go
@@ -340,7 +340,7 @@
 	return keys
 }
 
-// rejected returns the recently rejected requests, sorted by fingerprint.
+// rejected returns the requests that were recently rejected or failed, sorted by fingerprint.
 func (e *snapshotEncoder) rejected() []SnapshotRejected {
 	var rejected []SnapshotRejected
 	for fingerprint, request := range e.scheduler.rejected {
