--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -8,7 +8,7 @@
 // The tiers of the requests that wait for a node, in the order in which they are sent.
 const (
 	reservedTier = iota // requests within the reserves of their volumes that have not spilled over
-	sharedTier          // all other requests; volumes share the capacity by their weights
+	sharedTier          // all other (unreserved) requests; volumes share the capacity by their weights
 	queueTiers          // number of tiers
 )
 
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -56,7 +56,7 @@
 	RecentSends  []SnapshotSend `json:"Sent"` // attempts sent within the SlowStartWindow before the last one
 }
 
-// LearnedVolume holds the tokens, in units, that a volume's buckets held at the time At, before the restart of the
+// LearnedVolume says how many tokens, in units, the buckets of a volume held at the time At, before the restart of the
 // host.
 type LearnedVolume struct {
 	_             struct{} `cbor:",toarray"`
@@ -146,8 +146,8 @@
 	volume.reserve.lowerTo(learned.ReserveTokens, at, s.now)
 }
 
-// lowerTo lowers the bucket to the level that it would have now if it had held tokens at an earlier time, unless it
-// already has less.
+// lowerTo lowers the bucket to the number of tokens that it would have now if it had held the given tokens at the
+// earlier time at, unless it already has fewer.
 func (b *tokenBucket) lowerTo(tokens float64, at, now time.Duration) {
 	earlier := tokenBucket{tokens: tokens, rate: b.rate, burst: b.burst, refilledAt: at}
 	b.tokens = min(b.tokens, earlier.refill(now))
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -23,7 +23,7 @@
 	_           struct{}    `cbor:",toarray"`
 	Idempotency Idempotency `json:"Repeats"`
 	// Scope and Window apply to IdempotentWithKey: they say which nodes discard a repeated request, and for
-	// how long.
+	// how long after its first attempt.
 	Scope  DedupScope    `json:"Group"`
 	Window time.Duration `json:"For"`
 }
