--- a/cmd/reachpulley/api.go
+++ b/cmd/reachpulley/api.go
@@ -23,7 +23,8 @@
 	Schema   apiSchema   `cmd:"" help:"Write the JSON Schema of the x-contract vocabulary."`
 }
 
-// loadOperations loads and checks descriptions. It reports its errors to the user, so that callers only return them.
+// loadOperations loads and checks descriptions. It prints the error that it returns, so callers must not print it
+// again.
 func loadOperations(env environment, files []string) ([]*contract.Operation, error) {
 	operations, err := contract.Load(files...)
 	if err == nil {
@@ -37,8 +38,8 @@
 	return operations, nil
 }
 
-// loadCatalog loads descriptions and compares them with the settings of the configuration at path. It reports its
-// errors to the user.
+// loadCatalog loads descriptions and checks that they do not contradict the settings of the configuration at path. It
+// prints the error that it returns.
 func loadCatalog(env environment, path string, files []string) (*catalog.Catalog, error) {
 	settings, err := settingsForDescriptions(env, path)
 	if err != nil {
--- a/cmd/reachpulley/capture_convert.go
+++ b/cmd/reachpulley/capture_convert.go
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// equalHeads compares two heads by their encoded form.
+// equalHeads reports whether two heads have the same encoded form.
 func equalHeads(a, b capture.Head) bool {
 	encodedA, errA := capture.EncodeHeader(&a)
 	encodedB, errB := capture.EncodeHeader(&b)
@@ -83,7 +83,8 @@
 	*capture.Record
 }
 
-// Run writes the head of a capture as a line of JSON, then each record as another.
+// Run writes the head of a capture as a line of JSON, then each record as another. Without --snapshots, it leaves out
+// the state that a snapshot holds.
 func (a captureExport) Run(env environment) error {
 	file, reader, err := openCapture(a.File)
 	if err != nil {
--- a/cmd/reachpulley/capture_cut.go
+++ b/cmd/reachpulley/capture_cut.go
@@ -35,7 +35,8 @@
 	return writeCapture(env, a.Out, reader.Head, cut)
 }
 
-// cut returns the records from the last snapshot before the first requested event up to the last requested event.
+// cut returns the records from the last snapshot at or before the time of --from up to the last event at or before the
+// time of --to.
 func (a captureCut) cut(reader *capture.Reader) ([]capture.Record, error) {
 	var cut []capture.Record
 	clock := timeline.ClockFor(&reader.Head)
@@ -59,7 +60,7 @@
 		if foundEvent && now > to {
 			break
 		}
-		if record.Kind == capture.KindSnapshot && record.At <= from { // a replay starts from it
+		if record.Kind == capture.KindSnapshot && record.At <= from { // a replay starts from this snapshot
 			cut = cut[:0]
 		}
 		cut = append(cut, *record)
@@ -70,7 +71,8 @@
 	return cut, nil
 }
 
-// interval returns the requested times on the recorder's clock. A time of day is the first one from firstEvent on.
+// interval returns the requested times on the recorder's clock. A time of day stands for its first occurrence at or
+// after firstEvent.
 func (a captureCut) interval(clock timeline.Clock, firstEvent time.Duration) (from, to time.Duration, err error) {
 	from = 0
 	to = endOfTime
--- a/cmd/reachpulley/capture_test.go
+++ b/cmd/reachpulley/capture_test.go
@@ -14,7 +14,7 @@
 )
 
 // captureCases run in order, because some read files that others wrote. $DIR stands for the directory of the files that
-// newCaptureFiles writes, $ID for the id of a request that was sent to a node.
+// newCaptureFiles writes.
 var captureCases = []commandCase{
 	{
 		args: []string{"rooms", "state", "$DIR/whole"},
@@ -258,7 +258,7 @@
 			return record.ID
 		}
 	}
-	t.Fatal("no request was sent")
+	t.Fatalf("%s: no request was sent to a node", path)
 	return ""
 }
 
--- a/cmd/reachpulley/check.go
+++ b/cmd/reachpulley/check.go
@@ -8,7 +8,8 @@
 
 type checkCommand struct{}
 
-// Run checks the configuration that serveCommand would read, and prints what it holds.
+// Run checks the configuration that serveCommand would read, and prints how many classes, plans, rules and operations
+// it has, and whether iSCSI and zone failover are on.
 func (checkCommand) Run(env environment) error {
 	platform, operator, err := loadConfiguration(env.getenv, config.Load)
 	if err != nil {
--- a/cmd/reachpulley/demo_test.go
+++ b/cmd/reachpulley/demo_test.go
@@ -43,7 +43,7 @@
 	go io.Copy(io.Discard, stdout)
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
 	if code := <-exited; code != exitSuccess {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want %d", code, exitSuccess)
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
--- a/cmd/reachpulley/replay.go
+++ b/cmd/reachpulley/replay.go
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// replayOnce replays the capture, and returns the number of its events and the program that recorded them. It reports
-// its errors to the user.
+// replayOnce replays the capture, and returns the number of its events and the program that recorded them. It prints
+// the error that it returns.
 func (r replayCommand) replayOnce(env environment) (events int, program string, err error) {
 	file, reader, err := openCapture(r.File)
 	if err != nil {
--- a/cmd/reachpulley/replay_compare.go
+++ b/cmd/reachpulley/replay_compare.go
@@ -86,7 +86,8 @@
 	return output, nil
 }
 
-// printSummary prints the outcomes that the recorded arrivals have with this build, for compareBuilds of another build.
+// printSummary prints the outcomes that the recorded arrivals have with this build, in JSON, which compareBuilds of
+// another build reads.
 func (r replayCommand) printSummary(env environment) error {
 	_, baseline, err := r.loadWorkload(env)
 	if err != nil {
@@ -96,7 +97,7 @@
 }
 
 // loadWorkload reads the recorded arrivals and responses of the capture, and plays them with this build and the
-// recorded settings. It reports its errors to the user.
+// recorded settings. It prints the error that it returns.
 func (r replayCommand) loadWorkload(env environment) (*whatif.Workload, *summary.Summary, error) {
 	file, reader, err := openCapture(r.File)
 	if err != nil {
--- a/cmd/reachpulley/replay_shrink.go
+++ b/cmd/reachpulley/replay_shrink.go
@@ -33,7 +33,8 @@
 	return writeNewFile(env, testPath, []byte(test))
 }
 
-// smallestCapture returns the smallest capture on which the property holds. It prints its progress to stderr.
+// smallestCapture returns the smallest capture that it finds within r.MaxReplays replays on which the property holds.
+// It prints its progress to stderr.
 func (r replayCommand) smallestCapture(env environment, property shrink.Property) ([]byte, error) {
 	file, reader, err := openCapture(r.File)
 	if err != nil {
--- a/cmd/reachpulley/replay_test.go
+++ b/cmd/reachpulley/replay_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// replayCases run in order, because some read files that others wrote. Their files are those of captureCases, and two
-// stand-ins for other builds of the program: "other-build" prints a valid summary, "faulty-build" something else.
+// replayCases run in order, because some read files that others wrote. $DIR stands for the directory of the files that
+// newCaptureFiles writes, $ID for the id of a request that was sent to a node. Two further files in $DIR stand in for
+// other builds of the program: "other-build" prints a valid summary, "faulty-build" something else.
 var replayCases = []commandCase{
 	{
 		args: []string{"replay", "--with", "$DIR/config.json", "--plot", "$DIR/whole"},
--- a/cmd/reachpulley/rules.go
+++ b/cmd/reachpulley/rules.go
@@ -25,7 +25,7 @@
 	Diff    rulesDiff    `cmd:"" help:"Show for which requests two rule files give different results."`
 }
 
-// load reads the rule file at path with the settings that the command line names. It reports its errors to the user.
+// load reads the rule file at path with the settings that the command line names. It prints the error that it returns.
 func (c *rulesCommands) load(env environment, path string) (*rules.Set, error) {
 	settings, err := loadSettings(env, c.Settings)
 	if err != nil {
@@ -38,7 +38,8 @@
 	return set, nil
 }
 
-// print writes value as JSON if that was requested, and otherwise calls printText with a writer that aligns columns.
+// print writes value as JSON if the flag --json is set, and otherwise calls printText with a writer that aligns
+// columns.
 func (c *rulesCommands) print(env environment, value any, printText func(w io.Writer)) error {
 	if c.JSON {
 		return printJSON(env, value)
--- a/cmd/reachpulley/rules_bench.go
+++ b/cmd/reachpulley/rules_bench.go
@@ -21,13 +21,14 @@
 	Time time.Duration `default:"300ms" help:"How long each request is measured."`
 }
 
-// measurement holds what it takes to evaluate the rules for a request.
+// measurement holds the measured time, the allocations and the estimated cost of an evaluation of the rules for a
+// request.
 type measurement struct {
 	Request     string  `json:"request"`
-	Nanoseconds float64 `json:"ns"` // median of the batches
-	Allocations float64 `json:"allocations"`
-	Cost        int     `json:"cost"`  // estimated nanoseconds
-	Worst       int     `json:"worst"` // highest cost of any request, in estimated nanoseconds
+	Nanoseconds float64 `json:"ns"`          // of an evaluation: the median of the batches
+	Allocations float64 `json:"allocations"` // mean number per evaluation
+	Cost        int     `json:"cost"`        // estimated nanoseconds
+	Worst       int     `json:"worst"`       // highest cost of any request, in estimated nanoseconds
 }
 
 // Run measures each request of the tests in a rule file.
--- a/cmd/reachpulley/storm.go
+++ b/cmd/reachpulley/storm.go
@@ -108,8 +108,8 @@
 	return storm
 }
 
-// stormRow returns the row of a run in the table. Its rates after the storm are averages from the end of the slowdown
-// to the end of the run.
+// stormRow returns the row of a run in the table. The rates of served requests and of attempts after the slowdown are
+// averages from its end to the end of the run.
 func stormRow(name string, storm simulation.Storm, result simulation.StormResult) string {
 	end := storm.SlowdownStart + storm.SlowdownDuration
 	served := 0
--- a/cmd/reachpulley/zones.go
+++ b/cmd/reachpulley/zones.go
@@ -75,7 +75,7 @@
 	fmt.Fprintln(table,
 		"zone\ttier\tstate\tfor\tnodes\tresponding\tsilent of those tried\tremoved\tflaps\trecovery time")
 	for zone, health := range r.snapshot.ZoneHealth.Zones {
-		tier := r.settings.ZoneFailover.Tier(zone, -1, -1) // of work whose class and plan have no tiers of their own
+		tier := r.settings.ZoneFailover.Tier(zone, -1, -1) // for work whose class and plan have no tiers of their own
 		fmt.Fprintf(table, "%s\t%d\t%v\t%v\t%d\t%.0f%%\t%.0f%%\t%.0f%%\t%d\t%v\n",
 			r.zoneName(zone), tier, health.State, r.since(health.Since), health.Nodes,
 			100*health.RespondingShare, 100*health.SilentShare, 100*health.RemovedShare,
--- a/cmd/reachpulley/zones_play.go
+++ b/cmd/reachpulley/zones_play.go
@@ -48,12 +48,12 @@
 	name             string
 	failoverDisabled bool
 
-	total                     simulation.ZoneSecond // the maximum of SlowStartLoad, the sums of the other fields
+	total                     simulation.ZoneSecond // sums, but the maximum of SlowStartLoad; without SpilledUnits
 	maxSpillover              float64               // most units in a second
 	spilloverWhileUnavailable float64               // units, during the first loss
 
 	spilloverBySecond     []float64
-	slowStartLoadBySecond []float64 // in percent of what crashes a node
+	slowStartLoadBySecond []float64 // in percent of the load that crashes a node
 }
 
 // Run simulates the same scenario with and without zone failover.
@@ -109,18 +109,18 @@
 		MembershipDelay: simulatedMembershipDelay,
 		Settings:        zonefailover.Settings{Spillover: z.Spillover, Burst: z.Burst},
 	}
-	const allGateways = -1
+	const noGateway = -1 // the event affects the nodes, not the path of a gateway to them
 	at := firstZoneLoss
 	for range z.Flaps {
 		scenario.Events = append(scenario.Events,
 			simulation.ZoneEvent{
 				At:          at,
-				Gateway:     allGateways,
+				Gateway:     noGateway,
 				Unavailable: true,
 			},
 			simulation.ZoneEvent{
 				At:        at + z.UnavailableFor,
-				Gateway:   allGateways,
+				Gateway:   noGateway,
 				Restarted: true,
 				NodeShare: z.RecoveredShare,
 			})
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// start starts an instance, in place of an earlier one with the same number. It reports unusable settings to the
-// simulator.
+// start starts an instance, which replaces an earlier one with the same number. If its settings are unusable, start
+// reports that to the simulator instead.
 func (a *adapter) start(event *simprotocol.Event) {
 	actions := simprotocol.Instance{Encoder: a.encoder, Number: event.Instance}
 	instance, err := scheduler.New(event.Settings, event.Seed, actions)
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"strings"
 	"testing"
+
+	"github.com/google/go-cmp/cmp"
 )
 
 // settings are valid settings of an instance, as the simulator sends them.
@@ -78,8 +80,8 @@
 		if strings.Count(alone, "deliver") < 5 || strings.Count(alone, "busy") < 5 {
 			t.Fatalf("instance %d: the load causes fewer than 5 sends or fewer than 5 rejections: %s", instance, alone)
 		}
-		if together[instance] != alone {
-			t.Errorf("instance %d acts differently beside other instances than alone", instance)
+		if diff := cmp.Diff(alone, together[instance]); diff != "" {
+			t.Errorf("instance %d acts differently beside other instances (-alone +together):\n%s", instance, diff)
 		}
 	}
 	if together[1] == strings.ReplaceAll(together[2], "who=2", "who=1") {
@@ -105,7 +107,7 @@
 	var output bytes.Buffer
 	err := serve(strings.NewReader("round\ttsMs=1\nalarm\twho=4\tkeyBack=0\nflush\n"), &output)
 	if err == nil || !strings.Contains(err.Error(), "at clock 1ms: event for instance 4, which no init has started") {
-		t.Errorf("event for an instance that has not been started: error %v", err)
+		t.Errorf("event for an instance that has not been started: error %v, want one that names the instance", err)
 	}
 	if err := serve(strings.NewReader("nonsense\n"), &output); err == nil {
 		t.Error("a malformed batch was accepted")
@@ -117,10 +119,10 @@
 		t.Fatal(err)
 	}
 	if !strings.HasPrefix(output.String(), "fatal\twho=1\tmsg=scheduler: ") {
-		t.Errorf("unusable settings: reply %q", output.String())
+		t.Errorf("unusable settings: reply %q, want a fatal line for instance 1", output.String())
 	}
 	output.Reset()
 	if err := serve(strings.NewReader("round\ttsMs=1\nflush\n"), &output); err != nil || output.String() != "ack\n" {
-		t.Errorf("empty batch: error %v, reply %q", err, output.String())
+		t.Errorf("empty batch: error %v, reply %q, want \"ack\\n\" and no error", err, output.String())
 	}
 }
