--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -53,14 +53,14 @@
 	Sent        int                                         // number of attempts
 
 	requests int                  // number of submitted requests
-	open     map[string]*exchange // by request id: those without an answer or with an outstanding attempt
+	open     map[string]*exchange // by request id: the requests without an answer or with an outstanding attempt
 }
 
 // exchange is a request at a gateway with its attempts.
 type exchange struct {
 	request     scheduler.Request
-	deadline    time.Duration
-	answer      func(Answer) // called once
+	deadline    time.Duration // time at which the client gives up
+	answer      func(Answer)  // called at most once
 	answered    bool
 	attempts    []*attempt
 	outstanding int // number of attempts that have not ended
@@ -94,7 +94,8 @@
 	return g, nil
 }
 
-// Submit submits a client's request and returns the id that the gateway assigns to it. The gateway calls answer once.
+// Submit submits a client's request and returns the id that the gateway assigns to it. The gateway calls answer once,
+// or perhaps not at all if the client disconnects before the answer.
 func (g *Gateway) Submit(request scheduler.Request, answer func(Answer)) (id string) {
 	g.requests++
 	request.ID = fmt.Sprintf("%p-%d", g, g.requests)
@@ -197,7 +198,7 @@
 			a.node.Cancel(a.job)
 			return
 		}
-		g.endAttempt(x, number, scheduler.Canceled, 0) // whether or not the node learns of it
+		g.endAttempt(x, number, scheduler.Canceled, 0) // although the node does not learn that it is canceled
 	})
 }
 
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -17,8 +17,8 @@
 	MaxQueue    int             // number of requests that may wait; further ones are rejected without being run
 	ServiceTime time.Duration   // time in which a worker processes one unit
 	MaxWait     time.Duration   // longest wait after which a request is still served; 0: unlimited
-	Speed       float64         // as a share of full speed
-	Shared      *SharedResource // called once for each request; nil: none
+	Speed       float64         // speed apart from the slow start, as a share of full speed
+	Shared      *SharedResource // resource that each request calls once; nil: none
 
 	Started      time.Duration // time at which its slow start began; 0: long ago
 	SlowStart    SlowStart
--- a/internal/simulation/retry_storm.go
+++ b/internal/simulation/retry_storm.go
@@ -16,14 +16,17 @@
 	Nodes            int
 	Clients          int           // each waits for the answer to a request before its next request
 	MeanThinkTime    time.Duration // mean time between an answer and the client's next request
-	Tries            int           // how often a client submits one request at most
-	SlowdownStart    time.Duration // from the start of the storm
+	Tries            int           // maximum number of times that a client submits one request
+	SlowdownStart    time.Duration // time from the start of the simulation until the slowdown
 	SlowdownDuration time.Duration
-	SlowdownSpeed    float64       // during the slowdown, as a share of full speed
-	Length           time.Duration // simulated time
-	Retry            retrybudget.Settings
-	SharedRate       float64 // calls per second that the resource shared by all nodes can process; 0: none is shared
-	Passthrough      bool    // gateways do not use package scheduler but retry at once, up to MaxAttempts
+	SlowdownSpeed    float64              // speed of what slows down, as a share of its full speed
+	Length           time.Duration        // simulated time
+	Retry            retrybudget.Settings // retry budgets of the gateways; the zero value: none
+	SharedRate       float64              // capacity of a resource shared by all nodes, in calls per second; 0: none
+
+	// Passthrough makes gateways retry at once, up to stormSettings.Allowed.MaxAttempts attempts, without package
+	// scheduler.
+	Passthrough bool
 }
 
 // NodeStorm returns a storm in which the nodes themselves slow down. The load is about two thirds of their capacity.
@@ -183,7 +186,8 @@
 	}
 }
 
-// advance runs the simulation for the given time and counts the attempts in each second.
+// advance runs the simulation for a number of seconds. For each second, it counts the attempts that gateways sent and
+// those that nodes processed and ended with an error.
 func (r *stormRun) advance(seconds int) {
 	sentBefore, wastedBefore := 0, 0
 	for i := range seconds {
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -31,14 +31,15 @@
 		with := runStorm(t, s)
 		recovered := with.Recovered >= 0 && with.Recovered <= 15*time.Second
 		if without.Recovered >= 0 || !recovered || without.ServedBefore < 150 {
-			t.Errorf("seed %d: recovered after %v with budgets and %v without (-1ns: never); %.0f served per second before",
+			t.Errorf("seed %d: recovered after %v with budgets, want at most 15s; after %v without, want -1ns, never; "+
+				"%.0f served per second before, want at least 150",
 				seed, with.Recovered, without.Recovered, without.ServedBefore)
 		}
 	}
 }
 
-// If the nodes themselves slow down, the scheduler's limits end the storm even without retry budgets. With a proxy that
-// lacks those limits, the storm never ends.
+// If the nodes themselves slow down, the scheduler's limits end the storm within 10 s even without retry budgets. With
+// a proxy that lacks those limits, the storm does not end.
 func TestSchedulerEndsStormOfSlowNodes(t *testing.T) {
 	for seed := uint64(1); seed <= 2; seed++ {
 		s := NodeStorm(seed)
@@ -48,7 +49,8 @@
 		passthrough := runStorm(t, s)
 		recovered := scheduled.Recovered >= 0 && scheduled.Recovered <= 10*time.Second
 		if !recovered || passthrough.Recovered >= 0 {
-			t.Errorf("seed %d: recovered after %v with the scheduler and %v with a passthrough proxy (-1ns: never)",
+			t.Errorf("seed %d: recovered after %v with the scheduler, want at most 10s; "+
+				"after %v with a passthrough proxy, want -1ns, never",
 				seed, scheduled.Recovered, passthrough.Recovered)
 		}
 	}
@@ -63,6 +65,7 @@
 	}
 }
 
+// At the end of a storm, each client awaits the answer to at most one try.
 func TestEveryTryOfStormIsAnswered(t *testing.T) {
 	s := SharedStorm(5)
 	s.Length = 40 * time.Second
@@ -72,6 +75,7 @@
 		answered += second.Served + second.Rejected + second.Failed
 	}
 	if waiting := submitted - answered; waiting < 0 || waiting > s.Clients {
-		t.Errorf("%d requests submitted by %d clients, %d answered", submitted, s.Clients, answered)
+		t.Errorf("%d tries submitted, %d answered: want from 0 to %d tries, one per client, without an answer",
+			submitted, answered, s.Clients)
 	}
 }
--- a/internal/simulation/shared_resource.go
+++ b/internal/simulation/shared_resource.go
@@ -9,7 +9,7 @@
 // including calls whose callers have stopped waiting.
 type SharedResource struct {
 	Rate       float64       // calls per second at full speed
-	Speed      float64       // as a share of full speed
+	Speed      float64       // current speed, as a share of full speed
 	Timeout    time.Duration // time after which a caller stops waiting
 	MaxBacklog time.Duration // while accepted calls need longer than this, further ones are not accepted
 
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -29,7 +29,7 @@
 	Random *rand.Rand
 
 	events   eventQueue
-	sequence uint64 // of the event that was scheduled last
+	sequence uint64 // number of the event that was scheduled last
 }
 
 // New returns a simulation without events.
--- a/internal/simulation/slow_start.go
+++ b/internal/simulation/slow_start.go
@@ -5,8 +5,8 @@
 // SlowStart describes the performance of a node after a start. While its caches are cold, it is slower, and too much
 // load crashes it.
 type SlowStart struct {
-	StartShare float64       // share of full speed at the start
-	Duration   time.Duration // time until full speed
+	StartShare float64       // speed at the start, as a share of full speed
+	Duration   time.Duration // time from the start until full speed
 	Multiple   float64       // multiple of its current capacity above which the load crashes it; 0: no load does
 	Window     time.Duration // time over which the load is measured
 }
--- a/internal/simulation/storm_client.go
+++ b/internal/simulation/storm_client.go
@@ -6,13 +6,14 @@
 	"reachpulley/scheduler"
 )
 
-// stormClient submits a request and waits for the answer. If the request was not served, it retries at once or after
-// the answer's RetryAfter. Before its next request, it waits for a random think time.
+// stormClient submits a request and waits for the answer, which together are a try. If the request was not served, it
+// retries at once or after the answer's RetryAfter, up to Storm.Tries tries in all. Before its next request, it waits
+// for a random think time.
 type stormClient struct {
 	run     *stormRun
 	gateway *Gateway
 	tries   int // how often the current request was submitted
-	shard   int // of the current request
+	shard   int // shard of the current request
 }
 
 // second returns the result's element for the current second.
@@ -52,7 +53,8 @@
 	})
 }
 
-// newKey returns a random key. Each try has its own, so that the scheduler does not recognize it as a retry.
+// newKey returns a random data key for a try. It very likely differs from that of the last try, so the scheduler does
+// not recognize the try as a retry.
 func (c *stormClient) newKey() string { return string(rune(c.run.simulation.Random.IntN(1 << 20))) }
 
 // end counts the outcome of a try and schedules the next one.
--- a/internal/simulation/zone_checks.go
+++ b/internal/simulation/zone_checks.go
@@ -10,8 +10,8 @@
 const (
 	// lastAttemptsSpan is the span at the end of a scenario in which ZoneResult.LastAttemptsByNode counts attempts.
 	lastAttemptsSpan = 10 * time.Second
-	// probingPerNode, multiplied by the number of all nodes, is the number of attempts per second at lost nodes that
-	// count as probing.
+	// probingPerNode, multiplied by the number of all nodes, is the highest number of attempts per second at lost nodes
+	// that counts as probing.
 	probingPerNode = 3
 	// maxViolations is the number of violations after which further ones are not reported.
 	maxViolations = 20
@@ -20,12 +20,13 @@
 // detection measures how long gateways send more attempts to lost nodes than they need for probing.
 type detection struct {
 	lostAt      time.Duration // time of the first loss; 0: none
-	lastBurst   time.Duration // last time at which the current window had more attempts than count as probing
-	windowBegan time.Duration // begin of the current window of 1 second
+	lastBurst   time.Duration // time of the last attempt beyond those of its window that count as probing
+	windowBegan time.Duration // time at which the current window of 1 second began
 	attempts    int           // number of attempts at lost nodes in the current window
 }
 
-// recordAttempt records an attempt of a gateway in a zone in the result, the spillover and the detection of losses.
+// recordAttempt records an attempt by a gateway of the zone gatewayZone: in the result, in the spillover of that zone
+// and in the detection of losses.
 func (r *zoneRun) recordAttempt(gatewayZone int, request scheduler.Request, node *Node) {
 	now := r.simulation.Now
 	if now > r.began+r.scenario.Length-lastAttemptsSpan {
--- a/internal/simulation/zone_run.go
+++ b/internal/simulation/zone_run.go
@@ -16,7 +16,7 @@
 const (
 	volumeCount = 40
 	maxUnits    = 3 // a request has from 1 to maxUnits units, all equally likely
-	meanUnits   = 2 // of a request
+	meanUnits   = 2 // mean number of units of a request
 
 	// answerTolerance is the longest time after the client timeout at which an answer is still in time.
 	answerTolerance = 20 * time.Millisecond
@@ -33,7 +33,7 @@
 	gateways   []*Gateway
 	rate       float64 // units per second that all clients together request
 	result     *ZoneResult
-	spillover  map[int][]arrival // by zone of the gateway that sent them
+	spillover  map[int][]arrival // units sent to other zones, by the zone of the gateway that sent them
 	detection  detection
 }
 
@@ -135,8 +135,8 @@
 	return request
 }
 
-// submit submits a random request. If it is not served, its client submits another random request instead of a retry,
-// up to the given number of times.
+// submit submits a random request. If another answer than Served comes before the client timeout, the client submits
+// another random request instead of a retry, up to the given number of times.
 func (r *zoneRun) submit(g *Gateway, retries int) {
 	s := r.simulation
 	request := r.newRequest()
--- a/internal/simulation/zone_scenario.go
+++ b/internal/simulation/zone_scenario.go
@@ -12,9 +12,9 @@
 type ZoneScenario struct {
 	Seed             uint64
 	Zones            int
-	Nodes            int     // in each zone
-	Gateways         int     // spread over the zones in rotation
-	Load             float64 // as a share of the capacity of all nodes
+	Nodes            int     // number of nodes in each zone
+	Gateways         int     // number of gateways, which are spread over the zones in rotation
+	Load             float64 // units that clients request, as a share of the capacity of all nodes
 	NewObjectShare   float64 // share of the requests that write new objects, which any node can take
 	Events           []ZoneEvent
 	Length           time.Duration         // simulated time
@@ -28,9 +28,9 @@
 
 // ZoneEvent is the loss or return of a zone's nodes, or of the network path between one gateway and the zone.
 type ZoneEvent struct {
-	At          time.Duration
+	At          time.Duration // time from the start of the scenario
 	Zone        int
-	NodeShare   float64 // share of the zone's nodes; 0: all
+	NodeShare   float64 // share of the zone's nodes that are affected; 0: all. The loss of a path affects all
 	Gateway     int     // number of the gateway whose path to the zone is affected; -1: the nodes are affected
 	Unavailable bool    // true: loss; false: return
 	Restarted   bool    // the returning nodes have restarted
@@ -52,16 +52,16 @@
 	DetectedAfter      time.Duration  // time from the first loss until lost nodes got only probing attempts; -1: no loss
 	Violations         []string       // violations of what must hold in each scenario
 	LastAttemptsByNode map[string]int // number of attempts by node id in the last 10 seconds
-	WorstSpillover     float64        // units by which the spillover from a zone exceeded its limit at most; 0: never
+	WorstSpillover     float64        // most units by which the spillover from a zone exceeded its limit; 0: never
 }
 
-// The slow start of nodes. The gateways' settings have the same values.
+// Parameters of the slow start of simulated nodes. The gateways are configured with the same values.
 const (
-	slowStartShare    = 0.18
-	slowStartDuration = 17 * time.Second
-	slowStartMultiple = 4
-	slowStartWindow   = 3 * time.Second
-	slowStartMargin   = 0.8 // share of a node's capacity in slow start that all gateways together may use
+	slowStartShare    = 0.18             // speed of a node that has just started, as a share of its full speed
+	slowStartDuration = 17 * time.Second // time from the start of a node until it has its full speed
+	slowStartMultiple = 4                // load above which a node crashes, as a multiple of its current capacity
+	slowStartWindow   = 3 * time.Second  // time over which the load is measured
+	slowStartMargin   = 0.8              // share of what a node tolerates at its start that all gateways may send
 )
 
 // samplingInterval is the time between two samples of the load of nodes in slow start. The operators sample it at the
--- a/internal/simulation/zone_scenario_test.go
+++ b/internal/simulation/zone_scenario_test.go
@@ -52,7 +52,7 @@
 // checkInvariants checks what must hold in every scenario: no crash, no violation and no spillover over its limit.
 func checkInvariants(t interface{ Errorf(string, ...any) }, result *ZoneResult) {
 	if len(result.Crashed) > 0 || len(result.Violations) > 0 || result.WorstSpillover > 1e-6 {
-		t.Errorf("crashed: %v; violations: %v; spillover %.1f units over the limit",
+		t.Errorf("crashed: %v; violations: %v; spillover %.1f units over the limit; want none of these",
 			result.Crashed, result.Violations, result.WorstSpillover)
 	}
 }
@@ -67,7 +67,7 @@
 	}{
 		{"all nodes restarted", true, 0},
 		{"only the network failed", false, 0},
-		{"half of the nodes return restarted", true, 0.6},
+		{"three of five nodes return restarted", true, 0.6},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			scenario := zoneLoss(1, test.restarted, test.returningShare)
@@ -84,7 +84,8 @@
 				}
 			}
 			if lost > 40 || spilled < 300 || rejected == 0 || result.DetectedAfter > time.Second {
-				t.Errorf("%d new objects lost, %.0f units spilled over, %d requests rejected, loss detected after %v",
+				t.Errorf("%d new objects lost, want at most 40; %.0f units spilled over, want at least 300; "+
+					"%d requests rejected, want some; loss detected after %v, want at most 1s",
 					lost, spilled, rejected, result.DetectedAfter)
 			}
 			returning := scenario.Nodes
@@ -94,7 +95,8 @@
 			for i := range scenario.Nodes {
 				attempts := result.LastAttemptsByNode[nodeID(0, i)]
 				if i < returning && attempts < 50 || i >= returning && attempts > 60 {
-					t.Errorf("%s got %d attempts in the last 10 s", nodeID(0, i), attempts)
+					t.Errorf("%s got %d attempts in the last 10 s, want at least 50 if it returned (%t), else at most 60",
+						nodeID(0, i), attempts, i < returning)
 				}
 			}
 		})
@@ -124,15 +126,15 @@
 	}
 }
 
-// If no probes are allowed, gateways detect the return of a node by sending it requests that they would reject
-// otherwise.
+// If no probes are allowed, gateways detect the return of a node by sending it requests that they would otherwise
+// reject. The node then gets its share of the load again.
 func TestReturnIsDetectedWithoutProbes(t *testing.T) {
 	scenario := zoneLoss(2, true, 0)
 	scenario.probesDisabled = true
 	result := runZones(t, scenario)
 	checkInvariants(t, result)
 	if result.LastAttemptsByNode[nodeID(0, 0)] < 50 {
-		t.Errorf("node %s got too few attempts in the last 10 s: %v", nodeID(0, 0), result.LastAttemptsByNode)
+		t.Errorf("attempts in the last 10 s: %v, want at least 50 at %s", result.LastAttemptsByNode, nodeID(0, 0))
 	}
 }
 
@@ -146,7 +148,7 @@
 	result := runZones(t, scenario)
 	checkInvariants(t, result)
 	if second := result.Seconds[25]; second.SpilledUnits > 30 || second.Served < 100 {
-		t.Errorf("second 25: %+v", second)
+		t.Errorf("second 25: %+v, want at most 30 units spilled over and at least 100 requests served", second)
 	}
 }
 
@@ -158,7 +160,7 @@
 	checkInvariants(t, result)
 	for i, second := range result.Seconds {
 		if second.SpilledUnits > 0 {
-			t.Fatalf("units spilled over in second %d: %+v", i, second)
+			t.Fatalf("second %d: %v units spilled over, want 0", i, second.SpilledUnits)
 		}
 	}
 }
@@ -174,7 +176,7 @@
 		for zone := range scenario.Zones {
 			for i := range scenario.Nodes {
 				if id := nodeID(zone, i); result.LastAttemptsByNode[id] == 0 {
-					t.Fatalf("node %s got no attempt in the last 10 s: %v", id, result.LastAttemptsByNode)
+					t.Fatalf("attempts in the last 10 s: %v, want at least 1 at %s", result.LastAttemptsByNode, id)
 				}
 			}
 		}
@@ -233,6 +235,6 @@
 	}
 	result := run.finish()
 	if len(result.Violations) != 1 || result.Violations[0] != "r ran at a0 and b0" {
-		t.Errorf("violations: %q", result.Violations)
+		t.Errorf("violations: %q, want only \"r ran at a0 and b0\"", result.Violations)
 	}
 }
