--- a/internal/scenariotest/actor.go
+++ b/internal/scenariotest/actor.go
@@ -16,7 +16,8 @@
 const (
 	// end is the text that an actor receives when a connection ends.
 	end = "end"
-	// nothing is the text of an expectation that the actor has received no message.
+	// nothing is the text of an expectation that the actor has received no message. As the text that an actor with the
+	// Codec HTTP sends, it makes the actor connect without sending anything.
 	nothing = "nothing"
 )
 
@@ -31,14 +32,14 @@
 type actor struct {
 	scenario *Scenario
 	codec    Codec
-	address  string       // of a client: where it connects to when it first sends
-	listener net.Listener // of a server
+	address  string       // address to which a client connects when it first sends
+	listener net.Listener // listener of a server; nil for a client
 	received chan message
 	current  net.Conn // connection on which it last sent or received
 
 	mu     sync.Mutex
 	conns  []net.Conn
-	closed net.Conn // connection that the actor closed last; it does not receive the end of it
+	closed net.Conn // connection that the actor closed last; its end is not put into the queue
 }
 
 // message is a received message.
@@ -132,13 +133,13 @@
 }
 
 // expect compares the next received message with text, ignoring differences in white space. The connection of the
-// message becomes the current one.
+// message becomes the current one, or none if it has ended. If text is nothing, no message must be left to expect.
 func (a *actor) expect(text string) error {
 	synctest.Wait()
 	if text == nothing {
 		select {
 		case m := <-a.received:
-			return fmt.Errorf("received %q", m.text)
+			return fmt.Errorf("received %q, want no message", m.text)
 		default:
 			return nil
 		}
--- a/internal/scenariotest/h2.go
+++ b/internal/scenariotest/h2.go
@@ -131,8 +131,8 @@
 	return settings, nil
 }
 
-// fieldBlock encodes the words METHOD PATH name=value ... with HPACK. It uses no dynamic table, so no block depends on
-// earlier ones.
+// fieldBlock encodes the words METHOD PATH name=value ... with HPACK. METHOD and PATH may be left out, as in trailers.
+// It uses no dynamic table, so no block depends on earlier ones.
 func fieldBlock(words []string) []byte {
 	var block bytes.Buffer
 	encoder := hpack.NewEncoder(&block)
--- a/internal/scenariotest/http.go
+++ b/internal/scenariotest/http.go
@@ -56,7 +56,8 @@
 	return err
 }
 
-// isStatus reports whether a word is a status code.
+// isStatus reports whether a word, which must not be empty, begins with a digit from 1 to 9, as a status code does. The
+// method of a request does not.
 func isStatus(word string) bool { return word[0] >= '1' && word[0] <= '9' }
 
 // Read receives a request or a response.
--- a/internal/scenariotest/iscsi.go
+++ b/internal/scenariotest/iscsi.go
@@ -162,7 +162,7 @@
 	return fmt.Errorf("unknown field %q", name)
 }
 
-// parseData parses TEXT or COUNT*LETTER.
+// parseData returns the data that TEXT or COUNT*LETTER stands for.
 func parseData(value string) []byte {
 	count, letter, ok := strings.Cut(value, "*")
 	if !ok {
@@ -172,7 +172,8 @@
 	return bytes.Repeat([]byte(letter), n)
 }
 
-// formatData is the inverse of parseData.
+// formatData returns data in the notation that parseData reads: as COUNT*LETTER if all bytes are equal, or else as
+// TEXT. The data must not be empty.
 func formatData(data []byte) string {
 	if n := len(data); bytes.Count(data, data[:1]) == n {
 		return fmt.Sprintf("%d*%s", n, data[:1])
--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -154,7 +154,8 @@
 	return node, f.err
 }
 
-// eventDecoder decodes the fields of a line into an event. It sets all fields that the event's kind has but Instance.
+// eventDecoder decodes the fields of a line into an event. It sets Kind and the fields that this kind has, but not
+// Instance, which decodeEvent sets.
 type eventDecoder func(*Decoder, *Event, *fields) error
 
 // eventDecoders maps the tag of a line to the decoder of its event. Lines with other tags are skipped.
--- a/internal/simprotocol/decoder_test.go
+++ b/internal/simprotocol/decoder_test.go
@@ -134,7 +134,7 @@
 		t.Fatal(err)
 	}
 	if len(batches) != 2 || len(batches[0].Events) != 0 || batches[1].Now != 8412250*time.Microsecond {
-		t.Fatalf("batches: %+v", batches)
+		t.Fatalf("batches: %+v, want two: one without events, one at 8.41225s", batches)
 	}
 	events := batches[1].Events
 	if len(events) != len(everyDecodedEvent)+1 {
@@ -153,7 +153,8 @@
 	t.Helper()
 	settings := event.Settings
 	if event.Kind != InstanceStarted || event.Seed != 42 || settings.Siblings != 3 || !settings.PollMembership {
-		t.Errorf("settings: %+v", settings)
+		t.Errorf("event %+v, want one of kind %d with seed 42, 3 siblings and a polled membership",
+			event, InstanceStarted)
 	}
 	wantClass := scheduler.Class{
 		Name:             "w",
@@ -167,7 +168,7 @@
 		Ordered:          true,
 	}
 	if settings.Classes[0] != wantClass {
-		t.Errorf("class: %+v", settings.Classes[0])
+		t.Errorf("class %+v\nwant %+v", settings.Classes[0], wantClass)
 	}
 	wantPlan := scheduler.Plan{
 		Name:    "p",
@@ -180,11 +181,12 @@
 		Price:   0.8,
 	}
 	if settings.Plans[0] != wantPlan {
-		t.Errorf("plan: %+v", settings.Plans[0])
+		t.Errorf("plan %+v\nwant %+v", settings.Plans[0], wantPlan)
 	}
 	rules := settings.Rules
 	if rules.OrderedKeyQuietPeriod != 200*ms || rules.SlowStartAllowance != 37 || settings.Sizes.MaxUnits != 6 {
-		t.Errorf("rules: %+v", rules)
+		t.Errorf("rules %+v and sizes %+v, want OrderedKeyQuietPeriod 200ms, SlowStartAllowance 37, MaxUnits 6",
+			rules, settings.Sizes)
 	}
 }
 
--- a/internal/simprotocol/encoder.go
+++ b/internal/simprotocol/encoder.go
@@ -47,9 +47,11 @@
 	return strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', -1, 64)
 }
 
-var lineBreaks = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
+// separators replaces the characters that end a line or a field.
+var separators = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
-func oneLine(text string) string { return lineBreaks.Replace(text) }
+// oneLine returns a text as the value of a field, without line breaks and tabs.
+func oneLine(text string) string { return separators.Replace(text) }
 
 // Instance writes the actions of one instance of the scheduler. It implements scheduler.Actions.
 type Instance struct {
@@ -85,7 +87,7 @@
 // Fail writes the action that ends a request that may have run.
 func (i Instance) Fail(id string) { i.Encoder.writeLine("give_up", i.Number, "opId", id) }
 
-// Probe writes the action that asks a node for its load.
+// Probe writes the action that requests a load report from a node.
 func (i Instance) Probe(node string) { i.Encoder.writeLine("touch", i.Number, "node", node) }
 
 // SetTimer writes the action that requests a timer event with a key after the given time.
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -35,7 +35,7 @@
 	Membership scheduler.Membership
 	Request    scheduler.Request
 	Probe      scheduler.ProbeResult
-	ID         string // of a request
+	ID         string // id of a request
 	Outcome    scheduler.Outcome
 	Timer      uint64 // key of a timer
 }
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -58,7 +58,7 @@
 	return number
 }
 
-// numberOr returns the number in a field, or a default if the field is absent.
+// numberOr returns the number in a field, or a default if the field is absent or empty.
 func (f *fields) numberOr(name string, absent float64) float64 {
 	if f.value(name) == "" {
 		return absent
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -69,7 +69,7 @@
 
 // wireRequests describes the requests that all clients send.
 type wireRequests struct {
-	Writes             []bool  `json:"changesData"` // by class, in the order of wireSettings.Classes
+	Writes             []bool  `json:"changesData"` // whether requests write, in the order of wireSettings.Classes
 	SpareWeight        float64 `json:"idleWorth"`
 	MeanUnits          float64 `json:"meanUnits"`
 	MaxUnits           float64 `json:"mostUnits"`
