--- a/internal/demo/discovery.go
+++ b/internal/demo/discovery.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// heartbeatInterval is how often a watch without changes gets an empty line, which tells its client that it is alive.
+// heartbeatInterval is how often a watch without changes gets an empty line, which tells its client that discovery is
+// alive.
 const heartbeatInterval = 2 * time.Second
 
 // endpointList is the list of nodes in a response of discovery.
@@ -71,7 +72,8 @@
 	return endpointList{Hosts: hosts, Seq: n.seq, Whole: true}, n.changed
 }
 
-// awaitChange writes heartbeats to a watch until changed is closed. It returns false if the request ends first.
+// awaitChange writes heartbeats to a watch until changed is closed or the request ends. It reports whether changed was
+// closed.
 func awaitChange(w http.ResponseWriter, r *http.Request, changed <-chan struct{}) bool {
 	for {
 		w.(http.Flusher).Flush()
--- a/internal/filesystem/filesystem.go
+++ b/internal/filesystem/filesystem.go
@@ -47,7 +47,7 @@
 const temporarySuffix = ".part"
 
 // ReplaceFile creates a file or replaces its content atomically: it writes the content to a temporary file, syncs that
-// file and renames it.
+// file, renames it and syncs the directory.
 func ReplaceFile(f FS, name string, content []byte) error {
 	temporary := name + temporarySuffix
 	// An earlier process may have stopped before it renamed or removed the temporary file.
--- a/internal/filesystem/filesystem_test.go
+++ b/internal/filesystem/filesystem_test.go
@@ -13,8 +13,8 @@
 	"reachpulley/internal/filesystem/filesystemtest"
 )
 
-// If the power is lost at any time while a file is replaced, the file has either its former or its new content
-// afterwards.
+// If the power is lost after any number of written bytes while a file is replaced, the file has either its former or
+// its new content afterwards.
 func TestReplaceFileIsAtomicUnderPowerLoss(t *testing.T) {
 	before := []byte("former content")
 	after := []byte("new content")
@@ -24,11 +24,12 @@
 		disk.PowerLossAfter = writtenBytes
 		err := filesystem.ReplaceFile(disk, "d/file", after)
 		if lost := writtenBytes <= len(after); errors.Is(err, filesystemtest.ErrPower) != lost {
-			t.Errorf("power lost after %d bytes: error is %v", writtenBytes, err)
+			t.Errorf("power lost after %d bytes: error %v, want ErrPower: %t", writtenBytes, err, lost)
 		}
 		found := disk.Restart(0).Content("d/file")
 		if !bytes.Equal(found, before) && (err != nil || !bytes.Equal(found, after)) {
-			t.Errorf("power lost after %d bytes: the file contains %q after error %v", writtenBytes, found, err)
+			t.Errorf("power lost after %d bytes: the file contains %q after error %v, want %q, or %q after no error",
+				writtenBytes, found, err, before, after)
 		}
 	}
 }
@@ -49,7 +50,7 @@
 				t.Error("ReplaceFile returned no error")
 			}
 			if files, err := disk.List("d"); err != nil || len(files) > 0 {
-				t.Errorf("files left in the directory: %v; error %v", files, err)
+				t.Errorf("files left in the directory: %v; error %v; want none", files, err)
 			}
 		})
 	}
@@ -59,17 +60,17 @@
 	disk := filesystemtest.New()
 	disk.Put("d/file", []byte("12345"))
 	if content, err := filesystem.ReadFile(disk, "d/file", 5); err != nil || string(content) != "12345" {
-		t.Errorf("%q, %v", content, err)
+		t.Errorf("ReadFile of 5 bytes, limit 5: content %q, error %v; want \"12345\" and no error", content, err)
 	}
 	if _, err := filesystem.ReadFile(disk, "d/file", 4); !errors.Is(err, filesystem.ErrTooLarge) {
-		t.Errorf("%v, want %v", err, filesystem.ErrTooLarge)
+		t.Errorf("ReadFile of 5 bytes, limit 4: error %v, want %v", err, filesystem.ErrTooLarge)
 	}
 	if _, err := filesystem.ReadFile(disk, "d/none", 4); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("%v, want %v", err, fs.ErrNotExist)
+		t.Errorf("ReadFile of a missing file: error %v, want %v", err, fs.ErrNotExist)
 	}
 }
 
-// The file system of the machine behaves as the one in memory.
+// OS creates, truncates, lists, removes, renames and reads files on the machine's file system as FS describes it.
 func TestOS(t *testing.T) {
 	directory := t.TempDir()
 	path := func(name string) string { return filepath.Join(directory, name) }
@@ -81,7 +82,7 @@
 		t.Fatal(err)
 	}
 	if _, err := disk.Create(path("a")); !errors.Is(err, fs.ErrExist) {
-		t.Errorf("%v, want %v", err, fs.ErrExist)
+		t.Errorf("Create of an existing file: error %v, want %v", err, fs.ErrExist)
 	}
 	if err := disk.Truncate(path("b"), 2); err != nil {
 		t.Error(err)
@@ -89,7 +90,7 @@
 	files, err := disk.List(directory)
 	want := []filesystem.Info{{Name: "a", Size: 1}, {Name: "b", Size: 2}}
 	if diff := cmp.Diff(want, files); diff != "" || err != nil {
-		t.Error(diff, err)
+		t.Errorf("List: error %v, want none; files (-want +got):\n%s", err, diff)
 	}
 	if err := disk.Remove(path("a")); err != nil {
 		t.Error(err)
@@ -99,6 +100,6 @@
 	}
 	content, err := filesystem.ReadFile(disk, path("c"), 10)
 	if err != nil || string(content) != "12" {
-		t.Errorf("%q, %v", content, err)
+		t.Errorf("ReadFile of the renamed file: content %q, error %v; want \"12\" and no error", content, err)
 	}
 }
--- a/internal/filesystem/filesystemtest/filesystemtest.go
+++ b/internal/filesystem/filesystemtest/filesystemtest.go
@@ -21,7 +21,7 @@
 var (
 	// ErrSync is the error of the sync that FailSync selects.
 	ErrSync = errors.New("filesystemtest: sync failed")
-	// ErrPower is the error of all changes after the simulated loss of power.
+	// ErrPower is the error of the write during which the simulated power is lost, and of all later changes and syncs.
 	ErrPower = errors.New("filesystemtest: power lost")
 )
 
@@ -31,12 +31,12 @@
 	mu        sync.Mutex
 	files     map[string]*file
 	durable   map[string]*file // files by name as of the last SyncDirectory
-	used      int              // bytes
+	used      int              // number of bytes in all files
 	powerLost bool
 
 	Capacity       int // in bytes; 0: unlimited
-	FailSync       int // number of the sync that fails, 1 for the next; 0: none
-	PowerLossAfter int // bytes that are still written before the power is lost; -1: it is not lost
+	FailSync       int // number of the sync, of a file or a directory, that fails, 1 for the next; 0: none
+	PowerLossAfter int // number of bytes that are still written before the power is lost; -1: it is not lost
 }
 
 var _ filesystem.FS = (*FS)(nil)
@@ -177,7 +177,7 @@
 	return files, nil
 }
 
-// SyncDirectory implements filesystem.FS. It makes the names of all directories durable.
+// SyncDirectory implements filesystem.FS. It makes the creations, removals and renames in all directories durable.
 func (f *FS) SyncDirectory(string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/tools/doccheck/check.go
+++ b/tools/doccheck/check.go
@@ -14,7 +14,8 @@
 // skippedDirectories holds the names of directories without source code of the product.
 var skippedDirectories = []string{".git", "journal", "testdata", "tools"}
 
-// check walks the source tree below root and returns a line for each missing doc comment, ordered by file and position.
+// check walks the source tree below root and returns a line for each missing doc comment: first those of exported
+// names, ordered by file and position, then those of packages, ordered by directory.
 func check(root string) ([]string, error) {
 	checker := &checker{root: root, fileSet: token.NewFileSet(), packages: map[string]bool{}}
 	if err := filepath.WalkDir(root, checker.visit); err != nil {
@@ -70,7 +71,8 @@
 	}
 }
 
-// checkSpec checks a type, constant or variable. Constants and variables may share the comment of their group.
+// checkSpec checks a type, constant or variable, each of which may share the comment of its group. A comment behind a
+// constant or variable documents it too.
 func (c *checker) checkSpec(spec ast.Spec, groupDocumented bool) {
 	switch spec := spec.(type) {
 	case *ast.TypeSpec:
--- a/tools/doccheck/main.go
+++ b/tools/doccheck/main.go
@@ -1,5 +1,5 @@
 // Doccheck reports packages and exported names without a doc comment. It exits with 1 if it finds any, and with 2 if it
-// cannot read the source tree.
+// is called with wrong arguments or cannot read the source tree.
 //
 // Usage: doccheck DIR
 package main
