--- a/cmd/reachpulley/rules_bench.go
+++ b/cmd/reachpulley/rules_bench.go
@@ -25,7 +25,7 @@
 // request.
 type measurement struct {
 	Request     string  `json:"request"`
-	Nanoseconds float64 `json:"ns"`          // of an evaluation: the median of the batches
+	Nanoseconds float64 `json:"ns"`          // per evaluation, as the median of the batches
 	Allocations float64 `json:"allocations"` // mean number per evaluation
 	Cost        int     `json:"cost"`        // estimated nanoseconds
 	Worst       int     `json:"worst"`       // highest cost of any request, in estimated nanoseconds
--- a/cmd/reachpulley/zones_play.go
+++ b/cmd/reachpulley/zones_play.go
@@ -48,9 +48,10 @@
 	name             string
 	failoverDisabled bool
 
-	total                     simulation.ZoneSecond // sums, but the maximum of SlowStartLoad; without SpilledUnits
-	maxSpillover              float64               // most units in a second
-	spilloverWhileUnavailable float64               // units, during the first loss
+	// total holds the sums of the counts of all seconds and the maximum of SlowStartLoad. Its SpilledUnits stays 0.
+	total                     simulation.ZoneSecond
+	maxSpillover              float64 // most units that spilled over in a second
+	spilloverWhileUnavailable float64 // units that spilled over during the first loss
 
 	spilloverBySecond     []float64
 	slowStartLoadBySecond []float64 // in percent of the load that crashes a node
--- a/internal/simulation/zone_checks.go
+++ b/internal/simulation/zone_checks.go
@@ -20,7 +20,7 @@
 // detection measures how long gateways send more attempts to lost nodes than they need for probing.
 type detection struct {
 	lostAt      time.Duration // time of the first loss; 0: none
-	lastBurst   time.Duration // time of the last attempt beyond those of its window that count as probing
+	lastBurst   time.Duration // time of the last attempt that did not count as probing
 	windowBegan time.Duration // time at which the current window of 1 second began
 	attempts    int           // number of attempts at lost nodes in the current window
 }
--- a/internal/simulation/zone_run.go
+++ b/internal/simulation/zone_run.go
@@ -33,7 +33,7 @@
 	gateways   []*Gateway
 	rate       float64 // units per second that all clients together request
 	result     *ZoneResult
-	spillover  map[int][]arrival // units sent to other zones, by the zone of the gateway that sent them
+	spillover  map[int][]arrival // units of new objects sent to other zones, by zone of the gateway
 	detection  detection
 }
 
--- a/internal/simulation/zone_scenario.go
+++ b/internal/simulation/zone_scenario.go
@@ -30,7 +30,7 @@
 type ZoneEvent struct {
 	At          time.Duration // time from the start of the scenario
 	Zone        int
-	NodeShare   float64 // share of the zone's nodes that are affected; 0: all. The loss of a path affects all
+	NodeShare   float64 // if Gateway is -1: share of the zone's nodes that are affected; 0: all
 	Gateway     int     // number of the gateway whose path to the zone is affected; -1: the nodes are affected
 	Unavailable bool    // true: loss; false: return
 	Restarted   bool    // the returning nodes have restarted
