--- a/cmd/reachpulley/zones_play.go
+++ b/cmd/reachpulley/zones_play.go
@@ -48,12 +48,13 @@
 	name             string
 	failoverDisabled bool
 
-	total                     simulation.ZoneSecond // the maximum of SlowStartLoad, the sums of the other fields
-	maxSpillover              float64               // most units in a second
-	spilloverWhileUnavailable float64               // units, during the first loss
+	// total holds the sums of the counts of all seconds and the maximum of SlowStartLoad. Its SpilledUnits stays 0.
+	total                     simulation.ZoneSecond
+	maxSpillover              float64 // most units that spilled over in a second
+	spilloverWhileUnavailable float64 // units that spilled over during the first loss
 
 	spilloverBySecond     []float64
-	slowStartLoadBySecond []float64 // in percent of what crashes a node
+	slowStartLoadBySecond []float64 // in percent of the load that crashes a node
 }
 
 // Run simulates the same scenario with and without zone failover.
@@ -109,18 +110,18 @@
 		MembershipDelay: simulatedMembershipDelay,
 		Settings:        zonefailover.Settings{Spillover: z.Spillover, Burst: z.Burst},
 	}
-	const allGateways = -1
+	const noGateway = -1 // the event affects the nodes, not the path of a gateway to them
 	at := firstZoneLoss
 	for range z.Flaps {
 		scenario.Events = append(scenario.Events,
 			simulation.ZoneEvent{
 				At:          at,
-				Gateway:     allGateways,
+				Gateway:     noGateway,
 				Unavailable: true,
 			},
 			simulation.ZoneEvent{
 				At:        at + z.UnavailableFor,
-				Gateway:   allGateways,
+				Gateway:   noGateway,
 				Restarted: true,
 				NodeShare: z.RecoveredShare,
 			})
