--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,6 +1,6 @@
-// Package retrybudget limits retries to what first attempts earn. Each operation at a group of nodes has a token
-// bucket, which served first attempts fill and retries spend. While retries succeed, first attempts earn much. While
-// retries fail, the budget shrinks to a trickle, so that a storm of failures does not become a storm of retries.
+// Package retrybudget limits retries to what served first attempts earn, plus a constant rate. Each operation and
+// class at a group of nodes has a token bucket, which served first attempts fill and retries spend. First attempts earn
+// more while retries are served than while they fail, so that many failures do not cause many retries.
 //
 // The package reads no clock, takes no lock and does no I/O: its caller passes the time and calls from one goroutine at
 // a time.
@@ -28,7 +28,8 @@
 // ErrSettingsChanged means that a stored state can't be resumed because it has another number of budgets.
 var ErrSettingsChanged = errors.New("retry budget: the state was stored under other settings")
 
-// Key identifies a budget: that of an operation and class at a group of nodes.
+// Key selects a budget: that of an operation and class at a group of nodes in a zone. Keys whose hashes fall into the
+// same cell of a Table share a budget.
 type Key struct {
 	Operation string // empty if no description covers the call
 	Class     int
@@ -50,7 +51,7 @@
 	_            struct{} `cbor:",toarray"`
 	Tokens       float64
 	SuccessShare float64       `json:"Earn"` // smoothed share of the retries that were served
-	At           time.Duration // time up to which the budget has been refilled
+	At           time.Duration // time up to which Tokens and SuccessShare have been updated
 	Started      bool          `json:"Met"` // whether the budget has ever been used
 }
 
@@ -127,7 +128,7 @@
 	return slices.Clone(t.cells)
 }
 
-// Resume continues from a stored state. It returns ErrSettingsChanged if that has another number of budgets.
+// Resume continues from a stored state. It returns ErrSettingsChanged if the state has another number of budgets.
 func (t *Table) Resume(cells []Budget) error {
 	if t == nil && len(cells) == 0 {
 		return nil
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -107,7 +107,7 @@
 	}
 	resumed := New(testSettings)
 	if err := resumed.Resume(budgets.Snapshot()); err != nil || !cmp.Equal(resumed.cells, budgets.cells) {
-		t.Errorf("the budgets differ after Resume (error %v)", err)
+		t.Errorf("Resume: error %v, budgets (-want +got):\n%s", err, cmp.Diff(budgets.cells, resumed.cells))
 	}
 	if err := resumed.Resume(budgets.Snapshot()[1:]); !errors.Is(err, ErrSettingsChanged) {
 		t.Errorf("Resume with another number of budgets: %v, want %v", err, ErrSettingsChanged)
--- a/internal/zonefailover/node.go
+++ b/internal/zonefailover/node.go
@@ -13,7 +13,8 @@
 	Size float64
 	// Removed means that the node is listed as removed or draining, so that no response is expected of it.
 	Removed bool `json:"Gone"`
-	// UnansweredFor is how long the oldest attempt has been in flight. 0 means that no attempt is in flight.
+	// UnansweredFor is how long the oldest attempt in flight to the node has waited for a response. 0 means that no
+	// attempt is in flight.
 	UnansweredFor time.Duration `json:"Waiting"`
 	// UsualLatency is the estimated latency of the node's responses. 0 means unknown.
 	UsualLatency time.Duration `json:"Usual"`
@@ -23,14 +24,16 @@
 
 // Constants of the state machine of nodes.
 const (
-	// An attempt counts as silent after silenceFactor times the usual latency, with minSilenceThreshold and
-	// maxSilenceThreshold as bounds. A healthy node pauses now and then for as long as minSilenceThreshold.
+	// A node counts as silent when an attempt has been unanswered, and the node has sent nothing else, for longer than
+	// silenceFactor times its usual latency, but at least minSilenceThreshold and at most maxSilenceThreshold. A
+	// healthy node pauses now and then for as long as minSilenceThreshold.
 	silenceFactor       = 4
 	minSilenceThreshold = 120 * time.Millisecond
 	maxSilenceThreshold = 400 * time.Millisecond
-	// unavailableAfter is how long a node, or most of a zone, must be silent before it is unavailable.
+	// A silent node is unavailable when an attempt has been unanswered for unavailableAfter longer than the silence
+	// threshold. A zone is unavailable when most of it has been silent for unavailableAfter.
 	unavailableAfter = 250 * time.Millisecond
-	// nodeRecoveryTime is how long a recovering node must respond before it is available again.
+	// nodeRecoveryTime is how long a node is recovering at least before it is available again.
 	nodeRecoveryTime = time.Second
 	// Trial requests to an unavailable node go out at intervals that double between these bounds.
 	minTrialInterval = 100 * time.Millisecond
@@ -66,7 +69,8 @@
 
 // nextState returns the state that follows from the last observation. The transitions are:
 //
-//   - any state to Unavailable: the node has been silent for unavailableAfter;
+//   - any state to Unavailable: the node is silent, and its oldest attempt has been unanswered for unavailableAfter
+//     longer than the silence threshold;
 //   - Available to Suspect: it is silent;
 //   - Suspect to Available, Unavailable to Recovering: it has responded;
 //   - Recovering to Available: nodeRecoveryTime has passed and it is not silent.
@@ -98,12 +102,13 @@
 	return n.state
 }
 
-// silenceThreshold returns the time after which an attempt without a response counts as silent.
+// silenceThreshold returns the time without a response after which the node counts as silent.
 func (n *node) silenceThreshold() time.Duration {
 	return min(max(silenceFactor*n.UsualLatency, minSilenceThreshold), maxSilenceThreshold)
 }
 
-// silent reports whether an attempt has been in flight for too long while the node sent nothing else either.
+// silent reports whether an attempt has been unanswered, and the node has sent nothing else, for longer than the
+// silence threshold. A removed node is never silent.
 func (n *node) silent(now time.Duration) bool {
 	threshold := n.silenceThreshold()
 	return !n.Removed && n.UnansweredFor > threshold && now-n.LastResponse > threshold
--- a/internal/zonefailover/settings.go
+++ b/internal/zonefailover/settings.go
@@ -25,7 +25,8 @@
 	Siblings int
 	// MembershipDelay is how long the endpoint list may take to show that a node has restarted.
 	MembershipDelay time.Duration `json:"ListLate"`
-	// Work holds the tiers for the work of single classes and plans, in place of Tiers. The first match applies.
+	// Work holds the tiers for the work of single classes and plans, in place of Tiers. The first entry that matches
+	// the work applies.
 	Work []Work
 }
 
@@ -59,10 +60,10 @@
 	return nil
 }
 
-// Tier returns the tier of a zone for work of a class and plan, or Forbidden.
+// Tier returns the tier of a zone for work of a class and plan, or Forbidden. An unknown zone has tier 0.
 func (s *Settings) Tier(zone, class, plan int) int {
 	if zone < 0 || zone >= len(s.Tiers) {
-		return 0 // the settings name no tier for it
+		return 0 // the settings name no tier for this zone
 	}
 	for i := range s.Work {
 		if s.Work[i].matches(class, plan) {
--- a/internal/zonefailover/settings_test.go
+++ b/internal/zonefailover/settings_test.go
@@ -46,7 +46,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if test.settings.Check() == nil {
-				t.Errorf("%+v are accepted", test.settings)
+				t.Errorf("settings %+v are accepted, want an error", test.settings)
 			}
 		})
 	}
--- a/internal/zonefailover/spillover.go
+++ b/internal/zonefailover/spillover.go
@@ -3,13 +3,13 @@
 import "time"
 
 // SpilloverLimiter limits the work that goes beyond the first tier, by token buckets. Each gateway has an equal part of
-// the rate and the burst, so that all gateways together stay within the bound without communication: in any time t, no
-// more than Spillover*t + Burst units spill over. In addition, the work that spills over into one zone is at most Share
-// of the zone's spare capacity, as this gateway has observed it.
+// the rate and the burst, so that all gateways together stay within the bound without communication: in any period of t
+// seconds, no more than Spillover*t + Burst units spill over. If Share is set, the work that spills over into one zone
+// is also limited to this share of the zone's spare capacity, as this gateway has observed it.
 type SpilloverLimiter struct {
 	settings Settings
-	total    tokenBucket
-	zones    []tokenBucket
+	total    tokenBucket   // limits the work that spills over into all zones together
+	zones    []tokenBucket // limit the work that spills over into each zone, if settings.Share is set
 }
 
 // tokenBucket holds tokens of one unit of work each. It starts empty, because a gateway that has just started does not
@@ -20,7 +20,7 @@
 	started    bool
 }
 
-// refill adds the tokens for the time since the last refill. It is called before the tokens are read.
+// refill adds the tokens for the time since the last refill, at a rate in tokens a second and up to the burst.
 func (b *tokenBucket) refill(now time.Duration, rate, burst float64) {
 	if !b.started {
 		b.started = true
@@ -37,7 +37,7 @@
 	return &SpilloverLimiter{settings: settings, zones: make([]tokenBucket, len(settings.Tiers))}
 }
 
-// gatewayShare returns this gateway's part of the work that all gateways together may spill over.
+// gatewayShare returns this gateway's part of the rate and burst of all gateways, as a fraction.
 func (l *SpilloverLimiter) gatewayShare() float64 { return 1 / float64(max(1, l.settings.Siblings)) }
 
 // rate returns the units a second that this gateway may spill over.
@@ -56,6 +56,7 @@
 }
 
 // Take takes the tokens for units of work that go to a zone. It reports false and takes nothing if there are too few.
+// The bucket of the zone is refilled by Refill alone, as Take does not know the zone's spare rate.
 func (l *SpilloverLimiter) Take(now time.Duration, zone int, units float64) bool {
 	l.total.refill(now, l.rate(), l.burst())
 	if units > l.total.tokens {
@@ -72,8 +73,9 @@
 	return true
 }
 
-// Wait returns the time until the given units may spill over, for the Retry-After of rejected requests. It reports
-// false if they never may with these settings, because the rate is 0 or the burst is too small.
+// Wait returns the time until the bucket for all zones has the tokens for units of work, for the Retry-After of
+// rejected requests. It takes no account of the buckets of single zones. It reports false if these units can never
+// spill over with these settings, because the rate is 0 or the burst is too small.
 func (l *SpilloverLimiter) Wait(now time.Duration, units float64) (wait time.Duration, ever bool) {
 	l.total.refill(now, l.rate(), l.burst())
 	if l.rate() <= 0 || units > l.burst() {
--- a/internal/zonefailover/tracker.go
+++ b/internal/zonefailover/tracker.go
@@ -11,7 +11,7 @@
 const (
 	Available   State = iota // it takes work
 	Degraded                 // it takes work, but a part of the zone is removed or unavailable
-	Suspect                  // it is silent, but not yet for long enough to be unavailable
+	Suspect                  // a node is silent, or half of a zone, but not enough to be unavailable
 	Unavailable              // it has been silent for too long and gets trial requests only
 	Recovering               // it responds again, but not yet for long enough to be available
 )
@@ -57,7 +57,8 @@
 }
 
 // Update takes the observations of all listed nodes and returns the changes that they cause, those of nodes first. It
-// forgets nodes that are no longer listed. It makes one pass over the nodes, whatever the number of zones.
+// ignores nodes of unknown zones and forgets nodes that are no longer listed. Its number of passes over the nodes does
+// not depend on the number of zones.
 func (t *Tracker) Update(now time.Duration, observations []Observation) (changes []Change) {
 	totals := make([]zoneTotals, len(t.zones))
 	observed := 0
@@ -101,7 +102,7 @@
 	return n
 }
 
-// forgetUnlisted forgets the nodes of which there is no observation.
+// forgetUnlisted forgets the nodes for which there is no observation.
 func (t *Tracker) forgetUnlisted(observations []Observation) {
 	listed := make(map[string]bool, len(observations))
 	for i := range observations {
@@ -147,15 +148,15 @@
 	return n.takeTrial(now)
 }
 
-// TrialOverdue reports whether the trial request of an unavailable node is long overdue, because there was no request
-// that could be risked on the node.
+// TrialOverdue reports whether the trial request of an unavailable node has been due for longer than maxTrialInterval,
+// because there was no request that could be risked on the node.
 func (t *Tracker) TrialOverdue(now time.Duration, id string) bool {
 	n := t.nodes[id]
 	return n != nil && n.state == Unavailable && now-n.trialAt > maxTrialInterval
 }
 
-// UntilTrial returns the time until the next trial request to an unavailable node, and 0 for other nodes. Before that
-// time, a retry by a rejected client is of no use.
+// UntilTrial returns the time until the next trial request may go to an unavailable node, and 0 for other nodes. Before
+// that time, a retry by a rejected client is of no use.
 func (t *Tracker) UntilTrial(now time.Duration, id string) time.Duration {
 	if n := t.nodes[id]; n != nil && n.state == Unavailable {
 		return max(0, n.trialAt-now)
--- a/internal/zonefailover/tracker_test.go
+++ b/internal/zonefailover/tracker_test.go
@@ -108,7 +108,8 @@
 	f.changeZone(0, setSilent(true))
 	for f.tracker.Zone(0).State != Unavailable {
 		if f.run(updateInterval); f.now-silentSince > time.Second {
-			t.Fatal("the zone is not unavailable after a second")
+			t.Fatalf("a second after all its nodes became silent, the zone is %v, want %v",
+				f.tracker.Zone(0).State, Unavailable)
 		}
 	}
 	if took := f.now - silentSince; took > 600*ms {
@@ -117,7 +118,7 @@
 	f.run(10*time.Second).changeZone(0, setSilent(false)).run(3 * time.Second)
 	want := []zoneChange{{0, Suspect}, {0, Unavailable}, {0, Recovering}, {0, Available}}
 	if diff := cmp.Diff(want, f.changes); diff != "" {
-		t.Error(diff)
+		t.Errorf("changes of zones (-want +got):\n%s", diff)
 	}
 }
 
@@ -137,22 +138,23 @@
 	f.run(5 * time.Second)
 	if f.tracker.Zone(0).State != Degraded || f.tracker.Node("0-0") != Unavailable ||
 		f.tracker.Node("0-1") != Available {
-		t.Errorf("one silent node: zone %+v, silent node %v, another node %v",
-			f.tracker.Zone(0), f.tracker.Node("0-0"), f.tracker.Node("0-1"))
+		t.Errorf("one silent node: zone %+v, silent node %v, another node %v; want %v, %v and %v",
+			f.tracker.Zone(0), f.tracker.Node("0-0"), f.tracker.Node("0-1"), Degraded, Unavailable, Available)
 	}
 	f.nodes[0].silent = false
 	f.nodes[1].Removed = true
 	f.nodes[2].Removed = true
 	f.run(5 * time.Second)
 	if f.tracker.Zone(0).State != Degraded || f.tracker.Zone(0).RemovedShare != 0.4 {
-		t.Errorf("two of five nodes removed: zone %+v", f.tracker.Zone(0))
+		t.Errorf("two of five nodes removed: zone %+v, want %v with a removed share of 0.4",
+			f.tracker.Zone(0), Degraded)
 	}
 	if slices.Contains(f.changes, zoneChange{0, Unavailable}) {
-		t.Errorf("the zone became unavailable: %v", f.changes)
+		t.Errorf("the zone became unavailable, want only degraded: changes %v", f.changes)
 	}
 }
 
-// A zone recovers when half of its nodes respond again. It is degraded then.
+// A zone becomes degraded, and is no longer unavailable, after half of its nodes have responded again for some time.
 func TestZoneRecoversWithHalfOfItsNodes(t *testing.T) {
 	f := newFleet(2, 6).run(time.Second).changeZone(0, setSilent(true)).run(5 * time.Second)
 	for i := range 3 {
@@ -160,7 +162,8 @@
 	}
 	f.run(10 * time.Second)
 	if f.tracker.Zone(0).State != Degraded || f.tracker.Node("0-5") != Unavailable {
-		t.Errorf("zone %+v, node 0-5 %v, changes %v", f.tracker.Zone(0), f.tracker.Node("0-5"), f.changes)
+		t.Errorf("zone %+v, want %v; silent node 0-5 %v, want %v; changes %v",
+			f.tracker.Zone(0), Degraded, f.tracker.Node("0-5"), Unavailable, f.changes)
 	}
 }
 
@@ -172,11 +175,11 @@
 	}
 	f.run(5 * time.Second)
 	if !f.tracker.Isolated() {
-		t.Error("the gateway does not count as isolated")
+		t.Error("all zones are silent, but the gateway does not count as isolated")
 	}
 	for zone := range 3 {
 		if got := f.tracker.Zone(zone).State; got == Unavailable {
-			t.Errorf("zone %d is %v", zone, got)
+			t.Errorf("zone %d is %v, want any other state", zone, got)
 		}
 	}
 }
@@ -185,11 +188,13 @@
 func TestIdleZoneKeepsItsState(t *testing.T) {
 	f := newFleet(2, 4).changeZone(0, func(n *simulatedNode) { n.idle = true }).run(time.Minute)
 	if f.tracker.Zone(0).State != Available || len(f.changes) > 0 {
-		t.Errorf("zone %v, changes %v", f.tracker.Zone(0).State, f.changes)
+		t.Errorf("the idle zone is %v, with the changes %v; want %v and no changes",
+			f.tracker.Zone(0).State, f.changes, Available)
 	}
 }
 
-// A flapping zone becomes available less and less often, whatever its period.
+// A zone that is silent for half of each period becomes available less and less often: at most 12 times in ten minutes.
+// This is not checked for the period of 200 ms, in which the silence of 100 ms is too short to count.
 func TestFlappingZoneRecoversLessAndLessOften(t *testing.T) {
 	for _, period := range []time.Duration{200 * ms, time.Second, 3 * time.Second, 10 * time.Second, 60 * time.Second} {
 		t.Run(period.String(), func(t *testing.T) {
@@ -205,7 +210,7 @@
 				}
 			}
 			if period >= time.Second && recoveries > 12 {
-				t.Errorf("%d times available again in ten minutes", recoveries)
+				t.Errorf("the zone became available %d times in ten minutes, want at most 12", recoveries)
 			}
 		})
 	}
@@ -223,12 +228,13 @@
 	}
 	if trials < 15 || trials > 30 || f.tracker.UntilTrial(f.now, "0-0") > maxTrialInterval ||
 		!f.tracker.AllowTrial(f.now, "1-0") {
-		t.Errorf("%d trial requests in a minute, next one in %v", trials, f.tracker.UntilTrial(f.now, "0-0"))
+		t.Errorf("%d trials in a minute, want 15 to 30; next one in %v, want at most %v; node 1-0 is %v, want %v",
+			trials, f.tracker.UntilTrial(f.now, "0-0"), maxTrialInterval, f.tracker.Node("1-0"), Available)
 	}
 }
 
-// After any observations, a resumed state equals the stored one, all zones become available once all nodes have
-// responded for some time, and nodes that are no longer listed are forgotten.
+// After any observations, a resumed state equals the stored one, all zones are available once all nodes have responded
+// for twice the maximum recovery time, and nodes that are no longer listed are forgotten.
 func TestZonesRecoverAfterAnyObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 6).Draw(t, "nodes"))
@@ -245,11 +251,11 @@
 		f.run(2 * maxRecoveryTime)
 		for zone := range f.tracker.Zones() {
 			if state := f.tracker.Zone(zone).State; state != Available {
-				t.Fatalf("zone %d is %v", zone, state)
+				t.Fatalf("zone %d is %v, want %v", zone, state, Available)
 			}
 		}
 		if f.tracker.Update(f.now, nil); len(f.tracker.nodes) > 0 {
-			t.Fatalf("%d nodes are tracked although none is listed", len(f.tracker.nodes))
+			t.Fatalf("%d nodes are tracked, want 0, as none is listed", len(f.tracker.nodes))
 		}
 	})
 }
@@ -272,14 +278,14 @@
 	t.Helper()
 	resumed := NewTracker(tracker.Zones())
 	if !resumed.Resume(tracker.Snapshot()) {
-		t.Fatal("the state is not resumed")
+		t.Fatal("Resume reports false for a state with the same number of zones")
 	}
 	if diff := cmp.Diff(tracker.Snapshot(), resumed.Snapshot()); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("state after Resume (-want +got):\n%s", diff)
 	}
 }
 
-// BenchmarkUpdate shows that the cost of Update depends on the number of nodes and not on that of zones.
+// BenchmarkUpdate measures Update, whose cost is to depend on the number of nodes and not on that of zones.
 func BenchmarkUpdate(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000} {
 		for _, zones := range []int{2, 10} {
--- a/internal/zonefailover/zone.go
+++ b/internal/zonefailover/zone.go
@@ -15,11 +15,11 @@
 	// longOutageAfter is how long a node must be unavailable before this counts as an outage of the node alone, which
 	// says nothing about its zone while other nodes of the zone respond.
 	longOutageAfter = 2 * time.Second
-	// A zone must respond for its recovery time before it is available again. The recovery time doubles with each
-	// outage in a row, between these bounds.
+	// A zone is recovering for its recovery time at least before it is available again. The recovery time doubles with
+	// each further outage in a row, between these bounds.
 	minRecoveryTime = time.Second
 	maxRecoveryTime = 64 * time.Second
-	// flapMemory is how long a zone must be available before its earlier outages are forgotten.
+	// flapMemory is how long a zone must be available, or degraded, before its earlier outages are forgotten.
 	flapMemory = 5 * time.Minute
 )
 
@@ -27,14 +27,16 @@
 type ZoneHealth struct {
 	State           State
 	Since           time.Duration // when State began
-	Flaps           int           // outages in a row, less than flapMemory apart
-	RecoveryTime    time.Duration `json:"Calm"`   // how long it must respond after an outage before it is available
+	Flaps           int           // outages in a row: those that are not forgotten yet (see flapMemory)
+	RecoveryTime    time.Duration `json:"Calm"`   // how long it is recovering at least before it is available again
 	RespondingShare float64       `json:"Heard"`  // share of all its nodes, by size
 	SilentShare     float64       `json:"Silent"` // share of its contacted nodes, by size
 	RemovedShare    float64       `json:"Gone"`   // share of all its nodes, by size
 	Nodes           int
 
-	SilentSince time.Duration // since when at least unavailableShare has been silent; 0 if less is silent
+	// SilentSince is since when at least unavailableShare has been silent. It is 0 if less is silent, or if the gateway
+	// itself is isolated.
+	SilentSince time.Duration
 }
 
 // zoneTotals sums up the weights of the nodes of a zone.
@@ -75,8 +77,8 @@
 	}
 }
 
-// silentShare returns the silent share of the contacted nodes. It leaves out nodes that have been unavailable for long
-// while others in the zone respond.
+// silentShare returns the silent share of the contacted nodes. If any node of the zone responds, the nodes that have
+// been unavailable for longer than longOutageAfter are left out.
 func (t *zoneTotals) silentShare() float64 {
 	contacted := t.contacted
 	silent := t.silent
@@ -178,7 +180,8 @@
 }
 
 // nextFromAvailable returns the state after Available or Degraded: Suspect as soon as suspectShare is silent, otherwise
-// Degraded or Available, depending on whether degradedShare is removed or unavailable.
+// Degraded or Available, depending on whether degradedShare is removed or unavailable. It forgets earlier outages after
+// flapMemory.
 func (z *ZoneHealth) nextFromAvailable(observation *zoneObservation) State {
 	if observation.suspect {
 		return Suspect
@@ -214,7 +217,8 @@
 }
 
 // nextFromRecovering returns the state after Recovering: Unavailable as soon as the zone is silent, and Available or
-// Degraded when the recovery time has passed, enough nodes respond and the zone is not suspect.
+// Degraded when the recovery time has passed, recoveredShare of the nodes respond or are removed, and less than
+// suspectShare is silent.
 func (z *ZoneHealth) nextFromRecovering(observation *zoneObservation) State {
 	if observation.silent {
 		return Unavailable
@@ -231,8 +235,8 @@
 	return Available
 }
 
-// countOutage counts an outage. The recovery time doubles with each outage in a row, so that a flapping zone does not
-// keep moving traffic back and forth.
+// countOutage counts an outage. The recovery time doubles with each further outage in a row, so that a flapping zone
+// does not keep moving traffic back and forth.
 func (z *ZoneHealth) countOutage() {
 	if z.State == Recovering || z.Flaps > 0 {
 		z.Flaps++
