--- a/internal/admission/action.go
+++ b/internal/admission/action.go
@@ -6,7 +6,7 @@
 // StreamID identifies a stream within its connection.
 type StreamID uint32
 
-// ActionKind is what an Action asks for.
+// ActionKind is what an Action asks the caller to do.
 type ActionKind int
 
 // The kinds of Action.
--- a/internal/admission/churn_test.go
+++ b/internal/admission/churn_test.go
@@ -119,7 +119,7 @@
 
 func compareStreamKeys(a, b streamKey) int { return cmp.Compare(a.stream, b.stream) }
 
-// arrive opens a stream on a connection, if that exists.
+// arrive opens a stream on a connection, if the connection exists.
 func (p *churn) arrive(id ConnectionID) {
 	if !p.connections[id] {
 		return
@@ -178,8 +178,9 @@
 	c := p.controller
 	if len(p.inFlight) != c.inFlight || len(p.inFlight) > p.config.MaxInFlight || c.memory > p.config.Memory ||
 		c.memory < 0 || len(c.connections) > p.config.Connections {
-		p.t.Fatalf("%d streams in flight (%d counted), %d bytes reserved, %d connections",
-			len(p.inFlight), c.inFlight, c.memory, len(c.connections))
+		p.t.Fatalf("%d streams in flight (%d counted), limit %d; %d bytes reserved, limit %d; %d connections, limit %d",
+			len(p.inFlight), c.inFlight, p.config.MaxInFlight, c.memory, p.config.Memory,
+			len(c.connections), p.config.Connections)
 	}
 	perConnection := map[ConnectionID]int{}
 	for key := range p.inFlight {
@@ -200,7 +201,8 @@
 	left := len(c.connections) + len(c.clients) + c.inFlight + c.memory +
 		c.waiting.byArrival.Len() + len(c.waiting.ready) + len(c.abuse)
 	if left != 0 {
-		p.t.Fatalf("left: %d connections, %d clients, %d streams in flight, %d waiting, %d bytes, %d addresses",
-			len(c.connections), len(c.clients), c.inFlight, c.waiting.byArrival.Len(), c.memory, len(c.abuse))
+		p.t.Fatalf("want nothing left, got %d connections (%d ready), %d clients, %d streams in flight, %d waiting, "+
+			"%d bytes, %d addresses", len(c.connections), len(c.waiting.ready), len(c.clients), c.inFlight,
+			c.waiting.byArrival.Len(), c.memory, len(c.abuse))
 	}
 }
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -11,10 +11,10 @@
 	PerConnection    int           // streams in flight of one connection
 	PerClient        int           // streams in flight of one client, over all its connections
 	Streams          int           // streams of a connection, in flight or waiting: SETTINGS_MAX_CONCURRENT_STREAMS
-	MinStreams       int           // the lowest limit to which Streams is reduced under load
+	MinStreams       int           // lowest limit of streams of a connection, under load or after many violations
 	Connections      int           // open connections
 	Memory           int           // bytes of requests and responses in memory, for all connections
-	ConnectionMemory int           // the same for one connection
+	ConnectionMemory int           // bytes of requests and responses in memory, for one connection
 	Stall            time.Duration // how long a response may make no progress before its stream is aborted
 	Age              time.Duration // at which a connection is asked to go away, plus or minus a fifth; 0: never
 	Requests         int           // after which a connection is asked to go away, plus or minus a fifth; 0: never
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -127,16 +127,16 @@
 }
 
 // Arrive adds a stream whose request has been received in full, or rejects it. An added stream waits until it is
-// started.
+// started. An unknown connection is ignored.
 func (c *Controller) Arrive(now time.Duration, id ConnectionID, sid StreamID, clientID string, urgency int) []Action {
 	c.begin(now)
 	conn := c.connections[id]
 	if conn == nil {
 		return nil
 	}
-	// A client may open streams before it gets to know of a lowered limit, so as many as were ever allowed are
-	// accepted. It may also open a few streams before it receives a GOAWAY. A rejected stream counts as a small
-	// violation, so that the connection of a client that goes on after a GOAWAY for abuse is closed in the end.
+	// A client may open streams before it receives a lowered limit, so the original limit, Config.Streams, applies
+	// here. It may also open a few streams before it receives a GOAWAY. A rejected stream counts as a small violation,
+	// so that the connection of a client that goes on after a GOAWAY for abuse is closed in the end.
 	if conn.rejecting || conn.streams[sid] != nil || len(conn.streams) >= c.config.Streams {
 		c.emit(Action{Kind: RejectStream, Connection: id, Stream: sid})
 		c.recordViolation(conn, RejectedStream)
@@ -257,7 +257,7 @@
 	c.emit(Action{Kind: GoAway, Connection: conn.id, Reason: reason})
 }
 
-// closeConnection asks the caller to close a connection. Disconnect releases what belongs to it.
+// closeConnection asks the caller to close a connection. Disconnect releases what belongs to the connection.
 func (c *Controller) closeConnection(conn *connection, reason string) {
 	c.emit(Action{Kind: CloseConnection, Connection: conn.id, Reason: reason})
 	conn.goingAway = true
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -18,7 +18,8 @@
 	early := len(c.Tick(testConfig.Age * 9 / 10))
 	late := len(c.Tick(testConfig.Age * 12 / 10))
 	if early < 10 || early > 40 || early+late != 100 {
-		t.Errorf("of 100 connections %d are asked to go away before their age, %d after it", early, late)
+		t.Errorf("of 100 connections, %d go away by 90%% of Age, want 10 to 40; %d more by 120%%, want all others",
+			early, late)
 	}
 }
 
@@ -35,7 +36,7 @@
 			break
 		}
 		if sid > 200 {
-			t.Fatal("the connection is not asked to go away after 100 requests")
+			t.Fatal("the connection is not asked to go away after 100 requests, want 50 plus or minus a fifth")
 		}
 	}
 	expect(t, "a stream opened before the client gets the GOAWAY", c.Arrive(0, 1, 999, "x", 3), "start 1/999")
@@ -55,7 +56,7 @@
 			config := testConfig
 			test.change(&config)
 			if _, err := New(config, 1); err == nil {
-				t.Errorf("%+v is accepted", config)
+				t.Errorf("config %+v is accepted, want an error", config)
 			}
 		})
 	}
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -63,6 +63,6 @@
 func expect(t *testing.T, what string, got []Action, want string) {
 	t.Helper()
 	if diff := cmp.Diff(want, describe(got)); diff != "" {
-		t.Errorf("%s: %s", what, diff)
+		t.Errorf("%s: actions (-want +got):\n%s", what, diff)
 	}
 }
--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -1,8 +1,9 @@
 package admission
 
-// adjustStreamLimits lowers the stream limits of connections while at least MaxInFlight streams wait, and raises them
-// once no stream waits and at most half of MaxInFlight are in flight. It makes a pass over all connections, so only
-// Tick calls it.
+// adjustStreamLimits sets the stream limit of each connection. While at least MaxInFlight streams wait, it lowers the
+// limits of connections with more streams than fairStreamLimit. Once no stream waits and at most half of MaxInFlight
+// are in flight, it sets the limits back to Streams. A connection whose score is at least minLimitScore gets
+// MinStreams. As this is a pass over all connections, only Tick calls it.
 func (c *Controller) adjustStreamLimits() {
 	share := c.fairStreamLimit()
 	for _, conn := range c.sortedConnections() {
@@ -14,8 +15,8 @@
 	}
 }
 
-// fairStreamLimit returns the limit at which the busy connections together may have twice as many streams as can be in
-// flight, but at least MinStreams.
+// fairStreamLimit returns the limit at which the connections with streams may together have twice as many streams as
+// can be in flight, but at least MinStreams.
 func (c *Controller) fairStreamLimit() int {
 	busy := 0
 	for _, conn := range c.connections {
--- a/internal/admission/memory.go
+++ b/internal/admission/memory.go
@@ -14,8 +14,9 @@
 const maxAborts = 8
 
 // Reserve reserves bytes for a stream, or releases them if bytes is negative. If the memory of the frontend is used up,
-// stalled streams are aborted. The first to be aborted are those of the connection with the most reserved bytes, of
-// these the one that has been stalled longest, and among equal ones the oldest. The error is ErrMemory.
+// other stalled streams are aborted. The first to be aborted are those of the connection with the most reserved bytes,
+// of these the one that has been stalled longest, and among equal ones the oldest. The error is ErrMemory, also if the
+// stream is unknown.
 func (c *Controller) Reserve(now time.Duration, id ConnectionID, sid StreamID, bytes int) ([]Action, error) {
 	c.begin(now)
 	conn := c.connections[id]
@@ -39,7 +40,8 @@
 	return c.actions, nil
 }
 
-// stalledVictim returns the stalled stream to abort first, or nil. It never returns the excepted stream.
+// stalledVictim returns the stalled stream with reserved memory that is to be aborted first, or nil. It never returns
+// the excepted stream.
 func (c *Controller) stalledVictim(except *stream) (victim *stream) {
 	for _, conn := range c.connections {
 		for _, s := range conn.streams {
@@ -62,7 +64,8 @@
 		cmp.Compare(b.arrival, a.arrival))
 }
 
-// Progress reports whether a stream's response makes progress or waits for the client's flow-control window.
+// Progress records that a stream's response makes progress, or, if progressing is false, that it waits for the client's
+// flow-control window.
 func (c *Controller) Progress(now time.Duration, id ConnectionID, sid StreamID, progressing bool) {
 	c.begin(now)
 	conn := c.connections[id]
--- a/internal/admission/memory_test.go
+++ b/internal/admission/memory_test.go
@@ -17,11 +17,11 @@
 		t.Helper()
 		got, err := c.Reserve(0, id, 1, bytes)
 		if !errors.Is(err, wantErr) {
-			t.Errorf("connection %d, %d bytes: %v, want %v", id, bytes, err, wantErr)
+			t.Errorf("connection %d, %d bytes: error %v, want %v", id, bytes, err, wantErr)
 		}
 		expect(t, fmt.Sprintf("connection %d, %d bytes", id, bytes), got, wantActions)
 	}
-	reserve(1, 601, "", ErrMemory) // more than one connection may reserve
+	reserve(1, 601, "", ErrMemory) // above the limit of a connection, 600 bytes
 	reserve(1, 500, "", nil)
 	reserve(2, 400, "", nil)
 	reserve(3, 200, "", ErrMemory) // no stream is stalled, so none is aborted
@@ -44,7 +44,7 @@
 		t.Helper()
 		got, err := c.Reserve(0, id, sid, bytes)
 		if err != nil {
-			t.Error(err)
+			t.Errorf("%d bytes for stream %d/%d: error %v, want none", bytes, id, sid, err)
 		}
 		expect(t, fmt.Sprintf("%d bytes for stream %d/%d", bytes, id, sid), got, want)
 	}
@@ -60,7 +60,7 @@
 	}
 	c.Progress(time.Second, 1, 1, false)
 	c.Progress(2*time.Second, 2, 1, false)
-	c.Progress(time.Second, 2, 3, false) // the time does not step back, so it is stalled as long as 2/1
+	c.Progress(time.Second, 2, 3, false) // the time does not step back, so 2/3 is stalled as long as 2/1
 	reserve(3, 1, 200, "abort 2/1")
 	reserve(3, 1, 100, "abort 2/3")
 	reserve(3, 1, 100, "abort 1/1")
@@ -86,7 +86,8 @@
 	expect(t, "before the stall time", c.Tick(testConfig.Stall-1), "")
 	got := c.Tick(testConfig.Stall + 1)
 	if want := maxAborts + 1; len(got) != want || got[want-1].Kind != CloseConnection || got[want-1].Connection != 1 {
-		t.Errorf("after %d stalled streams: %s", maxAborts, describe(got))
+		t.Errorf("after %d stalled streams: %q, want as many aborts and then the close of connection 1",
+			maxAborts, describe(got))
 	}
 	expect(t, "the stalled stream of another connection", c.Tick(testConfig.Stall+2*time.Second), "abort 2/1")
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -16,8 +16,9 @@
 )
 
 // waitingStreams holds the waiting streams in two orders: all of them by arrival, and those of each connection by
-// client and urgency. The cost of starting a stream grows with the logarithm of the number of waiting connections,
-// whatever the number of streams.
+// client and urgency (connection.queues). The cost of starting a stream grows with the number of clients of one
+// connection and with the logarithm of the number of waiting connections, not with the number of streams. Connections
+// whose waiting clients all have PerClient streams in flight add to it.
 type waitingStreams struct {
 	byArrival list.List      // of *stream
 	ready     connectionHeap // connections that have a waiting stream and capacity for another one in flight
--- a/internal/admission/violations.go
+++ b/internal/admission/violations.go
@@ -11,8 +11,8 @@
 // The kinds of Violation.
 const (
 	StreamReset       Violation = iota // reset of a stream that was not answered (rapid reset, CVE-2023-44487)
-	EmptyFrame                         // DATA or HEADERS without a byte that does not end its stream
-	UnsolicitedPing                    // PING
+	EmptyFrame                         // DATA without content that does not end its stream
+	UnsolicitedPing                    // PING that is not an acknowledgement
 	SettingsChange                     // SETTINGS after the first
 	SmallWindowUpdate                  // WINDOW_UPDATE by very few bytes
 	PriorityChange                     // change of the priority of a stream
@@ -35,7 +35,7 @@
 
 // Scores at which a connection is restricted, in points.
 const (
-	minLimitScore = 25.0  // its limit of streams is the lowest one
+	minLimitScore = 25.0  // its limit of streams is Config.MinStreams
 	goAwayScore   = 50.0  // it is asked to go away, and new streams are rejected
 	closeScore    = 100.0 // it is closed
 )
@@ -50,9 +50,9 @@
 
 // Bounds of the ban of addresses.
 const (
-	banThreshold        = 3                // connections closed for abuse at which an address is banned
-	banDuration         = 30 * time.Second // since the last of these connections was closed
-	abuseMemory         = 5 * time.Minute  // how long an address is remembered after the last of these connections
+	banThreshold        = 3                // connections of an address closed for abuse, at which it is banned
+	banDuration         = 30 * time.Second // time since the last of these connections was closed
+	abuseMemory         = 5 * time.Minute  // time after which an address is forgotten, since that last connection
 	maxAbusiveAddresses = 4096             // addresses that are remembered
 )
 
@@ -74,10 +74,10 @@
 // creditAnswer counts an answered stream in favour of the connection.
 func (s *score) creditAnswer(now time.Duration) { s.add(now, -answerCredit) }
 
-// abusiveAddress counts the connections of an address that were closed for abuse.
+// abusiveAddress counts those connections of an address that were closed for abuse.
 type abusiveAddress struct {
 	closed int
-	last   time.Duration // when the last one was closed
+	last   time.Duration // when the last of these connections was closed
 }
 
 // RecordViolation counts a violation of a connection.
@@ -103,8 +103,8 @@
 	}
 }
 
-// recordAbuse counts a connection closed for abuse. If too many addresses are remembered, it forgets the one whose last
-// abuse is longest ago.
+// recordAbuse counts a connection closed for abuse. If maxAbusiveAddresses are remembered, it forgets the one whose
+// last abuse is longest ago.
 func (c *Controller) recordAbuse(address string) {
 	if _, known := c.abuse[address]; !known && len(c.abuse) >= maxAbusiveAddresses {
 		delete(c.abuse, c.oldestAbuse())
@@ -112,7 +112,8 @@
 	c.abuse[address] = abusiveAddress{closed: c.abuse[address].closed + 1, last: c.now}
 }
 
-// oldestAbuse returns the address whose last abuse is longest ago, and among equal ones the first in order.
+// oldestAbuse returns the address whose last abuse is longest ago. Of several such addresses, it returns the one that
+// sorts first, so that the same events always have the same result.
 func (c *Controller) oldestAbuse() (oldest string) {
 	last := c.now + 1
 	for address, abuse := range c.abuse {
@@ -124,13 +125,13 @@
 	return oldest
 }
 
-// banned reports whether connections from an address are not accepted.
+// banned reports whether connections from an address are rejected because of earlier abuse.
 func (c *Controller) banned(address string) bool {
 	abuse := c.abuse[address]
 	return abuse.closed >= banThreshold && c.now-abuse.last < banDuration
 }
 
-// forgetOldAbuse forgets addresses whose last abuse is long ago.
+// forgetOldAbuse forgets addresses whose last abuse is at least abuseMemory ago.
 func (c *Controller) forgetOldAbuse() {
 	for address, abuse := range c.abuse {
 		if c.now-abuse.last >= abuseMemory {
--- a/internal/admission/violations_test.go
+++ b/internal/admission/violations_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// attackByResets opens a connection and resets each stream at once, even after a GOAWAY. It returns the number of
-// streams until the connection is closed, or -1 if it is not accepted.
+// attackByResets opens a connection and resets each stream at once, even after a GOAWAY, until the connection is closed
+// or there were more than 10,000 streams. It returns the number of streams, or -1 if the connection is not accepted.
 func attackByResets(c *Controller, id ConnectionID, address string) (streams int) {
 	if !c.Connect(0, id, address) {
 		return -1
@@ -26,8 +26,9 @@
 	c := newController(t, nil)
 	for i := range banThreshold {
 		streams := attackByResets(c, ConnectionID(i+1), "bad")
-		if float64(streams) > goAwayScore+(closeScore-goAwayScore)/violationPoints[RejectedStream]+2 {
-			t.Errorf("the connection is closed only after %d streams", streams)
+		maxStreams := goAwayScore + (closeScore-goAwayScore)/violationPoints[RejectedStream] + 2
+		if float64(streams) > maxStreams {
+			t.Errorf("the connection is closed after %d streams, want at most %v", streams, maxStreams)
 		}
 	}
 	if c.Connect(banDuration-1, 9, "bad") || !c.Connect(banDuration, 10, "bad") {
@@ -46,7 +47,7 @@
 			c.Arrive(0, 20, sid+2, "y", 3),
 			c.End(0, 20, sid+2, false)))
 		if strings.Contains(got, "go away 20 abuse") || strings.Contains(got, "close") {
-			t.Fatal(got)
+			t.Fatalf("streams %d and %d: %q, want neither a close nor a GOAWAY for abuse", sid, sid+2, got)
 		}
 	}
 }
--- a/internal/ratelimit/definition.go
+++ b/internal/ratelimit/definition.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// Definition defines one limit. The caller computes the keys of the requests.
+// Definition describes one limit, which applies to the requests of each key. The caller computes the keys.
 type Definition struct {
 	Name   string
 	Rate   float64 // requests a second; 0: the rate is not limited
 	Burst  float64 // requests at once after an idle time
 	Open   int     // requests open at a time; 0: their number is not limited
-	Parent string  // name of a limit that the requests must pass as well; empty: none
-	Keys   int     // number of keys that are counted exactly at a time; further keys share counters
+	Parent string  // name of a limit that the keys of this one share fairly, if a request claims both; empty: none
+	Keys   int     // keys that can be counted exactly at once, rounded up to a power of 2; others share counters
 }
 
 // Bounds of the fields of a Definition, in the same units.
@@ -33,7 +33,7 @@
 // noLimit is the index of a limit where there is no limit.
 const noLimit = -1
 
-// Check returns the index of the first invalid definition and what is wrong with it.
+// Check returns the index of an invalid definition and what is wrong with it. The error is nil if all are valid.
 func Check(definitions []Definition) (index int, err error) {
 	if len(definitions) > maxDefinitions {
 		return maxDefinitions, fmt.Errorf("%d limits exceed the maximum of %d", len(definitions), maxDefinitions)
--- a/internal/ratelimit/fairshare.go
+++ b/internal/ratelimit/fairshare.go
@@ -15,7 +15,7 @@
 type parentUsage struct {
 	scale float64 // by which the parentShare of an entry is multiplied to get its present share
 	used  float64 // requests of the burst that were in use at the last call
-	epoch uint32  // increased when no request is in use any more, which sets the shares of all children to 0
+	epoch uint32  // increased when used is 0 or scale below minScale, which sets the shares of all children to 0
 }
 
 // childShare returns how many of the parent's used requests belong to a child.
@@ -35,7 +35,7 @@
 	return min(child.parentShare*u.scale, used)
 }
 
-// fairWait returns the time until a child may use one more request of its parent's free burst.
+// fairWait returns the time until a child may use one more request of its parent's free burst. t is the parent's table.
 func (t *table) fairWait(child, parent lookup, now time.Duration) time.Duration {
 	if t.definition.Rate == 0 || parent.usage == nil {
 		return 0
@@ -50,7 +50,7 @@
 	return time.Duration(max(0, used-admissible)/t.definition.Rate*float64(time.Second)) + t.interval
 }
 
-// charge adds an admitted request to a child's share of its parent.
+// charge adds an admitted request to a child's share of its parent. t is the parent's table.
 func (t *table) charge(child, parent lookup, now time.Duration) {
 	if t.definition.Rate == 0 || parent.usage == nil {
 		return
--- a/internal/ratelimit/fairshare_test.go
+++ b/internal/ratelimit/fairshare_test.go
@@ -7,7 +7,7 @@
 )
 
 // Two keys, "greedy" and "eager", request far more than their parent allows, at different rates. A third one, "modest",
-// requests little. The first two get the same, and the modest one gets all that it requests.
+// requests little. The first two get about the same, and the modest one gets at least 98% of what it requests.
 func TestParentIsSharedFairlyAmongKeys(t *testing.T) {
 	l := newLimiter(t,
 		Definition{Name: "client", Rate: 1000, Burst: 1000, Parent: "gateway"},
@@ -34,10 +34,10 @@
 		t.Errorf("the modest key got %d of %d requests, want at least 98%%", admitted["modest"], requested["modest"])
 	}
 	if ratio := float64(admitted["greedy"]) / float64(admitted["eager"]); ratio < 0.9 || ratio > 1.2 {
-		t.Errorf("the greedy key got %d requests and the eager one %d, want about the same",
+		t.Errorf("the greedy key got %d requests and the eager one %d, want a ratio from 0.9 to 1.2",
 			admitted["greedy"], admitted["eager"])
 	}
 	if sum := admitted["greedy"] + admitted["modest"] + admitted["eager"]; sum < 5900 || sum > 6060 {
-		t.Errorf("%d requests admitted in 60 s, want 100 a second", sum)
+		t.Errorf("%d requests admitted in 60 s, want 5900 to 6060 (100 a second and the burst)", sum)
 	}
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -8,8 +8,8 @@
 //
 //   - Definition defines a limit, and Check finds invalid definitions.
 //   - Limiter admits or rejects requests under several limits at once.
-//   - A table (table.go) counts the requests of each key of one limit: exactly in a slot, or in a sketch if no slot
-//     is free.
+//   - A table (table.go) counts the requests of each key of one limit: exactly if the key has a slot of the table,
+//     otherwise in a sketch, whose counters several keys share.
 //   - fairshare.go divides the burst of a parent limit among the keys of its children.
 package ratelimit
 
@@ -77,7 +77,7 @@
 	parents    []int             // index of each limit's parent, or noLimit
 	tables     []*table          // of each limit
 	byIdentity map[string]*table // by the definition and whether it is a parent, for Replace
-	now        time.Duration
+	now        time.Duration     // latest time that Take was given
 }
 
 // New makes a Limiter. The error is that of Check.
@@ -156,7 +156,7 @@
 	}
 }
 
-// ActiveKeys returns the number of keys of a limit that have a slot and are not idle.
+// ActiveKeys returns how many keys of the limit with this index are counted exactly and are not idle.
 func (l *Limiter) ActiveKeys(limit int) int { return l.tables[limit].activeKeys(l.now) }
 
 // Bytes returns the size of all tables in memory.
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -27,7 +27,7 @@
 		}
 		playRandomRequests(t, l, newReferenceLimit(definition))
 		if n := l.ActiveKeys(0); definition.Rate == 0 && n != 0 {
-			t.Fatalf("%d keys are active although no request is open", n)
+			t.Fatalf("%d keys are active, want 0, as no request is open", n)
 		}
 	})
 }
@@ -51,7 +51,7 @@
 		key := strconv.Itoa(rapid.IntRange(0, 5).Draw(t, "key"))
 		decision := l.Take(now, []Claim{{0, key}})
 		if want := reference.take(now, key); decision.Admitted != want {
-			t.Fatalf("key %s at %v: admitted is %v, and %v by plain maps", key, now, decision.Admitted, want)
+			t.Fatalf("key %s at %v: admitted is %v, want %v as by plain maps", key, now, decision.Admitted, want)
 		}
 		if decision.Admitted {
 			open = append(open, openRequest{key, decision.Grant})
@@ -89,12 +89,12 @@
 			decision := l.Take(now, claims)
 			if !decision.Admitted {
 				if decision.RetryAfter <= 0 {
-					t.Fatal("rejected without a Retry-After")
+					t.Fatalf("rejected with a Retry-After of %v, want one above 0", decision.RetryAfter)
 				}
 				// Clients get milliseconds, rounded up.
 				now += decision.RetryAfter.Truncate(time.Millisecond) + time.Millisecond
 				if decision = l.Take(now, claims); !decision.Admitted {
-					t.Fatalf("a retry at the time told is rejected, with another wait of %v", decision.RetryAfter)
+					t.Fatalf("a retry after the Retry-After is rejected, with another one of %v", decision.RetryAfter)
 				}
 			}
 			l.Release(decision.Grant)
@@ -110,12 +110,12 @@
 	}
 	for range 10 {
 		if decision := l.Take(0, []Claim{{0, "k"}, {1, "n"}}); decision.Admitted || decision.Limit != 1 {
-			t.Fatalf("a request beyond the burst of limit 1: %+v", decision)
+			t.Fatalf("a request beyond the burst of limit 1: %+v, want a rejection by limit 1", decision)
 		}
 	}
 	for i := range 5 {
 		if decision := l.Take(0, []Claim{{0, "k"}}); decision.Admitted != (i < 4) {
-			t.Errorf("request %d after the rejected ones: admitted is %v", i, decision.Admitted)
+			t.Errorf("request %d after the rejected ones: admitted is %v, want %v", i, decision.Admitted, i < 4)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 		t.Errorf("a step back of the time makes the key wait for another %v", decision.RetryAfter)
 	}
 	if !l.Take(1000*time.Hour, claims).Admitted || l.Take(1000*time.Hour, claims).Admitted {
-		t.Error("after a long idle time the burst is not what is admitted")
+		t.Error("after a long idle time, the first request is rejected or a second one admitted, want a burst of 1")
 	}
 }
 
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -9,7 +9,7 @@
 
 const (
 	slotsPerBucket    = 8 // slots in which a key may be stored, by its hash
-	sketchRows        = 4
+	sketchRows        = 4 // rows of the sketch, each with one cell for a key
 	keysPerSketchCell = 8 // slots of the table for each cell in a row of the sketch
 
 	// An idle returning key keeps its slot for graceIntervals emission intervals, but no longer than maxGrace.
@@ -50,7 +50,7 @@
 	slots          []entry
 	usage          []parentUsage // of each slot; nil if the limit is no parent
 	sketch         [sketchRows][]sketchCell
-	scratch        entry // estimate for the key that was looked up last, if it has no slot
+	scratch        entry // estimate for the key that was looked up last of those without a slot
 }
 
 // lookup is the result of looking up a key in a table.
@@ -136,7 +136,7 @@
 	return found
 }
 
-// estimate returns the sketch's estimate for a key: the lowest count of its cells.
+// estimate returns the sketch's estimate for a key: the lowest value of each count among the key's cells.
 func (t *table) estimate(hash uint64) *entry {
 	t.scratch = entry{hash: hash, theoreticalArrival: math.MaxInt64, open: math.MaxInt32}
 	for row := range t.sketch {
@@ -155,7 +155,8 @@
 	return &cells[(mixed>>32)%uint64(len(cells))]
 }
 
-// wait returns the time until a key's own limit admits another request. 0 means that it does now.
+// wait returns the time until the table's limit admits another request of a key. 0 means that it does now. If too many
+// requests are open, the time is unknown, and wait returns OpenRetryAfter.
 func (t *table) wait(e *entry, now time.Duration) time.Duration {
 	if t.definition.Open > 0 && int(e.open) >= t.definition.Open {
 		return OpenRetryAfter
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -36,7 +36,7 @@
 		if p.random.Float64() < honestRate*float64(honestKeys)/oneTimeKeysPerSecond {
 			p.requestHonest("honest" + strconv.Itoa(p.random.IntN(honestKeys)))
 		}
-		if i%1000 == 0 { // a hundred times the rate of the limit
+		if i%1000 == 0 { // a thousand requests a second, a hundred times the rate of the limit
 			p.requestGreedy()
 		}
 	}
@@ -60,7 +60,8 @@
 }
 
 // A flood of ten million keys that come only once neither takes memory nor affects other keys: 100 honest keys that
-// request 80% of their rate are admitted, and a greedy key gets no more than its limit.
+// request 80% of their rate are rejected as often as by plain maps without the flood, within 0.1% of their requests,
+// and a greedy key gets no more than its limit.
 func TestFloodOfOneTimeKeysAffectsNoOtherKey(t *testing.T) {
 	oneTimeKeys := 10_000_000
 	if testing.Short() || raceEnabled {
@@ -80,14 +81,14 @@
 	// Plain maps reject some honest requests, too, because these come at random times.
 	falselyRejected := float64(p.honestRejected-p.referenceRejected) / float64(p.honestRequests)
 	if falselyRejected > 0.001 || falselyRejected < -0.001 {
-		t.Errorf("of %d honest requests %d are rejected, and %d by plain maps that get no others",
+		t.Errorf("of %d honest requests, %d are rejected, want %d as by plain maps that get no others, within 0.1%%",
 			p.honestRequests, p.honestRejected, p.referenceRejected)
 	}
 	if maxAdmitted := 5 + int(10*p.now.Seconds()) + 1; p.greedyAdmitted > maxAdmitted {
 		t.Errorf("%d requests of the greedy key are admitted, its limit is %d", p.greedyAdmitted, maxAdmitted)
 	}
 	if l.Bytes() != bytes {
-		t.Errorf("the limiter takes %d bytes after the flood, and %d before", l.Bytes(), bytes)
+		t.Errorf("the limiter takes %d bytes after the flood, want %d as before", l.Bytes(), bytes)
 	}
 	t.Logf("%d keys in %d MiB: %d honest requests rejected (%d by plain maps) of %d, %d greedy ones admitted of %d",
 		oneTimeKeys, bytes>>20,
