--- a/internal/trust/doc.go
+++ b/internal/trust/doc.go
@@ -8,13 +8,14 @@
 // schemes", Biometrika 41, 1954) that conforming responses reduce, and a single client can't raise it to the weight at
 // which a node becomes suspect.
 //
-// If most nodes that run the same version contradict a description, the description counts as wrong, not the nodes.
+// If most nodes that run the same version contradict a description, and enough nodes of that version are known, the
+// description counts as wrong, not the nodes.
 //
 // The parts of the package:
 //
-//   - Evidence has the kinds of evidence and their weights (evidence.go).
-//   - State has the states of an operation at a node, and entry their state machine (entry.go).
-//   - versionTotals determine whether a description is wrong for a version (version.go).
+//   - Evidence is what a response shows about a node. Each kind of evidence has a weight (evidence.go).
+//   - State is how far a node is trusted with an operation. An entry holds this state and changes it (entry.go).
+//   - versionTotals determine whether a description is wrong for a version of the nodes' program (version.go).
 //   - Tracker owns all entries (tracker.go).
 //   - Record is the form in which trust is shown and stored in the trust file (record.go).
 package trust
--- a/internal/trust/entry.go
+++ b/internal/trust/entry.go
@@ -47,8 +47,8 @@
 
 	// weightDecay is the time in which all weights decay by a factor of e.
 	weightDecay = 30 * time.Second
-	// minStateDuration is how long a state lasts at least before a better one follows. Distrusted lasts for the hold
-	// instead.
+	// minStateDuration is how long a state lasts at least before a better one follows, and how long a description
+	// counts as wrong at least. For Distrusted, the hold applies instead.
 	minStateDuration = 10 * time.Second
 
 	// The hold is how long a node stays distrusted at least. It doubles each time the node becomes distrusted again,
@@ -81,11 +81,11 @@
 	hardWeight float64
 	hold       time.Duration      // length of the last hold; 0: there was none, or it is forgotten
 	conforming int                // conforming responses since the state began
-	answers    int                // responses since the start
-	counts     [evidenceKinds]int // of responses since the start, by evidence
+	answers    int                // responses so far, with those of a restored Record
+	counts     [evidenceKinds]int // number of these responses by evidence
 	clients    [trackedClients]clientWeight
 	sample     string   // of the last contradiction
-	worst      Evidence // kind with the largest weight so far
+	worst      Evidence // kind with the largest weight so far, and the latest such kind if several have it
 }
 
 // clientWeight is one client's part of the soft weight.
@@ -175,7 +175,7 @@
 	}
 }
 
-// stepTrusted enters Suspect at suspectWeight. It forgets the last hold after holdMemory.
+// stepTrusted enters Suspect at suspectWeight. After holdMemory it forgets the last hold.
 func (e *entry) stepTrusted(now time.Duration) {
 	switch {
 	case e.weight() >= suspectWeight:
@@ -185,7 +185,8 @@
 	}
 }
 
-// stepSuspect enters Distrusted at distrustWeight, and Trusted when the weight is at most clearedWeight.
+// stepSuspect enters Distrusted at distrustWeight, and Trusted when the weight is at most clearedWeight and
+// minStateDuration has passed.
 func (e *entry) stepSuspect(now time.Duration) {
 	switch {
 	case e.weight() >= distrustWeight:
@@ -195,8 +196,8 @@
 	}
 }
 
-// stepProbation enters Distrusted already at suspectWeight, and Trusted when the weight is at most clearedWeight and
-// enough responses have conformed.
+// stepProbation enters Distrusted already at suspectWeight, and Trusted when the weight is at most clearedWeight,
+// probationAnswers responses have conformed and minStateDuration has passed.
 func (e *entry) stepProbation(now time.Duration) {
 	switch {
 	case e.weight() >= suspectWeight:
@@ -213,14 +214,15 @@
 	}
 }
 
-// enter begins a state.
+// enter makes state the state from now on.
 func (e *entry) enter(now time.Duration, state State) {
 	e.state = state
 	e.since = now
 	e.conforming = 0
 }
 
-// distrust enters Distrusted, with a hold that doubles each time.
+// distrust enters Distrusted, which then lasts for at least e.hold: twice the last hold, but at least minHold and at
+// most maxHold.
 func (e *entry) distrust(now time.Duration) {
 	e.hold = min(max(2*e.hold, minHold), maxHold)
 	e.enter(now, Distrusted)
--- a/internal/trust/entry_test.go
+++ b/internal/trust/entry_test.go
@@ -19,12 +19,13 @@
 		return Conforms
 	}).run(5)
 	if diff := cmp.Diff(map[string][]State{"n3": {Suspect, Distrusted}}, f.states); diff != "" {
-		t.Error(diff)
+		t.Errorf("states that each node has entered (-want +got):\n%s", diff)
 	}
 	contradicting := f.tracker.Level(testOperation, "n3")
 	conforming := f.tracker.Level(testOperation, "n2")
 	if contradicting != scheduler.AvoidNode || conforming != scheduler.Unrestricted {
-		t.Errorf("level %v at the contradicting node, %v at a conforming one", contradicting, conforming)
+		t.Errorf("level %v at the contradicting node, want %v; %v at a conforming one, want %v",
+			contradicting, scheduler.AvoidNode, conforming, scheduler.Unrestricted)
 	}
 }
 
@@ -45,7 +46,7 @@
 				report.Evidence = Conforms
 			}
 			if changes := tracker.Observe(now, report); len(changes) > 0 {
-				t.Fatalf("changes because of one client: %+v", changes)
+				t.Fatalf("one client's evidence caused the changes %+v, want none", changes)
 			}
 			tracker.Tick(now)
 		}
@@ -75,7 +76,7 @@
 		return Conforms
 	}).run(200)
 	if got := f.states["n0"]; !slices.Equal(got, []State{Suspect, Distrusted, Probation, Trusted}) {
-		t.Errorf("states of the node: %v", got)
+		t.Errorf("states that n0 has entered: %v, want suspect, distrusted, on probation, trusted", got)
 	}
 }
 
@@ -91,7 +92,7 @@
 				return Conforms
 			}).run(3600)
 			if moves := len(f.states["n0"]); moves > 50 {
-				t.Errorf("%d changes of state in an hour", moves)
+				t.Errorf("%d changes of state in an hour, want at most 50", moves)
 			}
 			if hold := f.tracker.entries[entryKey{testOperation, "n0"}].hold; hold < 4*minHold && period > time.Minute {
 				t.Errorf("the last hold is %v, want at least %v", hold, 4*minHold)
@@ -100,7 +101,7 @@
 	}
 }
 
-// Rare contradictions, which occur in ordinary traffic, change no state.
+// Contradictions in 1% of the responses, as they occur in ordinary traffic, change no state.
 func TestRareContradictionsAreTolerated(t *testing.T) {
 	responses := 0
 	f := newFleet(3, 20, func(int, time.Duration) Evidence {
@@ -110,6 +111,6 @@
 		return Conforms
 	}).run(2000)
 	if len(f.changes) > 0 {
-		t.Errorf("1%% of contradictions caused the change %+v", f.changes[0])
+		t.Errorf("1%% of contradictions caused %d changes, want none; the first is %+v", len(f.changes), f.changes[0])
 	}
 }
--- a/internal/trust/record.go
+++ b/internal/trust/record.go
@@ -12,7 +12,8 @@
 
 // Errors of Restore.
 var (
-	// ErrInvalidRecord means that a record has no operation, an unknown state or evidence, or a negative figure.
+	// ErrInvalidRecord means that a record has no operation, a state or evidence that is unknown, the state Trusted, or
+	// a negative weight or hold.
 	ErrInvalidRecord = errors.New("invalid record")
 	// ErrTooManyRecords means that a record is not restored because too many entries are tracked.
 	ErrTooManyRecords = errors.New("too many records")
@@ -26,10 +27,10 @@
 	Version   string         `json:"version,omitempty"`
 	State     string         `json:"state"`
 	Level     string         `json:"level"`
-	SinceMs   int64          `json:"sinceMs"` // for how long the state has lasted, in milliseconds
-	HoldMs    int64          `json:"holdMs,omitempty"`
-	Weight    float64        `json:"weight"`
-	Worst     string         `json:"worst,omitempty"`
+	SinceMs   int64          `json:"sinceMs"`          // for how long the state has lasted, in milliseconds
+	HoldMs    int64          `json:"holdMs,omitempty"` // length of the last hold, in milliseconds; 0: none
+	Weight    float64        `json:"weight"`           // of all evidence against the node
+	Worst     string         `json:"worst,omitempty"`  // kind of evidence with the largest weight so far
 	Counts    map[string]int `json:"counts,omitempty"` // of contradictions by kind
 	Answers   int            `json:"answers"`
 	Sample    string         `json:"sample,omitempty"`
@@ -94,11 +95,11 @@
 
 // Restore continues from the records of the previous incarnation. The age is the time since that incarnation ended.
 // Restore is called before Observe and Tick. A distrusted node stays distrusted for its whole hold again, because
-// nobody has observed it in the meantime, and no node gets more trust than it had. The error names the first record
-// that can't be restored. All others are restored.
+// nobody has observed it in the meantime, and no node gets more trust than it had. The error names the operation and
+// node of the first record that can't be restored. All records that can be are restored.
 func (t *Tracker) Restore(now time.Duration, records []Record, age time.Duration) (changes []Change, err error) {
 	for _, record := range records {
-		if record.Node == allNodes { // this state follows from the records of the nodes
+		if record.Node == allNodes { // a description is wrong: this follows from the records of the nodes
 			continue
 		}
 		e, failed := t.restore(now, record, age)
@@ -111,7 +112,7 @@
 	return changes, err
 }
 
-// restore makes the entry of a record.
+// restore makes the entry of a record. The weight, less its decay over the age, counts as that of hard evidence.
 func (t *Tracker) restore(now time.Duration, record Record, age time.Duration) (*entry, error) {
 	state := State(slices.Index(stateNames[:], record.State))
 	worst := Evidence(slices.Index(evidenceNames[:], record.Worst))
--- a/internal/trust/record_test.go
+++ b/internal/trust/record_test.go
@@ -33,11 +33,12 @@
 		before := f.tracker.Level(change.Operation, change.Node)
 		after := restored.Level(change.Operation, change.Node)
 		if change.Level != before || change.Level != after {
-			t.Errorf("level %v before the restart and %v after it, with the change %+v", before, after, change)
+			t.Errorf("level %v before the restart, %v after it and %v in the change, want them equal: %+v",
+				before, after, change.Level, change)
 		}
 	}
 	if len(restored.levels) != len(f.tracker.levels) {
-		t.Errorf("%d operations at nodes are restricted after the restart, %d before",
+		t.Errorf("%d pairs of operation and node are restricted after the restart, want %d as before",
 			len(restored.levels), len(f.tracker.levels))
 	}
 }
@@ -74,6 +75,6 @@
 	tracker := New(scheduler.AvoidNode)
 	_, err := tracker.Restore(time.Hour, records, 0)
 	if !errors.Is(err, ErrTooManyRecords) || len(tracker.entries) != MaxEntries {
-		t.Errorf("%d entries and error %v, want %v", len(tracker.entries), err, ErrTooManyRecords)
+		t.Errorf("%d entries and error %v, want %d and %v", len(tracker.entries), err, MaxEntries, ErrTooManyRecords)
 	}
 }
--- a/internal/trust/tracker.go
+++ b/internal/trust/tracker.go
@@ -16,7 +16,7 @@
 	maxVersionBytes  = 64   // bytes of the name of a version
 )
 
-// maxEvicted is how many entries are evicted at a time.
+// maxEvicted is how many entries are evicted at most when room for a new one is needed.
 const maxEvicted = MaxEntries / 16
 
 // allNodes stands in place of a node for all nodes of an operation.
@@ -32,9 +32,9 @@
 	DescriptionWrong bool // the change concerns the description, which now counts as wrong unless To is Trusted
 	Level            scheduler.RestrictionLevel
 	Worst            Evidence
-	Counts           map[string]int // of contradictions by kind, since the start
-	Answers          int
-	Sample           string
+	Counts           map[string]int // of contradictions so far, by kind
+	Answers          int            // responses so far
+	Sample           string         // description of the last contradiction
 }
 
 // Tracker tracks the trust in all nodes for all operations.
@@ -43,7 +43,7 @@
 	entries    map[entryKey]*entry
 	wrongSince map[versionKey]time.Duration            // since when a description has been wrong for a version
 	levels     map[entryKey]scheduler.RestrictionLevel // as last reported; Unrestricted is left out
-	dropped    int                                     // reports
+	dropped    int                                     // number of reports that were dropped
 }
 
 // New makes a Tracker whose restrictions never go beyond maxLevel.
@@ -74,8 +74,8 @@
 	return t.changesOf(now, e, from)
 }
 
-// Tick handles what depends on time alone, such as the decay of weights and the end of holds. It is called about once
-// a second.
+// Tick handles what depends on time alone, such as the decay of weights and the end of holds, and assesses all
+// descriptions. It returns the changes that this causes. It is called about once a second.
 func (t *Tracker) Tick(now time.Duration) (changes []Change) {
 	for _, e := range t.sortedEntries() {
 		from := e.state
@@ -133,7 +133,7 @@
 	return len(evictable) > 0
 }
 
-// changesOf returns the changes to report after a step of an entry.
+// changesOf returns the changes that a step of an entry causes. From is the state that the entry had before the step.
 func (t *Tracker) changesOf(now time.Duration, e *entry, from State) (changes []Change) {
 	if e.state != from {
 		changes = t.assessDescription(now, t.totalsOf(e.versionKey()))
@@ -149,7 +149,8 @@
 	return changes
 }
 
-// updateLevel returns the change of a node's restriction, or nil if it is as last reported.
+// updateLevel sets the restriction level of an entry's node by its state and by whether the description is wrong. It
+// returns the change, or nil if the level is as last reported.
 func (t *Tracker) updateLevel(now time.Duration, e *entry) *Change {
 	level := min(stateLevels[e.state], t.maxLevel)
 	if _, wrong := t.wrongSince[e.versionKey()]; wrong {
@@ -171,7 +172,7 @@
 	t.levels[key] = level
 }
 
-// changeOf returns a Change with the figures of an entry, in which the state does not change.
+// changeOf returns a Change with the figures of an entry. Its From and To are both the state of the entry.
 func (t *Tracker) changeOf(now time.Duration, e *entry) *Change {
 	return &Change{
 		At:        now,
--- a/internal/trust/tracker_test.go
+++ b/internal/trust/tracker_test.go
@@ -23,7 +23,8 @@
 	}
 	level := tracker.Level(testOperation, "bad")
 	if len(tracker.entries) > MaxEntries || level != scheduler.AvoidNode {
-		t.Errorf("%d entries, and the distrusted node has level %v", len(tracker.entries), level)
+		t.Errorf("%d entries, want at most %d; the distrusted node has level %v, want %v",
+			len(tracker.entries), MaxEntries, level, scheduler.AvoidNode)
 	}
 	full := New(scheduler.AvoidNode)
 	for i := range MaxEntries + 10 {
@@ -33,7 +34,8 @@
 		}
 	}
 	if len(full.entries) != MaxEntries || full.Dropped() == 0 {
-		t.Errorf("%d distrusted entries, %d dropped reports", len(full.entries), full.Dropped())
+		t.Errorf("%d distrusted entries, want %d; %d dropped reports, want some",
+			len(full.entries), MaxEntries, full.Dropped())
 	}
 }
 
@@ -57,12 +59,12 @@
 			}
 			changes := append(tracker.Observe(now, report), tracker.Tick(now)...)
 			if diff := cmp.Diff(changes, append(twin.Observe(now, report), twin.Tick(now)...)); diff != "" {
-				t.Fatal(diff)
+				t.Fatalf("two Trackers return different changes for the same report (-first +second):\n%s", diff)
 			}
 			for _, change := range changes {
 				reported[entryKey{change.Operation, change.Node}] = change.Level
 				if change.Level > maxLevel {
-					t.Fatalf("a level above %v: %+v", maxLevel, change)
+					t.Fatalf("the level of a change is %v, want at most %v: %+v", change.Level, maxLevel, change)
 				}
 			}
 			expectLevels(t, tracker, reported)
@@ -70,7 +72,7 @@
 	})
 }
 
-// expectLevels compares the reported levels with those that apply.
+// expectLevels checks that the levels of the changes are those that the Tracker applies.
 func expectLevels(t *rapid.T, tracker *Tracker, reported map[entryKey]scheduler.RestrictionLevel) {
 	t.Helper()
 	for _, operation := range []string{"a", "b"} {
--- a/internal/trust/version.go
+++ b/internal/trust/version.go
@@ -7,11 +7,11 @@
 	"reachpulley/scheduler"
 )
 
-// Constants of the decision that a description is wrong because most nodes of a version contradict it.
+// Constants for deciding whether a description is wrong because most nodes of a version contradict it.
 const (
 	// minVersionNodes is how many nodes of a version must be known for a decision.
 	minVersionNodes = 3
-	// minKnownAnswers is how many responses a trusted node must have given to be known.
+	// minKnownAnswers is how many responses a trusted node must have given to count as known.
 	minKnownAnswers = 5
 	// descriptionRestoredShare is the share of contradicting nodes below which a description counts as right again.
 	descriptionRestoredShare = 0.25
@@ -48,7 +48,7 @@
 	}
 }
 
-// compareWeights compares entries by weight. Of two equal ones, the one whose node's name sorts first is greater.
+// compareWeights compares entries by weight. Of two entries of equal weight, the one whose node sorts first is greater.
 func compareWeights(a, b *entry) int {
 	return cmp.Or(cmp.Compare(a.weight(), b.weight()), cmp.Compare(b.key.node, a.key.node))
 }
@@ -95,7 +95,7 @@
 
 // assessDescription decides whether the description of an operation is wrong for a version, and returns the changes
 // that this causes. While the description is wrong, no node of the version is avoided for it, and the operation is not
-// retried.
+// retried at any node, unless the maximum level of the Tracker is below NoRetries.
 func (t *Tracker) assessDescription(now time.Duration, totals *versionTotals) (changes []Change) {
 	since, wrong := t.wrongSince[totals.key]
 	switch {
@@ -118,8 +118,8 @@
 	return changes
 }
 
-// changeOfDescription sets the level of an operation at all nodes, and returns the change. The operation is restricted
-// while its description is wrong for any version.
+// changeOfDescription sets the restriction level of an operation at all nodes, and returns the change. The operation is
+// restricted while its description is wrong for any version.
 func (t *Tracker) changeOfDescription(now time.Duration, totals *versionTotals) Change {
 	operation := totals.key.operation
 	level := scheduler.Unrestricted
--- a/internal/trust/version_test.go
+++ b/internal/trust/version_test.go
@@ -31,7 +31,8 @@
 	f.run(150)
 	i := slices.IndexFunc(f.changes, func(c Change) bool { return c.DescriptionWrong })
 	if i < 0 || f.changes[i].Version != "v2" || f.changes[i].Level != scheduler.NoRetries {
-		t.Fatalf("no change of the description in %+v", f.changes)
+		t.Fatalf("changes %+v, want the first of the description to be at v2 with level %v",
+			f.changes, scheduler.NoRetries)
 	}
 	for node := range f.nodes {
 		if got := f.tracker.Level(testOperation, nodeName(node)); got != scheduler.NoRetries {
@@ -43,7 +44,7 @@
 	f.run(600)
 	records := f.tracker.Records(f.now)
 	if len(records) > 0 || len(f.tracker.levels) > 0 || len(f.tracker.wrongSince) > 0 {
-		t.Errorf("after the return to v1: records %+v, levels %v, %d wrong descriptions",
+		t.Errorf("after the return to v1: records %+v, levels %v, %d wrong descriptions; want none of them",
 			records, f.tracker.levels, len(f.tracker.wrongSince))
 	}
 }
--- a/internal/warmrestart/assess.go
+++ b/internal/warmrestart/assess.go
@@ -3,9 +3,9 @@
 // Store keeps the state of a gateway on disk, in two generations. Assess decides which parts of a stored state are
 // restored. It is a pure function: it reads no clock and does no I/O, and its caller passes the times.
 //
-// Assess treats two kinds of knowledge differently. Facts that the guards of the rules depend on are restored whatever
-// their age, because they can only make the gateway more cautious. Estimates of capacity and latency lose weight with
-// their age.
+// Assess treats two kinds of knowledge differently. The scheduler's guards are the checks that every attempt must pass.
+// Facts on which they depend are restored whatever their age, because these can only make the gateway more cautious.
+// Estimates of capacity and latency are restored only if they are recent, and most of them lose weight with their age.
 package warmrestart
 
 import (
@@ -21,20 +21,21 @@
 	confidenceDecay = time.Minute
 	// maxEstimateAge is the age beyond which the confidence in estimates is 0.
 	maxEstimateAge = 10 * time.Minute
-	// maxReserveRateAge is the age up to which the rate of this host's part of a volume's reserve is restored.
+	// maxReserveRateAge is the age of a state up to which the rate of this host's part of a volume's reserve is
+	// restored.
 	maxReserveRateAge = 30 * time.Second
 	// maxClockSetback is how far the wall clock may have been set back between two incarnations.
 	maxClockSetback = time.Second
 	// minConfidence is the confidence that must be exceeded for estimates to be restored.
 	minConfidence = 0.1
-	// maxPlausible is the largest magnitude that a figure of a Scheduler can have. Larger ones are not restored.
+	// maxPlausible is the largest magnitude of a restored figure. A Scheduler has no larger ones.
 	maxPlausible = 1e12
 )
 
 // Assessment is the result of Assess.
 type Assessment struct {
 	Learned    scheduler.LearnedState // what to restore
-	KnownNodes int                    // number of nodes whose estimates are restored, besides the facts for the guards
+	KnownNodes int                    // number of nodes whose estimates are restored as well
 	Confidence float64                // weight of the restored estimates, from 0 to 1
 }
 
@@ -45,7 +46,7 @@
 	now        time.Duration // on the new clock
 	age        time.Duration // of the previous state
 	shift      time.Duration // what to add to a time on the previous clock to get the time on the new one
-	confidence float64
+	confidence float64       // in the estimates of the previous state, from 0 to 1
 }
 
 // Assess decides which parts of a previous state are restored. The times in the state are those of another clock, and
@@ -72,7 +73,8 @@
 	return result
 }
 
-// confidenceAt returns the confidence in the estimates of a state, from its age.
+// confidenceAt returns the confidence in the estimates of a state of an age. It is 0 if the state is too old, or if its
+// time is in the future by more than maxClockSetback.
 func confidenceAt(age time.Duration) float64 {
 	if age < -maxClockSetback || age > maxEstimateAge {
 		return 0
@@ -83,7 +85,8 @@
 // onNewClock converts a time on the previous clock to the new clock. The result is never in the future.
 func (a *assessor) onNewClock(at time.Duration) time.Duration { return min(at+a.shift, a.now) }
 
-// nodes returns the restored state of the listed nodes, and the number of nodes whose estimates are restored.
+// nodes returns the restored state of the nodes that are listed and not removed, and the number of those whose
+// estimates are restored.
 func (a *assessor) nodes() (learned []scheduler.LearnedNode, known int) {
 	listed := min(max(0, a.previous.Listed), len(a.previous.Nodes))
 	for i := range a.previous.Nodes[:listed] {
@@ -101,7 +104,7 @@
 	return learned, known
 }
 
-// guardFacts returns the part of a node's state that the guards depend on.
+// guardFacts returns the part of a node's state on which the scheduler's guards depend.
 func (a *assessor) guardFacts(node *scheduler.SnapshotNode) scheduler.LearnedNode {
 	restored := scheduler.LearnedNode{ID: node.Node.ID, Down: node.Down}
 	if node.Node.StartedAt > 0 {
@@ -125,8 +128,8 @@
 		plausible(node.ConcurrencyLimit, node.MaxRate, node.Latency, node.MinLatency, node.Queue, node.QueueConfidence)
 }
 
-// restoreEstimates restores the estimates of a node. With less confidence, they are closer to the values of an unknown
-// node.
+// restoreEstimates restores the estimates of a node. With less confidence, the concurrency limit is closer to that of
+// an unknown node, the rate to 0 and the latency to the minimum latency. The other values are restored as they are.
 func (a *assessor) restoreEstimates(restored *scheduler.LearnedNode, node *scheduler.SnapshotNode) {
 	unknown := initialConcurrencyLimit(a.settings)
 	restored.ConcurrencyLimit = unknown + a.confidence*(node.ConcurrencyLimit-unknown)
@@ -147,7 +150,8 @@
 	return scheduler.InitialRequests * mean
 }
 
-// volumes returns the restored state of the volumes that are found by name and have used tokens or a reserve rate.
+// volumes returns the restored state of the volumes that new requests find by name and that have used tokens or a
+// reserve rate.
 func (a *assessor) volumes() (learned []scheduler.LearnedVolume) {
 	for i := range a.previous.Volumes {
 		volume := &a.previous.Volumes[i]
@@ -178,15 +182,15 @@
 	return min(bucket.Burst, bucket.Tokens+max(0, bucket.Rate)*max(0, now-bucket.RefilledAt).Seconds())
 }
 
-// orderedKeys returns the ordered keys that are in a quiet period. A key that had an attempt in flight gets a whole
-// quiet period from now on, because the previous incarnation may have sent more attempts after the snapshot.
+// orderedKeys returns the ordered keys that are in a quiet period. The period of a key that had an attempt in flight
+// begins anew now, because the previous incarnation may have sent more attempts after the snapshot.
 func (a *assessor) orderedKeys() (learned []scheduler.LearnedKey) {
 	quietPeriod := a.settings.Rules.OrderedKeyQuietPeriod
 	quietUntil := map[string]time.Duration{}
 	for _, key := range a.previous.OrderedKeys {
 		if key.QuietUntil > a.previous.Now {
-			remaining := a.onNewClock(a.previous.Now) + key.QuietUntil - a.previous.Now
-			quietUntil[key.Key] = min(remaining, a.now+quietPeriod)
+			until := a.onNewClock(a.previous.Now) + key.QuietUntil - a.previous.Now
+			quietUntil[key.Key] = min(until, a.now+quietPeriod)
 		}
 	}
 	for i := range a.previous.Requests {
@@ -220,7 +224,8 @@
 	return retriedAt
 }
 
-// restoreFleetEstimates restores the estimates that concern all nodes together.
+// restoreFleetEstimates restores the estimates that concern all nodes together. With less confidence, the work of each
+// class is closer to 1. The others are restored as they are.
 func (a *assessor) restoreFleetEstimates(learned *scheduler.LearnedState) {
 	previous := a.previous
 	if a.confidence <= minConfidence || len(previous.ClassWork) != len(a.settings.Classes) ||
@@ -236,7 +241,7 @@
 	learned.MinLatencyMedian = previous.MinLatencyMedian
 }
 
-// plausible reports whether all values are numbers that a Scheduler can have.
+// plausible reports whether all values are finite and their magnitudes are at most maxPlausible.
 func plausible(values ...float64) bool {
 	for _, value := range values {
 		if math.IsNaN(value) || math.IsInf(value, 0) || math.Abs(value) > maxPlausible {
--- a/internal/warmrestart/assess_test.go
+++ b/internal/warmrestart/assess_test.go
@@ -61,22 +61,23 @@
 		got, base := restored.Nodes[i], fresh.Nodes[i]
 		if got.Node.ID != base.Node.ID || got.WarmingSince < base.WarmingSince || base.Down && !got.Down ||
 			len(got.RecentSends) < len(base.RecentSends) {
-			t.Fatalf("restored node %+v\nfresh node %+v", got, base)
+			t.Fatalf("a restored node may get more than a fresh one:\nrestored %+v\nfresh %+v", got, base)
 		}
 		if got.ConcurrencyLimit < 0 || math.IsNaN(got.ConcurrencyLimit) || got.LastServedAt > nextStart {
-			t.Fatalf("implausible restored node %+v", got)
+			t.Fatalf("implausible concurrency limit, or LastServedAt after %v: %+v", nextStart, got)
 		}
 	}
 	for i := range fresh.Volumes {
 		got, base := restored.Volumes[i], fresh.Volumes[i]
 		if got.Name != base.Name || got.Limit.Tokens > base.Limit.Tokens || got.Limit.Burst != base.Limit.Burst ||
 			got.Limit.Rate != base.Limit.Rate {
-			t.Fatalf("restored volume %+v\nfresh volume %+v", got, base)
+			t.Fatalf("a restored volume may get more than a fresh one, or its limit differs:\nrestored %+v\nfresh %+v",
+				got, base)
 		}
 	}
 	if len(restored.RetriedAt) < len(fresh.RetriedAt) || len(restored.ArrivedAt) > len(fresh.ArrivedAt) {
-		t.Fatalf("%d retries and %d arrivals restored, %d and %d fresh",
-			len(restored.RetriedAt), len(restored.ArrivedAt), len(fresh.RetriedAt), len(fresh.ArrivedAt))
+		t.Fatalf("restored state: %d retries, want at least %d; %d arrivals, want at most %d",
+			len(restored.RetriedAt), len(fresh.RetriedAt), len(restored.ArrivedAt), len(fresh.ArrivedAt))
 	}
 }
 
@@ -104,7 +105,7 @@
 	}
 }
 
-// sendCounter counts the requests sent to a node. Each is of one unit.
+// sendCounter counts the units of the requests sent to a node. Each request is of one unit.
 type sendCounter struct {
 	capturetest.Workload
 	units int
@@ -114,7 +115,8 @@
 func (*sendCounter) SetTimer(time.Duration, uint64)       {}
 
 // sendAcrossRestart sends a warming node as much as it may get, restarts the host, and sends again within the same
-// window. It returns the units sent by the first and by the second incarnation.
+// SlowStartWindow. If restore is set, the second incarnation restores the state of the first. The results are the units
+// sent by each of them.
 func sendAcrossRestart(t *testing.T, restore bool) (first, second int) {
 	t.Helper()
 	settings := capturetest.Settings
@@ -140,8 +142,8 @@
 	return firstCounter.units, secondCounter.units
 }
 
-// saturateWarmingNode lists one node that has just started, and offers more requests than it may get. The node serves
-// all that are sent to it.
+// saturateWarmingNode lists one node that has just started, and offers more requests than the node may get. The node
+// serves all that are sent to it.
 func saturateWarmingNode(s *scheduler.Scheduler, now time.Duration, prefix string, nodeStartedAt time.Duration) {
 	s.MembershipChanged(now, scheduler.Membership{
 		Kind:  scheduler.FullList,
@@ -170,12 +172,13 @@
 }
 
 // A restart of the gateway during the slow start of a node must not overload the node: what the previous incarnation
-// sent counts against the allowance of the same window.
+// sent counts against the SlowStartAllowance of the same SlowStartWindow.
 func TestSlowStartAllowanceHoldsAcrossRestart(t *testing.T) {
 	maxUnits := int(capturetest.Settings.Rules.SlowStartAllowance) + 20 // the allowance grows a little in the meantime
 	first, second := sendAcrossRestart(t, true)
 	if first < 50 || first+second > maxUnits {
-		t.Errorf("%d units before the restart and %d after it, want at most %d together", first, second, maxUnits)
+		t.Errorf("%d units before the restart, want at least 50; %d after it, want at most %d together",
+			first, second, maxUnits)
 	}
 	if first, second := sendAcrossRestart(t, false); first+second <= maxUnits {
 		t.Errorf("%d units and then %d without a restored state: the limit is not reached, so the test proves nothing",
@@ -204,10 +207,11 @@
 	})
 	got := s.Snapshot()
 	if n := got.Nodes[0]; n.WarmingSince != 0 || n.ConcurrencyLimit < 35 || n.MinLatency == 0 {
-		t.Errorf("node that has not restarted: %+v", n)
+		t.Errorf("node that has not restarted: %+v, want it warm, with the estimates of the snapshot", n)
 	}
 	if n := got.Nodes[1]; n.WarmingSince != restartedAt || n.ConcurrencyLimit != 16 || n.MinLatency != 0 {
-		t.Errorf("node that has restarted: %+v", n)
+		t.Errorf("node that has restarted: %+v, want it warming since %v, with the limit 16 and no latency",
+			n, restartedAt)
 	}
 }
 
@@ -231,13 +235,15 @@
 		limit := got.Learned.Nodes[0].ConcurrencyLimit
 		if limit > lastLimit || limit < 0 ||
 			age > maxEstimateAge && (got.KnownNodes > 0 || len(got.Learned.ClassWork) > 0) {
-			t.Errorf("age %v: concurrency limit %v, %v at the age before, %d known nodes",
-				age, limit, lastLimit, got.KnownNodes)
+			t.Errorf("age %v: concurrency limit %v, want 0 to %v as at the age before; "+
+				"%d known nodes and %d classes, want none beyond %v",
+				age, limit, lastLimit, got.KnownNodes, len(got.Learned.ClassWork), maxEstimateAge)
 		}
 		lastLimit = limit
 	}
 	if got := Assess(previous, capturetest.Settings, time.Hour, -time.Minute, 0); got.KnownNodes > 0 {
-		t.Error("estimates of a state from the future are restored")
+		t.Errorf("the estimates of %d nodes of a state from a minute in the future are restored, want none",
+			got.KnownNodes)
 	}
 	previous.Nodes[0].ConcurrencyLimit = math.NaN()
 	previous.Nodes[1].Latency = math.Inf(1)
--- a/internal/warmrestart/helpers_test.go
+++ b/internal/warmrestart/helpers_test.go
@@ -51,7 +51,8 @@
 	return s
 }
 
-// assess calls Assess for an incarnation whose clock has no relation to that of the previous one.
+// assess calls Assess for an incarnation whose clock has no relation to that of the previous one. The age is how long
+// before now the previous state was taken.
 func assess(previous *scheduler.Snapshot, now, age time.Duration) Assessment {
 	return Assess(previous, capturetest.Settings, now, age, now-age-previous.Now)
 }
--- a/internal/warmrestart/learning_test.go
+++ b/internal/warmrestart/learning_test.go
@@ -35,7 +35,8 @@
 
 func (*simulatedNode) SetTimer(time.Duration, uint64) {}
 
-// timeToLearn returns how long it takes until the concurrency limit of a node reaches nine tenths of its final value.
+// timeToLearn returns how long it takes until the concurrency limit of a node first reaches nine tenths of its value
+// after 20 seconds of load.
 func timeToLearn(s *scheduler.Scheduler, node *simulatedNode, start time.Duration) time.Duration {
 	const step = 5 * ms
 	s.MembershipChanged(start, scheduler.Membership{Kind: scheduler.FullList, Nodes: []scheduler.Node{{ID: "n"}}})
@@ -73,8 +74,8 @@
 	return 0
 }
 
-// BenchmarkLearning measures how long, in the Scheduler's time, the concurrency limit of a node stays below nine tenths
-// of its final value: after a start without a state, and after one that restores a state of ten seconds ago.
+// BenchmarkLearning measures timeToLearn, in the Scheduler's time: after a start without a state, and after one that
+// restores a state of ten seconds ago.
 func BenchmarkLearning(b *testing.B) {
 	for b.Loop() {
 		before := &simulatedNode{}
--- a/internal/warmrestart/store.go
+++ b/internal/warmrestart/store.go
@@ -15,7 +15,7 @@
 	"reachpulley/scheduler"
 )
 
-// Errors for which a stored state is rejected, besides those of capture.NewReader and scheduler.Resume.
+// Errors for which a stored state is rejected, besides those of reading the file, of capture and of scheduler.Resume.
 var (
 	// ErrSettingsChanged means that a state was stored under settings that differ from the present ones.
 	ErrSettingsChanged = errors.New("the settings have changed since the state was stored")
@@ -25,13 +25,13 @@
 	ErrNoSnapshot = errors.New("the file does not begin with a snapshot")
 )
 
-// maxStateBytes is the size up to which a file with a stored state is read.
+// maxStateBytes is how many bytes of a file with a stored state are read at most.
 const maxStateBytes = 8 << 20
 
 // Suffixes of the other files beside that of the newest generation.
 const (
 	previousSuffix = ".old"       // the generation before the newest one
-	nextSuffix     = ".new"       // a generation that is complete but not renamed yet
+	nextSuffix     = ".new"       // a generation that is written but not yet renamed to the newest one
 	rejectedSuffix = ".set-aside" // a state that was rejected
 )
 
@@ -72,7 +72,7 @@
 }
 
 // Load returns the newest state that is readable and was stored under the same settings, and the time when it was
-// taken. It returns nil if there is no such state. It logs and renames files that can't be used, so that they are
+// taken. It returns nil if there is no such state. It logs and renames files that it can't use, so that they are
 // neither read again nor lost.
 func (s *Store) Load(settings scheduler.Settings) (state *scheduler.Snapshot, taken time.Time) {
 	for _, path := range []string{s.Path, s.previousPath()} {
@@ -103,7 +103,7 @@
 	return state, time.Unix(0, head.Origin).Add(state.Now), nil
 }
 
-// reject renames a file that can't be used.
+// reject logs why a file can't be used, and renames the file.
 func (s *Store) reject(path string, reason error) {
 	renamed := path + rejectedSuffix
 	s.Log.Warn("stored state rejected, renaming its file", "file", path, "renamed_to", renamed, "err", reason)
@@ -136,7 +136,7 @@
 	return reader.Head, record.State, nil
 }
 
-// equalSettings reports whether two settings have the same encoding.
+// equalSettings reports whether two settings have the same encoding in the head of a capture.
 func equalSettings(a, b scheduler.Settings) bool {
 	encodedA, errA := capture.EncodeHeader(&capture.Head{Settings: a})
 	encodedB, errB := capture.EncodeHeader(&capture.Head{Settings: b})
--- a/internal/warmrestart/store_test.go
+++ b/internal/warmrestart/store_test.go
@@ -51,13 +51,14 @@
 			got, taken := after.Load(capturetest.Settings)
 			if got == nil || got.Now != first.Now && got.Now != second.Now ||
 				strings.Contains(log.String(), rejectionMessage) {
-				t.Fatalf("power lost after %d bytes: state %v, log %s", writtenBytes, got, log)
+				t.Fatalf("power lost after %d bytes: state %+v, want one taken at %v or %v; log %s",
+					writtenBytes, got, first.Now, second.Now, log)
 			}
 			if want := time.Unix(0, testHead.Origin).Add(got.Now); !taken.Equal(want) {
 				t.Fatalf("the state was taken at %v, want %v", taken, want)
 			}
 		}
-		if err == nil { // the power was not lost before everything was written
+		if err == nil { // everything was written before the power was lost, so a later loss would test nothing new
 			return
 		}
 	}
@@ -87,10 +88,10 @@
 			disk.Remove(s.Path)
 			disk.Put(s.Path, content)
 			if got, _ := s.Load(capturetest.Settings); got == nil || !strings.Contains(log.String(), rejectionMessage) {
-				t.Errorf("state %v, log %s", got, log)
+				t.Errorf("state %+v, want the previous one; log %s, want one with %q", got, log, rejectionMessage)
 			}
 			if renamed := disk.Content(s.Path + ".set-aside"); !bytes.Equal(renamed, content) {
-				t.Errorf("the renamed file has the content %q", renamed)
+				t.Errorf("the renamed file has the content %q, want %q", renamed, content)
 			}
 		})
 	}
@@ -110,7 +111,7 @@
 		t.Errorf("error %v, want %v", err, ErrSettingsChanged)
 	}
 	if got, _ := s.Load(changed); got != nil || !strings.Contains(log.String(), ErrSettingsChanged.Error()) {
-		t.Errorf("state %v, log %s", got, log)
+		t.Errorf("state %+v, want none; log %s, want one with %q", got, log, ErrSettingsChanged)
 	}
 	withoutOrigin := testHead
 	withoutOrigin.Origin = 0
@@ -137,6 +138,6 @@
 func TestLoadWithoutFilesReturnsNoState(t *testing.T) {
 	s := &Store{FS: filesystemtest.New(), Path: "d/none", Log: slog.New(slog.DiscardHandler)}
 	if got, _ := s.Load(capturetest.Settings); got != nil {
-		t.Errorf("state %v although there is no file", got)
+		t.Errorf("state %+v, want none, as there is no file", got)
 	}
 }
