--- a/internal/backend/httpbackend/attempt.go
+++ b/internal/backend/httpbackend/attempt.go
@@ -64,7 +64,7 @@
 	return report, nil
 }
 
-// failure returns the report on an attempt that received no response.
+// failure returns the report on an attempt that received no complete response.
 func failure(result scheduler.Result) eventloop.Report {
 	return eventloop.Report{Result: result, VolumeUse: -1}
 }
@@ -93,7 +93,8 @@
 	return request
 }
 
-// probe requests a node's load report. The load is nil without an error if the node responds without a valid report.
+// probe requests a node's load report. If the node responds with status 200 but without a valid report, both the load
+// and the error are nil.
 func (b *Backend) probe(ctx context.Context, node string) (*scheduler.Load, error) {
 	c, err := b.connect(ctx, node)
 	if err != nil {
@@ -118,8 +119,9 @@
 	return parseLoadReport(received.content), nil
 }
 
-// roundTrip sends a request, reads the response in full and returns the connection to the pool. If ctx ends first, the
-// connection is closed, which also signals to the node that the response is no longer wanted. The result written
+// roundTrip sends a request, reads the response in full and returns the connection to the pool, or closes it if it
+// cannot be reused. If ctx ends first, the connection is closed, which also signals to the node that the response is no
+// longer wanted. The result written
 // reports whether the request's last byte was sent.
 func (b *Backend) roundTrip(ctx context.Context, c *conn, request *http.Request) (
 	received response, written bool, err error) {
--- a/internal/backend/httpbackend/backend.go
+++ b/internal/backend/httpbackend/backend.go
@@ -49,10 +49,10 @@
 // Options configure a Backend.
 type Options struct {
 	Directory           discovery.EndpointLookup
-	Allowed             scheduler.Allowed // for its timeouts
+	Allowed             scheduler.Allowed // only ConnectTimeout is used, and half of IdleTimeout
 	MaxConnections      int               // maximum number of connections to nodes
 	LargeResponseMemory int64             // in bytes, for large responses while they are read; at least one always fits
-	Dial                dialFunc          // nil: a net.Dialer's
+	Dial                dialFunc          // nil: DialContext of a net.Dialer
 	Observe             func(Observation) // called with each response; must not block. nil: no calls
 	Log                 *slog.Logger
 }
@@ -62,7 +62,7 @@
 	Exchange *exchange.Exchange
 	Request  *httpmsg.Request
 	Node     string
-	Number   int // of the attempt within its request; the first is 0
+	Number   int // number of the attempt within its request; the first is 0
 	Result   scheduler.Result
 	Status   int
 	Header   http.Header
@@ -70,7 +70,7 @@
 	Duration time.Duration // from before the request was sent until the response was read
 }
 
-// New returns a Backend. Its idle connections are closed only while Run is running.
+// New returns a Backend. The caller also runs its Run method, which closes connections that were idle for too long.
 func New(options Options) *Backend {
 	dial := options.Dial
 	if dial == nil {
--- a/internal/backend/httpbackend/backend_test.go
+++ b/internal/backend/httpbackend/backend_test.go
@@ -97,7 +97,7 @@
 		}
 	})
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("results of the attempts (-want +got):\n%s", diff)
 	}
 }
 
@@ -351,8 +351,8 @@
 	}
 }
 
-// The connection breaks after a request's last byte was sent and before the call of Write returns. The request may have
-// run, although the backend does not know yet that all of it was sent.
+// The connection breaks after a request's last byte was sent and before the call of Write returns. The attempt must end
+// as ConnectionReset: the request may have run, although the backend does not know yet that all of it was sent.
 func TestConnectionBreaksAfterLastByte(t *testing.T) {
 	for name, body := range map[string]string{
 		"no body":    "",
--- a/internal/backend/httpbackend/connection.go
+++ b/internal/backend/httpbackend/connection.go
@@ -23,7 +23,7 @@
 	node       string
 	address    string
 	idleSince  time.Time
-	idleWatch  chan bool // while idle: pool.watch sends one value, whether the connection was silent
+	idleWatch  chan bool // while idle: pool.watch sends one value, true if nothing arrived
 }
 
 // Read reads from the network. Within a response it fails if no byte arrives within stallTimeout.
--- a/internal/backend/httpbackend/fuzz_test.go
+++ b/internal/backend/httpbackend/fuzz_test.go
@@ -39,8 +39,8 @@
 			return
 		}
 		if len(received.content) > httpmsg.MaxResponseBody || received.StatusCode < 200 {
-			t.Fatalf("accepted a response with status %d and %d bytes of content",
-				received.StatusCode, len(received.content))
+			t.Fatalf("accepted a response with status %d and %d bytes of content, want at least 200 and at most %d bytes",
+				received.StatusCode, len(received.content), httpmsg.MaxResponseBody)
 		}
 		buffered := make([]byte, c.reader.Buffered(), len(text))
 		c.reader.Read(buffered)
--- a/internal/backend/httpbackend/pool.go
+++ b/internal/backend/httpbackend/pool.go
@@ -45,7 +45,7 @@
 	poolOptions
 
 	mu            sync.Mutex
-	connections   int                  // number of those that are open or being dialed
+	connections   int                  // number of connections that are open or being dialed
 	closed        bool                 // connections that are put back are closed
 	idle          map[string][]*conn   // by node; the connection that has been idle for longest comes first
 	unsolicitedAt map[string]time.Time // by node: when it last sent unsolicited data
@@ -60,8 +60,9 @@
 	}
 }
 
-// get returns the most recently used idle connection to a node, or a new one. If the budget has no capacity for a new
-// one, get waits for capacity for up to the connect timeout.
+// get returns the most recently used idle connection to a node, or a new one. For up to the connect timeout it waits
+// until the reuse delay of an idle connection has passed, or for capacity if the budget is used up and no connection is
+// idle.
 func (p *pool) get(ctx context.Context, node, address string) (*conn, error) {
 	c, err := p.reuseOrReserve(ctx, node, address)
 	if c != nil || err != nil {
@@ -211,8 +212,9 @@
 	p.notifyWaiterLocked()
 }
 
-// put returns a connection to the pool. Either its last response was read in full or no request was sent on it. If data
-// followed the response, the connection is closed.
+// put returns a connection to the pool. Its last response must have been read in full, unless no request was sent on
+// it. The connection is closed instead if data followed the response, if connections to the node may not be reused at
+// present (see reuseBanTime), or if the pool is closed.
 func (p *pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/backend/httpbackend/report.go
+++ b/internal/backend/httpbackend/report.go
@@ -8,8 +8,8 @@
 	"reachpulley/scheduler"
 )
 
-// report interprets a response by its operation's description, or by the platform's rules if the description leaves its
-// status out. The parameter statuses is nil for an operation without a description.
+// report interprets a response by the description of the operation, or by the platform's rules if the description does
+// not cover the status. The parameter statuses is nil for an operation without a description.
 func (r response) report(statuses httpmsg.StatusInterpreter) eventloop.Report {
 	report := eventloop.Report{
 		Result:     scheduler.Errored,
--- a/internal/backend/httpbackend/report_test.go
+++ b/internal/backend/httpbackend/report_test.go
@@ -25,7 +25,7 @@
 		Load:       &scheduler.Load{InFlight: 7, Queued: 2, Busy: -1},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("report (-want +got):\n%s", diff)
 	}
 
 	bare := response{Response: &http.Response{StatusCode: 500, Header: http.Header{}}}.report(nil)
--- a/internal/backend/iscsiinitiator/initiator.go
+++ b/internal/backend/iscsiinitiator/initiator.go
@@ -1,5 +1,5 @@
-// Package iscsiinitiator sends attempts to storage nodes that speak iSCSI. It is an initiator as of RFC 7143 with one
-// session per node and one connection per session, on which many commands are outstanding at a time.
+// Package iscsiinitiator sends attempts to storage nodes that speak iSCSI. It is an initiator as defined in RFC 7143,
+// with one session per node and one connection per session, on which many commands may be outstanding at once.
 //
 // An Initiator owns the sessions, and the goroutine that runs a session owns its connection. A command that was sent is
 // a task in its session's table. The goroutine that removes the task from the table reports how it ended, so that each
@@ -54,15 +54,15 @@
 // Options configure an Initiator.
 type Options struct {
 	Directory   discovery.EndpointLookup
-	Allowed     scheduler.Allowed // for its timeouts
+	Allowed     scheduler.Allowed // only ConnectTimeout is used, and half of IdleTimeout
 	Initiator   string            // the iSCSI name of the initiator
 	Target      string            // the iSCSI name of the nodes' target
 	MaxSessions int               // maximum number of sessions
-	Dial        dialFunc          // nil: a net.Dialer's
+	Dial        dialFunc          // nil: DialContext of a net.Dialer
 	Log         *slog.Logger
 }
 
-// New returns an Initiator. Its idle sessions are closed only while Run is running.
+// New returns an Initiator. The caller also runs its Run method, which closes sessions that were idle for too long.
 func New(options Options) *Initiator {
 	dial := options.Dial
 	if dial == nil {
--- a/internal/backend/iscsiinitiator/initiator_test.go
+++ b/internal/backend/iscsiinitiator/initiator_test.go
@@ -24,7 +24,7 @@
 }
 
 // breakingConn is a connection whose node accepts the login and closes before the write of a command returns.
-// writeSucceeds says how that write ends.
+// If writeSucceeds is set, that write returns no error.
 type breakingConn struct {
 	net.Conn
 	far           net.Conn
@@ -48,9 +48,10 @@
 	return len(p), nil
 }
 
-// The connection breaks while a command is written. Once all of it is sent, the command may have run, although the call
-// of Write has not returned. A failed write does not prove that the command did not run either: the session may end,
-// and report on the command, before the write fails.
+// The connection breaks while a command is written. The attempt must end as ConnectionReset, whether the write succeeds
+// or fails. Once all of the command is sent, it may have run, although the call of Write has not returned. A failed
+// write does not prove that the command did not run either: the session may end, and report on the command, before the
+// write fails.
 func TestConnectionBreaksDuringCommandWrite(t *testing.T) {
 	for name, writeSucceeds := range map[string]bool{"write succeeds": true, "write fails": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/backend/iscsiinitiator/send.go
+++ b/internal/backend/iscsiinitiator/send.go
@@ -70,8 +70,9 @@
 	return request
 }
 
-// abort removes a task and requests the node to abort it. Anything that the node still sends for the task is ignored.
-// abort reports whether the task was still outstanding.
+// abort removes a task and requests the node to abort it. Anything that the node still sends for the task is ignored. If
+// the node has sent nothing for responseTimeout since the command, abort closes the connection instead. It reports
+// whether the task was still outstanding.
 func (s *session) abort(tag uint32) bool {
 	t := s.remove(tag)
 	if t == nil {
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// write writes a PDU. The caller holds writeMu. It must end the session on an error, as part of the PDU may have been
+// write writes a PDU. The caller holds writeMu and must end the session on an error, as part of the PDU may have been
 // sent.
 func (s *session) write(p *iscsi.PDU) error {
 	s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -66,7 +66,7 @@
 	// Notify receives each change of the membership, and the failure of a watch. It must not block.
 	Notify func(scheduler.Membership)
 
-	Dial func(ctx context.Context, network, address string) (net.Conn, error) // nil: a net.Dialer's
+	Dial func(ctx context.Context, network, address string) (net.Conn, error) // nil: DialContext of a net.Dialer
 	Log  *slog.Logger
 }
 
@@ -160,7 +160,7 @@
 }
 
 // faultLevel returns the level at which to log a fault. The same fault may recur with every call until discovery or its
-// list is repaired, so only its first occurrence is a warning.
+// list is repaired, so a fault is a warning only if it differs from the last one or a list has been applied since.
 func (c *Client) faultLevel(fault error) slog.Level {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -23,8 +23,8 @@
 	Address     string  `json:"dial"`
 	Zone        string  `json:"site"`
 	Shard       int     `json:"block"`
-	Health      string  `json:"health"` // a key of phases
-	Share       float64 `json:"share"`
+	Health      string  `json:"health"`  // a key of phases
+	Share       float64 `json:"share"`   // capacity relative to a usual node; 0 counts as 1
 	StartedAtMs int64   `json:"born_ms"` // Unix time; 0: long ago
 }
 
@@ -35,7 +35,8 @@
 	"removed":  scheduler.Removed,
 }
 
-// ParseList parses and checks a list in JSON. An error of the check names the key and the node.
+// ParseList parses a list in JSON and checks it. If the check fails, the error names the JSON field and, unless the
+// node has no ID, the node.
 func ParseList(text []byte) (*List, error) {
 	var list List
 	if err := json.Unmarshal(text, &list); err != nil {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -143,12 +143,12 @@
 	for _, scenario := range watchScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
 			got := scenario.play(t)
-			// The watch that is broken off at the end of the test is reported too.
+			// The end of the test may end a watch, too. Its report is not compared.
 			if len(got) > len(scenario.want) {
 				got = got[:len(scenario.want)]
 			}
 			if diff := cmp.Diff(scenario.want, got); diff != "" && len(scenario.want)+len(got) > 0 {
-				t.Error(diff)
+				t.Errorf("reports of the client (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/internal/eventloop/actions.go
+++ b/internal/eventloop/actions.go
@@ -13,7 +13,8 @@
 // methods.
 type actions struct{ loop *Loop }
 
-// Send starts an attempt.
+// Send starts an attempt at a node for the request with the given ID. The attempt's deadline is that of the request or,
+// if it is earlier, the time that is timeout from now. A timeout of 0 sets no deadline of its own.
 //
 // Every report is posted to the mailbox, even that on an attempt which is not sent. It cannot be handled at once, as
 // the scheduler is still handling the event in which it called Send.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// flushRecorder has the recorder hand over its last records when the loop ends, by a return or by a panic. A panic goes
-// on after it. It must be deferred directly: recover has no effect in a function that a deferred function calls.
+// flushRecorder has the recorder hand over its last records when the loop ends, by a return or by a panic. After a
+// panic, it first passes the recording to onCrash, and panics again at the end. It must be deferred directly: recover has no effect in a function that a deferred function calls.
 func (l *Loop) flushRecorder() {
 	if l.recorder == nil {
 		return
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -52,14 +52,14 @@
 	},
 }
 
-// oneNode is the membership of the tests.
+// oneNode is a full list of nodes with a single one, n, which is up.
 var oneNode = scheduler.Membership{Kind: scheduler.FullList, Nodes: []scheduler.Node{{ID: "n"}}}
 
 // fakeBackend records the attempts that are started; a test reports on them.
 type fakeBackend struct {
 	mu       sync.Mutex        // for tests that read reports while a timer may still cause an attempt
 	reports  []func(Report)    // by attempt, in the order of Start
-	contexts []context.Context // likewise
+	contexts []context.Context // by attempt, in the order of Start
 }
 
 func (b *fakeBackend) Start(ctx context.Context, _ Attempt, report func(Report)) {
@@ -216,7 +216,7 @@
 		synctest.Wait()
 		want := []string{"failed <nil>", "failed <nil>"}
 		if diff := cmp.Diff(want, []string{answerOf(disconnected), answerOf(late)}); diff != "" {
-			t.Error(diff)
+			t.Errorf("answers to the disconnected and the late request (-want +got):\n%s", diff)
 		}
 		if b.contexts[0].Err() == nil || b.contexts[1].Err() == nil {
 			t.Errorf("attempts' contexts have the errors %v and %v, want both ended",
@@ -251,7 +251,7 @@
 		second := submit(l, "r", idempotentClass)
 		want := []string{"open", "failed <nil>"}
 		if diff := cmp.Diff(want, []string{answerOf(first), answerOf(second)}); diff != "" {
-			t.Error(diff)
+			t.Errorf("answers to two requests with the same ID (-want +got):\n%s", diff)
 		}
 	})
 }
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -14,7 +14,7 @@
 	key uint64
 }
 
-// fireTimers fires the timers that are due and returns the time until the next one.
+// fireTimers fires the timers that are due and returns the time until the next one, or idleWait if no timer is set.
 func (l *Loop) fireTimers() time.Duration {
 	for len(l.timers) > 0 {
 		if wait := l.timers[0].at - l.clock.Now(); wait > 0 {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -82,7 +82,7 @@
 // Done returns a channel that is closed once the final answer is set.
 func (x *Exchange) Done() <-chan struct{} { return x.done }
 
-// Answer returns the final answer. It blocks until Done is closed.
+// Answer returns the final answer. It blocks until the answer is set.
 func (x *Exchange) Answer() Answer {
 	<-x.done
 	return x.answer
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -28,7 +28,7 @@
 			t.Errorf("%d lines with the error, want 100", n)
 		}
 		if !strings.Contains(out.String(), `"suppressed":90}`) {
-			t.Error("no line says that 90 records were suppressed")
+			t.Errorf("log output lacks a line that ends with %q:\n%s", `"suppressed":90}`, out.String())
 		}
 	})
 }
