--- a/internal/backend/httpbackend/fuzz_test.go
+++ b/internal/backend/httpbackend/fuzz_test.go
@@ -39,7 +39,7 @@
 			return
 		}
 		if len(received.content) > httpmsg.MaxResponseBody || received.StatusCode < 200 {
-			t.Fatalf("accepted a response with status %d and %d bytes of content, want at least 200 and at most %d bytes",
+			t.Fatalf("accepted a response with status %d (want 200 or more) and %d bytes of content (want at most %d)",
 				received.StatusCode, len(received.content), httpmsg.MaxResponseBody)
 		}
 		buffered := make([]byte, c.reader.Buffered(), len(text))
--- a/internal/backend/httpbackend/response.go
+++ b/internal/backend/httpbackend/response.go
@@ -20,8 +20,8 @@
 	maxHeadSize = 8 << 10
 	// maxHeads is the maximum number of heads read for one request: those of interim (1xx) responses and the final one.
 	maxHeads = 8
-	// smallContent is the size of content, in bytes, from which a response counts as large: before the rest of its
-	// content is read, the memory for it is reserved from that for large responses.
+	// smallContent is the size of content, in bytes, from which a response counts as large: the rest of it is read only
+	// after its memory has been reserved from the memory for large responses.
 	smallContent = httpmsg.MaxRequestBody
 )
 
@@ -118,7 +118,8 @@
 }
 
 // readContent reads a response's content. For content of smallContent bytes or more, it reserves memory from
-// largeResponses, and waits for it if necessary. It releases the memory once the content is read: how long the content is held after that depends on the client's connection and not on the node.
+// largeResponses, and waits for it if necessary. It releases the memory once the content is read: how long the content
+// is held after that depends on the client's connection and not on the node.
 func readContent(ctx context.Context, resp *http.Response, largeResponses *semaphore.Weighted) ([]byte, error) {
 	limit := resp.ContentLength
 	if limit < 0 { // the length is unknown: chunked, or until the connection ends
--- a/internal/backend/iscsiinitiator/send.go
+++ b/internal/backend/iscsiinitiator/send.go
@@ -70,8 +70,8 @@
 	return request
 }
 
-// abort removes a task and requests the node to abort it. Anything that the node still sends for the task is ignored. If
-// the node has sent nothing for responseTimeout since the command, abort closes the connection instead. It reports
+// abort removes a task and requests the node to abort it. Anything that the node still sends for the task is ignored.
+// If the node has sent nothing for responseTimeout since the command, abort closes the connection instead. It reports
 // whether the task was still outstanding.
 func (s *session) abort(tag uint32) bool {
 	t := s.remove(tag)
--- a/internal/backend/iscsiinitiator/session.go
+++ b/internal/backend/iscsiinitiator/session.go
@@ -19,7 +19,8 @@
 	responseTimeout = time.Second
 )
 
-// session is an iSCSI session with a node, on one connection. The goroutine of its run method owns the connection, reads from it and closes it.
+// session is an iSCSI session with a node, on one connection. The goroutine of its run method owns the connection,
+// reads from it and closes it.
 type session struct {
 	initiator *Initiator
 	node      string
--- a/internal/config/capture.go
+++ b/internal/config/capture.go
@@ -16,14 +16,14 @@
 	DiskMB       int           `toml:"disk_mb"`     // disk space for all segments; 0: none are written
 	SegmentMB    int           `toml:"segment_mb"`  // size at which a segment ends
 	SegmentAge   time.Duration `toml:"segment_age"` // age at which a segment ends
-	MaxTriggered int           `toml:"kept"`        // maximum of captures of triggers; the oldest are removed first
+	MaxTriggered int           `toml:"kept"`        // maximum of triggered captures; the oldest are removed first
 	Triggers     []Trigger     `toml:"trigger"`
 }
 
 // Trigger is a table [[capture.trigger]].
 type Trigger struct {
 	Name   string        `toml:"name"`
-	When   string        `toml:"when"`   // condition on the numbers of one second
+	When   string        `toml:"when"`   // condition on what happened in one second, a trigger.Second
 	Before time.Duration `toml:"before"` // minimum span before the trigger to retain, if it is still in memory
 	After  time.Duration `toml:"after"`  // span after the trigger to retain
 	Quiet  time.Duration `toml:"quiet"`  // minimum time between two captures of this trigger
@@ -35,7 +35,7 @@
 
 const (
 	maxCaptureMemoryKB  = 1 << 20
-	minMemoryWithDiskKB = 1 << 10 // a part of a capture is a quarter of the memory, and each begins with a snapshot
+	minMemoryWithDiskKB = 1 << 10 // a part of a capture has at most a quarter of it, and begins with a snapshot
 	maxCaptureDiskMB    = 1 << 20
 	minSegmentsOnDisk   = 2 // so that the oldest can be removed while the newest is written
 	minSegmentAge       = time.Second
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -42,7 +42,8 @@
 	}
 	want := Limits{Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: 100}
 	if diff := cmp.Diff(want, c.Limits); diff != "" || c.Name != "other" || c.Seed != 255 || c.CachedList.Seq != 4 {
-		t.Errorf("%+v: %s", c, diff)
+		t.Errorf("parsed %+v, want the name %q, the seed 255 and the list's version 4; limits (-want +got):\n%s",
+			c, "other", diff)
 	}
 }
 
@@ -53,11 +54,11 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := load(environment(map[string]string{EnvConfig: path}))
 			if err == nil || !strings.Contains(err.Error(), path+": discovery: ") {
-				t.Errorf("error %v does not name %s and discovery", err, path)
+				t.Errorf("error %v, want one that contains %q", err, path+": discovery: ")
 			}
 			var located *Error
 			if !errors.As(err, &located) || located.Source != path || located.Key != "discovery" {
-				t.Errorf("errors.As gives %#v", located)
+				t.Errorf("error is %#v, want an Error with the source %q and the key %q", located, path, "discovery")
 			}
 		})
 	}
@@ -73,7 +74,8 @@
 				t.Fatal(err)
 			}
 			if c.Settings.PollMembership == wantAgent || c.Settings.LocalAgent != wantAgent {
-				t.Errorf("PollMembership %v, LocalAgent %v", c.Settings.PollMembership, c.Settings.LocalAgent)
+				t.Errorf("PollMembership is %v, want %v; LocalAgent is %v, want %v",
+					c.Settings.PollMembership, !wantAgent, c.Settings.LocalAgent, wantAgent)
 			}
 		})
 	}
@@ -95,7 +97,7 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(want, c.Discovery+" "+c.Name); diff != "" {
-			t.Error(diff)
+			t.Errorf("discovery address and name (-want +got):\n%s", diff)
 		}
 	}
 }
@@ -127,6 +129,6 @@
 		})
 	}
 	if _, err := Load(emptyEnvironment); err == nil || err.Error() != "BALANCER_CONFIG: is not set" {
-		t.Error(err)
+		t.Errorf("Load without environment variables: error %v, want %q", err, "BALANCER_CONFIG: is not set")
 	}
 }
--- a/internal/config/contracts.go
+++ b/internal/config/contracts.go
@@ -41,15 +41,16 @@
 
 // Values of Contracts.Undescribed: what happens to calls that no description covers.
 const (
-	AcceptUndescribed = "careful" // accepted, never retried
+	AcceptUndescribed = "careful" // accepted, but not retried once they may have run
 	RejectUndescribed = "refuse"  // rejected
 )
 
-// Values of Contracts.Distrust: the strictest measure against a node that contradicts its description.
+// Values of Contracts.Distrust: the strictest measure against a node that contradicts the description of an operation.
+// It applies to requests of this operation only.
 const (
 	DistrustLog      = "log"   // the contradiction is only logged
-	DistrustRestrict = "care"  // requests to the node are not retried
-	DistrustAvoid    = "avoid" // the node gets requests only if no other node may take them
+	DistrustRestrict = "care"  // requests that the node may have run are not sent again
+	DistrustAvoid    = "avoid" // the node gets no more requests; they are rejected if no other node may take them
 )
 
 var defaultContracts = Contracts{
@@ -134,8 +135,9 @@
 	}
 }
 
-// LoadCatalog loads descriptions, checks them and compares them with the settings. All faults of their content are
-// reported at once, as contract.Faults.
+// LoadCatalog loads descriptions, checks them and compares them with the settings. Faults of their content are reported
+// as contract.Faults: all that are found by the first of these three steps that finds any. If no operation is described
+// that a request can match, the error is of another type.
 func LoadCatalog(files []string, settings scheduler.Settings) (*catalog.Catalog, error) {
 	return loadCatalog(files, settings, true)
 }
--- a/internal/config/h2c.go
+++ b/internal/config/h2c.go
@@ -10,7 +10,7 @@
 type H2C struct {
 	Enabled            bool          `toml:"enabled"`
 	Listen             string        `toml:"listen"`
-	Connections        int           `toml:"connections"`
+	Connections        int           `toml:"connections"`    // maximum of open connections
 	Streams            int           `toml:"streams"`        // maximum of open streams of a connection
 	MinStreams         int           `toml:"least_streams"`  // minimum to which Streams is lowered under load
 	MaxInFlight        int           `toml:"at_core"`        // maximum of requests queued or in flight, in total
@@ -20,8 +20,8 @@
 	MemoryKB           int           `toml:"memory_kb"`      // memory for buffered responses
 	ConnectionMemoryKB int           `toml:"connection_kb"`  // memory for one connection, in each direction
 	Stall              time.Duration `toml:"stall"`          // time after which a response without progress is canceled
-	// Age and Requests are the age of a connection and the number of its requests at which it is shut down
-	// gracefully. 0: never.
+	// Age and Requests are the age of a connection and the number of its requests, each plus or minus a fifth, at which
+	// it is shut down gracefully. 0: never.
 	Age      time.Duration `toml:"age"`
 	Requests int           `toml:"requests"`
 }
@@ -41,7 +41,7 @@
 	Requests:           100_000,
 }
 
-// maxH2CValue is the maximum of each number in the table that has no limit of its own.
+// maxH2CValue is the maximum of each number in the table except head, which has its own, and requests, which has none.
 const maxH2CValue = 1 << 20
 
 func (h *H2C) validate(v tableValidator) {
--- a/internal/config/iscsi.go
+++ b/internal/config/iscsi.go
@@ -107,8 +107,8 @@
 	return converted
 }
 
-// validateClasses rejects a class that writes as read_class, and one that does not as write_class: reads would be
-// scheduled as writes, or writes as reads.
+// validateClasses rejects a read_class whose requests write, as reads would then be scheduled as writes, and a
+// write_class whose requests do not write, as writes would then be scheduled as reads.
 func (u logicalUnit) validateClasses(v tableValidator, converted iscsitarget.Unit, classes []scheduler.Class) {
 	if converted.ReadClass >= 0 {
 		v.require(!classes[converted.ReadClass].Writes, "read_class", "class %q writes", u.ReadClass)
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -32,7 +32,7 @@
 	return o, err
 }
 
-// edit replaces the first occurrence of old.
+// edit replaces the first occurrence of old in a text by new.
 type edit struct{ old, new string }
 
 // operatorFaults are edits of the shipped file with all tables turned on, and the fault that each edit causes. An empty
@@ -95,7 +95,8 @@
 	}
 	o, err := loadOperator(t, string(text))
 	if err != nil || o.ISCSI != nil || o.Log.Format != LogJSON || o.Log.MinLevel != slog.LevelInfo {
-		t.Errorf("as shipped: %+v, %v", o, err)
+		t.Errorf("as shipped: %+v, error %v; want no error, no iSCSI, log format %q and level %v",
+			o, err, LogJSON, slog.LevelInfo)
 	}
 	turnedOn := strings.NewReplacer(
 		"enabled = false", "enabled = true",
@@ -119,15 +120,16 @@
 			o, err := loadOperator(t, edited)
 			switch {
 			case c.want == "" && (err != nil || len(o.ISCSI.Units) != 1):
-				t.Errorf("turned on: %v", err)
+				t.Errorf("with all tables turned on: %+v, error %v; want no error and one iSCSI unit", o, err)
 			case c.want != "" && (err == nil || !strings.Contains(err.Error(), ": "+c.want)):
-				t.Errorf("%v, want %s", err, c.want)
+				t.Errorf("error %v, want one that contains %q", err, ": "+c.want)
 			}
 		})
 	}
 }
 
-// The example is loaded with the working directory that the comment in the file names.
+// The example configuration must load in the working directory that the comment in its file names, and the scheduler
+// must accept the settings.
 func TestExampleOperatorFile(t *testing.T) {
 	t.Chdir("../..")
 	text, err := os.ReadFile("examples/config.json")
@@ -145,10 +147,11 @@
 	settings := o.Settings(c.Settings)
 	if len(o.Contracts.Catalog.Entries()) != 3 || settings.RetryBudget.Share != 0.2 ||
 		!settings.ZoneFailover.Enabled() || len(settings.ZoneFailover.Work) != 1 {
-		t.Errorf("%+v", settings)
+		t.Errorf("%d catalog entries, want 3; settings %+v, want retry share 0.2, zone failover and one kind of work",
+			len(o.Contracts.Catalog.Entries()), settings)
 	}
 	if _, err := scheduler.New(settings, 1, nil); err != nil {
-		t.Error(err)
+		t.Errorf("scheduler rejects the example's settings: %v", err)
 	}
 }
 
@@ -173,23 +176,23 @@
 f:11:1: iscsi.unit[0].volume: "short" is not 16 hex digits
 f:15:1: iscsi.unit[0].blocks: 0 is below 1`
 	if diff := cmp.Diff(want, fmt.Sprint(err)); diff != "" {
-		t.Error(diff)
+		t.Errorf("error (-want +got):\n%s", diff)
 	}
 }
 
 func TestNamedOperatorFileMustExist(t *testing.T) {
 	if o, err := LoadOperator(emptyEnvironment, scheduler.Settings{}); err != nil || o.ISCSI != nil {
-		t.Errorf("without a file: %v, %v", o, err)
+		t.Errorf("without a file: %+v, error %v; want the defaults and no error", o, err)
 	}
 	for variable, value := range map[string]string{envOperator: "/nowhere.toml", envLog: "loud"} {
 		t.Run(variable, func(t *testing.T) {
 			_, err := LoadOperator(environment(map[string]string{variable: value}), scheduler.Settings{})
 			if err == nil || !strings.HasPrefix(err.Error(), variable+": ") {
-				t.Errorf("%v", err)
+				t.Errorf("error %v, want one that begins with %q", err, variable+": ")
 			}
 			var located *Error
 			if !errors.As(err, &located) || located.Source != variable {
-				t.Errorf("errors.As gives %#v", located)
+				t.Errorf("error is %#v, want an Error with the source %q", located, variable)
 			}
 		})
 	}
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -15,7 +15,7 @@
 	faults *configfile.Faults
 }
 
-// element returns a validator for the table at an index of a list, which stands under a key of this table.
+// element returns a validator for one table in a list of tables. The parameter list is the list's key in this table.
 func (v tableValidator) element(list string, index int) tableValidator {
 	v.table = fmt.Sprintf("%s.%s[%d]", v.table, list, index)
 	return v
--- a/internal/config/zone_failover.go
+++ b/internal/config/zone_failover.go
@@ -22,7 +22,8 @@
 	Burst float64 `toml:"burst"`
 	// Gateways is the number of gateways that share the first tier. 0: all.
 	Gateways int `toml:"gateways"`
-	// Share is the share of a zone's observed spare capacity that may spill over into it. 0: no such limit.
+	// Share bounds the work that may spill over into a zone, as a share of the zone's observed spare capacity. 0: no
+	// such limit.
 	Share float64 `toml:"share"`
 	// MembershipDelay is how long the endpoint list may take to show that a node has restarted.
 	MembershipDelay time.Duration `toml:"list_late"`
@@ -49,7 +50,7 @@
 	anyIndex           = -1 // in place of an index: any class or plan
 )
 
-// validate checks the table and converts it to Settings.
+// validate checks the table and converts it to Settings. If zone failover is off, it does neither.
 func (z *ZoneFailover) validate(v tableValidator, settings scheduler.Settings) {
 	if !z.Enabled {
 		return
--- a/internal/config/zone_failover_test.go
+++ b/internal/config/zone_failover_test.go
@@ -25,16 +25,16 @@
 			}
 			settings := o.Settings(scheduler.Settings{}).ZoneFailover
 			if got := fmt.Sprint(settings.Tiers, " ", settings.Work); got != want {
-				t.Errorf("%s, want %s", got, want)
+				t.Errorf("tiers and work %s, want %s", got, want)
 			}
 			if !settings.Enabled() || settings.Spillover != 20 {
-				t.Errorf("%+v", settings)
+				t.Errorf("settings %+v, want zone failover on, with a spillover of 20", settings)
 			}
 		})
 	}
 	o, err := loadOperator(t, "[rooms]\nspill = 5.0\n")
 	if err != nil || len(o.Settings(scheduler.Settings{}).ZoneFailover.Tiers) > 0 {
-		t.Errorf("zone failover is on although the table is not enabled: %v", err)
+		t.Errorf("table that is not enabled: error %v, want none, and no tiers in the settings", err)
 	}
 }
 
@@ -53,7 +53,7 @@
 		t.Run(want, func(t *testing.T) {
 			_, err := loadOperator(t, zoneFailoverTable+text)
 			if err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%q: %v, want %s", text, err, want)
+				t.Errorf("%q: error %v, want one that contains %q", text, err, want)
 			}
 		})
 	}
--- a/internal/configfile/decode.go
+++ b/internal/configfile/decode.go
@@ -167,7 +167,7 @@
 var durationType = reflect.TypeFor[time.Duration]()
 
 // rejectInexact is a decode hook that rejects the decoder's lenient conversions: 3.5 is not a whole number, 5 is not a
-// duration, and a table is not a list with one element.
+// duration, and a table is not a list with one element. It parses durations and rejects negative ones.
 func rejectInexact(from, to reflect.Type, value any) (any, error) {
 	switch {
 	case to == durationType && from.Kind() == reflect.String:
--- a/internal/configfile/document.go
+++ b/internal/configfile/document.go
@@ -11,7 +11,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxBytes is the largest size of a file. A file of 10,000 rules has about a third of it.
+// MaxBytes is the maximum size of a file, in bytes. A file of 10,000 rules has about a third of this size.
 const MaxBytes = 8 << 20
 
 // Document is a parsed TOML file with the position of each key.
--- a/internal/configfile/document_test.go
+++ b/internal/configfile/document_test.go
@@ -58,7 +58,7 @@
 f.toml:16:18: list[1].set.b: want a string, got 2
 f.toml:17:1: list[1].extra: unknown key`
 	if diff := cmp.Diff(want, err.Error()); diff != "" {
-		t.Error(diff)
+		t.Errorf("error (-want +got):\n%s", diff)
 	}
 	if decoded.Share != 1 {
 		t.Errorf("share is %v, want 1", decoded.Share)
@@ -115,7 +115,7 @@
 		}
 		for key := range document.spans {
 			if fault := document.FaultWithin(key, offset, "x"); fault.Line < 1 || fault.Column < 1 {
-				t.Errorf("fault within key %q is at %d:%d", key, fault.Line, fault.Column)
+				t.Errorf("fault within key %q is at %d:%d, want at least 1:1", key, fault.Line, fault.Column)
 			}
 		}
 	})
--- a/internal/configfile/index.go
+++ b/internal/configfile/index.go
@@ -147,7 +147,8 @@
 	return len(raw) - len(content)
 }
 
-// escapeSize returns the size in bytes of the escape sequence at the beginning of text, and that of its decoded value.
+// escapeSize returns the size in bytes of the escape sequence at the beginning of text, and that of its decoded value,
+// where each character counts as one byte, even one that takes more in UTF-8.
 func escapeSize(text string) (rawSize, decodedSize int) {
 	switch text[1] {
 	case 'x':
--- a/internal/eventloop/actions.go
+++ b/internal/eventloop/actions.go
@@ -41,8 +41,8 @@
 		return
 	}
 	attempt := Attempt{Exchange: p.exchange, Number: number, Node: node, Deadline: deadline}
-	if within, bound := l.scheduler.RetryWindowLeft(id); bound {
-		attempt.BeginBefore = now.Add(within)
+	if left, limited := l.scheduler.RetryWindowLeft(id); limited {
+		attempt.BeginBefore = now.Add(left)
 	}
 	l.backend.Start(ctx, attempt, report)
 }
--- a/internal/eventloop/load_test.go
+++ b/internal/eventloop/load_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// The gateway must serve two loads under which it has failed: one plan surges beside another, and a node warms up during
-// such a surge. withLoop records each of them, replays the recording and checks the replay.
+// The gateway must serve two loads under which it has failed: one plan surges beside another, and a node warms up
+// during such a surge. withLoop records each of them, replays the recording and checks the replay.
 func TestSurgeIsServedAndReplayed(t *testing.T) {
 	t.Run("surge", func(t *testing.T) {
 		withLoop(t, loadSettings(), func(l *Loop, b *fakeBackend) { surge(t, l, b) })
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -29,7 +29,7 @@
 type stateMachine interface {
 	capture.Scheduler
 	Snapshot() *scheduler.Snapshot
-	RetryWindowLeft(id string) (within time.Duration, bound bool)
+	RetryWindowLeft(id string) (left time.Duration, limited bool)
 }
 
 // Options configure a [Loop].
@@ -162,7 +162,8 @@
 }
 
 // flushRecorder has the recorder hand over its last records when the loop ends, by a return or by a panic. After a
-// panic, it first passes the recording to onCrash, and panics again at the end. It must be deferred directly: recover has no effect in a function that a deferred function calls.
+// panic, it first passes the recording to onCrash, and panics again at the end. It must be deferred directly: recover
+// has no effect in a function that a deferred function calls.
 func (l *Loop) flushRecorder() {
 	if l.recorder == nil {
 		return
--- a/internal/logging/repeat_limiter.go
+++ b/internal/logging/repeat_limiter.go
@@ -16,7 +16,8 @@
 // there are few. Records with any further message are always written.
 const maxMessages = 1024
 
-// suppressedKey is the key of the attribute that says how many records with the same message were suppressed before this one.
+// suppressedKey is the key of the attribute that says how many records with the same message were suppressed before
+// this one.
 const suppressedKey = "suppressed"
 
 // repeatLimiter is a handler that writes the first records with a message, and from then on one per interval, which
