--- a/internal/backend/httpbackend/response.go
+++ b/internal/backend/httpbackend/response.go
@@ -21,7 +21,7 @@
 	// maxHeads is the maximum number of heads read for one request: those of interim (1xx) responses and the final one.
 	maxHeads = 8
 	// smallContent is the size of content, in bytes, from which a response counts as large: the rest of it is read only
-	// after its memory has been reserved from the memory for large responses.
+	// after memory for it has been reserved (see Backend.largeResponses).
 	smallContent = httpmsg.MaxRequestBody
 )
 
--- a/internal/configfile/fault.go
+++ b/internal/configfile/fault.go
@@ -11,7 +11,7 @@
 type Fault struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`          // counted from 1; 0 if the fault has no position
-	Column  int    `json:"column"`        // in characters, counted from 1; 0 if only the line is known
+	Column  int    `json:"column"`        // from 1, in characters (syntax errors: in bytes); 0 if unknown
 	Key     string `json:"key,omitempty"` // dotted, as in unit[0].lun
 	Message string `json:"message"`
 	Text    string `json:"text,omitempty"` // text of the line
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,9 +14,9 @@
 	"reachpulley/scheduler"
 )
 
-// The gateway must follow a change of the list from 6 s after a watch fell silent or discovery became reachable. Within
-// this time it must notice that the watch is broken, wait for the scheduler's backoff, and get a response to the next
-// call.
+// The gateway must follow changes of the list again at the latest 6 s after a watch fell silent or discovery became
+// reachable. Within this time it must notice that the watch is broken, wait for the scheduler's backoff, and get a
+// response to the next call.
 const (
 	watchIdleTimeout = 2500 * time.Millisecond // discovery writes a line at least every 2 s
 	// defaultResponseTimeout is this long because discovery handles its calls one after another.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -90,7 +90,7 @@
 	return l, nil
 }
 
-// Open passes a request to the scheduler. Its exchange receives the final answer before its deadline.
+// Open passes a request to the scheduler. The exchange receives its final answer before the request's deadline.
 func (l *Loop) Open(x *exchange.Exchange) {
 	l.mailbox.post(func() { l.requestArrived(x) })
 	x.OnDisconnect(func() { l.mailbox.post(func() { l.clientDisconnected(x) }) })
