--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,9 +14,9 @@
 	"reachpulley/scheduler"
 )
 
-// The gateway must follow a change of the list from 6 s after a watch fell silent or discovery became reachable. Within
-// this time it must notice that the watch is broken, wait for the scheduler's backoff, and get a response to the next
-// call.
+// The gateway must follow changes of the list again at the latest 6 s after a watch fell silent or discovery became
+// reachable. Within this time it must notice that the watch is broken, wait for the scheduler's backoff, and get a
+// response to the next call.
 const (
 	watchIdleTimeout = 2500 * time.Millisecond // discovery writes a line at least every 2 s
 	// defaultResponseTimeout is this long because discovery handles its calls one after another.
@@ -66,7 +66,7 @@
 	// Notify receives each change of the membership, and the failure of a watch. It must not block.
 	Notify func(scheduler.Membership)
 
-	Dial func(ctx context.Context, network, address string) (net.Conn, error) // nil: a net.Dialer's
+	Dial func(ctx context.Context, network, address string) (net.Conn, error) // nil: DialContext of a net.Dialer
 	Log  *slog.Logger
 }
 
@@ -160,7 +160,7 @@
 }
 
 // faultLevel returns the level at which to log a fault. The same fault may recur with every call until discovery or its
-// list is repaired, so only its first occurrence is a warning.
+// list is repaired, so a fault is a warning only if it differs from the last one or a list has been applied since.
 func (c *Client) faultLevel(fault error) slog.Level {
 	c.mu.Lock()
 	defer c.mu.Unlock()
