--- a/internal/gateway/assembly.go
+++ b/internal/gateway/assembly.go
@@ -101,8 +101,8 @@
 
 // agentResponseTimeout returns how long a discovery agent on the same machine may take to respond, or 0 if discovery is
 // no such agent. An agent normally responds at once. When it recovers from an outage, the list that it then holds
-// counts as announced at that moment. A call that the agent leaves unanswered therefore has to end within a part of the
-// grace period of a drain.
+// counts as announced at that moment. A call that the agent leaves unanswered therefore has to end well within the
+// grace period of a drain: after half of it.
 func agentResponseTimeout(settings scheduler.Settings) time.Duration {
 	if !settings.LocalAgent {
 		return 0
--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// Probe requests the load of a node in the protocol of the nodes.
+// Probe requests the load of a node that speaks HTTP. For a node that speaks iSCSI, it reports at once that the node
+// did not respond, as the iSCSI backend has no load reports.
 func (b backends) Probe(node string, report func(scheduler.ProbeResult)) {
 	if b.iscsi != nil {
 		b.iscsi.Probe(node, report)
--- a/internal/gateway/captures.go
+++ b/internal/gateway/captures.go
@@ -24,8 +24,8 @@
 	captureExtension = ".capture"
 )
 
-// maxQueuedCaptures is the maximum of triggered captures that wait for the disk. The number is
-// limited because each of them keeps memory of the recorder in use.
+// maxQueuedCaptures is the maximum number of triggered captures that wait for the disk. It is limited because each of
+// them keeps memory of the recorder in use.
 const maxQueuedCaptures = 4
 
 // captureFiles writes each capture into a file of its own: those that are requested, those of triggers, and that of a
@@ -39,7 +39,7 @@
 	log          *slog.Logger
 }
 
-// triggeredCapture is what a trigger has recorded.
+// triggeredCapture is a recording that is to be written to a file, with the name of the trigger that caused it.
 type triggeredCapture struct {
 	trigger   string
 	recording capture.Recording
@@ -124,7 +124,8 @@
 	}
 }
 
-// saveTriggered writes a capture of a trigger, and removes the oldest ones beyond the number that the operator allows.
+// saveTriggered writes a capture of a trigger. It then removes the oldest captures of triggers until no more than
+// maxTriggered are left.
 func (f *captureFiles) saveTriggered(c triggeredCapture) {
 	path, size, err := f.save(triggeredReason+c.trigger, c.recording)
 	if err == nil {
@@ -132,7 +133,7 @@
 		err = removeOldestTriggered(filesystem.OS{}, f.directory, prefix, f.maxTriggered)
 	}
 	if err != nil {
-		f.log.Error("triggered capture not written", "trigger", c.trigger, "err", err)
+		f.log.Error("triggered capture not written or old ones not removed", "trigger", c.trigger, "err", err)
 		return
 	}
 	f.log.Info("capture written", "trigger", c.trigger, "file", path, "bytes", size)
@@ -165,7 +166,8 @@
 	return nil
 }
 
-// isTriggered reports whether a file is a capture of a trigger of the gateway whose files begin with prefix.
+// isTriggered reports whether a file has the name of a trigger's capture by the gateway whose file names begin with
+// prefix.
 func isTriggered(name, prefix string) bool {
 	return strings.HasPrefix(name, prefix) &&
 		strings.Contains(name, "-"+triggeredReason) &&
--- a/internal/gateway/checkpoint.go
+++ b/internal/gateway/checkpoint.go
@@ -17,7 +17,7 @@
 // has learned. Only one goroutine may use it at a time.
 type checkpointer struct {
 	store    *warmrestart.Store
-	head     capture.Head // of each checkpoint, except for its Origin
+	head     capture.Head // head of each checkpoint; save sets its Origin
 	interval time.Duration
 	clock    eventloop.Clock
 	loop     *eventloop.Loop
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -16,9 +16,10 @@
 //
 // The order of the constructors in assemble matters:
 //
-//   - Sockets are divided first. A configuration that leaves too few is an error before anything has been opened.
+//   - Sockets are divided first, so that a configuration that leaves too few fails before any file is opened.
 //   - Discovery and the conformance monitor come before the event loop and report to it. That is safe because neither
-//     does anything before the loop exists: discovery waits for the scheduler's Watch, the monitor for observations.
+//     reports anything before the loop exists: discovery waits for the scheduler's Watch, and the monitor for
+//     NotifyRestored and observations.
 //   - The learned state of the previous incarnation is restored by the first event that is posted to the loop, as the
 //     scheduler expects it before any other event.
 //   - The restrictions that follow from distrust of the previous incarnation are the next events, before the list of
--- a/internal/gateway/frontends.go
+++ b/internal/gateway/frontends.go
@@ -81,8 +81,8 @@
 	}), nil
 }
 
-// newRequestIDs returns a generator of request IDs. An ID is a random prefix, which differs from that of other
-// frontends and incarnations, and a counter.
+// newRequestIDs returns a generator of request IDs. An ID consists of a prefix and a counter. The prefix is random, so
+// that other frontends and other incarnations of the gateway very likely have another one.
 func newRequestIDs() func() string {
 	prefix := rand.Uint32()
 	var count atomic.Uint32
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -11,12 +11,14 @@
 
 // Division of memory.
 const (
-	heapShare = 0.7 // of the memory limit; the rest is for stacks, the program itself and garbage
+	// runtimeShare is the share of the memory limit that is the Go runtime's own limit, for heap and stacks. The rest is
+	// for the program itself and for what exceeds the runtime's limit, which is a soft one.
+	runtimeShare = 0.7
 	// allocationShare is the share of the memory limit that may be allocated between two garbage collections.
 	// Collections are expensive on a gateway that has only a part of a core.
 	allocationShare = 0.2
-	minHeapMB       = 4     // smallest heap, times GOGC/100, at which the runtime starts a collection
-	maxGCPercent    = 400   // GOGC
+	minHeapMB       = 4     // smallest heap at which the runtime starts a collection if GOGC is 100; it grows with GOGC
+	maxGCPercent    = 400   // largest GOGC
 	responseShare   = 0.125 // of the memory limit, for long responses that are being read from nodes
 )
 
@@ -32,7 +34,7 @@
 func ApplyRuntimeLimits(limits config.Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(limits.Cores))))
 	debug.SetGCPercent(gcPercent(limits.MemoryMB))
-	debug.SetMemoryLimit(int64(heapShare * float64(limits.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(runtimeShare * float64(limits.MemoryMB) * (1 << 20)))
 }
 
 // gcPercent returns GOGC for a memory limit. The heap in use is small, so it is the runtime's minimum heap that decides
@@ -43,8 +45,8 @@
 
 // socketBudget is how many sockets the HTTP frontend and the HTTP backend may use.
 type socketBudget struct {
-	clients int // of the frontend
-	nodes   int // of the backend
+	clients int // sockets of the frontend
+	nodes   int // sockets of the backend
 }
 
 // divideSockets subtracts from the limit the sockets that other parts may use, and divides the rest between the HTTP
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -10,7 +10,8 @@
 	"reachpulley/internal/config"
 )
 
-// Options are the inputs from which a gateway is assembled. The gateway owns the listeners; its frontends close them.
+// Options are the inputs from which a gateway is assembled. Once it is assembled, the gateway owns the
+// listeners, and closes them when it ends.
 type Options struct {
 	Config        *config.Config
 	Operator      *config.Operator
--- a/internal/gateway/recording.go
+++ b/internal/gateway/recording.go
@@ -47,7 +47,7 @@
 	return recording{options: options, segments: segments, files: files}, nil
 }
 
-// programVersion returns the version of the program that the build recorded in it.
+// programVersion returns the version of the program that the build recorded in it, or "unknown" if there is none.
 func programVersion() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Version
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -122,7 +122,8 @@
 	return next, nil
 }
 
-// warnOfIgnoredChanges logs the keys whose change takes effect only at the next start.
+// warnOfIgnoredChanges logs a warning for each key of its list that has changed: the change takes effect only at the
+// next start.
 func (r *reloader) warnOfIgnoredChanges(next *config.Config, operator *config.Operator) {
 	for _, setting := range []struct {
 		key     string
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -7,8 +7,9 @@
 	"reachpulley/internal/frontend/httpfrontend"
 )
 
-// Serve runs a gateway until stop ends, and then until all accepted requests are answered. It also ends if the HTTP
-// server fails, and then returns its error.
+// Serve runs a gateway until stop ends, and then until all accepted requests are answered; those that are still pending
+// after drainTimeout fail. It also ends if the HTTP server fails. It returns an error if the gateway cannot be
+// assembled, and otherwise that of the HTTP server.
 func Serve(stop context.Context, options Options) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -16,7 +16,8 @@
 	drainTimeout = 10 * time.Second
 )
 
-// drain stops the frontends and waits until all requests that they accepted are answered.
+// drain stops the frontends and waits until all requests that they accepted are answered, or drainTimeout has passed.
+// It returns the error of the HTTP server's shutdown.
 func (g *gateway) drain(ctx context.Context) error {
 	g.log.Info("stopping")
 	g.httpFrontend.BeginDrain()
--- a/internal/proto/iscsi/scsi.go
+++ b/internal/proto/iscsi/scsi.go
@@ -42,7 +42,8 @@
 // Length returns how many bytes the command transfers.
 func (c *Command) Length() int { return int(c.Blocks) * int(c.BlockSize) }
 
-// CDB returns the command descriptor block in the shortest form that holds the command's address and length.
+// CDB returns the command descriptor block: a READ(10) or WRITE(10) if that can hold the command's address and length,
+// and otherwise a READ(16) or WRITE(16).
 func (c *Command) CDB() (b CDB) {
 	if c.LBA+uint64(c.Blocks) <= 1<<32 && c.Blocks < 1<<16 {
 		b[0] = Read10
--- a/internal/proto/iscsi/text.go
+++ b/internal/proto/iscsi/text.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// fixedAnswers holds, by key, the value with which the gateway answers whatever the other side offers.
+// fixedAnswers holds, by key, the only value that the gateway accepts. The answer to an offer is always that value, but
+// if it is "None", the offer must contain it.
 var fixedAnswers = map[string]string{
 	"AuthMethod":          "None",
 	"DataDigest":          "None",
@@ -146,7 +147,8 @@
 	return "", false, err
 }
 
-// fixedAnswer returns the answer to a key that has only one acceptable value.
+// fixedAnswer returns the answer to a key that apply does not handle itself: the key's value in fixedAnswers, or
+// NotUnderstood if the key is not in that map. It returns an error if the value is "None" and was not offered.
 func fixedAnswer(pair Pair) (string, error) {
 	value, known := fixedAnswers[pair.Key]
 	if !known {
--- a/internal/scsihttp/scsihttp.go
+++ b/internal/scsihttp/scsihttp.go
@@ -44,8 +44,8 @@
 }
 
 // Load reads an OpenAPI description from a file and returns the translator for its nodes. It returns an error if the
-// description lacks an operation for one of the commands, or if such an operation requires a parameter for which
-// commands have no value.
+// description lacks an operation for one of the commands or has two, if an operation names an unknown command, or if it
+// requires a parameter for which commands have no value.
 func Load(path string, settings scheduler.Settings) (*Translator, error) {
 	description, err := openapi3.NewLoader().LoadFromFile(path)
 	if err != nil {
