--- a/internal/apitest/api_test.go
+++ b/internal/apitest/api_test.go
@@ -29,7 +29,7 @@
 	asyncAPIPath = "../../api/asyncapi.yaml"
 )
 
-// objectPath is the path of an object: its volume and its piece of data.
+// objectPath is the path of an object: its volume ID, then its data key.
 const objectPath = "/api/00000003b4d60021/7f3a9c21e0b4d655"
 
 var testSettings = scheduler.Settings{
@@ -155,7 +155,7 @@
 			t.Errorf("no Retry-After header: %v", w.Header())
 		}
 		if err := validateResponse(t, request, w); err != nil {
-			t.Error(err)
+			t.Errorf("the response with status %d does not match its description: %v", w.Code, err)
 		}
 	}
 }
@@ -215,7 +215,7 @@
 				t.Errorf("status %d, want %d", w.Code, test.status)
 			}
 			if err := validateResponse(t, request, w); err != nil {
-				t.Error(err)
+				t.Errorf("the response with status %d does not match its description: %v", w.Code, err)
 			}
 		})
 	}
--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -12,7 +12,7 @@
 )
 
 // backends is the [eventloop.Backend] that hands each attempt to the backend for its payload. If the nodes speak iSCSI,
-// no node can serve a request that came as HTTP: its attempts end as never sent.
+// no node can serve a request that came as HTTP: its attempts end with ConnectFailed, as they were never sent.
 type backends struct {
 	http  *httpbackend.Backend
 	iscsi *iscsiinitiator.Initiator // nil if the nodes speak HTTP
--- a/internal/gateway/captures_test.go
+++ b/internal/gateway/captures_test.go
@@ -69,6 +69,6 @@
 		"state-g.capture",
 	}
 	if diff := cmp.Diff(want, names); diff != "" {
-		t.Error(diff)
+		t.Errorf("files after the removal (-want +got):\n%s", diff)
 	}
 }
--- a/internal/gateway/contracts_fleet_test.go
+++ b/internal/gateway/contracts_fleet_test.go
@@ -73,7 +73,7 @@
 	contractFaults
 	mu   sync.Mutex
 	runs map[string]int // number of times that each write ran, by key
-	read int            // value that reads return; faulty reads change it
+	read int            // value that reads return; with changingReads, each read increases it
 }
 
 func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -232,7 +232,8 @@
 	}
 }
 
-// checkFaultyNodeIsAvoided sends one more request for the faulty node, and one for a node without a fault.
+// checkFaultyNodeIsAvoided checks that a request for data on the faulty node is rejected and, if it is a write, not run
+// there, and that a request for data on a node without a fault is served.
 func (f *fleet) checkFaultyNodeIsAvoided(method string) {
 	faulty := f.nodes[faultyNode]
 	before := len(faulty.runs)
@@ -243,7 +244,7 @@
 		f.t.Errorf("status %d for data on a node without a fault, want %d", got, http.StatusOK)
 	}
 	if len(faulty.runs) != before {
-		f.t.Error("the distrusted node received a write")
+		f.t.Errorf("the distrusted node has run writes with %d keys, want %d as before", len(faulty.runs), before)
 	}
 }
 
@@ -277,7 +278,7 @@
 		{name: "a client cannot discredit nodes", discredit: true},
 		{name: "a retry is run again", faults: contractFaults{runsRetries: true}, operation: write},
 		{name: "responses do not match their schema", faults: contractFaults{otherSchema: true}, operation: read},
-		{name: "a write that ran is denied", faults: contractFaults{deniesEffects: true}, operation: write},
+		{name: "a write that ran is reported as not run", faults: contractFaults{deniesEffects: true}, operation: write},
 		{name: "a read has an effect", faults: contractFaults{changingReads: true}, operation: read},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -286,7 +287,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := startFleet(t, test.faults, distrustFile, &log)
 				for round := range 2 {
-					// Without writes: a write between two reads would explain why their results differ.
+					// If reads change their value, clients do not write: a write between two reads would explain why
+					// their results differ.
 					f.playRound(round, !test.faults.changingReads, test.discredit)
 					time.Sleep(2 * time.Second)
 				}
@@ -314,10 +316,10 @@
 		return
 	}
 	if err != nil || len(file.Records) != 1 {
-		t.Fatalf("%v %+v", err, file.Records)
+		t.Fatalf("distrust file: error %v, records %+v; want one record", err, file.Records)
 	}
 	record := file.Records[0]
 	if record.Node != fmt.Sprint("n", faultyNode) || record.State != "distrusted" || record.Operation != operation {
-		t.Errorf("%+v", record)
+		t.Errorf("distrust file: got record %+v, want n%d distrusted for %s", record, faultyNode, operation)
 	}
 }
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -16,8 +16,8 @@
 	"reachpulley/scheduler"
 )
 
-// sheetContracts describes the operations of the nodes in the scenarios, apart from those that clients must not rely
-// on.
+// sheetContracts describes the operations of the nodes in the scenarios. Those under /other and /payroll have no
+// description.
 const sheetContracts = `
 openapi: 3.0.3
 info: {title: sheets, version: "1"}
@@ -289,9 +289,10 @@
 	}
 }
 
-// A node that responds with success and with X-Not-Run at the same time contradicts itself. Each time, it is restricted
-// more strictly, until it regains trust by a probation. Reloads do not reset its state. The scheduler decides what each
-// state restricts.
+// A node that responds with success and with X-Not-Run at the same time contradicts itself. After the first such
+// response it must be doubted, after the second distrusted, and 80 s later on probation. Reloads must not reset its
+// state. The scheduler decides what each state restricts: here, no request is sent to the node while it is distrusted,
+// and none is retried while it is doubted or on probation.
 func TestContractViolationsAreDistrusted(t *testing.T) {
 	const violation = `
 		client send ` + describedRead + `
@@ -328,11 +329,11 @@
 		"distrusted on probation no repeats",
 	}
 	if diff := cmp.Diff(want, trustChanges(t, log)); diff != "" {
-		t.Error(diff)
+		t.Errorf("changes of trust (-want +got):\n%s", diff)
 	}
 }
 
-// trustChanges returns the changes of trust in a log, and checks each against its schema.
+// trustChanges returns the changes of trust in a log, each as "FROM TO LEVEL", and checks them against their schema.
 func trustChanges(t *testing.T, log string) (changes []string) {
 	t.Helper()
 	schema := apitest.Schemas(t, "../../api/asyncapi.yaml")("TrustChanged")
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -39,12 +39,12 @@
 		}
 		kinds = append(kinds, event.Kind)
 		if err := validate(schema(schemaNames[event.Kind]), logged); err != nil {
-			t.Errorf("%s: %v", logged, err)
+			t.Errorf("event %s does not match its schema: %v", logged, err)
 		}
 	}
 	want := []string{"session-opened", "command-ended", "command-ended", "session-closed"}
 	if diff := cmp.Diff(want, kinds); diff != "" {
-		t.Error(diff)
+		t.Errorf("kinds of events (-want +got):\n%s", diff)
 	}
 }
 
--- a/internal/gateway/failure_test.go
+++ b/internal/gateway/failure_test.go
@@ -17,8 +17,7 @@
 
 func (brokenListener) Accept() (net.Conn, error) { return nil, errors.New("the listener is broken") }
 
-// A gateway whose HTTP server fails ends with that error, whatever other frontends it has. Once, the other frontends
-// kept such a gateway running forever.
+// A gateway whose HTTP server fails must end with that error. Its other frontends must not keep it running.
 func TestBrokenListenerEndsGateway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var network scenariotest.Network
@@ -34,8 +33,9 @@
 			Dial:          network.Dial,
 			Log:           slog.New(slog.DiscardHandler),
 		})
-		if err == nil || err.Error() != "the listener is broken" {
-			t.Error(err)
+		const want = "the listener is broken"
+		if err == nil || err.Error() != want {
+			t.Errorf("Serve returned error %v, want %q", err, want)
 		}
 	})
 }
--- a/internal/gateway/h2c_test.go
+++ b/internal/gateway/h2c_test.go
@@ -13,6 +13,7 @@
 	h2Once = "PUT " + objectRequest + " x-class=once x-request-id="
 )
 
+// h2Scenarios are the scripts of TestHTTP2Frontend, by name. Their client tablet speaks HTTP/2; other speaks HTTP/1.1.
 var h2Scenarios = map[string]string{
 	"a request is forwarded and its response comes back": `
 		tablet send headers 1 ` + h2Put + `r1 idempotency-key=k content-length=5
@@ -22,7 +23,7 @@
 		node send 200 stored
 		tablet expect headers 1 200
 		tablet expect data 1 end stored`,
-	"concurrent requests are answered as they are ready": `
+	"a request is answered although an earlier one on its connection is still pending": `
 		tablet send headers 1 end ` + h2Get + `r1
 		node expect GET ` + objectPath + ` X-Request-Id=r1
 		tablet send headers 3 end ` + h2Get + `r2
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -124,7 +124,7 @@
 		return func() {
 			cancel()
 			if err := <-ended; err != nil {
-				t.Error(err)
+				t.Errorf("the gateway ended with an error: %v", err)
 			}
 		}
 	})
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -146,7 +146,7 @@
 		},
 		{"no units", changedRequest(getRequest, "units=2,", ""), "X-Placement: units is missing"},
 		{
-			"a shard of a half", changedRequest(getRequest, "shard=0", "shard=0.5"),
+			"a shard that is not a whole number", changedRequest(getRequest, "shard=0", "shard=0.5"),
 			`X-Placement: "units=2,shard=0.5,hosts=1" makes no sense`,
 		},
 	} {
--- a/internal/gateway/iscsi_test.go
+++ b/internal/gateway/iscsi_test.go
@@ -121,7 +121,7 @@
 		node send response tag=1
 		initiator expect response tag=1 status=good
 		node expect nothing`,
-	"a command that reaches its deadline ends with the sense data for that": initiatorLogin + `
+	"a command that reaches its deadline ends with the sense data for a timeout": initiatorLogin + `
 		initiator send command tag=1 sn=1 write=8+1 data=512*w
 		` + nodeLogin + `
 		node expect command tag=1 lun=0 write=8+1 data=512*w
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -19,7 +19,7 @@
 	allocationShare = 0.2
 	minHeapMB       = 4     // smallest heap at which the runtime starts a collection if GOGC is 100; it grows with GOGC
 	maxGCPercent    = 400   // largest GOGC
-	responseShare   = 0.125 // of the memory limit, for long responses that are being read from nodes
+	responseShare   = 0.125 // share of the memory limit for large responses that are being read from nodes
 )
 
 // Division of sockets.
--- a/internal/gateway/races_harness_test.go
+++ b/internal/gateway/races_harness_test.go
@@ -104,7 +104,7 @@
 	select {
 	case err := <-g.ended:
 		if err != nil {
-			g.t.Error(err)
+			g.t.Errorf("the gateway ended with an error: %v", err)
 		}
 	case <-time.After(waitLimit):
 		g.t.Errorf("the gateway has not ended within %v", waitLimit)
@@ -177,7 +177,7 @@
 	return <-statuses
 }
 
-// waitUntil retries until a condition holds, each time with a new request ID.
+// waitUntil checks a condition again and again until it holds, each time with a new request ID.
 func (g *testGateway) waitUntil(what string, condition func(id string) bool) {
 	g.t.Helper()
 	end := time.Now().Add(waitLimit)
--- a/internal/gateway/races_test.go
+++ b/internal/gateway/races_test.go
@@ -18,8 +18,9 @@
 // The tests in this file are races of two events over loopback sockets; docs/design/race-conditions.md lists them. The
 // order of events is forced by what each side receives, never by a sleep.
 
-// A client sends two requests at once and disconnects while the first is in flight. http.Server would not notice, as
-// the second request is still unread before the end of the connection.
+// A client sends two requests at once and disconnects while the first is in flight. The attempt of the first must be
+// canceled, and the second must not be forwarded. http.Server alone would not notice the disconnection, as the second
+// request is still unread before the end of the connection.
 func TestClientDisconnectsWithPipelinedRequest(t *testing.T) {
 	g := startGateway(t, gatewaySetup{settings: func(settings string) string {
 		return replaceSetting(t, settings, `"deadlineMs": 1500`, `"deadlineMs": 60000`)
@@ -39,8 +40,8 @@
 	other.wantResponse(200, "three")
 }
 
-// A client disconnects while the connection to the node for its request is being established. The connection is
-// established at the same moment.
+// A client disconnects at the moment at which the connection to the node for its request is established. Its request
+// must not be forwarded, and that of the next client must be served.
 func TestClientDisconnectsDuringDial(t *testing.T) {
 	dialing, canceled := make(chan bool), make(chan bool)
 	g := startGateway(t, gatewaySetup{gateway: func(g *testGateway, _ *config.Config) {
@@ -139,9 +140,10 @@
 	// it.
 	deadline := node.wantRequest("r2").Header.Get("X-Deadline")
 	micros, err := strconv.ParseInt(strings.TrimSuffix(deadline, "u"), 10, 64)
+	// The request has a deadline of 1400 ms, of which 200 ms have passed. The other 100 ms are a tolerance.
 	const maxDeadline = 1400*time.Millisecond - 200*time.Millisecond + 100*time.Millisecond
 	if err != nil || time.Duration(micros)*time.Microsecond > maxDeadline {
-		t.Errorf("the node was given %s, want %v at most", deadline, maxDeadline)
+		t.Errorf("the node was given the deadline %q, want %v at most: error %v", deadline, maxDeadline, err)
 	}
 	node.write(responseText("two"))
 	client.wantResponse(200, "one")
@@ -197,19 +199,19 @@
 	g.ended <- <-g.ended // it has ended; close reads the result again
 }
 
-// A watch of discovery falls silent in the middle of a list. The next watch delivers a drain in pieces, over several
-// lines. The incomplete list of the first watch must have no effect.
+// A watch of discovery falls silent in the middle of a list. The next watch returns a list with the node draining, in
+// two pieces and over several lines. The incomplete list must have no effect, and the complete one must be followed.
 func TestSilentWatchIsReopened(t *testing.T) {
 	g := startGateway(t, gatewaySetup{})
 	watch := g.accept(g.discovery)
 	if request := watch.request(); request.URL.RequestURI() != watchPath+"1" {
-		t.Fatal(request.URL)
+		t.Fatalf("the first watch is for %s, want %s", request.URL, watchPath+"1")
 	}
 	watch.write(chunkedResponse + chunk(g.list(2, true, "up")+"\n"+g.list(3, false, "draining")[:30]))
 	second := g.accept(g.discovery)
 	watch.wantEnd()
 	if request := second.request(); request.URL.RequestURI() != watchPath+"2" {
-		t.Fatal(request.URL)
+		t.Fatalf("the second watch is for %s, want %s", request.URL, watchPath+"2")
 	}
 	client := g.client()
 	client.write(requestText("r1", "read", ""))
@@ -217,10 +219,10 @@
 	node.wantRequest("r1")
 	text := strings.ReplaceAll(g.list(3, false, "draining"), ",", ",\n  ") + "\n"
 	second.write(chunkedResponse + chunk(text[:25]) + chunk(text[25:]))
-	// The drain must take effect although no other line follows: requests are rejected once it was received.
+	// The list must take effect although no other line follows it: from then on requests are rejected.
 	node.write(responseText("one"))
 	client.wantResponse(200, "one")
-	g.waitUntil("the drain is followed",
+	g.waitUntil("requests are rejected, as the only node is draining",
 		func(id string) bool { return g.served(node, id) == http.StatusServiceUnavailable })
 }
 
@@ -235,7 +237,7 @@
 	g.reloads <- syscall.SIGHUP
 	moved := g.accept(g.moved)
 	if request := moved.request(); request.URL.RequestURI() != watchPath+"0" {
-		t.Fatal(request.URL)
+		t.Fatalf("the watch of the new discovery is for %s, want %s", request.URL, watchPath+"0")
 	}
 	io.WriteString(watch, line[40:]+"\r\n") // the connection may be closed by now
 	client := g.client()
@@ -246,7 +248,7 @@
 	client.wantResponse(200, "one")
 	// The new discovery counts versions of its list by itself; its version is below that of the old one.
 	moved.write(chunkedResponse + chunk(g.list(1, true, "draining")+"\n"))
-	g.waitUntil("the list of the new discovery is followed",
+	g.waitUntil("requests are rejected, as the only node is draining in the list of the new discovery",
 		func(id string) bool { return g.served(node, id) == http.StatusServiceUnavailable })
 }
 
@@ -321,8 +323,9 @@
 	client.wantResponse(200, "two")
 }
 
-// An agent that pushes lists is silent while discovery is down. A call to it gets no response, and the next call
-// delivers a drain, which must be followed from then on.
+// While discovery is down, its agent on this machine does not respond to calls. The gateway must call it again within
+// the grace period of a drain. The second call returns a list with the node draining, and the gateway must then send
+// nothing new to the node.
 func TestSilentAgentIsCalledAgain(t *testing.T) {
 	g := startGateway(t, gatewaySetup{settings: func(settings string) string {
 		return replaceSetting(t, settings, `"membershipMode": "ask"`, `"membershipMode": "push"`)
@@ -333,7 +336,7 @@
 	first.wantEnd()
 	second.request()
 	second.write(chunkedResponse + chunk(g.list(2, false, "draining")+"\n"))
-	g.waitUntil("the drain is followed", func(id string) bool {
+	g.waitUntil("requests are rejected, as the only node is draining", func(id string) bool {
 		client := g.client()
 		client.write(requestText(id, "read", ""))
 		response, err := http.ReadResponse(client.reader, nil)
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -215,8 +215,8 @@
 		node expect PUT /sheets/7` + seenOnce + ` hello
 		node send 200 stored
 		client expect 200 stored`,
-	// Rules refer to classes by index. By the new classes, "once" would have the index that means "read" to the running
-	// gateway, which would then retry a write freely.
+	// Rules refer to classes by index. The new settings reverse the order of the classes, so "once" has the index there
+	// that "read" has in the running gateway, which would retry writes if it applied rules for the new settings.
 	"rules for other classes need a restart": `
 		file send other classes
 		file send all writes rules
--- a/internal/gateway/stored_test.go
+++ b/internal/gateway/stored_test.go
@@ -123,8 +123,8 @@
 	return out.Bytes()
 }
 
-// A gateway can restore each stored state. The state is read with the settings with which it was written, and as much
-// of it is still valid as the program that wrote it found.
+// Each stored state must be readable with the settings with which it was written. The numbers of nodes and volumes that
+// Assess restores from it must be those that the program that wrote it would have restored.
 func TestStoredStatesAreRestored(t *testing.T) {
 	demo, err := capture.NewReader(bytes.NewReader(storedFile(t, "state-demo.capture")))
 	if err != nil {
@@ -134,7 +134,7 @@
 		name     string
 		settings scheduler.Settings
 		nodes    int // number of nodes whose state is restored
-		known    int // number of those nodes of which more is restored than what tightens guards
+		known    int // number of those nodes whose estimates are restored, too
 		volumes  int // number of volumes whose state is restored
 	}{
 		{"state-demo.capture", demo.Head.Settings, 2, 2, 1},
@@ -153,13 +153,13 @@
 			const now, age = time.Hour, 3 * time.Second
 			assessment := warmrestart.Assess(state, stored.settings, now, age, now-age-state.Now)
 			if nodes := len(assessment.Learned.Nodes); nodes != stored.nodes {
-				t.Errorf("%d nodes, want %d", nodes, stored.nodes)
+				t.Errorf("%d nodes restored, want %d", nodes, stored.nodes)
 			}
 			if assessment.KnownNodes != stored.known {
-				t.Errorf("%d known nodes, want %d", assessment.KnownNodes, stored.known)
+				t.Errorf("estimates of %d nodes restored, want %d", assessment.KnownNodes, stored.known)
 			}
 			if volumes := len(assessment.Learned.Volumes); volumes != stored.volumes {
-				t.Errorf("%d volumes, want %d", volumes, stored.volumes)
+				t.Errorf("%d volumes restored, want %d", volumes, stored.volumes)
 			}
 		})
 	}
@@ -174,10 +174,10 @@
 	}
 	changes, err := trust.New(scheduler.AvoidNode).Restore(time.Hour, file.Records, time.Second)
 	if err != nil || len(file.Records) != 2 || len(changes) != 2 {
-		t.Errorf("%d records, %d changes, %v", len(file.Records), len(changes), err)
+		t.Errorf("%d records, %d changes of trust, error %v; want 2, 2 and none", len(file.Records), len(changes), err)
 	}
 	rewritten, err := json.MarshalIndent(file, "", "  ")
 	if err != nil || !bytes.Equal(append(rewritten, '\n'), content) {
-		t.Errorf("%v: rewritten file differs:\n%s", err, rewritten)
+		t.Errorf("rewritten file: error %v, got\n%s\nwant\n%s", err, rewritten, content)
 	}
 }
--- a/internal/gateway/zone_node_test.go
+++ b/internal/gateway/zone_node_test.go
@@ -14,17 +14,17 @@
 
 // Speed of a zoneNode and the load that it tolerates, as zoneSettings describe them.
 const (
-	timePerUnit       = 20 * time.Millisecond
+	timePerUnit       = 20 * time.Millisecond // of one worker at full speed
 	nodeWorkers       = 2
 	unitsPerSecond    = 100  // after the slow start: nodeWorkers / timePerUnit
-	slowStartShare    = 0.18 // of the full speed, at the start
+	slowStartShare    = 0.18 // speed at the start, as a share of the full speed
 	slowStartWindow   = 3 * time.Second
 	slowStartDuration = 17 * time.Second
 	slowStartMultiple = 4 // tolerated load within slowStartWindow, as a multiple of what the node can serve
 )
 
-// zoneNode is a stand-in for a node with two workers and a slow start. It can be silenced, and then accepts connections
-// again only when it is restarted, so that connections hang meanwhile.
+// zoneNode is a stand-in for a node with two workers and a slow start. It can be silenced. Until it is restarted, it
+// then neither responds nor accepts connections, and attempts to connect to it hang.
 type zoneNode struct {
 	name    string
 	network *scenariotest.Network
@@ -33,10 +33,10 @@
 	server         *http.Server
 	startedAt      time.Time     // zero if the node was never restarted: it has its full speed
 	silent         chan struct{} // closed once the node is silent; what it has accepted is never answered
-	workers        chan struct{}
+	workers        chan struct{} // holds an element for each worker that is busy
 	arrivals       []arrival
 	newObjectUnits float64 // units of new objects that the node received
-	served         int     // number of requests
+	served         int     // number of requests served since resetServed, or since the node was made
 	maxLoad        float64 // maximum load in slow start, as a share of the tolerated load
 }
 
@@ -67,8 +67,7 @@
 	go server.Serve(listener)
 }
 
-// fallSilent leaves the node's connections open without any response, and keeps new ones from being
-// established.
+// fallSilent leaves the node's connections open without any response, and keeps new ones from being established.
 func (n *zoneNode) fallSilent() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -117,14 +116,14 @@
 	n.served = 0
 }
 
-// check checks at the end of a test that the node was never overloaded in slow start, and that it has served requests
-// since resetServed.
+// check checks at the end of a test that the node was never overloaded in slow start, and that it has served at least
+// ten requests since resetServed.
 func (n *zoneNode) check(t *testing.T) {
 	t.Helper()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.maxLoad > 1 {
-		t.Errorf("%s received %.2f times the load that it tolerates in slow start", n.name, n.maxLoad)
+		t.Errorf("%s received %.2f times the load that it tolerates in slow start, want at most 1", n.name, n.maxLoad)
 	}
 	if n.served < 10 {
 		t.Errorf("%s served %d requests at the end, want at least 10", n.name, n.served)
--- a/internal/gateway/zone_sockets_test.go
+++ b/internal/gateway/zone_sockets_test.go
@@ -76,7 +76,8 @@
 	return listener
 }
 
-// node returns the handler of a node. It answers with the name of the zone, unless it is that of zone a and silenced.
+// node returns the handler of the node that serves a shard. The node answers with the name of its zone. While z.silent
+// is set, the node of shard 0, which is that of zone a, does not answer.
 func (z *socketZones) node(shard int, zone string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		z.received[shard].Add(1)
@@ -123,7 +124,8 @@
 	return status == http.StatusServiceUnavailable && retryAfter != "" && z.received[0].Load() == before
 }
 
-// waitUntil retries until a condition holds. The limit is so long that a slow machine does not matter.
+// waitUntil checks a condition again and again until it holds. The limit is so long that a slow machine does not
+// matter.
 func (z *socketZones) waitUntil(what string, condition func() bool) {
 	z.t.Helper()
 	const limit = 30 * time.Second
@@ -138,11 +140,13 @@
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 	z.stop()
 	if err := <-z.ended; err != nil {
-		z.t.Error(err)
+		z.t.Errorf("the gateway ended with an error: %v", err)
 	}
 }
 
-// A zone on real sockets falls silent and comes back. No step depends on timing, except that each has a long limit.
+// The first zone, on real sockets, falls silent and comes back. Meanwhile requests for its data must be rejected
+// without being sent, and new objects must spill over to the second zone. Afterwards the first zone must serve both
+// again. No step depends on timing, except that each has a long limit.
 func TestZoneFallsSilentOnSockets(t *testing.T) {
 	const newObject = -1
 	z := startSocketZones(t)
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -79,10 +79,10 @@
 	spilloverRate    = 30.0 // units per second, over all gateways
 	spilloverBurst   = 24.0 // units
 	zoneTestTime     = 40 * time.Second
-	firstZoneLost    = 5 * time.Second  // since the start
-	firstZoneBack    = 11 * time.Second // since the start
-	countServedFrom  = 35 * time.Second // since the start
-	zoneLoadInterval = 10 * time.Millisecond
+	firstZoneLost    = 5 * time.Second       // since the start
+	firstZoneBack    = 11 * time.Second      // since the start
+	countServedFrom  = 35 * time.Second      // since the start; requests that nodes serve from then on are counted
+	zoneLoadInterval = 10 * time.Millisecond // between two samples of the nodes' load
 )
 
 // startZoneNodes starts three nodes in each zone and returns how discovery lists them.
@@ -96,7 +96,7 @@
 	return nodes, listed
 }
 
-// startZoneGateways runs the gateways until stop ends.
+// startZoneGateways starts the gateways, which run until stop ends. It returns a group that waits for their end.
 func startZoneGateways(
 	t *testing.T, stop context.Context, network *scenariotest.Network, listed []string,
 ) (running *sync.WaitGroup) {
@@ -119,19 +119,19 @@
 		}
 		running.Go(func() {
 			if err := Serve(stop, options); err != nil {
-				t.Error(err)
+				t.Errorf("gateway %s ended with an error: %v", address, err)
 			}
 		})
 	}
 	return running
 }
 
-// zoneResults counts the responses that the clients receive.
+// zoneResults counts the requests that the clients send, and the responses that they receive.
 type zoneResults struct {
 	mu             sync.Mutex
 	sent           int
 	answered       map[int]int // by status
-	newObjectsLost int
+	newObjectsLost int         // writes of new objects with status 502
 }
 
 // runClient sends requests until zoneTestTime is over, a third of them for new objects, and checks that each is
@@ -185,8 +185,8 @@
 	return units
 }
 
-// playZoneOutage silences the first zone, restarts it later, and samples the load of the nodes meanwhile. It returns
-// the units that had spilled over before the outage.
+// playZoneOutage silences the first zone, restarts it later, and samples the load of the nodes meanwhile. It checks how
+// many units spilled over during the outage, and returns how many had before.
 func playZoneOutage(t *testing.T, nodes []*zoneNode) (spilledBefore float64) {
 	firstZone, secondZone := nodes[:3], nodes[3:]
 	for at := time.Duration(0); at < zoneTestTime; at += zoneLoadInterval {
@@ -240,10 +240,10 @@
 			node.check(t)
 		}
 		if spilledBefore > spilloverBurst {
-			t.Errorf("%.0f units spilled over before the outage", spilledBefore)
+			t.Errorf("%.0f units spilled over before the outage, want at most %v", spilledBefore, spilloverBurst)
 		}
 		if results.answered[http.StatusOK] < results.sent/2 || results.newObjectsLost > 30 {
-			t.Errorf("%d sent, answered %v, %d new objects lost",
+			t.Errorf("of %d requests: responses by status %v, %d new objects lost; want 200 for half, and at most 30 lost",
 				results.sent, results.answered, results.newObjectsLost)
 		}
 		cancel()
--- a/internal/proto/httpmsg/httpmsg.go
+++ b/internal/proto/httpmsg/httpmsg.go
@@ -30,8 +30,11 @@
 const (
 	NotRunHeader = "X-Not-Run"   // 1: the node has not run the request
 	UsedHeader   = "X-Iops-Used" // usage of the volume through all gateways, in percent of its plan's rate
-	OthersHeader = "X-Rho"       // units of the volume that the node served for other gateways since its last response
 	LoadHeader   = "X-Load"      // load report of the node
+
+	// OthersHeader holds the number of units of the volume that the node served for other gateways since its last
+	// response to this one.
+	OthersHeader = "X-Rho"
 )
 
 // Paths of the platform.
--- a/internal/proto/iscsi/iscsi_test.go
+++ b/internal/proto/iscsi/iscsi_test.go
@@ -25,7 +25,7 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(string(p.Data), string(got.Data)); diff != "" {
-				t.Errorf("data: %s", diff)
+				t.Errorf("data (-want +got):\n%s", diff)
 			}
 			if got.LUN() != 7 || !got.Immediate() || got.Get(TaskTag) != 1<<31 {
 				t.Errorf("header: got LUN %d, immediate %v and tag %#x, want 7, true and %#x",
@@ -105,7 +105,7 @@
 			cdb := c.CDB()
 			lba, blocks, write, ok := cdb.Transfer()
 			if got := (Command{LBA: lba, Blocks: blocks, Write: write}); !ok || !cmp.Equal(c, got) {
-				t.Errorf("%+v was decoded as %+v, ok %v", c, got, ok)
+				t.Errorf("got %+v, ok %v; want %+v, ok true", got, ok, c)
 			}
 		})
 	}
@@ -162,10 +162,10 @@
 			params := DefaultParams()
 			answer, err := params.Negotiate([]Pair{c.offer})
 			if (err != nil) != c.fails {
-				t.Errorf("error %v, want one: %v", err, c.fails)
+				t.Errorf("got error %v, want an error: %v", err, c.fails)
 			}
 			if diff := cmp.Diff(c.answer, answer); diff != "" {
-				t.Error(diff)
+				t.Errorf("answer (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/internal/scsihttp/scsihttp_test.go
+++ b/internal/scsihttp/scsihttp_test.go
@@ -71,7 +71,7 @@
 				string(request.Body),
 			}, " ")
 			if diff := cmp.Diff(test.want, strings.TrimSpace(got)); diff != "" {
-				t.Error(diff)
+				t.Errorf("request (-want +got):\n%s", diff)
 			}
 			if request.Header.Get(httpmsg.PlacementHeader) != "units=1,shard=3,hosts=1" {
 				t.Errorf("placement: got headers %v, want units=1,shard=3,hosts=1", request.Header)
