--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -12,7 +12,7 @@
 )
 
 // backends is the [eventloop.Backend] that hands each attempt to the backend for its payload. If the nodes speak iSCSI,
-// no node can serve a request that came as HTTP: its attempts end as never sent.
+// no node can serve a request that came as HTTP: its attempts end with ConnectFailed, as they were never sent.
 type backends struct {
 	http  *httpbackend.Backend
 	iscsi *iscsiinitiator.Initiator // nil if the nodes speak HTTP
@@ -64,7 +64,8 @@
 	}
 }
 
-// Probe requests the load of a node in the protocol of the nodes.
+// Probe requests the load of a node that speaks HTTP. For a node that speaks iSCSI, it reports at once that the node
+// did not respond, as the iSCSI backend has no load reports.
 func (b backends) Probe(node string, report func(scheduler.ProbeResult)) {
 	if b.iscsi != nil {
 		b.iscsi.Probe(node, report)
