--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -29,7 +29,7 @@
 type stateMachine interface {
 	capture.Scheduler
 	Snapshot() *scheduler.Snapshot
-	RetryWindowLeft(id string) (within time.Duration, bound bool)
+	RetryWindowLeft(id string) (left time.Duration, limited bool)
 }
 
 // Options configure a [Loop].
@@ -90,7 +90,7 @@
 	return l, nil
 }
 
-// Open passes a request to the scheduler. Its exchange receives the final answer before its deadline.
+// Open passes a request to the scheduler. The exchange receives its final answer before the request's deadline.
 func (l *Loop) Open(x *exchange.Exchange) {
 	l.mailbox.post(func() { l.requestArrived(x) })
 	x.OnDisconnect(func() { l.mailbox.post(func() { l.clientDisconnected(x) }) })
@@ -161,8 +161,9 @@
 	}
 }
 
-// flushRecorder has the recorder hand over its last records when the loop ends, by a return or by a panic. A panic goes
-// on after it. It must be deferred directly: recover has no effect in a function that a deferred function calls.
+// flushRecorder has the recorder hand over its last records when the loop ends, by a return or by a panic. After a
+// panic, it first passes the recording to onCrash, and panics again at the end. It must be deferred directly: recover
+// has no effect in a function that a deferred function calls.
 func (l *Loop) flushRecorder() {
 	if l.recorder == nil {
 		return
--- a/scheduler/concurrency_limit.go
+++ b/scheduler/concurrency_limit.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// InitialRequests is the concurrency limit of a node of which nothing is known, in mean requests.
+// InitialRequests is the concurrency limit of a node of which nothing is known, in requests of mean size.
 const InitialRequests = 8
 
 // InitialRequests, maxLimitRequests, latencyTolerance, windowDuration, retestInterval and retestDrainLatencies are
 // those of the published design that docs/design.md describes.
 const (
-	maxLimitRequests     = 32                     // highest concurrency limit, in mean requests
+	maxLimitRequests     = 32                     // highest concurrency limit, in requests of mean size
 	latencyTolerance     = 0.3                    // relative growth of the latency that the limit tolerates
 	minLatencyGain       = 0.1                    // weight of a window with a lower latency in the minimum latency
 	maxRateGain          = minLatencyGain / 10    // weight of a window with a lower rate in the maximum rate
@@ -23,7 +23,7 @@
 	retestCutShare       = 0.5                    // share of the units in flight that a cut keeps as the limit
 	retestDrainLatencies = 2                      // time until the queue has drained after a cut, in latencies
 	maxRetestRaise       = 1.05                   // largest factor by which a cut raises the minimum latency
-	initialLatency       = 50 * time.Millisecond  // latency of a mean request before the first response
+	initialLatency       = 50 * time.Millisecond  // latency of a request of mean size before the first response
 )
 
 // latencyWindow collects the responses of a node from which its next concurrency limit is computed.
@@ -32,10 +32,10 @@
 	units     float64       // units served
 	responses int           // number of responses
 	latency   time.Duration // sum of the latencies
-	work      float64       // work of the served requests, in mean requests
+	work      float64       // work of the served requests, as a multiple of that of a request of mean size
 }
 
-// due says whether the window has been open for windowDuration.
+// due reports whether the window has been open for windowDuration.
 func (w *latencyWindow) due(now time.Duration) bool { return now-w.openedAt >= windowDuration }
 
 // recordServed updates the estimates of a node with a served attempt.
@@ -87,7 +87,8 @@
 	node.learnedAt = s.now
 }
 
-// setConcurrencyLimit sets the limit at which, by Little's law, the node's latency stays within the tolerance.
+// setConcurrencyLimit sets the limit at which, by Little's law, the node's latency stays within the tolerance. The
+// limit is at least the largest request and at most maxLimitRequests; a cut lowers it.
 func (s *Scheduler) setConcurrencyLimit(node *nodeState) {
 	if node.minLatency == 0 {
 		return
@@ -100,8 +101,9 @@
 	node.concurrencyLimit = min(max(limit, sizes.MaxUnits), maxLimitRequests*sizes.MeanUnits)
 }
 
-// retestMinLatency cuts the limit below the units in flight from time to time, so that the node's queue drains. The
-// latency that is measured then becomes the minimum latency, which could only fall otherwise.
+// retestMinLatency cuts the limit below the units in flight every retestInterval, so that the node's queue drains. The
+// latency that is measured then replaces the minimum latency, but raises it by no more than the factor maxRetestRaise.
+// Without cuts, the minimum latency could only fall.
 func (s *Scheduler) retestMinLatency(node *nodeState) {
 	if node.minLatency == 0 || s.now < node.retestAt {
 		return
