--- a/scheduler/zone_failover.go
+++ b/scheduler/zone_failover.go
@@ -144,7 +144,7 @@
 	s.spillover.Refill(s.now, spareRates)
 	for _, change := range s.zoneTracker.Update(s.now, observations) {
 		if change.Node == "" {
-			s.logf("zone state changed: zone=%d from=%v to=%v silent_nodes=%.0f%%",
+			s.logf("zone state changed: zone=%d from=%v to=%v silent=%.0f%%",
 				change.Zone, change.From, change.To, 100*change.SilentShare)
 			continue
 		}
