--- a/internal/admission/churn_test.go
+++ b/internal/admission/churn_test.go
@@ -43,17 +43,17 @@
 
 func newChurn(t *rapid.T) *churn {
 	config := Config{
-		MaxInFlight:      rapid.IntRange(1, 5).Draw(t, "maxInFlight"),
-		PerConnection:    rapid.IntRange(1, 4).Draw(t, "perConnection"),
-		PerClient:        rapid.IntRange(1, 4).Draw(t, "perClient"),
-		Streams:          6,
-		MinStreams:       2,
-		Connections:      4,
-		Memory:           300,
-		ConnectionMemory: 200,
-		Stall:            time.Second,
-		Age:              20 * time.Second,
-		Requests:         30,
+		MaxInFlight:           rapid.IntRange(1, 5).Draw(t, "maxInFlight"),
+		PerConnection:         rapid.IntRange(1, 4).Draw(t, "perConnection"),
+		PerClient:             rapid.IntRange(1, 4).Draw(t, "perClient"),
+		MaxStreams:            6,
+		MinStreams:            2,
+		MaxConnections:        4,
+		MemoryBytes:           300,
+		ConnectionMemoryBytes: 200,
+		Stall:                 time.Second,
+		Age:                   20 * time.Second,
+		Requests:              30,
 	}
 	controller, err := New(config, 1)
 	if err != nil {
@@ -176,11 +176,11 @@
 func (p *churn) expectBounds() {
 	p.t.Helper()
 	c := p.controller
-	if len(p.inFlight) != c.inFlight || len(p.inFlight) > p.config.MaxInFlight || c.memory > p.config.Memory ||
-		c.memory < 0 || len(c.connections) > p.config.Connections {
+	if len(p.inFlight) != c.inFlight || len(p.inFlight) > p.config.MaxInFlight || c.memory > p.config.MemoryBytes ||
+		c.memory < 0 || len(c.connections) > p.config.MaxConnections {
 		p.t.Fatalf("%d streams in flight (%d counted), limit %d; %d bytes reserved, limit %d; %d connections, limit %d",
-			len(p.inFlight), c.inFlight, p.config.MaxInFlight, c.memory, p.config.Memory,
-			len(c.connections), p.config.Connections)
+			len(p.inFlight), c.inFlight, p.config.MaxInFlight, c.memory, p.config.MemoryBytes,
+			len(c.connections), p.config.MaxConnections)
 	}
 	perConnection := map[ConnectionID]int{}
 	for key := range p.inFlight {
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -7,17 +7,17 @@
 
 // Config holds the limits of a frontend.
 type Config struct {
-	MaxInFlight      int           // streams in flight, over all connections
-	PerConnection    int           // streams in flight of one connection
-	PerClient        int           // streams in flight of one client, over all its connections
-	Streams          int           // streams of a connection, in flight or waiting: SETTINGS_MAX_CONCURRENT_STREAMS
-	MinStreams       int           // lowest limit of streams of a connection, under load or after many violations
-	Connections      int           // open connections
-	Memory           int           // bytes of requests and responses in memory, for all connections
-	ConnectionMemory int           // bytes of requests and responses in memory, for one connection
-	Stall            time.Duration // how long a response may make no progress before its stream is aborted
-	Age              time.Duration // at which a connection is asked to go away, plus or minus a fifth; 0: never
-	Requests         int           // after which a connection is asked to go away, plus or minus a fifth; 0: never
+	MaxInFlight           int           // streams in flight, over all connections
+	PerConnection         int           // streams in flight of one connection
+	PerClient             int           // streams in flight of one client, over all its connections
+	MaxStreams            int           // streams of a connection, in flight or waiting: SETTINGS_MAX_CONCURRENT_STREAMS
+	MinStreams            int           // lowest limit of streams of a connection, under load or after many violations
+	MaxConnections        int           // open connections
+	MemoryBytes           int           // bytes of requests and responses in memory, for all connections
+	ConnectionMemoryBytes int           // bytes of requests and responses in memory, for one connection
+	Stall                 time.Duration // how long a response may make no progress before its stream is aborted
+	Age                   time.Duration // at which a connection is asked to go away, plus or minus a fifth; 0: never
+	Requests              int           // after which a connection is asked to go away, plus or minus a fifth; 0: never
 }
 
 // check returns an error that names the first invalid field, or nil.
@@ -31,10 +31,10 @@
 		{"per connection", c.PerConnection, 1},
 		{"per client", c.PerClient, 1},
 		{"min streams", c.MinStreams, 1},
-		{"streams", c.Streams, c.MinStreams},
-		{"connections", c.Connections, 1},
-		{"memory per connection", c.ConnectionMemory, 1},
-		{"memory", c.Memory, c.ConnectionMemory},
+		{"streams", c.MaxStreams, c.MinStreams},
+		{"connections", c.MaxConnections, 1},
+		{"memory per connection", c.ConnectionMemoryBytes, 1},
+		{"memory", c.MemoryBytes, c.ConnectionMemoryBytes},
 		{"stall", int(c.Stall), 1},
 		{"age", int(c.Age), 0},
 		{"requests", c.Requests, 0},
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -105,7 +105,7 @@
 // Connect adds a connection from an address. It reports false if the connection is not accepted and must be closed.
 func (c *Controller) Connect(now time.Duration, id ConnectionID, address string) bool {
 	c.begin(now)
-	if len(c.connections) >= c.config.Connections || c.connections[id] != nil || c.banned(address) {
+	if len(c.connections) >= c.config.MaxConnections || c.connections[id] != nil || c.banned(address) {
 		return false
 	}
 	conn := &connection{
@@ -114,7 +114,7 @@
 		streams:     map[StreamID]*stream{},
 		queues:      map[string]*clientQueue{},
 		heapIndex:   notReady,
-		streamLimit: c.config.Streams,
+		streamLimit: c.config.MaxStreams,
 	}
 	if c.config.Age > 0 {
 		conn.goAwayAt = c.now + time.Duration(c.jitter(float64(c.config.Age)))
@@ -134,10 +134,10 @@
 	if conn == nil {
 		return nil
 	}
-	// A client may open streams before it receives a lowered limit, so the original limit, Config.Streams, applies
+	// A client may open streams before it receives a lowered limit, so the original limit, Config.MaxStreams, applies
 	// here. It may also open a few streams before it receives a GOAWAY. A rejected stream counts as a small violation,
 	// so that the connection of a client that goes on after a GOAWAY for abuse is closed in the end.
-	if conn.rejecting || conn.streams[sid] != nil || len(conn.streams) >= c.config.Streams {
+	if conn.rejecting || conn.streams[sid] != nil || len(conn.streams) >= c.config.MaxStreams {
 		c.emit(Action{Kind: RejectStream, Connection: id, Stream: sid})
 		c.recordViolation(conn, RejectedStream)
 		return c.actions
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -9,7 +9,7 @@
 
 func TestConnectionsGoAwayByAgeAtSpreadTimes(t *testing.T) {
 	c := newController(t, func(config *Config) {
-		config.Connections = 100
+		config.MaxConnections = 100
 		config.Requests = 50
 	})
 	for id := range ConnectionID(100) {
@@ -49,7 +49,7 @@
 	}{
 		{"no streams in flight", func(c *Config) { c.MaxInFlight = 0 }},
 		{"min streams above streams", func(c *Config) { c.MinStreams = 11 }},
-		{"memory below memory per connection", func(c *Config) { c.Memory = 1 }},
+		{"memory below memory per connection", func(c *Config) { c.MemoryBytes = 1 }},
 		{"age below 0", func(c *Config) { c.Age = -1 }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -67,15 +67,15 @@
 	for _, connections := range []int{1, 1000} {
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
 			c, err := New(Config{
-				MaxInFlight:      64,
-				PerConnection:    32,
-				PerClient:        64,
-				Streams:          200,
-				MinStreams:       200,
-				Connections:      2000,
-				Memory:           1 << 20,
-				ConnectionMemory: 1 << 20,
-				Stall:            time.Second,
+				MaxInFlight:           64,
+				PerConnection:         32,
+				PerClient:             64,
+				MaxStreams:            200,
+				MinStreams:            200,
+				MaxConnections:        2000,
+				MemoryBytes:           1 << 20,
+				ConnectionMemoryBytes: 1 << 20,
+				Stall:                 time.Second,
 			}, 1)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -14,17 +14,17 @@
 func init() { flag.Set("rapid.seed", "1") }
 
 var testConfig = Config{
-	MaxInFlight:      4,
-	PerConnection:    3,
-	PerClient:        3,
-	Streams:          10,
-	MinStreams:       2,
-	Connections:      5,
-	Memory:           1000,
-	ConnectionMemory: 600,
-	Stall:            5 * time.Second,
-	Age:              time.Hour,
-	Requests:         1000,
+	MaxInFlight:           4,
+	PerConnection:         3,
+	PerClient:             3,
+	MaxStreams:            10,
+	MinStreams:            2,
+	MaxConnections:        5,
+	MemoryBytes:           1000,
+	ConnectionMemoryBytes: 600,
+	Stall:                 5 * time.Second,
+	Age:                   time.Hour,
+	Requests:              1000,
 }
 
 // newController makes a Controller with testConfig, to which change is applied if it is not nil.
--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -2,7 +2,7 @@
 
 // adjustStreamLimits sets the stream limit of each connection. While at least MaxInFlight streams wait, it lowers the
 // limits of connections with more streams than fairStreamLimit. Once no stream waits and at most half of MaxInFlight
-// are in flight, it sets the limits back to Streams. A connection whose score is at least minLimitScore gets
+// are in flight, it sets the limits back to MaxStreams. A connection whose score is at least minLimitScore gets
 // MinStreams. As this is a pass over all connections, only Tick calls it.
 func (c *Controller) adjustStreamLimits() {
 	share := c.fairStreamLimit()
@@ -37,7 +37,7 @@
 	case waiting >= c.config.MaxInFlight && len(conn.streams) > share:
 		return min(conn.streamLimit, share)
 	case waiting == 0 && c.inFlight <= c.config.MaxInFlight/2:
-		return c.config.Streams
+		return c.config.MaxStreams
 	}
 	return conn.streamLimit
 }
--- a/internal/admission/memory.go
+++ b/internal/admission/memory.go
@@ -24,10 +24,10 @@
 		return nil, ErrMemory
 	}
 	s := conn.streams[sid]
-	if bytes > 0 && conn.memory+bytes > c.config.ConnectionMemory {
+	if bytes > 0 && conn.memory+bytes > c.config.ConnectionMemoryBytes {
 		return nil, ErrMemory
 	}
-	for bytes > 0 && c.memory+bytes > c.config.Memory {
+	for bytes > 0 && c.memory+bytes > c.config.MemoryBytes {
 		victim := c.stalledVictim(s)
 		if victim == nil {
 			return c.actions, ErrMemory
--- a/internal/admission/memory_test.go
+++ b/internal/admission/memory_test.go
@@ -38,7 +38,7 @@
 func TestOrderOfAbortedStreams(t *testing.T) {
 	c := newController(t, func(config *Config) {
 		config.MaxInFlight = 10
-		config.Memory = 600
+		config.MemoryBytes = 600
 	})
 	reserve := func(id ConnectionID, sid StreamID, bytes int, want string) {
 		t.Helper()
@@ -71,7 +71,7 @@
 		config.MaxInFlight = 100
 		config.PerConnection = 100
 		config.PerClient = 100
-		config.Streams = 100
+		config.MaxStreams = 100
 	})
 	c.Connect(0, 1, "a")
 	c.Connect(0, 2, "b")
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -8,7 +8,7 @@
 func TestFairAmongConnectionsThenClientsThenUrgency(t *testing.T) {
 	c := newController(t, func(config *Config) {
 		config.MaxInFlight = 2
-		config.Streams = 100
+		config.MaxStreams = 100
 		config.MinStreams = 50
 	})
 	c.Connect(0, 1, "a")
@@ -29,7 +29,7 @@
 		config.MaxInFlight = 1
 		config.PerConnection = 1
 		config.PerClient = 10
-		config.Streams = 100
+		config.MaxStreams = 100
 		config.Requests = 0
 	})
 	c.Connect(0, 1, "a")
--- a/internal/capture/capturetest/settings.go
+++ b/internal/capture/capturetest/settings.go
@@ -84,7 +84,7 @@
 		Share:           1,
 		Siblings:        2,
 		MembershipDelay: 2 * time.Second,
-		Work: []zonefailover.Work{
+		Work: []zonefailover.WorkTiers{
 			{Class: onceClass, Plan: -1, Tiers: []int{zonefailover.Forbidden, 0}},
 		},
 	},
--- a/internal/capture/timeline/request.go
+++ b/internal/capture/timeline/request.go
@@ -265,15 +265,15 @@
 		return !holdsData(before, c.Node, w.request)
 	})
 	slices.SortStableFunc(candidates, func(a, b scheduler.Candidate) int {
-		return cmp.Or(cmp.Compare(a.Phase, b.Phase), cmp.Compare(a.Expected, b.Expected))
+		return cmp.Or(cmp.Compare(a.Phase, b.Phase), cmp.Compare(a.ExpectedWait, b.ExpectedWait))
 	})
 	table := tabwriter.NewWriter(w.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "    node\texpected\tqueue\tservice time\tin flight\twaiting\tconcurrency limit\tblocked by")
 	for _, c := range candidates {
 		fmt.Fprintf(table, "    %s\t%v\t%v\t%v\t%.1f\t%.1f\t%.1f\t%s\n",
 			c.Node,
-			roundMS(c.Expected),
-			roundMS(max(0, c.Queue)),
+			roundMS(c.ExpectedWait),
+			roundMS(max(0, c.QueueTime)),
 			roundMS(c.ServiceTime),
 			c.InFlight,
 			c.Waiting,
--- a/internal/capture/timeline/state.go
+++ b/internal/capture/timeline/state.go
@@ -72,7 +72,7 @@
 		waitingUnits,
 		node.Latency*1000,
 		node.MinLatency*1000,
-		node.Queue*1000,
+		node.QueueTime*1000,
 		node.MaxRate,
 		node.Failures,
 		roundMS(max(0, node.BackoffUntil-state.Now)),
--- a/internal/config/h2c.go
+++ b/internal/config/h2c.go
@@ -66,16 +66,16 @@
 // Admission converts the table to the configuration of admission control.
 func (h *H2C) Admission() admission.Config {
 	return admission.Config{
-		MaxInFlight:      h.MaxInFlight,
-		PerConnection:    h.PerConnection,
-		PerClient:        h.PerClient,
-		Streams:          h.Streams,
-		MinStreams:       h.MinStreams,
-		Connections:      h.Connections,
-		Memory:           h.MemoryKB << 10,
-		ConnectionMemory: h.ConnectionMemoryKB << 10,
-		Stall:            h.Stall,
-		Age:              h.Age,
-		Requests:         h.Requests,
+		MaxInFlight:           h.MaxInFlight,
+		PerConnection:         h.PerConnection,
+		PerClient:             h.PerClient,
+		MaxStreams:            h.Streams,
+		MinStreams:            h.MinStreams,
+		MaxConnections:        h.Connections,
+		MemoryBytes:           h.MemoryKB << 10,
+		ConnectionMemoryBytes: h.ConnectionMemoryKB << 10,
+		Stall:                 h.Stall,
+		Age:                   h.Age,
+		Requests:              h.Requests,
 	}
 }
--- a/internal/config/zone_failover.go
+++ b/internal/config/zone_failover.go
@@ -104,8 +104,10 @@
 }
 
 // validate checks the table and returns it with names replaced by indexes in the settings.
-func (w ZoneWork) validate(v tableValidator, defaultPrefer [][]string, settings scheduler.Settings) zonefailover.Work {
-	converted := zonefailover.Work{Class: anyIndex, Plan: anyIndex}
+func (w ZoneWork) validate(
+	v tableValidator, defaultPrefer [][]string, settings scheduler.Settings,
+) zonefailover.WorkTiers {
+	converted := zonefailover.WorkTiers{Class: anyIndex, Plan: anyIndex}
 	if w.Class != "" {
 		converted.Class = v.requireClass("class", w.Class, settings)
 	}
--- a/internal/contract/conformance/event.go
+++ b/internal/contract/conformance/event.go
@@ -46,7 +46,7 @@
 	if event.Counts == nil {
 		event.Counts = map[string]int{}
 	}
-	if change.DescriptionWrong {
+	if change.OfDescription {
 		event.Fault = faultOfDescription
 	}
 	return event
--- a/internal/contract/conformance/inspect_response.go
+++ b/internal/contract/conformance/inspect_response.go
@@ -19,7 +19,7 @@
 	}
 	creates := response.Status == http.StatusCreated || response.Status == http.StatusAccepted
 	if operation.Idempotency == contract.Idempotent && creates && operation.StatusMeaning(response.Status) == "" {
-		c.add(trust.EffectOfIdempotent, "status %d to a call that is safe", response.Status)
+		c.add(trust.EffectOfSafeCall, "status %d to a call that is safe", response.Status)
 	}
 	if operation.ExpectedDuration > 0 && response.Duration > operation.ExpectedDuration {
 		took := response.Duration.Round(time.Millisecond)
--- a/internal/contract/registry/registry.go
+++ b/internal/contract/registry/registry.go
@@ -35,11 +35,11 @@
 		return nil
 	}
 	return []ratelimit.Definition{{
-		Name:  catalog.UndescribedName,
-		Rate:  o.Rate,
-		Burst: max(1, o.Burst),
-		Open:  o.Open,
-		Keys:  ratelimit.MinKeys,
+		Name:        catalog.UndescribedName,
+		Rate:        o.Rate,
+		Burst:       max(1, o.Burst),
+		Concurrency: o.Open,
+		Keys:        ratelimit.MinKeys,
 	}}
 }
 
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -106,8 +106,8 @@
 // Directory returns the directory of node addresses, which the Client keeps up to date.
 func (c *Client) Directory() *Directory { return &c.directory }
 
-// Seed applies the list of nodes that the configuration keeps from before a restart of the gateway.
-func (c *Client) Seed(list *List) { c.apply(c.ctx, list, scheduler.CachedList, 0) }
+// ApplyCachedList applies the list of nodes that the configuration keeps from before a restart of the gateway.
+func (c *Client) ApplyCachedList(list *List) { c.apply(c.ctx, list, scheduler.CachedList, 0) }
 
 // MoveTo switches to another address of discovery: it ends the old watch and, if Watch has been called before, watches
 // the new address at once. The current list stays in force until a new one arrives.
--- a/internal/frontend/h2frontend/bench_test.go
+++ b/internal/frontend/h2frontend/bench_test.go
@@ -60,15 +60,15 @@
 
 // benchAdmission has limits so high that the benchmarks hardly reach them.
 var benchAdmission = admission.Config{
-	MaxInFlight:      100_000,
-	PerConnection:    200,
-	PerClient:        100_000,
-	Streams:          200,
-	MinStreams:       200,
-	Connections:      5000,
-	Memory:           1 << 30,
-	ConnectionMemory: 64 << 20,
-	Stall:            time.Minute,
+	MaxInFlight:           100_000,
+	PerConnection:         200,
+	PerClient:             100_000,
+	MaxStreams:            200,
+	MinStreams:            200,
+	MaxConnections:        5000,
+	MemoryBytes:           1 << 30,
+	ConnectionMemoryBytes: 64 << 20,
+	Stall:                 time.Minute,
 }
 
 // startFrontends starts the HTTP/1.1 and the HTTP/2 frontend on loopback addresses, in front of the same event loop.
--- a/internal/frontend/h2frontend/helpers_test.go
+++ b/internal/frontend/h2frontend/helpers_test.go
@@ -20,15 +20,15 @@
 
 // testAdmission is the admission configuration of the tests, which a test may change.
 var testAdmission = admission.Config{
-	MaxInFlight:      128,
-	PerConnection:    100,
-	PerClient:        128,
-	Streams:          100,
-	MinStreams:       4,
-	Connections:      20,
-	Memory:           4 << 20,
-	ConnectionMemory: 1 << 20,
-	Stall:            5 * time.Second,
+	MaxInFlight:           128,
+	PerConnection:         100,
+	PerClient:             128,
+	MaxStreams:            100,
+	MinStreams:            4,
+	MaxConnections:        20,
+	MemoryBytes:           4 << 20,
+	ConnectionMemoryBytes: 1 << 20,
+	Stall:                 5 * time.Second,
 }
 
 const testMaxHeaderBytes = 16 << 10
--- a/internal/frontend/h2frontend/read.go
+++ b/internal/frontend/h2frontend/read.go
@@ -95,7 +95,7 @@
 func (c *conn) sendSettings() {
 	options := &c.server.options
 	settings := []http2.Setting{
-		{ID: http2.SettingMaxConcurrentStreams, Val: uint32(options.Admission.Streams)},
+		{ID: http2.SettingMaxConcurrentStreams, Val: uint32(options.Admission.MaxStreams)},
 		{ID: http2.SettingInitialWindowSize, Val: streamReceiveWindow},
 		{ID: http2.SettingMaxHeaderListSize, Val: uint32(options.MaxHeaderBytes)},
 		{ID: http2.SettingEnablePush, Val: 0},
--- a/internal/frontend/h2frontend/request.go
+++ b/internal/frontend/h2frontend/request.go
@@ -61,7 +61,7 @@
 	c.mu.Lock()
 	c.highestStream = id
 	ignored := c.ignoresNewStreams
-	tooMany := len(c.streams) >= c.server.options.Admission.Streams
+	tooMany := len(c.streams) >= c.server.options.Admission.MaxStreams
 	c.mu.Unlock()
 	switch {
 	case ignored: // the second GOAWAY has told the client that later streams are not processed
@@ -249,7 +249,7 @@
 	if c.unreturnedWindow == 0 || c.windowUpdateQueued {
 		return
 	}
-	if c.incompleteBytes > c.server.options.Admission.ConnectionMemory {
+	if c.incompleteBytes > c.server.options.Admission.ConnectionMemoryBytes {
 		return
 	}
 	c.windowUpdateQueued = true
--- a/internal/frontend/h2frontend/server_test.go
+++ b/internal/frontend/h2frontend/server_test.go
@@ -142,7 +142,7 @@
 // TestConnectionLimit checks that a connection beyond the limit is closed, and that one on which the client sends
 // nothing is closed after a while, so that a new one is accepted.
 func TestConnectionLimit(t *testing.T) {
-	withTwoConnections := func(config *admission.Config) { config.Connections = 2 }
+	withTwoConnections := func(config *admission.Config) { config.MaxConnections = 2 }
 	runWithServer(t, withTwoConnections, func(s *testServer) {
 		first, second := s.rawClient(), s.connect()
 		synctest.Wait()
--- a/internal/gateway/assembly.go
+++ b/internal/gateway/assembly.go
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	if cached := inForce.CachedList; cached != nil {
-		g.discovery.Seed(cached)
+		g.discovery.ApplyCachedList(cached)
 	}
 	g.httpFrontend = g.newHTTPFrontend()
 	if g.h2Server, err = g.newH2Server(); err != nil {
--- a/internal/ratelimit/definition.go
+++ b/internal/ratelimit/definition.go
@@ -7,21 +7,21 @@
 
 // Definition describes one limit, which applies to the requests of each key. The caller computes the keys.
 type Definition struct {
-	Name   string
-	Rate   float64 // requests a second; 0: the rate is not limited
-	Burst  float64 // requests at once after an idle time
-	Open   int     // requests open at a time; 0: their number is not limited
-	Parent string  // name of a limit that the keys of this one share fairly, if a request claims both; empty: none
-	Keys   int     // keys that can be counted exactly at once, rounded up to a power of 2; others share counters
+	Name        string
+	Rate        float64 // requests a second; 0: the rate is not limited
+	Burst       float64 // requests at once after an idle time
+	Concurrency int     // requests open at a time; 0: their number is not limited
+	Parent      string  // name of a limit that the keys of this one share fairly, if a request claims both; empty: none
+	Keys        int     // keys that can be counted exactly at once, rounded up to a power of 2; others share counters
 }
 
 // Bounds of the fields of a Definition, in the same units.
 const (
-	MaxRate  = 1e6
-	MaxBurst = 1e6
-	MaxOpen  = 1 << 20
-	MinKeys  = 1 << 10
-	MaxKeys  = 1 << 24
+	MaxRate        = 1e6
+	MaxBurst       = 1e6
+	MaxConcurrency = 1 << 20
+	MinKeys        = 1 << 10
+	MaxKeys        = 1 << 24
 )
 
 // Bounds of a list of definitions.
@@ -59,9 +59,9 @@
 		return fmt.Errorf("rate: %v is not from 0 to %v", d.Rate, MaxRate)
 	case d.Rate > 0 && !(d.Burst >= 1 && d.Burst <= MaxBurst):
 		return fmt.Errorf("burst: %v is not from 1 to %v", d.Burst, MaxBurst)
-	case d.Open < 0 || d.Open > MaxOpen:
-		return fmt.Errorf("open: %d is not from 0 to %d", d.Open, MaxOpen)
-	case d.Rate == 0 && d.Open == 0:
+	case d.Concurrency < 0 || d.Concurrency > MaxConcurrency:
+		return fmt.Errorf("open: %d is not from 0 to %d", d.Concurrency, MaxConcurrency)
+	case d.Rate == 0 && d.Concurrency == 0:
 		return errors.New("it limits neither the rate nor the number of open requests")
 	case d.Keys < MinKeys || d.Keys > MaxKeys:
 		return fmt.Errorf("keys: %d is not from %d to %d", d.Keys, MinKeys, MaxKeys)
--- a/internal/ratelimit/definition_test.go
+++ b/internal/ratelimit/definition_test.go
@@ -19,7 +19,7 @@
 		{`limit "a": name: it is empty or already taken`, []Definition{valid, valid}},
 		{`limit "a": rate: -1 is not`, with(func(d *Definition) { d.Rate = -1 })},
 		{`limit "a": burst: 0.5 is not`, with(func(d *Definition) { d.Burst = 0.5 })},
-		{`limit "a": open: -1 is not`, with(func(d *Definition) { d.Open = -1 })},
+		{`limit "a": open: -1 is not`, with(func(d *Definition) { d.Concurrency = -1 })},
 		{`limit "a": it limits neither`, with(func(d *Definition) { d.Rate = 0 })},
 		{`limit "a": keys: 5 is not`, with(func(d *Definition) { d.Keys = 5 })},
 		{`limit "a": parent: there is no limit "b"`, with(func(d *Definition) { d.Parent = "b" })},
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -12,14 +12,14 @@
 func TestTableDecidesAsPlainMapsDo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		definition := Definition{
-			Name:  "l",
-			Keys:  MinKeys,
-			Rate:  rapid.SampledFrom([]float64{0, 0.5, 3, 50}).Draw(t, "rate"),
-			Burst: float64(rapid.IntRange(1, 5).Draw(t, "burst")),
-			Open:  rapid.IntRange(0, 3).Draw(t, "open"),
+			Name:        "l",
+			Keys:        MinKeys,
+			Rate:        rapid.SampledFrom([]float64{0, 0.5, 3, 50}).Draw(t, "rate"),
+			Burst:       float64(rapid.IntRange(1, 5).Draw(t, "burst")),
+			Concurrency: rapid.IntRange(0, 3).Draw(t, "open"),
 		}
-		if definition.Rate == 0 && definition.Open == 0 {
-			definition.Open = 1
+		if definition.Rate == 0 && definition.Concurrency == 0 {
+			definition.Concurrency = 1
 		}
 		l, err := New([]Definition{definition})
 		if err != nil {
@@ -136,7 +136,7 @@
 
 func TestReplaceKeepsCountsOfUnchangedLimits(t *testing.T) {
 	byRate := Definition{Name: "one", Rate: 1, Burst: 1, Keys: MinKeys}
-	byOpen := Definition{Name: "two", Open: 1, Keys: MinKeys}
+	byOpen := Definition{Name: "two", Concurrency: 1, Keys: MinKeys}
 	l := newLimiter(t, byRate, byOpen)
 	open := l.Take(0, []Claim{{0, "k"}, {1, "k"}})
 	if err := l.Replace([]Definition{byOpen, byRate}); err != nil {
--- a/internal/ratelimit/reference_test.go
+++ b/internal/ratelimit/reference_test.go
@@ -43,7 +43,7 @@
 func (r *referenceLimit) take(now time.Duration, key string) bool {
 	interval := emissionInterval(r.definition.Rate)
 	burstTolerance := time.Duration((r.definition.Burst - 1) * float64(interval))
-	if r.definition.Open > 0 && r.open[key] >= r.definition.Open {
+	if r.definition.Concurrency > 0 && r.open[key] >= r.definition.Concurrency {
 		return false
 	}
 	if r.definition.Rate > 0 && r.theoreticalArrival[key]-now > burstTolerance {
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -158,7 +158,7 @@
 // wait returns the time until the table's limit admits another request of a key. 0 means that it does now. If too many
 // requests are open, the time is unknown, and wait returns OpenRetryAfter.
 func (t *table) wait(e *entry, now time.Duration) time.Duration {
-	if t.definition.Open > 0 && int(e.open) >= t.definition.Open {
+	if t.definition.Concurrency > 0 && int(e.open) >= t.definition.Concurrency {
 		return OpenRetryAfter
 	}
 	if t.definition.Rate == 0 {
@@ -185,7 +185,7 @@
 	switch {
 	case !found.exact:
 		t.countInSketch(found.entry)
-	case t.definition.Open > 0:
+	case t.definition.Concurrency > 0:
 		found.open++
 	}
 }
@@ -196,7 +196,7 @@
 	for row := range t.sketch {
 		cell := t.cell(row, e.hash)
 		cell.theoreticalArrival = max(cell.theoreticalArrival, e.theoreticalArrival)
-		if t.definition.Open > 0 {
+		if t.definition.Concurrency > 0 {
 			cell.open++
 		}
 	}
@@ -204,7 +204,7 @@
 
 // release ends an open request of a key.
 func (t *table) release(hash uint64, exact bool) {
-	if t.definition.Open == 0 { // open requests are not counted
+	if t.definition.Concurrency == 0 { // open requests are not counted
 		return
 	}
 	if !exact {
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -97,7 +97,7 @@
 
 // The sketch never counts less for a key than it used, and releases the open requests of its keys.
 func TestKeysWithoutASlotAreNotUndercounted(t *testing.T) {
-	l := newLimiter(t, Definition{Name: "l", Rate: 0.001, Burst: 3, Open: 2})
+	l := newLimiter(t, Definition{Name: "l", Rate: 0.001, Burst: 3, Concurrency: 2})
 	var grants []Grant
 	for i := range 20 * MinKeys {
 		if decision := l.Take(0, []Claim{{0, strconv.Itoa(i)}}); decision.Admitted {
--- a/internal/rules/load_limits.go
+++ b/internal/rules/load_limits.go
@@ -58,18 +58,18 @@
 // requests is at least 1.
 func (e *limitEntry) definition(shareCount float64) ratelimit.Definition {
 	definition := ratelimit.Definition{
-		Name:   e.Name,
-		Rate:   e.Rate / shareCount,
-		Burst:  e.Burst,
-		Open:   e.Open,
-		Parent: e.Parent,
-		Keys:   cmp.Or(e.Keys, defaultKeys),
+		Name:        e.Name,
+		Rate:        e.Rate / shareCount,
+		Burst:       e.Burst,
+		Concurrency: e.Open,
+		Parent:      e.Parent,
+		Keys:        cmp.Or(e.Keys, defaultKeys),
 	}
 	if e.Burst > 0 {
 		definition.Burst = max(1, e.Burst/shareCount)
 	}
 	if e.Open > 0 {
-		definition.Open = max(1, int(float64(e.Open)/shareCount))
+		definition.Concurrency = max(1, int(float64(e.Open)/shareCount))
 	}
 	return definition
 }
--- a/internal/trust/evidence.go
+++ b/internal/trust/evidence.go
@@ -15,7 +15,7 @@
 	RepeatExecuted                      // a retry with the same key was executed again
 	ExecutedAfterDenial                 // a response shows an effect and says that the call has not run
 	KeyKnownAfterDenial                 // the node knew the key of a call that it said had not run
-	EffectOfIdempotent                  // a call that is described as changing nothing created something
+	EffectOfSafeCall                    // a call that is described as changing nothing created something
 	evidenceKinds                       // number of kinds
 )
 
@@ -31,7 +31,7 @@
 	RepeatExecuted:      "repeat-ran",
 	ExecutedAfterDenial: "not-run-ran",
 	KeyKnownAfterDenial: "not-run-known",
-	EffectOfIdempotent:  "safe-created",
+	EffectOfSafeCall:    "safe-created",
 }
 
 // String returns the name of a kind of Evidence in the trust file and in events.
@@ -52,14 +52,14 @@
 	RepeatExecuted:      4,
 	ExecutedAfterDenial: 6,
 	KeyKnownAfterDenial: 2, // another gateway may have sent the key meanwhile
-	EffectOfIdempotent:  4,
+	EffectOfSafeCall:    4,
 }
 
 // hardEvidence tells which kinds of Evidence no client can bring about.
 var hardEvidence = [evidenceKinds]bool{
 	RepeatExecuted:      true,
 	ExecutedAfterDenial: true,
-	EffectOfIdempotent:  true,
+	EffectOfSafeCall:    true,
 }
 
 // Report is the evidence of one response.
--- a/internal/trust/fleet_test.go
+++ b/internal/trust/fleet_test.go
@@ -66,7 +66,7 @@
 func (f *fleet) record(changes []Change) {
 	f.changes = append(f.changes, changes...)
 	for _, change := range changes {
-		if change.From != change.To && !change.DescriptionWrong {
+		if change.From != change.To && !change.OfDescription {
 			f.states[change.Node] = append(f.states[change.Node], change.To)
 		}
 	}
--- a/internal/trust/tracker.go
+++ b/internal/trust/tracker.go
@@ -24,17 +24,17 @@
 
 // Change reports a change of the trust in a node or in a description, or of the restriction that follows from it.
 type Change struct {
-	At               time.Duration
-	Operation        string
-	Node             string // empty: all nodes
-	Version          string
-	From, To         State
-	DescriptionWrong bool // the change concerns the description, which now counts as wrong unless To is Trusted
-	Level            scheduler.RestrictionLevel
-	Worst            Evidence
-	Counts           map[string]int // of contradictions so far, by kind
-	Answers          int            // responses so far
-	Sample           string         // description of the last contradiction
+	At            time.Duration
+	Operation     string
+	Node          string // empty: all nodes
+	Version       string
+	From, To      State
+	OfDescription bool // the change concerns the description, which now counts as wrong unless To is Trusted
+	Level         scheduler.RestrictionLevel
+	Worst         Evidence
+	Counts        map[string]int // of contradictions so far, by kind
+	Answers       int            // responses so far
+	Sample        string         // description of the last contradiction
 }
 
 // Tracker tracks the trust in all nodes for all operations.
--- a/internal/trust/version.go
+++ b/internal/trust/version.go
@@ -130,13 +130,13 @@
 	}
 	t.setLevel(entryKey{operation, allNodes}, level)
 	change := Change{
-		At:               now,
-		Operation:        operation,
-		Version:          totals.key.version,
-		DescriptionWrong: true,
-		Level:            level,
-		From:             Probation,
-		To:               Trusted,
+		At:            now,
+		Operation:     operation,
+		Version:       totals.key.version,
+		OfDescription: true,
+		Level:         level,
+		From:          Probation,
+		To:            Trusted,
 	}
 	if _, wrong := t.wrongSince[totals.key]; wrong {
 		change.From = Trusted
--- a/internal/trust/version_test.go
+++ b/internal/trust/version_test.go
@@ -29,7 +29,7 @@
 		return "v1"
 	}
 	f.run(150)
-	i := slices.IndexFunc(f.changes, func(c Change) bool { return c.DescriptionWrong })
+	i := slices.IndexFunc(f.changes, func(c Change) bool { return c.OfDescription })
 	if i < 0 || f.changes[i].Version != "v2" || f.changes[i].Level != scheduler.NoRetries {
 		t.Fatalf("changes %+v, want the first of the description to be at v2 with level %v",
 			f.changes, scheduler.NoRetries)
--- a/internal/warmrestart/assess.go
+++ b/internal/warmrestart/assess.go
@@ -125,7 +125,7 @@
 // hasUsableEstimates reports whether the estimates of a node are known, plausible and recent enough to be restored.
 func (a *assessor) hasUsableEstimates(node *scheduler.SnapshotNode) bool {
 	return a.confidence > minConfidence && node.MinLatency > 0 &&
-		plausible(node.ConcurrencyLimit, node.MaxRate, node.Latency, node.MinLatency, node.Queue, node.QueueConfidence)
+		plausible(node.ConcurrencyLimit, node.MaxRate, node.Latency, node.MinLatency, node.QueueTime, node.QueueWeight)
 }
 
 // restoreEstimates restores the estimates of a node. With less confidence, the concurrency limit is closer to that of
@@ -136,9 +136,9 @@
 	restored.MaxRate = a.confidence * node.MaxRate
 	restored.MinLatency = node.MinLatency
 	restored.Latency = node.MinLatency + a.confidence*(node.Latency-node.MinLatency)
-	restored.Queue = node.Queue
-	restored.QueueConfidence = node.QueueConfidence
-	restored.LastServedAt = a.onNewClock(node.LastServedAt)
+	restored.QueueTime = node.QueueTime
+	restored.QueueWeight = node.QueueWeight
+	restored.QueueMeasuredAt = a.onNewClock(node.QueueMeasuredAt)
 }
 
 // initialConcurrencyLimit returns the concurrency limit, in units, of a node about which nothing is known.
--- a/internal/warmrestart/assess_test.go
+++ b/internal/warmrestart/assess_test.go
@@ -63,8 +63,8 @@
 			len(got.RecentSends) < len(base.RecentSends) {
 			t.Fatalf("a restored node may get more than a fresh one:\nrestored %+v\nfresh %+v", got, base)
 		}
-		if got.ConcurrencyLimit < 0 || math.IsNaN(got.ConcurrencyLimit) || got.LastServedAt > nextStart {
-			t.Fatalf("implausible concurrency limit, or LastServedAt after %v: %+v", nextStart, got)
+		if got.ConcurrencyLimit < 0 || math.IsNaN(got.ConcurrencyLimit) || got.QueueMeasuredAt > nextStart {
+			t.Fatalf("implausible concurrency limit, or QueueMeasuredAt after %v: %+v", nextStart, got)
 		}
 	}
 	for i := range fresh.Volumes {
--- a/internal/zonefailover/settings.go
+++ b/internal/zonefailover/settings.go
@@ -27,11 +27,11 @@
 	MembershipDelay time.Duration `json:"ListLate"`
 	// Work holds the tiers for the work of single classes and plans, in place of Tiers. The first entry that matches
 	// the work applies.
-	Work []Work
+	Work []WorkTiers
 }
 
-// Work holds the tiers of the zones for the work of a class, of a plan, or of a class within a plan.
-type Work struct {
+// WorkTiers holds the tiers of the zones for the work of a class, of a plan, or of a class within a plan.
+type WorkTiers struct {
 	Class, Plan int   // -1 matches any
 	Tiers       []int // of the zones, as in Settings
 }
@@ -73,6 +73,6 @@
 	return s.Tiers[zone]
 }
 
-func (w *Work) matches(class, plan int) bool {
+func (w *WorkTiers) matches(class, plan int) bool {
 	return (w.Class < 0 || w.Class == class) && (w.Plan < 0 || w.Plan == plan)
 }
--- a/internal/zonefailover/settings_test.go
+++ b/internal/zonefailover/settings_test.go
@@ -6,7 +6,7 @@
 	settings := Settings{
 		Tiers:    []int{0, 1, 2},
 		Siblings: 1,
-		Work: []Work{
+		Work: []WorkTiers{
 			{Class: 1, Plan: -1, Tiers: []int{Forbidden, 0, 0}},
 			{Class: -1, Plan: 2, Tiers: []int{1, 0, Forbidden}},
 		},
@@ -41,7 +41,7 @@
 	}{
 		{"no gateways", Settings{Tiers: []int{0}}},
 		{"spillover below 0", Settings{Tiers: []int{0}, Siblings: 1, Spillover: -1}},
-		{"too few tiers for a class", Settings{Tiers: []int{0, 1}, Siblings: 1, Work: []Work{{Tiers: []int{0}}}}},
+		{"too few tiers for a class", Settings{Tiers: []int{0, 1}, Siblings: 1, Work: []WorkTiers{{Tiers: []int{0}}}}},
 		{"membership delay below 0", Settings{Tiers: []int{0}, Siblings: 1, MembershipDelay: -1}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/zonefailover/tracker.go
+++ b/internal/zonefailover/tracker.go
@@ -137,10 +137,10 @@
 	return Available
 }
 
-// AllowTrial reports whether a request may go to a node. An unavailable node gets single trial requests, at intervals
-// that double: without any requests, the gateway would not notice that the node responds again. AllowTrial counts the
+// AllowRequest reports whether a request may go to a node. An unavailable node gets single trial requests, at intervals
+// that double: without any requests, the gateway would not notice that the node responds again. AllowRequest counts the
 // request that it allows.
-func (t *Tracker) AllowTrial(now time.Duration, id string) bool {
+func (t *Tracker) AllowRequest(now time.Duration, id string) bool {
 	n := t.nodes[id]
 	if n == nil || n.state != Unavailable {
 		return true
--- a/internal/zonefailover/tracker_test.go
+++ b/internal/zonefailover/tracker_test.go
@@ -222,12 +222,12 @@
 	trials := 0
 	for range 600 {
 		f.run(100 * ms)
-		if f.tracker.AllowTrial(f.now, "0-0") {
+		if f.tracker.AllowRequest(f.now, "0-0") {
 			trials++
 		}
 	}
 	if trials < 15 || trials > 30 || f.tracker.UntilTrial(f.now, "0-0") > maxTrialInterval ||
-		!f.tracker.AllowTrial(f.now, "1-0") {
+		!f.tracker.AllowRequest(f.now, "1-0") {
 		t.Errorf("%d trials in a minute, want 15 to 30; next one in %v, want at most %v; node 1-0 is %v, want %v",
 			trials, f.tracker.UntilTrial(f.now, "0-0"), maxTrialInterval, f.tracker.Node("1-0"), Available)
 	}
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -9,8 +9,8 @@
 type Candidate struct {
 	Node             string
 	Phase            Phase
-	Expected         time.Duration // expected time until the node has served the request
-	Queue            time.Duration // time that the request is expected to spend in the node's queue
+	ExpectedWait     time.Duration // expected time until the node has served the request
+	QueueTime        time.Duration // time that the request is expected to spend in the node's queue
 	ServiceTime      time.Duration // time that the request takes there without a queue
 	InFlight         float64       // units that this host has in flight at the node
 	Waiting          float64       // units that wait for the node at this host
@@ -39,8 +39,8 @@
 		candidates = append(candidates, Candidate{
 			Node:             node.ID,
 			Phase:            node.Phase,
-			Expected:         toDuration(s.expectedWait(request, node)),
-			Queue:            toDuration(s.estimatedQueueTime(node)),
+			ExpectedWait:     toDuration(s.expectedWait(request, node)),
+			QueueTime:        toDuration(s.estimatedQueueTime(node)),
 			ServiceTime:      toDuration(s.serviceTime(request, node)),
 			InFlight:         node.unitsInFlight,
 			Waiting:          node.waitingUnits(),
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -267,5 +267,5 @@
 func (h *harness) setQueue(node *nodeState, queue, weight float64) {
 	node.queueTime = queue
 	node.queueWeight = weight
-	node.lastServedAt = h.now
+	node.queueMeasuredAt = h.now
 }
--- a/scheduler/latency_estimates.go
+++ b/scheduler/latency_estimates.go
@@ -60,13 +60,13 @@
 	weight := s.currentQueueWeight(node)
 	node.queueTime = (weight*node.queueTime + queue) / (weight + 1)
 	node.queueWeight = min(weight+1, smoothingResponses)
-	node.lastServedAt = s.now
+	node.queueMeasuredAt = s.now
 }
 
 // currentQueueWeight returns the number of responses that the node's measured queue is worth now. It decays with the
 // time since the last measurement.
 func (s *Scheduler) currentQueueWeight(node *nodeState) float64 {
-	return node.queueWeight * math.Exp(-(s.now-node.lastServedAt).Seconds()/estimateDecayTime.Seconds())
+	return node.queueWeight * math.Exp(-(s.now-node.queueMeasuredAt).Seconds()/estimateDecayTime.Seconds())
 }
 
 // estimatedQueueTime returns the time, in seconds, that a request is expected to spend in the queue at the node. The
@@ -119,7 +119,7 @@
 	var queues, minLatencies []float64
 	for _, node := range s.listed {
 		overdue := s.overdueTime(node)
-		recent := overdue > 0 || s.now-node.lastServedAt < maxFleetSampleAge
+		recent := overdue > 0 || s.now-node.queueMeasuredAt < maxFleetSampleAge
 		if recent && node.minLatency > 0 {
 			queues = append(queues, max(overdue, node.queueTime, 0))
 			minLatencies = append(minLatencies, node.minLatency)
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -27,8 +27,8 @@
 	cutDrainedAt     time.Duration // when the queue will have drained after a cut; 0 if no cut lasts
 	cutLimit         float64       // limit while a cut lasts, in units
 	queueTime        float64       // time that a request spends in the node's queue, in seconds, smoothed
-	queueWeight      float64       // number of responses that queueTime was worth at lastServedAt
-	lastServedAt     time.Duration // when queueTime was last updated, also by an attempt without an answer
+	queueWeight      float64       // number of responses that queueTime was worth at queueMeasuredAt
+	queueMeasuredAt  time.Duration // when queueTime was last updated, also by an attempt without an answer
 
 	// Order of the node's queue; see queue.go.
 	virtualTime [queueTiers]float64                  // highest tag of the requests that were sent, by tier
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -46,9 +46,9 @@
 	MaxRate          float64       // in units a second
 	Latency          float64       // in seconds
 	MinLatency       float64       // in seconds
-	Queue            float64       // time in the node's queue, in seconds
-	QueueConfidence  float64       `json:"Known"`   // number of responses that Queue is worth
-	LastServedAt     time.Duration `json:"HeardAt"` // when Queue was last updated
+	QueueTime        float64       `json:"Queue"`   // in seconds
+	QueueWeight      float64       `json:"Known"`   // number of responses that QueueTime is worth
+	QueueMeasuredAt  time.Duration `json:"HeardAt"` // when QueueTime was last updated
 
 	// State by which guardSlowStart limits the units that are sent to the node.
 	WarmingSince time.Duration  `json:"ColdSince"` // 0 if the node is warm
@@ -123,10 +123,10 @@
 	node.maxRate = learned.MaxRate
 	node.latency = learned.Latency
 	node.minLatency = learned.MinLatency
-	node.queueTime = learned.Queue
-	node.queueWeight = learned.QueueConfidence
-	node.lastServedAt = learned.LastServedAt
-	node.learnedAt = learned.LastServedAt
+	node.queueTime = learned.QueueTime
+	node.queueWeight = learned.QueueWeight
+	node.queueMeasuredAt = learned.QueueMeasuredAt
+	node.learnedAt = learned.QueueMeasuredAt
 }
 
 // restoreVolume lowers the token buckets of a volume that is used for the first time to what was left in them, and
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -65,9 +65,9 @@
 
 	UnitsInFlight    float64       `json:"Out"`
 	AttemptsInFlight int           `json:"AtNode"`
-	LastServedAt     time.Duration `json:"HeardAt"`
-	Queue            float64       // time in the node's queue, in seconds
-	QueueConfidence  float64       `json:"Known"` // number of responses that Queue is worth
+	QueueMeasuredAt  time.Duration `json:"HeardAt"`
+	QueueTime        float64       `json:"Queue"` // in seconds
+	QueueWeight      float64       `json:"Known"` // number of responses that QueueTime is worth
 	ConcurrencyLimit float64       `json:"Cap"`   // in units
 
 	WindowOpenedAt  time.Duration `json:"Opened"`
--- a/scheduler/snapshot_encode.go
+++ b/scheduler/snapshot_encode.go
@@ -185,9 +185,9 @@
 
 		UnitsInFlight:    node.unitsInFlight,
 		AttemptsInFlight: node.attemptsInFlight,
-		LastServedAt:     node.lastServedAt,
-		Queue:            node.queueTime,
-		QueueConfidence:  node.queueWeight,
+		QueueMeasuredAt:  node.queueMeasuredAt,
+		QueueTime:        node.queueTime,
+		QueueWeight:      node.queueWeight,
 		ConcurrencyLimit: node.concurrencyLimit,
 
 		WindowOpenedAt:  node.window.openedAt,
--- a/scheduler/zone_failover.go
+++ b/scheduler/zone_failover.go
@@ -13,7 +13,7 @@
 		return selection{node: node}
 	}
 	node, _ = s.shortestWait(request, anyNode)
-	if node == nil || !s.settings.Allowed.Probes && s.zoneTracker.AllowTrial(s.now, node.ID) {
+	if node == nil || !s.settings.Allowed.Probes && s.zoneTracker.AllowRequest(s.now, node.ID) {
 		return selection{node: node}
 	}
 	return selection{rejected: true, retryAfter: s.zoneTracker.UntilTrial(s.now, node.ID)}
@@ -75,7 +75,7 @@
 func (s *Scheduler) overdueForTrial(node *nodeState) bool {
 	return !s.settings.Allowed.Probes &&
 		s.zoneTracker.TrialOverdue(s.now, node.ID) &&
-		s.zoneTracker.AllowTrial(s.now, node.ID)
+		s.zoneTracker.AllowRequest(s.now, node.ID)
 }
 
 // zoneTier is the tier that the settings give a zone for the class and plan of the request.
@@ -137,7 +137,7 @@
 		observations = append(observations, s.observation(node))
 		s.endMistakenSlowStart(node)
 		if s.settings.Allowed.Probes && s.zoneTracker.Node(node.ID) == zonefailover.Unavailable &&
-			s.zoneTracker.AllowTrial(s.now, node.ID) {
+			s.zoneTracker.AllowRequest(s.now, node.ID) {
 			s.actions.Probe(node.ID)
 		}
 	}
--- a/scheduler/zone_failover_test.go
+++ b/scheduler/zone_failover_test.go
@@ -63,7 +63,7 @@
 
 func TestForbiddenZonesGetNoSpillover(t *testing.T) {
 	settings := zonedSettings()
-	settings.ZoneFailover.Work = []zonefailover.Work{
+	settings.ZoneFailover.Work = []zonefailover.WorkTiers{
 		{Class: 0, Plan: -1, Tiers: []int{0, zonefailover.Forbidden}},
 	}
 	h := newHarness(t, settings)
@@ -72,7 +72,7 @@
 	id := h.arrive(Request{Shard: AnyShard})
 	h.wantActions("reject "+id, 1)
 
-	settings.ZoneFailover.Work = []zonefailover.Work{
+	settings.ZoneFailover.Work = []zonefailover.WorkTiers{
 		{Class: -1, Plan: 0, Tiers: []int{zonefailover.Forbidden, 0}},
 	}
 	h = newHarness(t, settings)
