--- a/internal/apitest/api_test.go
+++ b/internal/apitest/api_test.go
@@ -181,7 +181,7 @@
 	}{
 		{"ready", served, newRequest("GET", "/ready"), 200, false},
 		{"read", served, read(), 200, false},
-		{"write", served, write(httpmsg.KeyHeader, "k"), 200, false},
+		{"write", served, write(httpmsg.IdempotencyKeyHeader, "k"), 200, false},
 		{"retry", served, read(httpmsg.RetryHeader, "1"), 200, false},
 		{"deadline in microseconds", served, read(httpmsg.DeadlineHeader, "1500u"), 200, false},
 		{"rejected with Retry-After", rejectedForNow, read(), 503, false},
--- a/internal/backend/httpbackend/report.go
+++ b/internal/backend/httpbackend/report.go
@@ -13,8 +13,8 @@
 func (r response) report(statuses httpmsg.StatusInterpreter) eventloop.Report {
 	report := eventloop.Report{
 		Result:     scheduler.Errored,
-		VolumeUse:  httpmsg.HeaderNumber(r.Header, httpmsg.UsedHeader, -100) / 100,
-		OtherUnits: httpmsg.HeaderNumber(r.Header, httpmsg.OthersHeader, 0),
+		VolumeUse:  httpmsg.HeaderNumber(r.Header, httpmsg.VolumeUseHeader, -100) / 100,
+		OtherUnits: httpmsg.HeaderNumber(r.Header, httpmsg.OtherUnitsHeader, 0),
 		Load:       parseLoadReport([]byte(r.Header.Get(httpmsg.LoadHeader))),
 	}
 	meaning := httpmsg.Undescribed
@@ -22,7 +22,7 @@
 		meaning = statuses.StatusMeaning(r.StatusCode)
 	}
 	switch meaning {
-	case httpmsg.FinalAnswer:
+	case httpmsg.FinalResponse:
 		report.Result = scheduler.Served
 		report.Reply = &httpmsg.Reply{Status: r.StatusCode, Header: r.Header, Body: r.content}
 		return report
--- a/internal/backend/httpbackend/report_test.go
+++ b/internal/backend/httpbackend/report_test.go
@@ -13,8 +13,8 @@
 
 func TestReportOfResponse(t *testing.T) {
 	header := http.Header{}
-	header.Set(httpmsg.UsedHeader, "85")
-	header.Set(httpmsg.OthersHeader, "3")
+	header.Set(httpmsg.VolumeUseHeader, "85")
+	header.Set(httpmsg.OtherUnitsHeader, "3")
 	header.Set(httpmsg.LoadHeader, `{"inflight":7,"queue":2}`)
 	got := response{Response: &http.Response{StatusCode: 200, Header: header}}.report(nil)
 	want := eventloop.Report{
@@ -51,8 +51,8 @@
 
 func TestMalformedNumbersInHeaders(t *testing.T) {
 	for _, number := range []string{"NaN", "-Inf", "Inf", "1e400", "-5", "5 percent", ""} {
-		header := http.Header{httpmsg.UsedHeader: {number}}
-		if got := httpmsg.HeaderNumber(header, httpmsg.UsedHeader, -1); got != -1 {
+		header := http.Header{httpmsg.VolumeUseHeader: {number}}
+		if got := httpmsg.HeaderNumber(header, httpmsg.VolumeUseHeader, -1); got != -1 {
 			t.Errorf("header %q is parsed as %v, want the default -1", number, got)
 		}
 	}
--- a/internal/backend/iscsiinitiator/initiator_test.go
+++ b/internal/backend/iscsiinitiator/initiator_test.go
@@ -34,7 +34,7 @@
 func (b *breakingConn) Write(p []byte) (int, error) {
 	switch iscsi.Opcode(p[0] & 0x3f) {
 	case iscsi.LoginRequest:
-		response := iscsi.New(iscsi.LoginResponse, iscsi.Transit|iscsi.FullFeature)
+		response := iscsi.NewPDU(iscsi.LoginResponse, iscsi.Transit|iscsi.FullFeature)
 		response.Set(iscsi.ExpCmdSN, 1).Set(iscsi.MaxCmdSN, 9)
 		binary.BigEndian.PutUint16(response.Header[loginStatusWord:], uint16(iscsi.LoginOK))
 		go b.far.Write(response.Bytes())
--- a/internal/backend/iscsiinitiator/login.go
+++ b/internal/backend/iscsiinitiator/login.go
@@ -56,7 +56,7 @@
 
 // loginRequest returns the only login request of a session, which asks for the full feature phase.
 func (s *session) loginRequest() *iscsi.PDU {
-	request := iscsi.New(iscsi.LoginRequest, iscsi.Transit|iscsi.OperationalStage<<2|iscsi.FullFeature)
+	request := iscsi.NewPDU(iscsi.LoginRequest, iscsi.Transit|iscsi.OperationalStage<<2|iscsi.FullFeature)
 	request.SetImmediate()
 	request.Header[isidTypeByte] = isidTypeRandom
 	binary.BigEndian.PutUint32(request.Header[isidQualifier:], s.initiator.isid)
--- a/internal/backend/iscsiinitiator/receive.go
+++ b/internal/backend/iscsiinitiator/receive.go
@@ -37,18 +37,18 @@
 	case iscsi.DataIn:
 		return s.receiveData(t, p)
 	case iscsi.SCSIResponse:
-		s.finish(p.Get(iscsi.TaskTag), scsiStatus(p), completedAtTarget(p))
+		s.finish(p.Get(iscsi.InitiatorTaskTag), scsiStatus(p), completedAtTarget(p))
 	case iscsi.R2T:
 		return s.sendData(t, p)
 	case iscsi.Reject:
 		if len(p.Data) >= iscsi.HeaderSize { // the rejected PDU's header; its command may have run nevertheless
-			rejectedTag := binary.BigEndian.Uint32(p.Data[iscsi.TaskTag:])
+			rejectedTag := binary.BigEndian.Uint32(p.Data[iscsi.InitiatorTaskTag:])
 			s.finish(rejectedTag, 0, false)
 		}
 	case iscsi.NopIn:
-		if p.Get(iscsi.TransferTag) != iscsi.NoTag {
-			reply := iscsi.New(iscsi.NopOut, iscsi.Final).SetImmediate().Set(iscsi.TaskTag, iscsi.NoTag)
-			return s.sendImmediate(reply.Set(iscsi.TransferTag, p.Get(iscsi.TransferTag)))
+		if p.Get(iscsi.TargetTransferTag) != iscsi.NoTag {
+			reply := iscsi.NewPDU(iscsi.NopOut, iscsi.Final).SetImmediate().Set(iscsi.InitiatorTaskTag, iscsi.NoTag)
+			return s.sendImmediate(reply.Set(iscsi.TargetTransferTag, p.Get(iscsi.TargetTransferTag)))
 		}
 	case iscsi.AsyncMessage: // whatever its event, the session is about to end; outstanding commands may still complete
 		s.stopStarting()
@@ -66,14 +66,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastReceived = time.Now()
-	if maxCmdSN := p.Get(iscsi.MaxCmdSN); iscsi.After(maxCmdSN, s.maxCmdSN) {
+	if maxCmdSN := p.Get(iscsi.MaxCmdSN); iscsi.SerialAfter(maxCmdSN, s.maxCmdSN) {
 		s.maxCmdSN = maxCmdSN
 	}
 	hasStatSN := p.Op() != iscsi.R2T && (p.Op() != iscsi.DataIn || p.Has(iscsi.HasStatus))
 	if hasStatSN {
 		s.statSN = p.Get(iscsi.StatSN) + 1
 	}
-	return s.tasks[p.Get(iscsi.TaskTag)]
+	return s.tasks[p.Get(iscsi.InitiatorTaskTag)]
 }
 
 // receiveData appends the data of a Data-In PDU to the read that it belongs to.
@@ -87,7 +87,7 @@
 	}
 	t.data = append(t.data, p.Data...)
 	if p.Has(iscsi.HasStatus) {
-		s.finish(p.Get(iscsi.TaskTag), scsiStatus(p), true)
+		s.finish(p.Get(iscsi.InitiatorTaskTag), scsiStatus(p), true)
 	}
 	return nil
 }
--- a/internal/backend/iscsiinitiator/send.go
+++ b/internal/backend/iscsiinitiator/send.go
@@ -48,7 +48,7 @@
 		return fmt.Errorf("node %q: %w", s.node, errNodeUnavailable)
 	case s.ending:
 		return fmt.Errorf("node %q: %w", s.node, errSessionEnding)
-	case iscsi.After(s.cmdSN, s.maxCmdSN):
+	case iscsi.SerialAfter(s.cmdSN, s.maxCmdSN):
 		return fmt.Errorf("node %q: %w", s.node, errWindowFull)
 	}
 	return nil
@@ -57,14 +57,14 @@
 // commandLocked returns the PDU of a command with the session's next command number. The PDU of a write also carries
 // the immediate data that the node accepts.
 func (s *session) commandLocked(command *iscsi.Command, tag uint32) *iscsi.PDU {
-	request := iscsi.New(iscsi.SCSICommand, iscsi.Final|iscsi.Read).SetLUN(command.LUN)
+	request := iscsi.NewPDU(iscsi.SCSICommand, iscsi.Final|iscsi.Read).SetLUN(command.LUN)
 	if command.Write {
 		request.Header[1] = iscsi.Final | iscsi.Write
 		if s.params.ImmediateData {
-			request.Data = command.Data[:min(len(command.Data), s.params.MaxSegment, s.params.FirstBurst)]
+			request.Data = command.Data[:min(len(command.Data), s.params.MaxSendSegment, s.params.FirstBurst)]
 		}
 	}
-	request.Set(iscsi.TaskTag, tag).Set(iscsi.ExpectedLength, uint32(command.Length()))
+	request.Set(iscsi.InitiatorTaskTag, tag).Set(iscsi.ExpectedLength, uint32(command.Length()))
 	request.Set(iscsi.CmdSN, s.cmdSN).Set(iscsi.ExpStatSN, s.statSN)
 	*request.CDB() = command.CDB()
 	return request
@@ -88,8 +88,8 @@
 		s.closeConn()
 		return true
 	}
-	request := iscsi.New(iscsi.TaskRequest, iscsi.Final|iscsi.AbortTask).SetImmediate().SetLUN(t.command.LUN)
-	request.Set(iscsi.TaskTag, abortTag).Set(iscsi.RefTag, tag)
+	request := iscsi.NewPDU(iscsi.TaskRequest, iscsi.Final|iscsi.AbortTask).SetImmediate().SetLUN(t.command.LUN)
+	request.Set(iscsi.InitiatorTaskTag, abortTag).Set(iscsi.ReferencedTaskTag, tag)
 	go s.sendImmediate(request)
 	return true
 }
@@ -120,9 +120,9 @@
 	}
 	end := offset + length
 	for dataSN := uint32(0); offset < end; dataSN++ {
-		next := min(end, offset+s.params.MaxSegment)
-		p := iscsi.New(iscsi.DataOut, 0).SetLUN(t.command.LUN).Set(iscsi.TaskTag, r2t.Get(iscsi.TaskTag))
-		p.Set(iscsi.TransferTag, r2t.Get(iscsi.TransferTag)).Set(iscsi.BufferOffset, uint32(offset))
+		next := min(end, offset+s.params.MaxSendSegment)
+		p := iscsi.NewPDU(iscsi.DataOut, 0).SetLUN(t.command.LUN).Set(iscsi.InitiatorTaskTag, r2t.Get(iscsi.InitiatorTaskTag))
+		p.Set(iscsi.TargetTransferTag, r2t.Get(iscsi.TargetTransferTag)).Set(iscsi.BufferOffset, uint32(offset))
 		if next == end {
 			p.Header[1] = iscsi.Final
 		}
--- a/internal/contract/catalog/catalog_test.go
+++ b/internal/contract/catalog/catalog_test.go
@@ -160,8 +160,8 @@
 	c := loadCatalog(t, "../../../examples/sheets.yaml")
 	entry, _ := c.Lookup(&contract.Call{Method: "GET", Path: "/sheets/a/b"}, nil)
 	want := map[int]httpmsg.StatusMeaning{
-		200: httpmsg.FinalAnswer,
-		404: httpmsg.FinalAnswer,
+		200: httpmsg.FinalResponse,
+		404: httpmsg.FinalResponse,
 		500: httpmsg.MayHaveRun,
 		503: httpmsg.NeverRan,
 		418: httpmsg.Undescribed,
--- a/internal/contract/catalog/entry.go
+++ b/internal/contract/catalog/entry.go
@@ -56,7 +56,7 @@
 	}
 	switch e.Operation.StatusMeaning(status) {
 	case contract.Served, contract.Failed:
-		return httpmsg.FinalAnswer
+		return httpmsg.FinalResponse
 	case contract.Rejected:
 		return httpmsg.NeverRan
 	case contract.MayHaveRun:
--- a/internal/frontend/httpfrontend/request.go
+++ b/internal/frontend/httpfrontend/request.go
@@ -30,7 +30,7 @@
 	httpmsg.PlanHeader,
 	httpmsg.DeadlineHeader,
 	httpmsg.PlacementHeader,
-	httpmsg.KeyHeader,
+	httpmsg.IdempotencyKeyHeader,
 }
 
 // readBody reads the body of a request into memory and replaces r.Body by it.
--- a/internal/frontend/httpfrontend/request_builder.go
+++ b/internal/frontend/httpfrontend/request_builder.go
@@ -273,11 +273,11 @@
 // ensureIdempotencyKey adds the idempotency key that the rules set, if there is one. It rejects a request that has no
 // idempotency key although its retries need one: nodes recognise a retry by its key.
 func (b *requestBuilder) ensureIdempotencyKey(request *scheduler.Request, class *scheduler.Class) error {
-	key := b.http.Header.Get(httpmsg.KeyHeader)
-	source := httpmsg.KeyHeader
+	key := b.http.Header.Get(httpmsg.IdempotencyKeyHeader)
+	source := httpmsg.IdempotencyKeyHeader
 	if b.rules.Overrides(rules.Idempotency, key != "") {
 		key = b.rules.Idempotency
-		b.header.Set(httpmsg.KeyHeader, key)
+		b.header.Set(httpmsg.IdempotencyKeyHeader, key)
 	}
 	policy := class.RetryPolicy().NarrowedBy(request.RetryPolicy)
 	if policy.Idempotency != scheduler.IdempotentWithKey {
@@ -286,7 +286,7 @@
 	if operation := b.operationWithKey(); operation != nil {
 		// Nodes recognise retries of this operation by the key that its contract names, and by no other.
 		source = operation.Key.String()
-		if operation.Key.In != "header" || !strings.EqualFold(operation.Key.Name, httpmsg.KeyHeader) {
+		if operation.Key.In != "header" || !strings.EqualFold(operation.Key.Name, httpmsg.IdempotencyKeyHeader) {
 			key = b.contract.Key(&b.contract.Call, b.contract.Parameters)
 		}
 	}
--- a/internal/frontend/iscsitarget/command.go
+++ b/internal/frontend/iscsitarget/command.go
@@ -34,7 +34,7 @@
 		return s.failCommand(p, iscsi.NoSuchUnit)
 	}
 	t := &task{
-		tag:            p.Get(iscsi.TaskTag),
+		tag:            p.Get(iscsi.InitiatorTaskTag),
 		lun:            p.LUN(),
 		unit:           unit,
 		expectedLength: int(p.Get(iscsi.ExpectedLength)),
--- a/internal/frontend/iscsitarget/command_window.go
+++ b/internal/frontend/iscsitarget/command_window.go
@@ -15,12 +15,12 @@
 	}
 	s.mu.Lock()
 	cmdSN, expected, highest := p.Get(iscsi.CmdSN), s.expCmdSN, s.maxCmdSN
-	inOrder = cmdSN == expected && !iscsi.After(cmdSN, highest)
+	inOrder = cmdSN == expected && !iscsi.SerialAfter(cmdSN, highest)
 	if inOrder {
 		s.expCmdSN++
 	}
 	s.mu.Unlock()
-	if inOrder || iscsi.After(cmdSN, highest) || iscsi.After(expected, cmdSN) {
+	if inOrder || iscsi.SerialAfter(cmdSN, highest) || iscsi.SerialAfter(expected, cmdSN) {
 		return inOrder, nil
 	}
 	s.reject(p, iscsi.ProtocolError)
@@ -48,10 +48,10 @@
 // It runs when a PDU with the window is sent and not when a command is accepted: an accepted command is added to tasks
 // only later, so its capacity would be offered twice.
 func (s *session) openWindowLocked() {
-	depth := s.target.options.Depth
+	depth := s.target.options.MaxTasks
 	capacity := depth - min(depth, len(s.tasks))
 	maxCmdSN := s.expCmdSN + uint32(capacity) - 1
-	if iscsi.After(maxCmdSN, s.maxCmdSN) {
+	if iscsi.SerialAfter(maxCmdSN, s.maxCmdSN) {
 		s.maxCmdSN = maxCmdSN
 	}
 }
--- a/internal/frontend/iscsitarget/data.go
+++ b/internal/frontend/iscsitarget/data.go
@@ -13,9 +13,9 @@
 	t.transferTag = s.newTransferTag()
 	t.dataSN = 0
 	t.burstEnd = min(total, received+s.params.MaxBurst)
-	r2t := iscsi.New(iscsi.R2T, iscsi.Final).SetLUN(t.lun)
-	r2t.Set(iscsi.TaskTag, t.tag)
-	r2t.Set(iscsi.TransferTag, t.transferTag)
+	r2t := iscsi.NewPDU(iscsi.R2T, iscsi.Final).SetLUN(t.lun)
+	r2t.Set(iscsi.InitiatorTaskTag, t.tag)
+	r2t.Set(iscsi.TargetTransferTag, t.transferTag)
 	r2t.Set(iscsi.BufferOffset, uint32(received))
 	r2t.Set(iscsi.DesiredLength, uint32(t.burstEnd-received))
 	return s.send(r2t, false)
@@ -24,7 +24,7 @@
 // handleDataOut adds the data of a Data-Out, which must answer the outstanding R2T, to its task.
 func (s *session) handleDataOut(p *iscsi.PDU) error {
 	s.mu.Lock()
-	t := s.tasks[p.Get(iscsi.TaskTag)]
+	t := s.tasks[p.Get(iscsi.InitiatorTaskTag)]
 	s.mu.Unlock()
 	if t == nil {
 		return nil // the task has ended in the meantime
@@ -51,7 +51,7 @@
 func (t *task) expects(p *iscsi.PDU) bool {
 	received := len(t.command.Data)
 	return t.burstEnd != 0 &&
-		p.Get(iscsi.TransferTag) == t.transferTag &&
+		p.Get(iscsi.TargetTransferTag) == t.transferTag &&
 		p.Get(iscsi.DataSN) == t.dataSN &&
 		p.Get(iscsi.BufferOffset) == uint32(received) &&
 		received+len(p.Data) <= t.burstEnd
@@ -70,10 +70,10 @@
 	}
 	offset := 0
 	for dataSN := uint32(0); ; dataSN++ {
-		end := min(len(data), offset+s.params.MaxSegment)
-		p := iscsi.New(iscsi.DataIn, 0).SetLUN(lun)
-		p.Set(iscsi.TaskTag, tag)
-		p.Set(iscsi.TransferTag, iscsi.NoTag)
+		end := min(len(data), offset+s.params.MaxSendSegment)
+		p := iscsi.NewPDU(iscsi.DataIn, 0).SetLUN(lun)
+		p.Set(iscsi.InitiatorTaskTag, tag)
+		p.Set(iscsi.TargetTransferTag, iscsi.NoTag)
 		p.Set(iscsi.DataSN, dataSN)
 		p.Set(iscsi.BufferOffset, uint32(offset))
 		p.Data = data[offset:end]
--- a/internal/frontend/iscsitarget/liveness.go
+++ b/internal/frontend/iscsitarget/liveness.go
@@ -30,8 +30,8 @@
 		case silence >= 2*pingInterval:
 			s.cancel()
 		case silence >= pingInterval:
-			ping := iscsi.New(iscsi.NopIn, iscsi.Final).Set(iscsi.TaskTag, iscsi.NoTag)
-			ping.Set(iscsi.TransferTag, s.newTransferTag())
+			ping := iscsi.NewPDU(iscsi.NopIn, iscsi.Final).Set(iscsi.InitiatorTaskTag, iscsi.NoTag)
+			ping.Set(iscsi.TargetTransferTag, s.newTransferTag())
 			s.send(ping, false)
 		}
 	}
@@ -47,7 +47,7 @@
 // requestLogout asks the client to log out. It ends the session after logoutTimeout, or later once no task is
 // outstanding.
 func (s *session) requestLogout() {
-	message := iscsi.New(iscsi.AsyncMessage, iscsi.Final).Set(iscsi.TaskTag, iscsi.NoTag)
+	message := iscsi.NewPDU(iscsi.AsyncMessage, iscsi.Final).Set(iscsi.InitiatorTaskTag, iscsi.NoTag)
 	message.Header[asyncEventOffset] = asyncRequestLogout
 	message.Header[asyncSecondsOffset] = byte(logoutTimeout / time.Second)
 	s.send(message, true)
--- a/internal/frontend/iscsitarget/local_command.go
+++ b/internal/frontend/iscsitarget/local_command.go
@@ -18,7 +18,7 @@
 	allocationLength := 0 // size of the initiator's buffer for the data, in bytes
 	switch cdb[0] {
 	case iscsi.TestUnitReady:
-		return s.send(s.response(&task{tag: p.Get(iscsi.TaskTag)}, iscsi.Good, 0), true)
+		return s.send(s.response(&task{tag: p.Get(iscsi.InitiatorTaskTag)}, iscsi.Good, 0), true)
 	case iscsi.Inquiry:
 		data = inquiryData(unit, cdb)
 		allocationLength = int(binary.BigEndian.Uint16(cdb[3:]))
@@ -41,7 +41,7 @@
 		return s.failCommand(p, iscsi.InvalidField)
 	}
 	data = data[:min(len(data), allocationLength)]
-	return s.sendDataIn(p.Get(iscsi.TaskTag), p.LUN(), data, int(p.Get(iscsi.ExpectedLength)))
+	return s.sendDataIn(p.Get(iscsi.InitiatorTaskTag), p.LUN(), data, int(p.Get(iscsi.ExpectedLength)))
 }
 
 // capacity10Data returns the data of READ CAPACITY (10): the address of the last block, or 0xffffffff if the address
--- a/internal/frontend/iscsitarget/login.go
+++ b/internal/frontend/iscsitarget/login.go
@@ -96,7 +96,7 @@
 func (s *session) startNumbering(p *iscsi.PDU) {
 	s.statSN = p.Get(iscsi.ExpStatSN)
 	s.expCmdSN = p.Get(iscsi.CmdSN)
-	s.maxCmdSN = s.expCmdSN + uint32(s.target.options.Depth) - 1
+	s.maxCmdSN = s.expCmdSN + uint32(s.target.options.MaxTasks) - 1
 	copy(s.isid[:], p.Header[isidOffset:isidEnd])
 }
 
@@ -173,10 +173,10 @@
 func (s *session) sendLoginResponse(
 	request loginRequest, flags byte, status iscsi.LoginStatus, answers []iscsi.Pair,
 ) error {
-	p := iscsi.New(iscsi.LoginResponse, flags)
+	p := iscsi.NewPDU(iscsi.LoginResponse, flags)
 	copy(p.Header[isidOffset:isidEnd], s.isid[:])
 	binary.BigEndian.PutUint16(p.Header[tsihOffset:], s.tsih)
-	p.Set(iscsi.TaskTag, request.Get(iscsi.TaskTag))
+	p.Set(iscsi.InitiatorTaskTag, request.Get(iscsi.InitiatorTaskTag))
 	binary.BigEndian.PutUint16(p.Header[loginStatusOffset:], uint16(status))
 	p.Data = iscsi.FormatText(answers)
 	return s.send(p, true)
--- a/internal/frontend/iscsitarget/response.go
+++ b/internal/frontend/iscsitarget/response.go
@@ -75,7 +75,7 @@
 	if t.command.Write && status == iscsi.Good {
 		transferred = t.command.Length()
 	}
-	p := iscsi.New(iscsi.SCSIResponse, iscsi.Final).Set(iscsi.TaskTag, t.tag)
+	p := iscsi.NewPDU(iscsi.SCSIResponse, iscsi.Final).Set(iscsi.InitiatorTaskTag, t.tag)
 	p.Header[statusOffset] = byte(status)
 	if missing := t.expectedLength - transferred; missing > 0 {
 		p.Header[1] |= iscsi.Underflow
@@ -93,6 +93,6 @@
 
 // failCommand answers a command that does not become a task.
 func (s *session) failCommand(p *iscsi.PDU, sense iscsi.Sense) error {
-	t := &task{tag: p.Get(iscsi.TaskTag), expectedLength: int(p.Get(iscsi.ExpectedLength))}
+	t := &task{tag: p.Get(iscsi.InitiatorTaskTag), expectedLength: int(p.Get(iscsi.ExpectedLength))}
 	return s.send(s.checkCondition(t, sense), true)
 }
--- a/internal/frontend/iscsitarget/session.go
+++ b/internal/frontend/iscsitarget/session.go
@@ -127,19 +127,20 @@
 	case iscsi.TaskRequest:
 		return s.handleTaskManagement(p)
 	}
-	s.send(iscsi.New(iscsi.LogoutResponse, iscsi.Final).Set(iscsi.TaskTag, p.Get(iscsi.TaskTag)), true)
+	tag := p.Get(iscsi.InitiatorTaskTag)
+	s.send(iscsi.NewPDU(iscsi.LogoutResponse, iscsi.Final).Set(iscsi.InitiatorTaskTag, tag), true)
 	return errLoggedOut
 }
 
 // handleNopOut answers a ping of the client. A NOP-Out without a task tag answers a ping of the target instead.
 func (s *session) handleNopOut(p *iscsi.PDU) error {
-	if p.Get(iscsi.TaskTag) == iscsi.NoTag {
+	if p.Get(iscsi.InitiatorTaskTag) == iscsi.NoTag {
 		return nil
 	}
-	answer := iscsi.New(iscsi.NopIn, iscsi.Final)
-	answer.Set(iscsi.TaskTag, p.Get(iscsi.TaskTag))
-	answer.Set(iscsi.TransferTag, iscsi.NoTag)
-	answer.Data = p.Data[:min(len(p.Data), s.params.MaxSegment)]
+	answer := iscsi.NewPDU(iscsi.NopIn, iscsi.Final)
+	answer.Set(iscsi.InitiatorTaskTag, p.Get(iscsi.InitiatorTaskTag))
+	answer.Set(iscsi.TargetTransferTag, iscsi.NoTag)
+	answer.Data = p.Data[:min(len(p.Data), s.params.MaxSendSegment)]
 	return s.send(answer, true)
 }
 
@@ -162,7 +163,7 @@
 
 // reject answers a PDU that cannot be handled. The Reject carries the PDU's header.
 func (s *session) reject(p *iscsi.PDU, reason iscsi.RejectReason) error {
-	r := iscsi.New(iscsi.Reject, iscsi.Final).Set(iscsi.TaskTag, iscsi.NoTag)
+	r := iscsi.NewPDU(iscsi.Reject, iscsi.Final).Set(iscsi.InitiatorTaskTag, iscsi.NoTag)
 	r.Header[rejectReasonOffset] = byte(reason)
 	r.Data = p.Header[:]
 	return s.send(r, true)
--- a/internal/frontend/iscsitarget/target.go
+++ b/internal/frontend/iscsitarget/target.go
@@ -22,18 +22,18 @@
 
 // Options configure a Target.
 type Options struct {
-	Name       string // iSCSI name of the target
-	Units      []Unit
-	Classes    []scheduler.Class
-	Plans      []scheduler.Plan
-	Rules      *engine.Engine      // nil: no limits
-	Contracts  *contracts.Registry // nil: no contracts
-	Sessions   int                 // maximum number of sessions
-	Depth      int                 // maximum number of outstanding commands in a session
-	Loop       Loop
-	Translator Translator
-	NewID      func() string // returns the ID of a request, a different one on each call
-	Log        *slog.Logger
+	Name        string // iSCSI name of the target
+	Units       []Unit
+	Classes     []scheduler.Class
+	Plans       []scheduler.Plan
+	Rules       *engine.Engine      // nil: no limits
+	Contracts   *contracts.Registry // nil: no contracts
+	MaxSessions int                 // maximum number of sessions
+	MaxTasks    int                 // maximum number of outstanding commands in a session
+	Loop        Loop
+	Translator  Translator
+	NewID       func() string // returns the ID of a request, a different one on each call
+	Log         *slog.Logger
 }
 
 const (
@@ -95,16 +95,16 @@
 }
 
 // add adds a session to the table and reports whether it did. The table holds up to twice as many sessions as
-// Options.Sessions allows: those above the limit only receive a Login Response that states the reason. When the table
-// is full, the session that has been in its login for longest is evicted, so that clients that connect and send nothing
-// do not keep others out.
+// Options.MaxSessions allows: those above the limit only receive a Login Response that states the reason. When the
+// table is full, the session that has been in its login for longest is evicted, so that clients that connect and send
+// nothing do not keep others out.
 func (t *Target) add(s *session) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.stopping {
 		return false
 	}
-	if len(t.sessions) >= 2*t.options.Sessions {
+	if len(t.sessions) >= 2*t.options.MaxSessions {
 		oldest := t.oldestLoginLocked()
 		if oldest == nil {
 			return false
@@ -112,7 +112,7 @@
 		oldest.cancel()
 		delete(t.sessions, oldest)
 	}
-	s.overLimit = len(t.sessions) >= t.options.Sessions
+	s.overLimit = len(t.sessions) >= t.options.MaxSessions
 	t.sessions[s] = true
 	t.running.Add(1)
 	return true
--- a/internal/frontend/iscsitarget/task.go
+++ b/internal/frontend/iscsitarget/task.go
@@ -37,7 +37,7 @@
 	if s.tasks[t.tag] != nil {
 		return iscsi.TaskInProgress, false
 	}
-	if len(s.tasks) >= s.target.options.Depth {
+	if len(s.tasks) >= s.target.options.MaxTasks {
 		return iscsi.TooManyImmediate, false
 	}
 	t.ctx, t.cancel = context.WithCancel(s.ctx)
@@ -96,14 +96,14 @@
 	result := byte(iscsi.TaskFunctionNotSupported)
 	if p.Flags()&^iscsi.Final == iscsi.AbortTask {
 		s.mu.Lock()
-		t := s.tasks[p.Get(iscsi.RefTag)]
+		t := s.tasks[p.Get(iscsi.ReferencedTaskTag)]
 		s.mu.Unlock()
 		result = iscsi.TaskDoesNotExist
 		if t != nil && t.lun == p.LUN() && s.takeTask(t) {
 			result = iscsi.TaskFunctionComplete
 		}
 	}
-	r := iscsi.New(iscsi.TaskResponse, iscsi.Final).Set(iscsi.TaskTag, p.Get(iscsi.TaskTag))
+	r := iscsi.NewPDU(iscsi.TaskResponse, iscsi.Final).Set(iscsi.InitiatorTaskTag, p.Get(iscsi.InitiatorTaskTag))
 	r.Header[taskResponseOffset] = result
 	return s.send(r, true)
 }
--- a/internal/frontend/iscsitarget/unit.go
+++ b/internal/frontend/iscsitarget/unit.go
@@ -53,14 +53,14 @@
 	Data(reply any) ([]byte, error)
 }
 
-// Native is the Translator for nodes that speak iSCSI themselves.
-type Native struct{}
+// NativeTranslator is the Translator for nodes that speak iSCSI themselves.
+type NativeTranslator struct{}
 
 // Request returns the command unchanged.
-func (Native) Request(_ scheduler.Request, c *iscsi.Command) (any, error) { return c, nil }
+func (NativeTranslator) Request(_ scheduler.Request, c *iscsi.Command) (any, error) { return c, nil }
 
 // Data returns the data of an iscsi.Reply.
-func (Native) Data(reply any) ([]byte, error) {
+func (NativeTranslator) Data(reply any) ([]byte, error) {
 	r, ok := reply.(*iscsi.Reply)
 	if !ok {
 		return nil, fmt.Errorf("iscsitarget: reply of node has type %T, want *iscsi.Reply", reply)
--- a/internal/gateway/frontends.go
+++ b/internal/gateway/frontends.go
@@ -57,7 +57,7 @@
 		return nil, nil
 	}
 	settings := g.options.Config.Settings
-	var translator iscsitarget.Translator = iscsitarget.Native{}
+	var translator iscsitarget.Translator = iscsitarget.NativeTranslator{}
 	if iscsi.Nodes == config.NodesHTTP {
 		loaded, err := scsihttp.Load(iscsi.Description, settings)
 		if err != nil {
@@ -66,18 +66,18 @@
 		translator = loaded
 	}
 	return iscsitarget.New(iscsitarget.Options{
-		Name:       iscsi.Target,
-		Units:      iscsi.Units,
-		Classes:    settings.Classes,
-		Plans:      settings.Plans,
-		Rules:      g.rules,
-		Contracts:  g.contracts,
-		Sessions:   iscsi.Sessions,
-		Depth:      iscsi.Depth,
-		Loop:       g.loop,
-		Translator: translator,
-		NewID:      newRequestIDs(),
-		Log:        g.log,
+		Name:        iscsi.Target,
+		Units:       iscsi.Units,
+		Classes:     settings.Classes,
+		Plans:       settings.Plans,
+		Rules:       g.rules,
+		Contracts:   g.contracts,
+		MaxSessions: iscsi.Sessions,
+		MaxTasks:    iscsi.Depth,
+		Loop:        g.loop,
+		Translator:  translator,
+		NewID:       newRequestIDs(),
+		Log:         g.log,
 	}), nil
 }
 
--- a/internal/proto/httpmsg/httpmsg.go
+++ b/internal/proto/httpmsg/httpmsg.go
@@ -17,24 +17,24 @@
 
 // Headers of requests.
 const (
-	IDHeader        = "X-Request-Id"
-	ClassHeader     = "X-Class"
-	PlanHeader      = "X-Qos-Policy"
-	DeadlineHeader  = "X-Deadline"  // how long the client waits; see ParseDeadline
-	PlacementHeader = "X-Placement" // size and location of the work; see ParsePlacement
-	RetryHeader     = "X-Retry"     // 1: the client has sent the request before
-	KeyHeader       = "Idempotency-Key"
+	IDHeader             = "X-Request-Id"
+	ClassHeader          = "X-Class"
+	PlanHeader           = "X-Qos-Policy"
+	DeadlineHeader       = "X-Deadline"  // how long the client waits; see ParseDeadline
+	PlacementHeader      = "X-Placement" // size and location of the work; see ParsePlacement
+	RetryHeader          = "X-Retry"     // 1: the client has sent the request before
+	IdempotencyKeyHeader = "Idempotency-Key"
 )
 
 // Headers of responses from nodes.
 const (
-	NotRunHeader = "X-Not-Run"   // 1: the node has not run the request
-	UsedHeader   = "X-Iops-Used" // usage of the volume through all gateways, in percent of its plan's rate
-	LoadHeader   = "X-Load"      // load report of the node
+	NotRunHeader    = "X-Not-Run"   // 1: the node has not run the request
+	VolumeUseHeader = "X-Iops-Used" // usage of the volume through all gateways, in percent of its plan's rate
+	LoadHeader      = "X-Load"      // load report of the node
 
-	// OthersHeader holds the number of units of the volume that the node served for other gateways since its last
+	// OtherUnitsHeader holds the number of units of the volume that the node served for other gateways since its last
 	// response to this one.
-	OthersHeader = "X-Rho"
+	OtherUnitsHeader = "X-Rho"
 )
 
 // Paths of the platform.
@@ -75,10 +75,10 @@
 
 // The meanings of a status.
 const (
-	Undescribed StatusMeaning = iota // no contract describes the status: it means what the platform defines
-	FinalAnswer                      // the response is passed to the client, whatever its status
-	NeverRan                         // the node rejected the request, which may be retried
-	MayHaveRun                       // the request failed and may have had an effect
+	Undescribed   StatusMeaning = iota // no contract describes the status: it means what the platform defines
+	FinalResponse                      // the response is passed to the client, whatever its status
+	NeverRan                           // the node rejected the request, which may be retried
+	MayHaveRun                         // the request failed and may have had an effect
 )
 
 // Reply is a node's response, read completely.
--- a/internal/proto/iscsi/iscsi_test.go
+++ b/internal/proto/iscsi/iscsi_test.go
@@ -14,7 +14,7 @@
 func TestPDURoundTrip(t *testing.T) {
 	for _, data := range []string{"", "a", "abcd", "abcde"} {
 		t.Run(fmt.Sprintf("%d bytes of data", len(data)), func(t *testing.T) {
-			p := New(SCSICommand, Final|Read).SetImmediate().SetLUN(7).Set(TaskTag, 1<<31).Set(CmdSN, 5)
+			p := NewPDU(SCSICommand, Final|Read).SetImmediate().SetLUN(7).Set(InitiatorTaskTag, 1<<31).Set(CmdSN, 5)
 			p.Data = []byte(data)
 			b := p.Bytes()
 			if len(b)%4 != 0 {
@@ -27,9 +27,9 @@
 			if diff := cmp.Diff(string(p.Data), string(got.Data)); diff != "" {
 				t.Errorf("data (-want +got):\n%s", diff)
 			}
-			if got.LUN() != 7 || !got.Immediate() || got.Get(TaskTag) != 1<<31 {
+			if got.LUN() != 7 || !got.Immediate() || got.Get(InitiatorTaskTag) != 1<<31 {
 				t.Errorf("header: got LUN %d, immediate %v and tag %#x, want 7, true and %#x",
-					got.LUN(), got.Immediate(), got.Get(TaskTag), 1<<31)
+					got.LUN(), got.Immediate(), got.Get(InitiatorTaskTag), 1<<31)
 			}
 		})
 	}
@@ -37,11 +37,11 @@
 
 func TestReadPDUErrors(t *testing.T) {
 	withData := func(length int) []byte {
-		p := New(NopOut, Final)
+		p := NewPDU(NopOut, Final)
 		p.Data = make([]byte, length)
 		return p.Bytes()
 	}
-	withAHS := New(NopOut, Final)
+	withAHS := NewPDU(NopOut, Final)
 	withAHS.Header[4] = 1
 	for _, c := range []struct {
 		name  string
@@ -66,7 +66,7 @@
 // FuzzReadPDU reads arbitrary bytes. A PDU that is accepted must be the same after it has been encoded and read again.
 func FuzzReadPDU(f *testing.F) {
 	for op := range opcodeNames {
-		p := New(op, Final).SetLUN(1)
+		p := NewPDU(op, Final).SetLUN(1)
 		p.Data = []byte("InitiatorName=a\x00")
 		f.Add(p.Bytes())
 	}
--- a/internal/proto/iscsi/pdu.go
+++ b/internal/proto/iscsi/pdu.go
@@ -103,8 +103,8 @@
 	ErrAHS     = errors.New("iscsi: additional header segments are not supported")
 )
 
-// New returns a PDU with an opcode and flags.
-func New(op Opcode, flags byte) *PDU {
+// NewPDU returns a PDU with an opcode and flags.
+func NewPDU(op Opcode, flags byte) *PDU {
 	p := &PDU{}
 	p.Header[0] = byte(op)
 	p.Header[1] = flags
@@ -134,19 +134,19 @@
 
 // The 32-bit fields. Some share an offset, since they belong to different opcodes.
 const (
-	TaskTag        Field = 16 // Initiator Task Tag
-	ExpectedLength Field = 20 // Expected Data Transfer Length, of SCSI Command
-	TransferTag    Field = 20 // Target Transfer Tag, of R2T, Data-Out, Data-In and NOP
-	RefTag         Field = 20 // Referenced Task Tag, of Task Management Function Request
-	CmdSN          Field = 24 // of requests
-	StatSN         Field = 24 // of responses
-	ExpStatSN      Field = 28 // of requests
-	ExpCmdSN       Field = 28 // of responses
-	MaxCmdSN       Field = 32 // of responses
-	DataSN         Field = 36 // of Data-Out and Data-In
-	BufferOffset   Field = 40 // of Data-Out, Data-In and R2T
-	DesiredLength  Field = 44 // Desired Data Transfer Length, of R2T
-	Residual       Field = 44 // Residual Count, of SCSI Response and Data-In
+	InitiatorTaskTag  Field = 16 // Initiator Task Tag
+	ExpectedLength    Field = 20 // Expected Data Transfer Length, of SCSI Command
+	TargetTransferTag Field = 20 // Target Transfer Tag, of R2T, Data-Out, Data-In and NOP
+	ReferencedTaskTag Field = 20 // Referenced Task Tag, of Task Management Function Request
+	CmdSN             Field = 24 // of requests
+	StatSN            Field = 24 // of responses
+	ExpStatSN         Field = 28 // of requests
+	ExpCmdSN          Field = 28 // of responses
+	MaxCmdSN          Field = 32 // of responses
+	DataSN            Field = 36 // of Data-Out and Data-In
+	BufferOffset      Field = 40 // of Data-Out, Data-In and R2T
+	DesiredLength     Field = 44 // Desired Data Transfer Length, of R2T
+	Residual          Field = 44 // Residual Count, of SCSI Response and Data-In
 )
 
 // Get returns the value of a field.
@@ -213,5 +213,5 @@
 	return b
 }
 
-// After reports whether serial number a comes after b. Serial numbers wrap around (RFC 1982).
-func After(a, b uint32) bool { return int32(a-b) > 0 }
+// SerialAfter reports whether serial number a comes after b. Serial numbers wrap around (RFC 1982).
+func SerialAfter(a, b uint32) bool { return int32(a-b) > 0 }
--- a/internal/proto/iscsi/text.go
+++ b/internal/proto/iscsi/text.go
@@ -50,7 +50,7 @@
 
 // Params are the operational parameters of a session, as one side sees them (section 13).
 type Params struct {
-	MaxSegment       int  // the other side's MaxRecvDataSegmentLength: the longest data segment to send, in bytes
+	MaxSendSegment   int  // the other side's MaxRecvDataSegmentLength: the longest data segment to send, in bytes
 	FirstBurst       int  // FirstBurstLength: most unsolicited data of a write, in bytes
 	MaxBurst         int  // MaxBurstLength: most data that one R2T asks for, in bytes
 	ImmediateData    bool // a write may carry data in its command
@@ -77,10 +77,10 @@
 // DefaultParams returns the parameters that hold at the start of a login.
 func DefaultParams() Params {
 	return Params{
-		MaxSegment:    DefaultMaxSegment,
-		FirstBurst:    DefaultFirstBurst,
-		MaxBurst:      DefaultMaxBurst,
-		ImmediateData: true,
+		MaxSendSegment: DefaultMaxSegment,
+		FirstBurst:     DefaultFirstBurst,
+		MaxBurst:       DefaultMaxBurst,
+		ImmediateData:  true,
 	}
 }
 
@@ -130,7 +130,7 @@
 	case "InitiatorAlias", "TargetAlias", "TargetPortalGroupTag":
 		// The gateway ignores these keys.
 	case "MaxRecvDataSegmentLength":
-		p.MaxSegment, err = parseLength(pair, maxSegment)
+		p.MaxSendSegment, err = parseLength(pair, maxSegment)
 	case "FirstBurstLength":
 		p.FirstBurst, err = parseLength(pair, DefaultFirstBurst)
 		return strconv.Itoa(p.FirstBurst), true, err
--- a/internal/scenariotest/iscsi.go
+++ b/internal/scenariotest/iscsi.go
@@ -37,10 +37,10 @@
 
 // headerFields maps the names of header fields of four bytes to the fields.
 var headerFields = map[string]iscsi.Field{
-	"tag":     iscsi.TaskTag,
+	"tag":     iscsi.InitiatorTaskTag,
 	"expects": iscsi.ExpectedLength,
-	"ttt":     iscsi.TransferTag,
-	"ref":     iscsi.RefTag,
+	"ttt":     iscsi.TargetTransferTag,
+	"ref":     iscsi.ReferencedTaskTag,
 	"sn":      iscsi.CmdSN,
 	"exp":     iscsi.ExpCmdSN,
 	"max":     iscsi.MaxCmdSN,
@@ -83,7 +83,7 @@
 	if !ok {
 		return fmt.Errorf("unknown opcode %q", parts[0])
 	}
-	p := iscsi.New(opcode, iscsi.Final)
+	p := iscsi.NewPDU(opcode, iscsi.Final)
 	switch opcode {
 	case iscsi.LoginRequest, iscsi.LoginResponse:
 		p.Header[1] = iscsi.Transit | iscsi.OperationalStage<<2 | iscsi.FullFeature
--- a/internal/scsihttp/scsihttp.go
+++ b/internal/scsihttp/scsihttp.go
@@ -108,15 +108,15 @@
 // parameterValues returns the values of all parameters that a command can have, by name.
 func parameterValues(settings scheduler.Settings, request scheduler.Request, command *iscsi.Command) map[string]string {
 	values := map[string]string{
-		"volume":            request.Volume,
-		"key":               request.Key,
-		"lba":               strconv.FormatUint(command.LBA, 10),
-		"blocks":            strconv.Itoa(int(command.Blocks)),
-		"length":            strconv.Itoa(command.Length()),
-		httpmsg.IDHeader:    request.ID,
-		httpmsg.KeyHeader:   "",
-		httpmsg.ClassHeader: "",
-		httpmsg.PlanHeader:  "",
+		"volume":                     request.Volume,
+		"key":                        request.Key,
+		"lba":                        strconv.FormatUint(command.LBA, 10),
+		"blocks":                     strconv.Itoa(int(command.Blocks)),
+		"length":                     strconv.Itoa(command.Length()),
+		httpmsg.IDHeader:             request.ID,
+		httpmsg.IdempotencyKeyHeader: "",
+		httpmsg.ClassHeader:          "",
+		httpmsg.PlanHeader:           "",
 		httpmsg.PlacementHeader: fmt.Sprintf("units=%v,shard=%d,hosts=%d",
 			request.Units, request.Shard, request.Hosts),
 	}
@@ -124,7 +124,7 @@
 		class := settings.Classes[request.Class]
 		values[httpmsg.ClassHeader] = class.Name
 		if class.Idempotency == scheduler.IdempotentWithKey {
-			values[httpmsg.KeyHeader] = request.ID
+			values[httpmsg.IdempotencyKeyHeader] = request.ID
 		}
 	}
 	if request.Plan < len(settings.Plans) {
--- a/internal/scsihttp/scsihttp_test.go
+++ b/internal/scsihttp/scsihttp_test.go
@@ -67,7 +67,7 @@
 				request.URL.RequestURI(),
 				request.Header.Get(httpmsg.PlanHeader),
 				request.Header.Get(httpmsg.ClassHeader),
-				request.Header.Get(httpmsg.KeyHeader),
+				request.Header.Get(httpmsg.IdempotencyKeyHeader),
 				string(request.Body),
 			}, " ")
 			if diff := cmp.Diff(test.want, strings.TrimSpace(got)); diff != "" {
