--- a/cmd/reachpulley/api_classify.go
+++ b/cmd/reachpulley/api_classify.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return env.reportUsageError(err)
 	}
-	settings = described.Settings(settings)
+	settings = described.WithGeneratedClasses(settings)
 
 	out := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "request\toperation\tclass\tretries\tkey\tdeadline\tdescribed at")
@@ -76,12 +76,12 @@
 // callOf returns the call that the catalog of operations looks up for a request.
 func callOf(request *expression.Facts) contract.Call {
 	return contract.Call{
-		Method: request.Method,
-		Host:   request.Host,
-		Path:   request.EncodedPath,
-		Query:  request.Query.Encode(),
-		Header: request.Header,
-		Body:   request.BodyLength > 0,
+		Method:  request.Method,
+		Host:    request.Host,
+		Path:    request.EncodedPath,
+		Query:   request.Query.Encode(),
+		Header:  request.Header,
+		HasBody: request.BodyLength > 0,
 	}
 }
 
--- a/cmd/reachpulley/api_distrust.go
+++ b/cmd/reachpulley/api_distrust.go
@@ -44,7 +44,7 @@
 		age := time.Duration(record.SinceMs) * time.Millisecond
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%v\t%d\t%s\t%s\n",
 			record.Operation, cmp.Or(record.Node, "all"), cmp.Or(record.Version, "-"), record.State, record.Level,
-			age.Round(time.Second), record.Answers, describeEvidence(record), record.Sample)
+			age.Round(time.Second), record.Responses, describeEvidence(record), record.Sample)
 	}
 	return out.Flush()
 }
--- a/cmd/reachpulley/replay.go
+++ b/cmd/reachpulley/replay.go
@@ -104,7 +104,7 @@
 	defer file.Close()
 	player := capture.NewPlayer(reader)
 	for {
-		number, err := player.Upcoming()
+		number, err := player.NextEventNumber()
 		if err != nil {
 			return err
 		}
@@ -153,7 +153,7 @@
 	if _, err := file.Seek(0, io.SeekStart); err != nil {
 		return err
 	}
-	state, err := capture.At(file, at)
+	state, err := capture.StateAt(file, at)
 	if err != nil {
 		return reportReplayError(env, r.File, 0, err)
 	}
--- a/cmd/reachpulley/replay_shrink.go
+++ b/cmd/reachpulley/replay_shrink.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	name := filepath.Base(r.Out)
-	test := shrink.TestSource(testName(name), name, property)
+	test := shrink.GoTestSource(testName(name), name, property)
 	testPath := strings.TrimSuffix(r.Out, filepath.Ext(r.Out)) + "_test.go"
 	return writeNewFile(env, testPath, []byte(test))
 }
--- a/cmd/reachpulley/rules_bench.go
+++ b/cmd/reachpulley/rules_bench.go
@@ -37,11 +37,11 @@
 	if err != nil {
 		return err
 	}
-	if len(set.Cases) == 0 {
+	if len(set.TestRequests) == 0 {
 		return env.reportUsageError(fmt.Errorf("%s: the file has no [[test]] to measure", r.File))
 	}
 	var measurements []measurement
-	for _, testCase := range set.Cases {
+	for _, testCase := range set.TestRequests {
 		measurements = append(measurements, measure(set, testCase, r.Time))
 	}
 	return c.print(env, measurements, func(w io.Writer) {
@@ -53,7 +53,7 @@
 }
 
 // measure evaluates the rules for the request of a test, in batches that take duration together.
-func measure(set *rules.Set, testCase rules.Case, duration time.Duration) measurement {
+func measure(set *rules.Set, testCase rules.TestRequest, duration time.Duration) measurement {
 	cost := evaluate(set, testCase.Facts)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
--- a/cmd/reachpulley/zones.go
+++ b/cmd/reachpulley/zones.go
@@ -41,7 +41,7 @@
 	if at == 0 {
 		at = math.MaxInt64
 	}
-	snapshot, err := capture.At(file, at)
+	snapshot, err := capture.StateAt(file, at)
 	if err != nil {
 		return env.reportUsageError(fmt.Errorf("%s: %w", z.File, err))
 	}
--- a/internal/capture/player.go
+++ b/internal/capture/player.go
@@ -75,9 +75,9 @@
 	return step, err
 }
 
-// Upcoming returns the number of the event that Next replays next. After a call of Upcoming, Scheduler returns the
-// Scheduler in its state before that event.
-func (p *Player) Upcoming() (uint64, error) {
+// NextEventNumber returns the number of the event that Next replays next. After a call of NextEventNumber, Scheduler
+// returns the Scheduler in its state before that event.
+func (p *Player) NextEventNumber() (uint64, error) {
 	_, err := p.nextEvent()
 	if err == nil && p.scheduler == nil {
 		err = errNoSnapshot
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -33,9 +33,9 @@
 	return player.replayedEvents, nil
 }
 
-// At returns the Scheduler's state after all events up to the time at. It replays the capture from the last part that
-// begins at or before that time, so it reads the source twice: to find that part, and to replay.
-func At(source io.ReadSeeker, at time.Duration) (*scheduler.Snapshot, error) {
+// StateAt returns the Scheduler's state after all events up to the time at. It replays the capture from the last part
+// that begins at or before that time, so it reads the source twice: to find that part, and to replay.
+func StateAt(source io.ReadSeeker, at time.Duration) (*scheduler.Snapshot, error) {
 	reader, err := NewReader(source)
 	if err != nil {
 		return nil, err
--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -190,8 +190,8 @@
 	}
 }
 
-// At, which replays a capture from the last part before a time, returns the same state for that time as a replay of the
-// capture from its beginning.
+// StateAt, which replays a capture from the last part before a time, returns the same state for that time as a replay
+// of the capture from its beginning.
 func TestStateAtATimeEqualsTheReplayedOne(t *testing.T) {
 	file := recordFile(t, 4, 6000, 64<<20)
 	player := NewPlayer(openFile(t, file))
@@ -206,7 +206,7 @@
 			continue
 		}
 		want := player.Scheduler().Snapshot()
-		got, err := At(bytes.NewReader(file), step.Event.At)
+		got, err := StateAt(bytes.NewReader(file), step.Event.At)
 		diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(scheduler.Snapshot{}))
 		if err != nil || diff != "" {
 			t.Fatalf("state at %v: error: %v, difference (-want +got):\n%s", step.Event.At, err, diff)
@@ -216,8 +216,8 @@
 	if compared < 2 {
 		t.Errorf("states at %d times were compared, want at least 2", compared)
 	}
-	if _, err := At(bytes.NewReader(file), -1); err == nil {
-		t.Error("At returned a state for a time before the beginning of the capture, want an error")
+	if _, err := StateAt(bytes.NewReader(file), -1); err == nil {
+		t.Error("StateAt returned a state for a time before the beginning of the capture, want an error")
 	}
 }
 
@@ -227,7 +227,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if state, err := At(bytes.NewReader(file), 1<<62); err == nil || state != nil {
+	if state, err := StateAt(bytes.NewReader(file), 1<<62); err == nil || state != nil {
 		t.Errorf("state %v, error %v; want no state and an error", state, err)
 	}
 }
--- a/internal/capture/segment/helpers_test.go
+++ b/internal/capture/segment/helpers_test.go
@@ -24,7 +24,7 @@
 
 const directory = "d"
 
-var names = NamesOf("gate 1")
+var names = FilePrefixOf("gate 1")
 
 // pathOf returns the path of a segment.
 func pathOf(number uint64) string { return directory + "/" + names.File(number) }
@@ -52,12 +52,12 @@
 func newWriter(t testing.TB, fs filesystem.FS, limits Limits, now func() time.Time, log *slog.Logger) *Writer {
 	t.Helper()
 	writer, err := New(Options{
-		FS:        fs,
-		Directory: directory,
-		Names:     names,
-		Limits:    limits,
-		Now:       now,
-		Log:       log,
+		FS:         fs,
+		Directory:  directory,
+		FilePrefix: names,
+		Limits:     limits,
+		Now:        now,
+		Log:        log,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/capture/segment/names.go
+++ b/internal/capture/segment/names.go
@@ -7,12 +7,14 @@
 	"unicode"
 )
 
-// Names is the common prefix of the file names of one gateway's segments. Gateways may share a
-// directory if SafeName returns different names for them.
-type Names string
+// FilePrefix is the common prefix of the file names of one gateway's segments. Gateways may share a directory if
+// SafeName returns different names for them.
+type FilePrefix string
 
-// NamesOf returns the Names of the gateway with this name.
-func NamesOf(gateway string) Names { return Names("decisions-" + SafeName(gateway) + "-") }
+// FilePrefixOf returns the FilePrefix of the gateway with this name.
+func FilePrefixOf(gateway string) FilePrefix {
+	return FilePrefix("decisions-" + SafeName(gateway) + "-")
+}
 
 // SafeName returns a gateway's name in a form that can be part of a file name: every character other than an ASCII
 // letter, a digit, a dot or an underscore is replaced by an underscore.
@@ -28,11 +30,13 @@
 const suffix = ".segment"
 
 // File returns the file name of the segment with this number. File names sort in the order of their numbers.
-func (n Names) File(number uint64) string { return fmt.Sprintf("%s%012d%s", string(n), number, suffix) }
+func (n FilePrefix) File(number uint64) string {
+	return fmt.Sprintf("%s%012d%s", string(n), number, suffix)
+}
 
 // Number returns the number of the segment with this file name. It returns false if the file is not a segment of the
 // gateway.
-func (n Names) Number(file string) (uint64, bool) {
+func (n FilePrefix) Number(file string) (uint64, bool) {
 	digits, hasSuffix := strings.CutSuffix(file, suffix)
 	digits, hasPrefix := strings.CutPrefix(digits, string(n))
 	number, err := strconv.ParseUint(digits, 10, 64)
--- a/internal/capture/segment/retention_test.go
+++ b/internal/capture/segment/retention_test.go
@@ -50,7 +50,7 @@
 		"",
 		"decisions-gate_1-1.segment",
 		"decisions-gate_1-000000000001.segment.part",
-		NamesOf("gate").File(1),
+		FilePrefixOf("gate").File(1),
 		"x",
 		names.File(3) + "x",
 	} {
--- a/internal/capture/segment/writer.go
+++ b/internal/capture/segment/writer.go
@@ -25,12 +25,12 @@
 
 // Options configure a Writer.
 type Options struct {
-	FS        filesystem.FS
-	Directory string
-	Names     Names
-	Limits    Limits
-	Now       func() time.Time
-	Log       *slog.Logger
+	FS         filesystem.FS
+	Directory  string
+	FilePrefix FilePrefix
+	Limits     Limits
+	Now        func() time.Time
+	Log        *slog.Logger
 }
 
 // Writer is a capture.Sink that writes chunks to segments. Offer may be called from any goroutine. Everything else
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	for _, info := range list {
-		if number, ok := options.Names.Number(info.Name); ok {
+		if number, ok := options.FilePrefix.Number(info.Name); ok {
 			w.files = append(w.files, file{number, info.Size})
 			w.newestNumber = max(w.newestNumber, number)
 		}
@@ -110,7 +110,7 @@
 }
 
 func (w *Writer) path(number uint64) string {
-	return filepath.Join(w.options.Directory, w.options.Names.File(number))
+	return filepath.Join(w.options.Directory, w.options.FilePrefix.File(number))
 }
 
 // Offer queues a chunk for the disk and reports whether it did. It does not if too much is queued already. It never
--- a/internal/capture/shrink/gotest.go
+++ b/internal/capture/shrink/gotest.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestSource returns the source of a Go test. The test reads a case from a file in its directory and checks that the
+// GoTestSource returns the source of a Go test. The test reads a case from a file in its directory and checks that the
 // property does not hold on it any more.
-func TestSource(name, file string, p Property) string {
+func GoTestSource(name, file string, p Property) string {
 	return fmt.Sprintf(`package scheduler_test
 
 import (
--- a/internal/capture/shrink/shrink_test.go
+++ b/internal/capture/shrink/shrink_test.go
@@ -141,7 +141,7 @@
 }
 
 func TestGeneratedTestIsValidGo(t *testing.T) {
-	source := TestSource("NobodyIsSentTwice", "testdata/a.capture", parse(t, "sent=7@n1"))
+	source := GoTestSource("NobodyIsSentTwice", "testdata/a.capture", parse(t, "sent=7@n1"))
 	_, err := parser.ParseFile(token.NewFileSet(), "x_test.go", source, 0)
 	if err != nil || !strings.Contains(source, "func TestNobodyIsSentTwice(") {
 		t.Errorf("generated test is not valid Go (error: %v) or is not named TestNobodyIsSentTwice:\n%s", err, source)
--- a/internal/capture/timeline/request.go
+++ b/internal/capture/timeline/request.go
@@ -96,7 +96,7 @@
 // writeEvents replays a capture up to the last of the events with these numbers, and writes each of them.
 func (w *requestWriter) writeEvents(player *capture.Player, events []uint64) error {
 	for len(events) > 0 {
-		number, err := player.Upcoming()
+		number, err := player.NextEventNumber()
 		if err != nil {
 			return err
 		}
--- a/internal/capture/timeline/state_test.go
+++ b/internal/capture/timeline/state_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestStateOfAllNodesAndVolumes(t *testing.T) {
-	state, err := capture.At(bytes.NewReader(recordOneNode(t)), afterHour(20))
+	state, err := capture.StateAt(bytes.NewReader(recordOneNode(t)), afterHour(20))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 
 // The context of a difference shows the requests, nodes and volumes that the difference is about, and no others.
 func TestContextOfADifference(t *testing.T) {
-	state, err := capture.At(bytes.NewReader(recordOneNode(t)), afterHour(20))
+	state, err := capture.StateAt(bytes.NewReader(recordOneNode(t)), afterHour(20))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/capture/trigger/second.go
+++ b/internal/capture/trigger/second.go
@@ -1,12 +1,12 @@
 package trigger
 
-// noAnswer is Second.MinTimeLeft of a second without a final answer, in milliseconds.
+// noAnswer is SecondCounts.MinTimeLeft of a second without a final answer, in milliseconds.
 const noAnswer = 1e9
 
-// Second counts what happened within one second of the Scheduler's clock. The second lasts longer if no event takes
-// place at its end: it ends at the next event. Conditions use the names in the tags, which are part of the operators'
-// configuration and do not change.
-type Second struct {
+// SecondCounts counts what happened within one second of the Scheduler's clock. The second lasts longer if no event
+// takes place at its end: it ends at the next event. Conditions use the names in the tags, which are part of the
+// operators' configuration and do not change.
+type SecondCounts struct {
 	// Requests.
 	Arrived      int `expr:"arrived"`
 	Served       int `expr:"served"` // answered within the latency objective of the class
--- a/internal/capture/trigger/second_test.go
+++ b/internal/capture/trigger/second_test.go
@@ -25,15 +25,15 @@
 		"refused > 1 and again < ": "",
 	} {
 		t.Run(condition, func(t *testing.T) {
-			_, err := expression.CompilePredicate[Second](condition)
+			_, err := expression.CompilePredicate[SecondCounts](condition)
 			var sourceError *expression.SourceError
 			if !errors.As(err, &sourceError) || !strings.Contains(err.Error(), want) {
 				t.Errorf("error %v, want one that contains %q", err, want)
 			}
 		})
 	}
-	condition, err := expression.CompilePredicate[Second]("refused / arrived > 0.5 and left_out == 0")
-	if err != nil || !condition.Holds(Second{Arrived: 2, Rejected: 2}) || condition.Holds(Second{}) {
+	condition, err := expression.CompilePredicate[SecondCounts]("refused / arrived > 0.5 and left_out == 0")
+	if err != nil || !condition.Holds(SecondCounts{Arrived: 2, Rejected: 2}) || condition.Holds(SecondCounts{}) {
 		t.Errorf("valid condition: error %v; want none, and that it holds for 2 rejected of 2 requests but not for none", err)
 	}
 }
@@ -45,7 +45,7 @@
 		"nodes", "open", "refused", "sent", "served", "tightest", "unreachable",
 	}
 	var got []string
-	for _, field := range reflect.VisibleFields(reflect.TypeFor[Second]()) {
+	for _, field := range reflect.VisibleFields(reflect.TypeFor[SecondCounts]()) {
 		got = append(got, field.Tag.Get("expr"))
 	}
 	slices.Sort(got)
--- a/internal/capture/trigger/watcher.go
+++ b/internal/capture/trigger/watcher.go
@@ -12,11 +12,11 @@
 
 // Rule is a trigger: a condition, and how much time before and after it is kept.
 type Rule struct {
-	Name      string
-	Condition *expression.Predicate[Second]
-	Before    time.Duration // time before the condition held that is kept, as far as the recorder's memory reaches
-	After     time.Duration // time after the condition held that is kept
-	Quiet     time.Duration // time after a recording of this trigger in which it does not fire again
+	Name        string
+	Condition   *expression.Predicate[SecondCounts]
+	Before      time.Duration // time before the condition held that is kept, as far as the recorder's memory reaches
+	After       time.Duration // time after the condition held that is kept
+	QuietPeriod time.Duration // time after a recording of this trigger in which it does not fire again
 }
 
 // ruleState says whether a rule can fire, waits for the end of its recording, or is quiet.
@@ -32,7 +32,7 @@
 	states  []ruleState // by rule
 	classes []scheduler.Class
 
-	second    Second        // counts of the current second
+	second    SecondCounts  // counts of the current second
 	startedAt time.Duration // start of the current second; 0: there was no event yet
 	requests  map[string]openRequest
 	nodes     map[string]*node
@@ -56,7 +56,7 @@
 		rules:    rules,
 		states:   make([]ruleState, len(rules)),
 		classes:  settings.Classes,
-		second:   Second{MinTimeLeft: noAnswer},
+		second:   SecondCounts{MinTimeLeft: noAnswer},
 		requests: map[string]openRequest{},
 		nodes:    map[string]*node{},
 	}
@@ -187,7 +187,7 @@
 			continue
 		}
 		due = append(due, capture.TriggerMatch{Name: rule.Name, From: max(0, state.firedAt-rule.Before)})
-		state.quietUntil = state.firedAt + rule.After + rule.Quiet
+		state.quietUntil = state.firedAt + rule.After + rule.QuietPeriod
 		state.firedAt = 0
 	}
 	return due
@@ -204,7 +204,7 @@
 		}
 	}
 	w.startedAt = now
-	w.second = Second{MinTimeLeft: noAnswer}
+	w.second = SecondCounts{MinTimeLeft: noAnswer}
 }
 
 func (w *Watcher) countNodes() {
--- a/internal/capture/trigger/watcher_test.go
+++ b/internal/capture/trigger/watcher_test.go
@@ -18,16 +18,16 @@
 
 func newRule(t *testing.T, name, condition string) Rule {
 	t.Helper()
-	compiled, err := expression.CompilePredicate[Second](condition)
+	compiled, err := expression.CompilePredicate[SecondCounts](condition)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return Rule{
-		Name:      name,
-		Condition: compiled,
-		Before:    2 * time.Second,
-		After:     time.Second,
-		Quiet:     5 * time.Second,
+		Name:        name,
+		Condition:   compiled,
+		Before:      2 * time.Second,
+		After:       time.Second,
+		QuietPeriod: 5 * time.Second,
 	}
 }
 
--- a/internal/config/capture.go
+++ b/internal/config/capture.go
@@ -23,12 +23,12 @@
 // Trigger is a table [[capture.trigger]].
 type Trigger struct {
 	Name   string        `toml:"name"`
-	When   string        `toml:"when"`   // condition on what happened in one second, a trigger.Second
+	When   string        `toml:"when"`   // condition on what happened in one second, a trigger.SecondCounts
 	Before time.Duration `toml:"before"` // minimum span before the trigger to retain, if it is still in memory
 	After  time.Duration `toml:"after"`  // span after the trigger to retain
 	Quiet  time.Duration `toml:"quiet"`  // minimum time between two captures of this trigger
 
-	condition *expression.Predicate[trigger.Second] // When, compiled
+	condition *expression.Predicate[trigger.SecondCounts] // When, compiled
 }
 
 var defaultCapture = Capture{SegmentMB: 8, SegmentAge: 10 * time.Minute, MaxTriggered: 20}
@@ -85,7 +85,7 @@
 	v.require(t.After >= 0 && t.After <= maxTriggerSpan, "after",
 		"%v is not from 0s to %v", t.After, maxTriggerSpan)
 	v.require(t.Quiet >= 0, "quiet", "%v is below 0s", t.Quiet)
-	condition, err := expression.CompilePredicate[trigger.Second](t.When)
+	condition, err := expression.CompilePredicate[trigger.SecondCounts](t.When)
 	if err != nil {
 		v.fail("when", "%v", err)
 	}
@@ -97,11 +97,11 @@
 	var triggerRules []trigger.Rule
 	for _, t := range c.Triggers {
 		triggerRules = append(triggerRules, trigger.Rule{
-			Name:      t.Name,
-			Condition: t.condition,
-			Before:    t.Before,
-			After:     t.After,
-			Quiet:     t.Quiet,
+			Name:        t.Name,
+			Condition:   t.condition,
+			Before:      t.Before,
+			After:       t.After,
+			QuietPeriod: t.Quiet,
 		})
 	}
 	return triggerRules
--- a/internal/config/contracts.go
+++ b/internal/config/contracts.go
@@ -73,7 +73,7 @@
 		RejectUndescribed: c.Undescribed == RejectUndescribed,
 		Rate:              c.UndescribedRate,
 		Burst:             c.UndescribedBurst,
-		Open:              c.UndescribedInFlight,
+		MaxInFlight:       c.UndescribedInFlight,
 	}
 }
 
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -113,7 +113,7 @@
 // Settings returns the platform's settings with the additions of the operator's file.
 func (o *Operator) Settings(settings scheduler.Settings) scheduler.Settings {
 	if o.Contracts.Catalog != nil {
-		settings = o.Contracts.Catalog.Settings(settings)
+		settings = o.Contracts.Catalog.WithGeneratedClasses(settings)
 	}
 	settings.RetryBudget = o.RetryBudget
 	settings.ZoneFailover = o.ZoneFailover.Settings
--- a/internal/contract/call.go
+++ b/internal/contract/call.go
@@ -8,12 +8,12 @@
 
 // Call holds the parts of a request that determine which operation it calls.
 type Call struct {
-	Method string
-	Host   string // with its port, as received
-	Path   string // as received, percent-encoded, without the query
-	Query  string // as received
-	Header http.Header
-	Body   bool // whether the request has a body
+	Method  string
+	Host    string // with its port, as received
+	Path    string // as received, percent-encoded, without the query
+	Query   string // as received
+	Header  http.Header
+	HasBody bool // whether the request has a body
 }
 
 // accepts reports whether a call fits the operation in everything but its method, host and path.
@@ -22,11 +22,11 @@
 // acceptsBody reports whether the operation describes the media type of the body, if the call has one. A call with
 // another type counts as undescribed, because nothing is known of how the node interprets such a body.
 func (o *Operation) acceptsBody(c *Call) bool {
-	if !c.Body {
+	if !c.HasBody {
 		return true
 	}
 	if len(o.RequestTypes) == 0 {
-		return o.Body
+		return o.HasBody
 	}
 	given, _, _ := strings.Cut(c.Header.Get("Content-Type"), ";")
 	given = strings.TrimSpace(given)
--- a/internal/contract/catalog/catalog.go
+++ b/internal/contract/catalog/catalog.go
@@ -77,8 +77,8 @@
 	return New(c.operations, settings)
 }
 
-// Settings returns the settings with the generated classes appended.
-func (c *Catalog) Settings(settings scheduler.Settings) scheduler.Settings {
+// WithGeneratedClasses returns the settings with the generated classes appended.
+func (c *Catalog) WithGeneratedClasses(settings scheduler.Settings) scheduler.Settings {
 	settings.Classes = append(slices.Clip(settings.Classes), c.GeneratedClasses...)
 	return settings
 }
--- a/internal/contract/catalog/catalog_test.go
+++ b/internal/contract/catalog/catalog_test.go
@@ -101,12 +101,12 @@
 			placement(1, 3),
 		},
 		{
-			contract.Call{Method: "POST", Path: "/entries/bridge/7", Header: clockIn, Body: true},
+			contract.Call{Method: "POST", Path: "/entries/bridge/7", Header: clockIn, HasBody: true},
 			"clockIn entry-write 1 2 4s 4711",
 			placement(2, -1),
 		},
 		{
-			contract.Call{Method: "POST", Path: "/entries/bridge/7", Header: xml, Body: true},
+			contract.Call{Method: "POST", Path: "/entries/bridge/7", Header: xml, HasBody: true},
 			" entry-write 2 0 0s ",
 			Placement{},
 		},
@@ -247,11 +247,11 @@
 	if len(faults) > 0 || len(c.GeneratedClasses) != 3 {
 		t.Errorf("faults %v, %d generated classes, want 3", faults, len(c.GeneratedClasses))
 	}
-	if len(c.Settings(settings).Classes) != 5 || len(settings.Classes) != 2 {
+	if len(c.WithGeneratedClasses(settings).Classes) != 5 || len(settings.Classes) != 2 {
 		const message = "%d classes with the generated ones, %d in the settings themselves; want 5 and 2"
-		t.Errorf(message, len(c.Settings(settings).Classes), len(settings.Classes))
+		t.Errorf(message, len(c.WithGeneratedClasses(settings).Classes), len(settings.Classes))
 	}
-	if _, err := scheduler.New(c.Settings(settings), 1, nil); err != nil {
+	if _, err := scheduler.New(c.WithGeneratedClasses(settings), 1, nil); err != nil {
 		t.Errorf("making a scheduler with the generated classes: error %v, want none", err)
 	}
 	for i, operation := range operations {
--- a/internal/contract/catalog/retry_test.go
+++ b/internal/contract/catalog/retry_test.go
@@ -80,7 +80,7 @@
 		sent:   map[string][]string{},
 		ran:    map[string][]int{},
 	}
-	s, err := scheduler.New(c.Settings(settings), 1, nodes)
+	s, err := scheduler.New(c.WithGeneratedClasses(settings), 1, nodes)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/contract/check.go
+++ b/internal/contract/check.go
@@ -98,7 +98,7 @@
 	o := c.operation
 	switch o.Idempotency {
 	case Idempotent:
-		if o.Body && o.Creates {
+		if o.HasBody && o.Creates {
 			c.addFault("the operation is declared safe, but has a request body and creates something (status 201)")
 		}
 		if o.Method == http.MethodPost || o.Method == http.MethodPatch {
--- a/internal/contract/conformance/distrust_file.go
+++ b/internal/contract/conformance/distrust_file.go
@@ -42,17 +42,17 @@
 	return content, nil
 }
 
-// Store saves distrust records in a file. Save never blocks; the goroutine that calls Run writes the file.
-type Store struct {
+// DistrustStore saves distrust records in a file. Save never blocks; the goroutine that calls Run writes the file.
+type DistrustStore struct {
 	fs     filesystem.FS
 	path   string
 	log    *slog.Logger
 	latest chan DistrustFile // has capacity for one content, which a newer one replaces
 }
 
-// NewStore returns a Store for a file.
-func NewStore(f filesystem.FS, path string, log *slog.Logger) *Store {
-	return &Store{
+// NewDistrustStore returns a DistrustStore for a file.
+func NewDistrustStore(f filesystem.FS, path string, log *slog.Logger) *DistrustStore {
+	return &DistrustStore{
 		fs:     f,
 		path:   path,
 		log:    log,
@@ -62,7 +62,7 @@
 
 // Load returns the records of the previous run of the gateway and their age. An unusable file is set aside under
 // another name, so that it is neither used nor overwritten.
-func (s *Store) Load() ([]trust.Record, time.Duration) {
+func (s *DistrustStore) Load() ([]trust.Record, time.Duration) {
 	content, err := ReadDistrustFile(s.fs, s.path)
 	if err == nil {
 		return content.Records, max(0, time.Since(content.Taken))
@@ -78,7 +78,7 @@
 }
 
 // Save passes records to Run, which writes them. It must not be called by several goroutines at once.
-func (s *Store) Save(records []trust.Record) {
+func (s *DistrustStore) Save(records []trust.Record) {
 	content := DistrustFile{Taken: time.Now(), Records: records}
 	select {
 	case <-s.latest:
@@ -88,7 +88,7 @@
 }
 
 // Run writes the records that Save passes until ctx is done, and at the end those that are still waiting.
-func (s *Store) Run(ctx context.Context) {
+func (s *DistrustStore) Run(ctx context.Context) {
 	failing := false
 	for {
 		select {
@@ -106,7 +106,7 @@
 }
 
 // write replaces the file and reports whether that failed. It logs the result only if the previous write had another.
-func (s *Store) write(content DistrustFile, wasFailing bool) (failing bool) {
+func (s *DistrustStore) write(content DistrustFile, wasFailing bool) (failing bool) {
 	text, err := json.MarshalIndent(content, "", "  ")
 	if err == nil {
 		err = filesystem.ReplaceFile(s.fs, s.path, append(text, '\n'))
--- a/internal/contract/conformance/distrust_file_test.go
+++ b/internal/contract/conformance/distrust_file_test.go
@@ -27,13 +27,13 @@
 	Weight:    12,
 	Worst:     "repeat-ran",
 	Counts:    map[string]int{"repeat-ran": 3},
-	Answers:   9,
+	Responses: 9,
 }
 
-// saveRecord saves record the given number of times through a Store, and ends the Store. It returns the log.
+// saveRecord saves record the given number of times through a DistrustStore, and ends the store. It returns the log.
 func saveRecord(fs filesystem.FS, path string, times int) string {
 	var log bytes.Buffer
-	store := NewStore(fs, path, slog.New(slog.NewTextHandler(&log, nil)))
+	store := NewDistrustStore(fs, path, slog.New(slog.NewTextHandler(&log, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -52,7 +52,7 @@
 func TestDistrustRecordsSurviveARestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "doubts.json")
 	saveRecord(filesystem.OS{}, path, 3)
-	records, age := NewStore(filesystem.OS{}, path, slog.New(slog.DiscardHandler)).Load()
+	records, age := NewDistrustStore(filesystem.OS{}, path, slog.New(slog.DiscardHandler)).Load()
 	if diff := cmp.Diff([]trust.Record{record}, records); diff != "" || age > time.Minute {
 		t.Errorf("age %v, want at most a minute; records (-want +got):\n%s", age, diff)
 	}
@@ -76,7 +76,7 @@
 			t.Fatal(err)
 		}
 		var log bytes.Buffer
-		records, _ := NewStore(filesystem.OS{}, path, slog.New(slog.NewTextHandler(&log, nil))).Load()
+		records, _ := NewDistrustStore(filesystem.OS{}, path, slog.New(slog.NewTextHandler(&log, nil))).Load()
 		if records != nil || !strings.Contains(log.String(), "set aside") {
 			t.Errorf("records %v, log %q; want no records and a warning", records, log.String())
 		}
--- a/internal/contract/conformance/event.go
+++ b/internal/contract/conformance/event.go
@@ -14,7 +14,7 @@
 	Level     string         `json:"level"`
 	Worst     string         `json:"worst"`
 	Counts    map[string]int `json:"counts"`
-	Answers   int            `json:"answers"`
+	Responses int            `json:"answers"`
 	Sample    string         `json:"sample,omitempty"`
 }
 
@@ -40,7 +40,7 @@
 		Level:     trust.LevelName(change.Level),
 		Worst:     change.Worst.String(),
 		Counts:    change.Counts,
-		Answers:   change.Answers,
+		Responses: change.Responses,
 		Sample:    change.Sample,
 	}
 	if event.Counts == nil {
--- a/internal/contract/openapi.go
+++ b/internal/contract/openapi.go
@@ -98,7 +98,7 @@
 		Method:      method,
 		Template:    template,
 		Idempotency: NonIdempotent,
-		Body:        from.RequestBody != nil,
+		HasBody:     from.RequestBody != nil,
 		Position: SourcePosition{
 			File:    r.file,
 			Pointer: "/paths/" + escapePointer(template) + "/" + strings.ToLower(method),
--- a/internal/contract/operation.go
+++ b/internal/contract/operation.go
@@ -69,7 +69,7 @@
 	Shard            Shard
 	Statuses         map[string]StatusMeaning // by number or by range, such as 4XX
 
-	Body         bool                 // the operation has a request body
+	HasBody      bool                 // the operation has a request body
 	Creates      bool                 // the operation describes status 201
 	RequestTypes []string             // media types and ranges of the request body
 	Responses    map[string]*Response // by number, by range such as 4XX, or "default"; nil: none are described
--- a/internal/contract/registry/registry.go
+++ b/internal/contract/registry/registry.go
@@ -23,11 +23,11 @@
 	RejectUndescribed bool    // whether they are rejected; otherwise they are admitted but never retried
 	Rate              float64 // admitted calls per second; 0: no limit
 	Burst             float64 // calls admitted at once after an idle time; less than 1: 1
-	Open              int     // calls in flight; 0: no limit
+	MaxInFlight       int     // calls in flight; 0: no limit
 }
 
 // limited reports whether undescribed calls are limited.
-func (o *Options) limited() bool { return o.Rate > 0 || o.Open > 0 }
+func (o *Options) limited() bool { return o.Rate > 0 || o.MaxInFlight > 0 }
 
 // definitions returns the definition of the limit of undescribed calls, if there is a limit.
 func (o *Options) definitions() []ratelimit.Definition {
@@ -38,7 +38,7 @@
 		Name:        catalog.UndescribedName,
 		Rate:        o.Rate,
 		Burst:       max(1, o.Burst),
-		Concurrency: o.Open,
+		Concurrency: o.MaxInFlight,
 		Keys:        ratelimit.MinKeys,
 	}}
 }
--- a/internal/contract/registry/registry_test.go
+++ b/internal/contract/registry/registry_test.go
@@ -51,7 +51,7 @@
 func TestUndescribedCallsHaveALimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log strings.Builder
-		r, err := New(Options{Rate: 1, Burst: 5, Open: 2}, slog.New(slog.NewTextHandler(&log, nil)))
+		r, err := New(Options{Rate: 1, Burst: 5, MaxInFlight: 2}, slog.New(slog.NewTextHandler(&log, nil)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/contract/router_test.go
+++ b/internal/contract/router_test.go
@@ -89,10 +89,10 @@
 			return false
 		}
 	}
-	if !c.Body {
+	if !c.HasBody {
 		return true
 	}
-	return slices.Contains(o.RequestTypes, c.Header.Get("Content-Type")) || o.Body && len(o.RequestTypes) == 0
+	return slices.Contains(o.RequestTypes, c.Header.Get("Content-Type")) || o.HasBody && len(o.RequestTypes) == 0
 }
 
 // takesPrecedence reports whether a takes precedence over b: by more conditions on templates of the same shape, or by a
@@ -131,7 +131,7 @@
 	}
 	o.Host = rapid.SampledFrom([]string{"", "", "a.example"}).Draw(t, "host")
 	if rapid.Bool().Draw(t, "types") {
-		o.Body = true
+		o.HasBody = true
 		o.RequestTypes = []string{rapid.SampledFrom([]string{"a/b", "a/c"}).Draw(t, "type")}
 	}
 	for _, condition := range []Condition{
@@ -147,12 +147,12 @@
 
 func drawCall(t *rapid.T) *Call {
 	c := &Call{
-		Method: rapid.SampledFrom([]string{"GET", "PUT", "POST"}).Draw(t, "asked"),
-		Path:   drawPath(t, "of", false),
-		Host:   rapid.SampledFrom([]string{"", "A.example", "b.example"}).Draw(t, "host"),
-		Header: http.Header{},
-		Query:  rapid.SampledFrom([]string{"", "q=1", "q=2"}).Draw(t, "query"),
-		Body:   rapid.Bool().Draw(t, "body"),
+		Method:  rapid.SampledFrom([]string{"GET", "PUT", "POST"}).Draw(t, "asked"),
+		Path:    drawPath(t, "of", false),
+		Host:    rapid.SampledFrom([]string{"", "A.example", "b.example"}).Draw(t, "host"),
+		Header:  http.Header{},
+		Query:   rapid.SampledFrom([]string{"", "q=1", "q=2"}).Draw(t, "query"),
+		HasBody: rapid.Bool().Draw(t, "body"),
 	}
 	c.Header.Set("X-Kind", rapid.SampledFrom([]string{"", "2"}).Draw(t, "kind"))
 	c.Header.Set("Content-Type", rapid.SampledFrom([]string{"a/b", "a/c", "a/d"}).Draw(t, "type"))
--- a/internal/frontend/httpfrontend/request.go
+++ b/internal/frontend/httpfrontend/request.go
@@ -118,12 +118,12 @@
 // contractCall returns the part of a request by which contracts find its operation.
 func contractCall(r *http.Request) contract.Call {
 	return contract.Call{
-		Method: r.Method,
-		Host:   r.Host,
-		Path:   r.URL.EscapedPath(),
-		Query:  r.URL.RawQuery,
-		Header: r.Header,
-		Body:   r.ContentLength > 0,
+		Method:  r.Method,
+		Host:    r.Host,
+		Path:    r.URL.EscapedPath(),
+		Query:   r.URL.RawQuery,
+		Header:  r.Header,
+		HasBody: r.ContentLength > 0,
 	}
 }
 
--- a/internal/frontend/httpfrontend/request_builder.go
+++ b/internal/frontend/httpfrontend/request_builder.go
@@ -135,7 +135,7 @@
 // resolve returns the index of a class or plan in the settings.
 func (b *requestBuilder) resolve(fact namedFact) (int, error) {
 	given := b.http.Header.Get(fact.header)
-	if b.rules.Overrides(fact.field, given != "") && (!b.fromPlatform || b.rules.By[fact.field].OverridesHeaders) {
+	if b.rules.Applies(fact.field, given != "") && (!b.fromPlatform || b.rules.SetBy[fact.field].OverridesHeaders) {
 		return fact.fromRules, nil
 	}
 	index, known := fact.index[given]
@@ -155,7 +155,7 @@
 // so this cannot be checked before a request arrives.
 func (b *requestBuilder) checkClassAllowsMethod(class *scheduler.Class) error {
 	if b.rules.Has[rules.Class] && rules.Writes(b.http.Method) && !class.Writes {
-		rule := b.rules.By[rules.Class].Name
+		rule := b.rules.SetBy[rules.Class].Name
 		return fmt.Errorf("rule %s: class %q only reads, and %s writes", rule, class.Name, b.http.Method)
 	}
 	return nil
@@ -175,10 +175,10 @@
 func (b *requestBuilder) setVolumeAndKey(request *scheduler.Request, fromContract catalog.Placement) error {
 	volume, key, inPath := splitPath(b.http.URL.Path)
 	hasVolume, hasKey := inPath, inPath
-	if b.rules.Overrides(rules.Volume, inPath) {
+	if b.rules.Applies(rules.Volume, inPath) {
 		volume, hasVolume = b.rules.Volume, true
 	}
-	if b.rules.Overrides(rules.Key, inPath) {
+	if b.rules.Applies(rules.Key, inPath) {
 		key, hasKey = b.rules.Key, true
 	}
 	if !hasVolume && fromContract.Volume != "" {
@@ -213,7 +213,7 @@
 		longest = min(longest, b.contract.Deadline())
 	}
 	given := b.http.Header.Get(httpmsg.DeadlineHeader)
-	if b.rules.Overrides(rules.Deadline, given != "") {
+	if b.rules.Applies(rules.Deadline, given != "") {
 		return min(b.rules.Deadline, longest), nil
 	}
 	if given == "" && !b.fromPlatform {
@@ -242,13 +242,13 @@
 		request.Hosts = placement.Hosts
 	}
 	hasUnits, hasShard := given, given
-	if b.rules.Overrides(rules.Units, given) {
+	if b.rules.Applies(rules.Units, given) {
 		request.Units, hasUnits = b.rules.Units, true
 	}
-	if b.rules.Overrides(rules.Shard, given) {
+	if b.rules.Applies(rules.Shard, given) {
 		request.Shard, hasShard = b.rules.Shard, true
 	}
-	if b.rules.Overrides(rules.Hosts, given) {
+	if b.rules.Applies(rules.Hosts, given) {
 		request.Hosts = b.rules.Hosts
 	}
 	if !hasUnits && fromContract.Units > 0 {
@@ -275,7 +275,7 @@
 func (b *requestBuilder) ensureIdempotencyKey(request *scheduler.Request, class *scheduler.Class) error {
 	key := b.http.Header.Get(httpmsg.IdempotencyKeyHeader)
 	source := httpmsg.IdempotencyKeyHeader
-	if b.rules.Overrides(rules.Idempotency, key != "") {
+	if b.rules.Applies(rules.Idempotency, key != "") {
 		key = b.rules.Idempotency
 		b.header.Set(httpmsg.IdempotencyKeyHeader, key)
 	}
--- a/internal/gateway/captures.go
+++ b/internal/gateway/captures.go
@@ -129,7 +129,7 @@
 func (f *captureFiles) saveTriggered(c triggeredCapture) {
 	path, size, err := f.save(triggeredReason+c.trigger, c.recording)
 	if err == nil {
-		prefix := string(segment.NamesOf(f.gatewayName))
+		prefix := string(segment.FilePrefixOf(f.gatewayName))
 		err = removeOldestTriggered(filesystem.OS{}, f.directory, prefix, f.maxTriggered)
 	}
 	if err != nil {
@@ -146,7 +146,7 @@
 		return "", 0, err
 	}
 	taken := time.Now().UTC().Format("20060102T150405.000000000")
-	name := fmt.Sprintf("%s%s-%s%s", segment.NamesOf(f.gatewayName), taken, reason, captureExtension)
+	name := fmt.Sprintf("%s%s-%s%s", segment.FilePrefixOf(f.gatewayName), taken, reason, captureExtension)
 	path = filepath.Join(f.directory, name)
 	return path, len(content), filesystem.ReplaceFile(filesystem.OS{}, path, content)
 }
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -30,7 +30,7 @@
 // distrusted because they contradict them.
 type conformanceMonitor struct {
 	*conformance.Observer
-	store *conformance.Store // nil: distrust records are not stored
+	store *conformance.DistrustStore // nil: distrust records are not stored
 }
 
 // newConformanceMonitor makes the monitor, with the distrust records that the previous incarnation stored, if any.
@@ -46,7 +46,7 @@
 	if settings.DistrustFile == "" {
 		return conformanceMonitor{Observer: conformance.New(options, nil, 0)}
 	}
-	store := conformance.NewStore(filesystem.OS{}, settings.DistrustFile, g.log)
+	store := conformance.NewDistrustStore(filesystem.OS{}, settings.DistrustFile, g.log)
 	records, age := store.Load()
 	options.Save = store.Save
 	return conformanceMonitor{Observer: conformance.New(options, records, age), store: store}
--- a/internal/gateway/recording.go
+++ b/internal/gateway/recording.go
@@ -33,12 +33,12 @@
 		return recording{options: options, files: files}, nil
 	}
 	segments, err := segment.New(segment.Options{
-		FS:        filesystem.OS{},
-		Directory: settings.Directory,
-		Names:     segment.NamesOf(g.options.Config.Name),
-		Limits:    settings.Limits(),
-		Now:       time.Now,
-		Log:       g.log,
+		FS:         filesystem.OS{},
+		Directory:  settings.Directory,
+		FilePrefix: segment.FilePrefixOf(g.options.Config.Name),
+		Limits:     settings.Limits(),
+		Now:        time.Now,
+		Log:        g.log,
 	})
 	if err != nil {
 		return recording{}, &ConfigError{Key: "capture.directory", Err: err}
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -49,7 +49,7 @@
 	result, err := evaluation.Apply()
 	for field := range fieldCount {
 		if result.Has[field] {
-			explanation.Assigned[field.String()] = s.Value(&result, field) + " (" + result.By[field].Name + ")"
+			explanation.Assigned[field.String()] = s.Value(&result, field) + " (" + result.SetBy[field].Name + ")"
 		}
 	}
 	if err == nil {
--- a/internal/rules/load_tests.go
+++ b/internal/rules/load_tests.go
@@ -21,7 +21,7 @@
 				l.addFault(key+".gives."+name, "no rule can set %q%s", name, configfile.DidYouMean(name, fieldNames))
 			}
 		}
-		l.set.Cases = append(l.set.Cases, Case{Name: entry.Name, Facts: facts})
+		l.set.TestRequests = append(l.set.TestRequests, TestRequest{Name: entry.Name, Facts: facts})
 	}
 	l.set.tests = l.file.Test
 }
--- a/internal/rules/result.go
+++ b/internal/rules/result.go
@@ -9,7 +9,7 @@
 // Result is what the rules set for a request.
 type Result struct {
 	Has         [fieldCount]bool  // whether a rule set the field
-	By          [fieldCount]*Rule // the rule that set the field
+	SetBy       [fieldCount]*Rule // the rule that set the field
 	Client      string
 	Class       int // index in the settings' classes
 	Plan        int // index in the settings' plans
@@ -42,18 +42,18 @@
 func (f RuleFault) Unwrap() error { return f.Fault }
 
 // overridesHeader reports whether the rule that set a field overrides the platform's header for that field.
-func (r *Result) overridesHeader(f Field) bool { return r.Has[f] && r.By[f].OverridesHeaders }
+func (r *Result) overridesHeader(f Field) bool { return r.Has[f] && r.SetBy[f].OverridesHeaders }
 
-// Overrides reports whether the request gets the value that the rules set for a field. The argument headerGiven is true
+// Applies reports whether the request gets the value that the rules set for a field. The argument headerGiven is true
 // if the request has a platform header for the field: the header then takes precedence, unless the rule overrides it.
-func (r *Result) Overrides(f Field, headerGiven bool) bool {
+func (r *Result) Applies(f Field, headerGiven bool) bool {
 	return r.Has[f] && (!headerGiven || r.overridesHeader(f))
 }
 
 // set stores the value that checkValue returned for a field, and the rule that set it.
 func (r *Result) set(f Field, value any, by *Rule) {
 	r.Has[f] = true
-	r.By[f] = by
+	r.SetBy[f] = by
 	switch f {
 	case Client:
 		r.Client = value.(string)
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -105,13 +105,13 @@
 // Set holds the compiled rules of a file. A Set never changes, so that a request can be evaluated by one Set from its
 // beginning to its end while another Set replaces it for later requests.
 type Set struct {
-	Hash  string           // XXH64 of the file's text, in hex digits
-	Path  string           // of the rule file
-	Sizes expression.Sizes // the largest sizes of a request that the rules evaluate
-	Cost  int              // worst case for one request, in estimated nanoseconds
-	Cases []Case           // the requests of the file's own tests
+	Hash         string           // XXH64 of the file's text, in hex digits
+	Path         string           // of the rule file
+	Sizes        expression.Sizes // the largest sizes of a request that the rules evaluate
+	Cost         int              // worst case for one request, in estimated nanoseconds
+	TestRequests []TestRequest    // the requests of the file's own tests
 
-	tests    []testEntry // one for each of Cases
+	tests    []testEntry // one for each of TestRequests
 	rules    []*Rule
 	indexes  [stageCount]*ruleIndex
 	limits   []*limitRule
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -118,8 +118,8 @@
 	if got != want {
 		t.Errorf("class, plan, deadline, units, volume, key and shard: %s, want %s", got, want)
 	}
-	if r.By[Key].Name != "project and date" {
-		t.Errorf("the key was set by rule %q, want %q", r.By[Key].Name, "project and date")
+	if r.SetBy[Key].Name != "project and date" {
+		t.Errorf("the key was set by rule %q, want %q", r.SetBy[Key].Name, "project and date")
 	}
 }
 
--- a/internal/rules/test_cases.go
+++ b/internal/rules/test_cases.go
@@ -7,8 +7,8 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// Case is the request of one of a rule file's own tests.
-type Case struct {
+// TestRequest is the request of one of a rule file's own tests.
+type TestRequest struct {
 	Name  string
 	Facts *expression.Facts
 }
@@ -23,7 +23,7 @@
 func (s *Set) Test() []Outcome {
 	var outcomes []Outcome
 	for i, test := range s.tests {
-		explanation := s.Explain(s.Cases[i].Facts)
+		explanation := s.Explain(s.TestRequests[i].Facts)
 		outcomes = append(outcomes, Outcome{Test: test.Name, Failures: test.failures(explanation)})
 	}
 	return outcomes
--- a/internal/trust/entry.go
+++ b/internal/trust/entry.go
@@ -57,8 +57,8 @@
 	maxHold = 10 * time.Minute
 	// holdMemory is how long a node must be trusted before its last hold is forgotten.
 	holdMemory = 30 * time.Minute
-	// probationAnswers is how many conforming responses a node must give before its probation can end.
-	probationAnswers = 20
+	// probationResponses is how many conforming responses a node must give before its probation can end.
+	probationResponses = 20
 
 	// maxClientWeight is the upper bound of one client's part of the soft weight.
 	maxClientWeight = 0.45 * suspectWeight
@@ -81,7 +81,7 @@
 	hardWeight float64
 	hold       time.Duration      // length of the last hold; 0: there was none, or it is forgotten
 	conforming int                // conforming responses since the state began
-	answers    int                // responses so far, with those of a restored Record
+	responses  int                // responses so far, with those of a restored Record
 	counts     [evidenceKinds]int // number of these responses by evidence
 	clients    [trackedClients]clientWeight
 	sample     string   // of the last contradiction
@@ -113,7 +113,7 @@
 
 // add counts the evidence of a response and adds its weight.
 func (e *entry) add(report Report) {
-	e.answers++
+	e.responses++
 	e.counts[report.Evidence]++
 	weight := evidenceWeights[report.Evidence]
 	switch {
@@ -197,12 +197,12 @@
 }
 
 // stepProbation enters Distrusted already at suspectWeight, and Trusted when the weight is at most clearedWeight,
-// probationAnswers responses have conformed and minStateDuration has passed.
+// probationResponses responses have conformed and minStateDuration has passed.
 func (e *entry) stepProbation(now time.Duration) {
 	switch {
 	case e.weight() >= suspectWeight:
 		e.distrust(now)
-	case e.weight() <= clearedWeight && e.conforming >= probationAnswers && now-e.since >= minStateDuration:
+	case e.weight() <= clearedWeight && e.conforming >= probationResponses && now-e.since >= minStateDuration:
 		e.enter(now, Trusted)
 	}
 }
--- a/internal/trust/record.go
+++ b/internal/trust/record.go
@@ -32,7 +32,7 @@
 	Weight    float64        `json:"weight"`           // of all evidence against the node
 	Worst     string         `json:"worst,omitempty"`  // kind of evidence with the largest weight so far
 	Counts    map[string]int `json:"counts,omitempty"` // of contradictions by kind
-	Answers   int            `json:"answers"`
+	Responses int            `json:"answers"`
 	Sample    string         `json:"sample,omitempty"`
 }
 
@@ -88,7 +88,7 @@
 		Weight:    e.weight(),
 		Worst:     e.worst.String(),
 		Counts:    e.contradictions(),
-		Answers:   e.answers,
+		Responses: e.responses,
 		Sample:    e.sample,
 	}
 }
@@ -136,6 +136,6 @@
 	for evidence := range evidenceKinds {
 		e.counts[evidence] = max(0, record.Counts[evidence.String()])
 	}
-	e.answers = max(0, record.Answers)
+	e.responses = max(0, record.Responses)
 	return e, nil
 }
--- a/internal/trust/tracker.go
+++ b/internal/trust/tracker.go
@@ -33,7 +33,7 @@
 	Level         scheduler.RestrictionLevel
 	Worst         Evidence
 	Counts        map[string]int // of contradictions so far, by kind
-	Answers       int            // responses so far
+	Responses     int            // responses so far
 	Sample        string         // description of the last contradiction
 }
 
@@ -184,7 +184,7 @@
 		Level:     t.levels[e.key],
 		Worst:     e.worst,
 		Counts:    e.contradictions(),
-		Answers:   e.answers,
+		Responses: e.responses,
 		Sample:    e.sample,
 	}
 }
--- a/internal/trust/version.go
+++ b/internal/trust/version.go
@@ -11,8 +11,8 @@
 const (
 	// minVersionNodes is how many nodes of a version must be known for a decision.
 	minVersionNodes = 3
-	// minKnownAnswers is how many responses a trusted node must have given to count as known.
-	minKnownAnswers = 5
+	// minKnownResponses is how many responses a trusted node must have given to count as known.
+	minKnownResponses = 5
 	// descriptionRestoredShare is the share of contradicting nodes below which a description counts as right again.
 	descriptionRestoredShare = 0.25
 )
@@ -29,13 +29,13 @@
 // versionTotals counts the nodes of a version by whether they contradict the description of an operation.
 type versionTotals struct {
 	key           versionKey
-	known         int    // nodes that are not trusted, or have given minKnownAnswers responses
+	known         int    // nodes that are not trusted, or have given minKnownResponses responses
 	contradicting int    // known nodes that are not trusted
 	worst         *entry // the contradicting node with the largest weight
 }
 
 func (t *versionTotals) add(e *entry) {
-	if e.state == Trusted && e.answers < minKnownAnswers {
+	if e.state == Trusted && e.responses < minKnownResponses {
 		return
 	}
 	t.known++
@@ -145,7 +145,7 @@
 	if worst := totals.worst; worst != nil {
 		change.Worst = worst.worst
 		change.Counts = worst.contradictions()
-		change.Answers = worst.answers
+		change.Responses = worst.responses
 		change.Sample = worst.sample
 	}
 	return change
