--- a/cmd/reachpulley/storm.go
+++ b/cmd/reachpulley/storm.go
@@ -92,12 +92,12 @@
 }
 
 func (c stormCommand) storm(seed uint64, variant *stormVariant) simulation.Storm {
-	storm := simulation.SharedStorm(seed)
+	storm := simulation.SharedResourceStorm(seed)
 	if c.Nodes {
 		storm = simulation.NodeStorm(seed)
 	}
 	storm.Passthrough = variant.passthrough
-	storm.Retry = variant.retry
+	storm.RetryBudget = variant.retry
 	storm.Length = c.Length
 	if c.Clients > 0 {
 		storm.Clients = c.Clients
@@ -122,8 +122,8 @@
 	}
 	seconds := (storm.Length - storm.SlowdownStart - storm.SlowdownDuration).Seconds()
 	recovered := "never"
-	if result.Recovered >= 0 {
-		recovered = result.Recovered.String()
+	if result.RecoveryTime >= 0 {
+		recovered = result.RecoveryTime.String()
 	}
 	return fmt.Sprintf("%d\t%s\t%.0f\t%.0f\t%.0f\t%s",
 		storm.Seed, name, result.ServedBefore, float64(served)/seconds, float64(sent)/seconds, recovered)
--- a/cmd/reachpulley/zones_play.go
+++ b/cmd/reachpulley/zones_play.go
@@ -103,12 +103,12 @@
 	scenario := simulation.ZoneScenario{
 		Seed:            z.Seed,
 		Zones:           z.Zones,
-		Nodes:           z.Nodes,
+		NodesPerZone:    z.Nodes,
 		Gateways:        z.Gateways,
 		Load:            z.Load,
 		NewObjectShare:  simulatedNewObjectShare,
 		MembershipDelay: simulatedMembershipDelay,
-		Settings:        zonefailover.Settings{Spillover: z.Spillover, Burst: z.Burst},
+		ZoneFailover:    zonefailover.Settings{Spillover: z.Spillover, Burst: z.Burst},
 	}
 	const noGateway = -1 // the event affects the nodes, not the path of a gateway to them
 	at := firstZoneLoss
@@ -154,7 +154,7 @@
 func (v *zoneVariant) row(result *simulation.ZoneResult) string {
 	overBound := "no bound"
 	if !v.failoverDisabled {
-		overBound = fmt.Sprintf("%.1f", max(0, result.WorstSpillover))
+		overBound = fmt.Sprintf("%.1f", max(0, result.MaxExcessSpillover))
 	}
 	crashed := "none"
 	if len(result.Crashed) > 0 {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -90,10 +90,10 @@
 // start starts an instance, which replaces an earlier one with the same number. If its settings are unusable, start
 // reports that to the simulator instead.
 func (a *adapter) start(event *simprotocol.Event) {
-	actions := simprotocol.Instance{Encoder: a.encoder, Number: event.Instance}
+	actions := simprotocol.InstanceActions{Encoder: a.encoder, Number: event.Instance}
 	instance, err := scheduler.New(event.Settings, event.Seed, actions)
 	if err != nil {
-		a.encoder.Fault(event.Instance, err.Error())
+		a.encoder.Fatal(event.Instance, err.Error())
 		return
 	}
 	a.instances[event.Instance] = instance
--- a/internal/backend/httpbackend/backend_test.go
+++ b/internal/backend/httpbackend/backend_test.go
@@ -307,7 +307,7 @@
 				wait 100ms
 				n expect nothing`,
 			prepare: func(s *scenariotest.Scenario, nodes *directory) {
-				s.Network.Delay = 100 * time.Millisecond
+				s.Network.DialDelay = 100 * time.Millisecond
 				s.Control("directory", "drain", func() { nodes.drain("n") })
 			},
 		},
@@ -317,7 +317,7 @@
 				backend send n
 				wait 251ms
 				n expect nothing`,
-			prepare: func(s *scenariotest.Scenario, _ *directory) { s.Network.Delay = time.Minute },
+			prepare: func(s *scenariotest.Scenario, _ *directory) { s.Network.DialDelay = time.Minute },
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -336,7 +336,7 @@
 		n send 200 yes`
 	var got eventloop.Report
 	scenariotest.Run(t, script, func(s *scenariotest.Scenario) func() {
-		s.Network.Delay = 100 * time.Millisecond
+		s.Network.DialDelay = 100 * time.Millisecond
 		timeouts := scheduler.Allowed{ConnectTimeout: time.Second, IdleTimeout: time.Second}
 		b := newTestBackend(&directory{}, s.Network.Dial, timeouts)
 		s.Server("n", "n:1", scenariotest.HTTP{})
--- a/internal/capture/segment/writer_test.go
+++ b/internal/capture/segment/writer_test.go
@@ -77,7 +77,7 @@
 	for failing := 1; failing < 40; failing++ {
 		t.Run(fmt.Sprint("sync ", failing), func(t *testing.T) {
 			fs := filesystemtest.New()
-			fs.FailSync = failing
+			fs.FailSyncNumber = failing
 			f := newFixture(t, fs, Limits{Size: 1 << 20, Age: time.Hour, Total: 1 << 21})
 			f.record(2000)
 			f.finish()
--- a/internal/filesystem/filesystem_test.go
+++ b/internal/filesystem/filesystem_test.go
@@ -23,8 +23,8 @@
 		disk.Put("d/file", before)
 		disk.PowerLossAfter = writtenBytes
 		err := filesystem.ReplaceFile(disk, "d/file", after)
-		if lost := writtenBytes <= len(after); errors.Is(err, filesystemtest.ErrPower) != lost {
-			t.Errorf("power lost after %d bytes: error %v, want ErrPower: %t", writtenBytes, err, lost)
+		if lost := writtenBytes <= len(after); errors.Is(err, filesystemtest.ErrPowerLost) != lost {
+			t.Errorf("power lost after %d bytes: error %v, want ErrPowerLost: %t", writtenBytes, err, lost)
 		}
 		found := disk.Restart(0).Content("d/file")
 		if !bytes.Equal(found, before) && (err != nil || !bytes.Equal(found, after)) {
@@ -41,7 +41,7 @@
 		fail func(*filesystemtest.FS)
 	}{
 		{"disk full", func(f *filesystemtest.FS) { f.Capacity = 3 }},
-		{"sync fails", func(f *filesystemtest.FS) { f.FailSync = 1 }},
+		{"sync fails", func(f *filesystemtest.FS) { f.FailSyncNumber = 1 }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			disk := filesystemtest.New()
--- a/internal/filesystem/filesystemtest/filesystemtest.go
+++ b/internal/filesystem/filesystemtest/filesystemtest.go
@@ -19,10 +19,10 @@
 
 // Errors of simulated failures.
 var (
-	// ErrSync is the error of the sync that FailSync selects.
+	// ErrSync is the error of the sync that FailSyncNumber selects.
 	ErrSync = errors.New("filesystemtest: sync failed")
-	// ErrPower is the error of the write during which the simulated power is lost, and of all later changes and syncs.
-	ErrPower = errors.New("filesystemtest: power lost")
+	// ErrPowerLost is the error of the write during which the simulated power is lost, and of all later changes and syncs.
+	ErrPowerLost = errors.New("filesystemtest: power lost")
 )
 
 // FS is an in-memory file system. A loss of power loses unsynced content, and all creations, removals and renames since
@@ -35,7 +35,7 @@
 	powerLost bool
 
 	Capacity       int // in bytes; 0: unlimited
-	FailSync       int // number of the sync, of a file or a directory, that fails, 1 for the next; 0: none
+	FailSyncNumber int // number of the sync, of a file or a directory, that fails, 1 for the next; 0: none
 	PowerLossAfter int // number of bytes that are still written before the power is lost; -1: it is not lost
 }
 
@@ -91,7 +91,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.powerLost {
-		return nil, ErrPower
+		return nil, ErrPowerLost
 	}
 	if f.files[name] != nil {
 		return nil, fs.ErrExist
@@ -114,7 +114,7 @@
 func (f *FS) existing(name string) (*file, error) {
 	switch {
 	case f.powerLost:
-		return nil, ErrPower
+		return nil, ErrPowerLost
 	case f.files[name] == nil:
 		return nil, fs.ErrNotExist
 	}
@@ -188,16 +188,17 @@
 	return nil
 }
 
-// countSync counts a sync towards FailSync and returns the error with which it fails, or nil. The caller holds f.mu.
+// countSync counts a sync towards FailSyncNumber and returns the error with which it fails, or nil. The caller holds
+// f.mu.
 func (f *FS) countSync() error {
 	if f.powerLost {
-		return ErrPower
+		return ErrPowerLost
 	}
-	if f.FailSync <= 0 {
+	if f.FailSyncNumber <= 0 {
 		return nil
 	}
-	f.FailSync--
-	if f.FailSync == 0 {
+	f.FailSyncNumber--
+	if f.FailSyncNumber == 0 {
 		return ErrSync
 	}
 	return nil
@@ -215,7 +216,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.powerLost {
-		return 0, ErrPower
+		return 0, ErrPowerLost
 	}
 	n, err := f.takeWritable(len(p))
 	h.file.written = append(h.file.written, p[:n]...)
@@ -236,7 +237,7 @@
 	}
 	if n >= f.PowerLossAfter {
 		n = f.PowerLossAfter
-		err = ErrPower
+		err = ErrPowerLost
 		f.powerLost = true
 	}
 	f.PowerLossAfter -= n
--- a/internal/scenariotest/network.go
+++ b/internal/scenariotest/network.go
@@ -16,14 +16,14 @@
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	Delay     time.Duration // time that Dial takes
+	DialDelay time.Duration // time that Dial takes
 }
 
 // Dial connects to the listener at an address. It fails if no listener has the address.
 func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
-	if n.Delay > 0 {
+	if n.DialDelay > 0 {
 		select {
-		case <-time.After(n.Delay):
+		case <-time.After(n.DialDelay):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
--- a/internal/simprotocol/encoder.go
+++ b/internal/simprotocol/encoder.go
@@ -24,8 +24,8 @@
 	return e.w.Flush()
 }
 
-// Fault reports to the simulator that an instance cannot continue, and why.
-func (e *Encoder) Fault(instance int, text string) {
+// Fatal reports to the simulator that an instance cannot continue, and why.
+func (e *Encoder) Fatal(instance int, text string) {
 	e.writeLine("fatal", instance, "msg", oneLine(text))
 }
 
@@ -53,16 +53,16 @@
 // oneLine returns a text as the value of a field, without line breaks and tabs.
 func oneLine(text string) string { return separators.Replace(text) }
 
-// Instance writes the actions of one instance of the scheduler. It implements scheduler.Actions.
-type Instance struct {
+// InstanceActions writes the actions of one instance of the scheduler. It implements scheduler.Actions.
+type InstanceActions struct {
 	Encoder *Encoder
 	Number  int
 }
 
-var _ scheduler.Actions = Instance{}
+var _ scheduler.Actions = InstanceActions{}
 
 // Send writes the action that starts an attempt. A timeout of 0 is left out.
-func (i Instance) Send(id, node string, timeout time.Duration) {
+func (i InstanceActions) Send(id, node string, timeout time.Duration) {
 	if timeout == 0 {
 		i.Encoder.writeLine("deliver", i.Number, "opId", id, "node", node)
 		return
@@ -71,12 +71,12 @@
 }
 
 // Cancel writes the action that cancels an attempt.
-func (i Instance) Cancel(id string, attempt int) {
+func (i InstanceActions) Cancel(id string, attempt int) {
 	i.Encoder.writeLine("cancel", i.Number, "opId", id, "n", strconv.Itoa(attempt))
 }
 
 // Reject writes the action that ends a request that the client may safely send again. A retryAfter of 0 is left out.
-func (i Instance) Reject(id string, retryAfter time.Duration) {
+func (i InstanceActions) Reject(id string, retryAfter time.Duration) {
 	if retryAfter == 0 {
 		i.Encoder.writeLine("busy", i.Number, "opId", id)
 		return
@@ -85,18 +85,20 @@
 }
 
 // Fail writes the action that ends a request that may have run.
-func (i Instance) Fail(id string) { i.Encoder.writeLine("give_up", i.Number, "opId", id) }
+func (i InstanceActions) Fail(id string) { i.Encoder.writeLine("give_up", i.Number, "opId", id) }
 
 // Probe writes the action that requests a load report from a node.
-func (i Instance) Probe(node string) { i.Encoder.writeLine("touch", i.Number, "node", node) }
+func (i InstanceActions) Probe(node string) { i.Encoder.writeLine("touch", i.Number, "node", node) }
 
 // SetTimer writes the action that requests a timer event with a key after the given time.
-func (i Instance) SetTimer(after time.Duration, key uint64) {
+func (i InstanceActions) SetTimer(after time.Duration, key uint64) {
 	i.Encoder.writeLine("schedule", i.Number, "waitMs", formatMillis(after), "keyBack", strconv.FormatUint(key, 10))
 }
 
 // Watch writes the action that subscribes to changes of the endpoint list.
-func (i Instance) Watch() { i.Encoder.writeLine("stream_changes", i.Number, "want", "1") }
+func (i InstanceActions) Watch() { i.Encoder.writeLine("stream_changes", i.Number, "want", "1") }
 
 // Log writes the action that adds a line to the simulator's report.
-func (i Instance) Log(text string) { i.Encoder.writeLine("trace", i.Number, "msg", oneLine(text)) }
+func (i InstanceActions) Log(text string) {
+	i.Encoder.writeLine("trace", i.Number, "msg", oneLine(text))
+}
--- a/internal/simprotocol/encoder_test.go
+++ b/internal/simprotocol/encoder_test.go
@@ -9,7 +9,7 @@
 func TestEncodesEveryAction(t *testing.T) {
 	var output bytes.Buffer
 	encoder := NewEncoder(&output)
-	instance := Instance{Encoder: encoder, Number: 3}
+	instance := InstanceActions{Encoder: encoder, Number: 3}
 	instance.Send("t/a", "na", 0)
 	instance.Send("t/a", "na", 80*time.Millisecond)
 	instance.Cancel("t/a", 1)
@@ -20,7 +20,7 @@
 	instance.SetTimer(1500*time.Microsecond, 77)
 	instance.Watch()
 	instance.Log("two\tlines\nhere")
-	encoder.Fault(3, "bad\nsettings")
+	encoder.Fatal(3, "bad\nsettings")
 	if err := encoder.Flush(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/retry_storm.go
+++ b/internal/simulation/retry_storm.go
@@ -21,7 +21,7 @@
 	SlowdownDuration time.Duration
 	SlowdownSpeed    float64              // speed of what slows down, as a share of its full speed
 	Length           time.Duration        // simulated time
-	Retry            retrybudget.Settings // retry budgets of the gateways; the zero value: none
+	RetryBudget      retrybudget.Settings // retry budgets of the gateways; the zero value: none
 	SharedRate       float64              // capacity of a resource shared by all nodes, in calls per second; 0: none
 
 	// Passthrough makes gateways retry at once, up to stormSettings.Allowed.MaxAttempts attempts, without package
@@ -45,9 +45,9 @@
 	}
 }
 
-// SharedStorm returns a storm in which a resource that all nodes share slows down. The load is less than half of its
-// capacity. A failed call takes no longer than a slow successful one, so latencies do not show the failure.
-func SharedStorm(seed uint64) Storm {
+// SharedResourceStorm returns a storm in which a resource that all nodes share slows down. The load is less than half
+// of its capacity. A failed call takes no longer than a slow successful one, so latencies do not show the failure.
+func SharedResourceStorm(seed uint64) Storm {
 	s := NodeStorm(seed)
 	s.SharedRate = 500
 	s.Clients = 220
@@ -66,7 +66,7 @@
 type StormResult struct {
 	Seconds      []StormSecond
 	ServedBefore float64       // requests served per second before the slowdown
-	Recovered    time.Duration // time from the end of the slowdown until recovery; -1: no recovery
+	RecoveryTime time.Duration // time from the end of the slowdown until recovery; -1: no recovery
 }
 
 // A storm has recovered when the requests served per second are at least recoveredShare of those before the slowdown,
@@ -126,7 +126,7 @@
 	run.advance(seconds)
 	run.result.Seconds = run.result.Seconds[:seconds]
 	run.result.ServedBefore = run.servedBefore()
-	run.result.Recovered = run.recovered()
+	run.result.RecoveryTime = run.recovered()
 	return run.result, nil
 }
 
@@ -161,7 +161,7 @@
 func (r *stormRun) addGateways() error {
 	settings := stormSettings
 	settings.Siblings = r.storm.Gateways
-	settings.RetryBudget = r.storm.Retry
+	settings.RetryBudget = r.storm.RetryBudget
 	for range r.storm.Gateways {
 		g, err := NewGateway(r.simulation, settings, r.nodes)
 		if err != nil {
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -24,16 +24,16 @@
 // causes keep the resource overloaded until the end. With budgets, the storm recovers within 15 s.
 func TestRetryBudgetsEndStorm(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		s := SharedStorm(seed)
+		s := SharedResourceStorm(seed)
 		s.Length = 60 * time.Second
 		without := runStorm(t, s)
-		s.Retry = testRetryBudget
+		s.RetryBudget = testRetryBudget
 		with := runStorm(t, s)
-		recovered := with.Recovered >= 0 && with.Recovered <= 15*time.Second
-		if without.Recovered >= 0 || !recovered || without.ServedBefore < 150 {
+		recovered := with.RecoveryTime >= 0 && with.RecoveryTime <= 15*time.Second
+		if without.RecoveryTime >= 0 || !recovered || without.ServedBefore < 150 {
 			t.Errorf("seed %d: recovered after %v with budgets, want at most 15s; after %v without, want -1ns, never; "+
 				"%.0f served per second before, want at least 150",
-				seed, with.Recovered, without.Recovered, without.ServedBefore)
+				seed, with.RecoveryTime, without.RecoveryTime, without.ServedBefore)
 		}
 	}
 }
@@ -47,19 +47,19 @@
 		scheduled := runStorm(t, s)
 		s.Passthrough = true
 		passthrough := runStorm(t, s)
-		recovered := scheduled.Recovered >= 0 && scheduled.Recovered <= 10*time.Second
-		if !recovered || passthrough.Recovered >= 0 {
+		recovered := scheduled.RecoveryTime >= 0 && scheduled.RecoveryTime <= 10*time.Second
+		if !recovered || passthrough.RecoveryTime >= 0 {
 			t.Errorf("seed %d: recovered after %v with the scheduler, want at most 10s; "+
 				"after %v with a passthrough proxy, want -1ns, never",
-				seed, scheduled.Recovered, passthrough.Recovered)
+				seed, scheduled.RecoveryTime, passthrough.RecoveryTime)
 		}
 	}
 }
 
 func TestSameSeedGivesSameStorm(t *testing.T) {
-	s := SharedStorm(7)
+	s := SharedResourceStorm(7)
 	s.Length = 30 * time.Second
-	s.Retry = testRetryBudget
+	s.RetryBudget = testRetryBudget
 	if diff := cmp.Diff(runStorm(t, s), runStorm(t, s)); diff != "" {
 		t.Errorf("two runs with the same seed differ (-first +second):\n%s", diff)
 	}
@@ -67,7 +67,7 @@
 
 // At the end of a storm, each client awaits the answer to at most one try.
 func TestEveryTryOfStormIsAnswered(t *testing.T) {
-	s := SharedStorm(5)
+	s := SharedResourceStorm(5)
 	s.Length = 40 * time.Second
 	submitted, answered := 0, 0
 	for _, second := range runStorm(t, s).Seconds {
--- a/internal/simulation/zone_checks.go
+++ b/internal/simulation/zone_checks.go
@@ -84,7 +84,7 @@
 	}
 	if !r.scenario.FailoverDisabled {
 		for _, spilled := range r.spillover {
-			r.result.WorstSpillover = max(r.result.WorstSpillover, r.excessSpillover(spilled))
+			r.result.MaxExcessSpillover = max(r.result.MaxExcessSpillover, r.excessSpillover(spilled))
 		}
 	}
 	return r.result
@@ -111,12 +111,12 @@
 func (r *zoneRun) excessSpillover(spilled []arrival) float64 {
 	worst, lowest, sum := 0.0, 0.0, 0.0
 	for i, a := range spilled {
-		gained := r.scenario.Settings.Spillover * (a.at - r.began).Seconds()
+		gained := r.scenario.ZoneFailover.Spillover * (a.at - r.began).Seconds()
 		if balance := sum - gained; i == 0 || balance < lowest {
 			lowest = balance
 		}
 		sum += a.units
-		worst = max(worst, sum-gained-lowest-r.scenario.Settings.Burst)
+		worst = max(worst, sum-gained-lowest-r.scenario.ZoneFailover.Burst)
 	}
 	return worst
 }
--- a/internal/simulation/zone_run.go
+++ b/internal/simulation/zone_run.go
@@ -55,12 +55,12 @@
 
 func (r *zoneRun) addNodes() {
 	for zone := range r.scenario.Zones {
-		for i := range r.scenario.Nodes {
+		for i := range r.scenario.NodesPerZone {
 			r.nodes = append(r.nodes, &Node{
 				Node: scheduler.Node{
 					ID:    nodeID(zone, i),
 					Zone:  zone,
-					Shard: zone*r.scenario.Nodes + i,
+					Shard: zone*r.scenario.NodesPerZone + i,
 					Size:  1,
 				},
 				Simulation:  r.simulation,
@@ -189,11 +189,11 @@
 		r.gateways[event.Gateway%len(r.gateways)].Partitioned[event.Zone] = event.Unavailable
 		return
 	}
-	count := r.scenario.Nodes
+	count := r.scenario.NodesPerZone
 	if event.NodeShare > 0 {
-		count = int(event.NodeShare * float64(r.scenario.Nodes))
+		count = int(event.NodeShare * float64(r.scenario.NodesPerZone))
 	}
-	first := event.Zone * r.scenario.Nodes
+	first := event.Zone * r.scenario.NodesPerZone
 	for _, n := range r.nodes[first : first+count] {
 		if n.Crashed || n.Unresponsive == event.Unavailable { // crashed for good, or in the wanted state already
 			continue
--- a/internal/simulation/zone_scenario.go
+++ b/internal/simulation/zone_scenario.go
@@ -12,13 +12,13 @@
 type ZoneScenario struct {
 	Seed             uint64
 	Zones            int
-	Nodes            int     // number of nodes in each zone
+	NodesPerZone     int     // number of nodes in each zone
 	Gateways         int     // number of gateways, which are spread over the zones in rotation
 	Load             float64 // units that clients request, as a share of the capacity of all nodes
 	NewObjectShare   float64 // share of the requests that write new objects, which any node can take
 	Events           []ZoneEvent
 	Length           time.Duration         // simulated time
-	Settings         zonefailover.Settings // the scenario sets Tiers, Siblings and MembershipDelay
+	ZoneFailover     zonefailover.Settings // the scenario sets Tiers, Siblings and MembershipDelay
 	FailoverDisabled bool                  // gateways ignore zones
 	Passthrough      bool                  // gateways do not use package scheduler but retry at once
 	MembershipDelay  time.Duration         // longest time until a gateway learns that a node has restarted
@@ -52,7 +52,7 @@
 	DetectedAfter      time.Duration  // time from the first loss until lost nodes got only probing attempts; -1: no loss
 	Violations         []string       // violations of what must hold in each scenario
 	LastAttemptsByNode map[string]int // number of attempts by node id in the last 10 seconds
-	WorstSpillover     float64        // most units by which the spillover from a zone exceeded its limit; 0: never
+	MaxExcessSpillover float64        // most units by which the spillover from a zone exceeded its limit; 0: never
 }
 
 // Parameters of the slow start of simulated nodes. The gateways are configured with the same values.
@@ -138,7 +138,7 @@
 	if s.FailoverDisabled {
 		return settings
 	}
-	settings.ZoneFailover = s.Settings
+	settings.ZoneFailover = s.ZoneFailover
 	settings.ZoneFailover.Siblings = (s.Gateways - zone + s.Zones - 1) / s.Zones
 	settings.ZoneFailover.MembershipDelay = 2 * s.MembershipDelay
 	for other := range s.Zones {
--- a/internal/simulation/zone_scenario_test.go
+++ b/internal/simulation/zone_scenario_test.go
@@ -35,13 +35,13 @@
 	return ZoneScenario{
 		Seed:            seed,
 		Zones:           2,
-		Nodes:           5,
+		NodesPerZone:    5,
 		Gateways:        3,
 		Load:            0.35,
 		NewObjectShare:  0.35,
 		Length:          100 * time.Second,
 		MembershipDelay: 5 * time.Second,
-		Settings:        zonefailover.Settings{Spillover: 60, Burst: 24},
+		ZoneFailover:    zonefailover.Settings{Spillover: 60, Burst: 24},
 		Events: []ZoneEvent{
 			{At: 15 * time.Second, Zone: 0, Gateway: -1, Unavailable: true},
 			{At: 35 * time.Second, Zone: 0, Gateway: -1, Restarted: restarted, NodeShare: returningShare},
@@ -51,9 +51,9 @@
 
 // checkInvariants checks what must hold in every scenario: no crash, no violation and no spillover over its limit.
 func checkInvariants(t interface{ Errorf(string, ...any) }, result *ZoneResult) {
-	if len(result.Crashed) > 0 || len(result.Violations) > 0 || result.WorstSpillover > 1e-6 {
+	if len(result.Crashed) > 0 || len(result.Violations) > 0 || result.MaxExcessSpillover > 1e-6 {
 		t.Errorf("crashed: %v; violations: %v; spillover %.1f units over the limit; want none of these",
-			result.Crashed, result.Violations, result.WorstSpillover)
+			result.Crashed, result.Violations, result.MaxExcessSpillover)
 	}
 }
 
@@ -88,11 +88,11 @@
 					"%d requests rejected, want some; loss detected after %v, want at most 1s",
 					lost, spilled, rejected, result.DetectedAfter)
 			}
-			returning := scenario.Nodes
+			returning := scenario.NodesPerZone
 			if test.returningShare > 0 {
-				returning = int(test.returningShare * float64(scenario.Nodes))
+				returning = int(test.returningShare * float64(scenario.NodesPerZone))
 			}
-			for i := range scenario.Nodes {
+			for i := range scenario.NodesPerZone {
 				attempts := result.LastAttemptsByNode[nodeID(0, i)]
 				if i < returning && attempts < 50 || i >= returning && attempts > 60 {
 					t.Errorf("%s got %d attempts in the last 10 s, want at least 50 if it returned (%t), else at most 60",
@@ -108,7 +108,7 @@
 func TestManyGatewaysDoNotCrashReturningZone(t *testing.T) {
 	scenario := zoneLoss(1, true, 0)
 	scenario.Gateways = 120
-	scenario.Nodes = 2
+	scenario.NodesPerZone = 2
 	scenario.Load = 2
 	scenario.Length = 50 * time.Second
 	result := runZones(t, scenario)
@@ -121,8 +121,9 @@
 		t.Errorf("a node in slow start got up to %.2f of the load that crashes it, want at most 0.6", highest)
 	}
 	scenario.Passthrough = true
-	if result := runZones(t, scenario); len(result.Crashed) != scenario.Nodes {
-		t.Errorf("nodes that crashed with passthrough proxies: %v, want all %d of the zone", result.Crashed, scenario.Nodes)
+	if result := runZones(t, scenario); len(result.Crashed) != scenario.NodesPerZone {
+		t.Errorf("nodes that crashed with passthrough proxies: %v, want all %d of the zone",
+			result.Crashed, scenario.NodesPerZone)
 	}
 }
 
@@ -155,7 +156,7 @@
 // Without a spillover rate in the settings, nothing spills over: what the zone itself cannot serve is rejected.
 func TestNoSpilloverWithoutRate(t *testing.T) {
 	scenario := zoneLoss(4, true, 0)
-	scenario.Settings = zonefailover.Settings{}
+	scenario.ZoneFailover = zonefailover.Settings{}
 	result := runZones(t, scenario)
 	checkInvariants(t, result)
 	for i, second := range result.Seconds {
@@ -174,7 +175,7 @@
 		result := runZones(t, scenario)
 		checkInvariants(t, result)
 		for zone := range scenario.Zones {
-			for i := range scenario.Nodes {
+			for i := range scenario.NodesPerZone {
 				if id := nodeID(zone, i); result.LastAttemptsByNode[id] == 0 {
 					t.Fatalf("attempts in the last 10 s: %v, want at least 1 at %s", result.LastAttemptsByNode, id)
 				}
@@ -188,12 +189,12 @@
 	scenario := ZoneScenario{
 		Seed:            rapid.Uint64().Draw(t, "seed"),
 		Zones:           rapid.IntRange(2, 3).Draw(t, "zones"),
-		Nodes:           rapid.IntRange(2, 5).Draw(t, "nodes"),
+		NodesPerZone:    rapid.IntRange(2, 5).Draw(t, "nodes"),
 		Gateways:        rapid.IntRange(2, 4).Draw(t, "gateways"),
 		Load:            0.1 + 0.15*float64(rapid.IntRange(0, 5).Draw(t, "load")),
 		NewObjectShare:  0.35,
 		MembershipDelay: time.Duration(rapid.IntRange(0, 8).Draw(t, "membership delay")) * time.Second,
-		Settings: zonefailover.Settings{
+		ZoneFailover: zonefailover.Settings{
 			Spillover: float64(rapid.IntRange(0, 8).Draw(t, "spillover")) * 20,
 			Burst:     32,
 			Share:     rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "share"),
