--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -133,7 +133,7 @@
 
 // retryAfter is the Retry-After of a rejection: the time until the node's queue has drained, but at least
 // minRetryAfter, which also applies if node is nil. A random part keeps clients from all coming back at the
-// same time. It is 0 if the settings do not allow a Retry-After.
+// same time. It is at most Allowed.MaxRetryAfter, and 0 if the settings do not allow a Retry-After.
 func (s *Scheduler) retryAfter(node *nodeState) time.Duration {
 	if !s.settings.Allowed.RetryAfter {
 		return 0
--- a/scheduler/guards.go
+++ b/scheduler/guards.go
@@ -46,7 +46,7 @@
 	return queue.waiters[0] == request && (queue.quietExempt == request || s.now >= queue.quietUntil)
 }
 
-// guardVolumeLimit keeps the first attempts of a volume's requests within this host's part of the volume's
+// guardVolumeLimit keeps the first attempts of a volume's requests within this host's share of the volume's
 // limit. A request that is larger than the token bucket is sent once the bucket is full.
 func (s *Scheduler) guardVolumeLimit(request *requestState) bool {
 	limit := &request.volume.limit
--- a/scheduler/latency_estimates.go
+++ b/scheduler/latency_estimates.go
@@ -11,7 +11,7 @@
 	// serviceTimeTolerance is the number of service times that a request may take before the rest counts as time in
 	// a queue.
 	serviceTimeTolerance = 2
-	// workGain is the weight of one response in the relative work of its class.
+	// workGain is the weight of one response in the mean latency per unit and in the relative work of its class.
 	workGain = 0.02
 	// responseGain is the weight of one request in what is learned about clients and load reports.
 	responseGain = 0.1
--- a/scheduler/latency_estimates_test.go
+++ b/scheduler/latency_estimates_test.go
@@ -88,8 +88,9 @@
 	}
 }
 
-// The queue in a load report counts if it indicates a longer queue than the latency, once earlier reports have shown
-// how long a queued request takes. A report with a negative queue does not count.
+// The number of queued requests in a load report determines the estimate of the node's queue if it gives a longer time
+// than the latency does. The time that each queued request adds is learned from earlier reports. A negative number
+// means that the node does not report its queue.
 func TestReportedQueueCountsIfItIsLonger(t *testing.T) {
 	settings := baseSettings()
 	settings.Plans[0].Reserve = 1000 // unreserved requests would be rejected because of the queue at the node
--- a/scheduler/messages.go
+++ b/scheduler/messages.go
@@ -120,7 +120,7 @@
 	Unrestricted RestrictionLevel = iota
 	NoHedging                     // a request that may still run is not sent again
 	NoRetries                     // a request that may have run is not sent again, whatever the node claims
-	AvoidNode                     // no new request is sent there; it is rejected if no other node may take it
+	AvoidNode                     // no new request is sent there; it is rejected if all nodes with its data are avoided
 )
 
 // Restriction sets how cautiously an operation is handled at a node. An empty Node stands for all nodes.
--- a/scheduler/node_selection.go
+++ b/scheduler/node_selection.go
@@ -77,8 +77,8 @@
 	return n.Phase == Up && (request.Shard == AnyShard || request.Shard == n.Shard)
 }
 
-// mayWaitFor reports whether the request may be queued for the node: the node holds its data, no restriction
-// excludes the node, and an attempt there is safe.
+// mayWaitFor reports whether the request may be queued for the node: the node is up and holds its data, no
+// restriction excludes the node, and an attempt there is safe.
 func (s *Scheduler) mayWaitFor(request *requestState, node *nodeState) bool {
 	return node.holdsData(request) &&
 		s.restrictionLevel(request, node) < AvoidNode &&
--- a/scheduler/ordered_keys.go
+++ b/scheduler/ordered_keys.go
@@ -9,7 +9,7 @@
 type orderedKeyQueue struct {
 	waiters     []*requestState // only the first may run
 	quietUntil  time.Duration   // end of the quiet period, during which an attempt may still run
-	quietExempt *requestState   // request of that attempt, which the quiet period does not hold back
+	quietExempt *requestState   // request whose attempt started the quiet period; its retries may run during it
 }
 
 // joinOrderedKey adds a request to the queue of its key, if its class is ordered.
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -48,7 +48,7 @@
 	MinLatency       float64       // in seconds
 	QueueTime        float64       `json:"Queue"`   // in seconds
 	QueueWeight      float64       `json:"Known"`   // number of responses that QueueTime is worth
-	QueueMeasuredAt  time.Duration `json:"HeardAt"` // when QueueTime was last updated
+	QueueMeasuredAt  time.Duration `json:"HeardAt"` // when QueueTime was last updated, also by an unanswered attempt
 
 	// State by which guardSlowStart limits the units that are sent to the node.
 	WarmingSince time.Duration  `json:"ColdSince"` // 0 if the node is warm
@@ -64,7 +64,7 @@
 	At            time.Duration
 	LimitTokens   float64 `json:"Limit"`
 	ReserveTokens float64 `json:"Reserve"`
-	ReserveRate   float64 // this host's part of the reserve, in units a second; 0 if unknown
+	ReserveRate   float64 // this host's share of the reserve, in units a second; 0 if unknown
 }
 
 // LearnedKey is an ordered key for which an attempt of the previous incarnation may still run.
@@ -130,7 +130,7 @@
 }
 
 // restoreVolume lowers the token buckets of a volume that is used for the first time to what was left in them, and
-// restores the host's part of the volume's reserve if that is larger than an equal part.
+// restores the host's share of the volume's reserve if that is larger than an equal share.
 func (s *Scheduler) restoreVolume(name string, volume *volumeState) {
 	learned := s.restoredVolumes[name]
 	if learned == nil {
--- a/scheduler/restrictions.go
+++ b/scheduler/restrictions.go
@@ -66,8 +66,8 @@
 	return level >= NoRetries || level == NoHedging && request.mayStillRun
 }
 
-// avoidedEverywhere reports whether the operation of the request has to avoid every node that holds its data,
-// so that no node can take the request. It returns false if no listed node holds the data.
+// avoidedEverywhere reports whether the operation of the request has to avoid every node that is up and holds
+// its data, so that no node can take the request. It returns false if there is no such node.
 func (s *Scheduler) avoidedEverywhere(request *requestState) bool {
 	found := false
 	for _, node := range s.listed {
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -121,7 +121,7 @@
 // Plan says what a volume is entitled to, over all schedulers and nodes. Rates are in units a second.
 type Plan struct {
 	Name    string
-	Rate    float64 // rate that such a volume is sized for
+	Rate    float64 // nominal rate; Outcome.VolumeUse is a share of it
 	Reserve float64 // rate up to which requests earn their full weight
 	Limit   float64 // rate at which the token bucket of the limit refills; 0 means no limit
 	Burst   float64 // largest number of tokens in the bucket
@@ -146,7 +146,8 @@
 	// SlowStartMultiple is the load that a node in slow start can take over a SlowStartWindow, as a multiple of
 	// its current capacity.
 	SlowStartMultiple float64 `json:"ColdMultiple"`
-	// OrderedKeyQuietPeriod is the time for which an ordered key pauses after an attempt that may still run.
+	// OrderedKeyQuietPeriod is the time for which no other request of an ordered key is sent after an attempt ended
+	// without an answer, because that attempt may still run.
 	OrderedKeyQuietPeriod time.Duration `json:"TurnGap"`
 
 	// RetryBudgetWindow is the time over which requests and retries are counted; 0 means no budget. Within it,
--- a/scheduler/slow_start_fleet_test.go
+++ b/scheduler/slow_start_fleet_test.go
@@ -107,7 +107,7 @@
 }
 
 // host returns the random host of the next request. A tenth of the hosts gets half of the requests, in addition to its
-// equal part of the other half.
+// equal share of the other half.
 func (f *warmingFleet) host() *harness {
 	h := f.harnesses[f.random.IntN(len(f.harnesses))]
 	if f.random.IntN(2) == 0 {
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -4,7 +4,7 @@
 
 const (
 	minPlanWeight        = 0.001       // weight of a plan that has a smaller weight or none
-	reserveSmoothingSpan = time.Second // span over which this host's part of a volume's use is smoothed
+	reserveSmoothingSpan = time.Second // span over which this host's share of a volume's use is smoothed
 )
 
 // volumeState is the state of a volume at this host: its plan and the tokens that this host may spend for it.
@@ -13,8 +13,8 @@
 	idleAt   time.Duration // time after which the volume is idle if no further request arrives
 	weight   float64
 	hosts    float64     // number of schedulers that receive requests of the volume
-	reserve  tokenBucket // this host's part of the volume's reserve
-	limit    tokenBucket // this host's part of the volume's limit
+	reserve  tokenBucket // this host's share of the volume's reserve
+	limit    tokenBucket // this host's share of the volume's limit
 	ownUnits decayingSum // units of the volume served through this host, smoothed over reserveSmoothingSpan
 }
 
@@ -29,7 +29,7 @@
 	return volume
 }
 
-// newVolume creates the volume of a request with an equal part, among its hosts, of what its plan entitles it to.
+// newVolume creates the volume of a request with this host's equal share of what its plan entitles it to.
 func (s *Scheduler) newVolume(request Request) *volumeState {
 	plan := &Plan{Weight: 1, Price: 1}
 	if request.Plan >= 0 && request.Plan < len(s.settings.Plans) {
@@ -37,8 +37,8 @@
 	}
 	hosts := float64(max(request.Hosts, 1))
 	reserveRate := plan.Reserve / hosts
-	// The previous incarnation of this host may have spent its part of the limit. The bucket therefore holds only
-	// half of the host's equal part of burst and slack; the other half covers what one previous incarnation spent.
+	// The host may have restarted after it spent a full bucket. The bucket therefore holds only half of the host's
+	// equal share of burst and slack, so that both runs together stay within that share.
 	limitBurst := (plan.Burst + plan.Slack) / hosts / 2
 	return &volumeState{
 		plan:   plan,
@@ -59,10 +59,10 @@
 	}
 }
 
-// updateReserveShare gives this host the part of a volume's reserve that corresponds to its part of the volume's served
-// units, but at least an equal part, because clients use their hosts unevenly. The argument units is the size of the
-// request that was served; use is the recent rate of the volume through all hosts, as a share of the plan's rate, as
-// the nodes report it.
+// updateReserveShare sets this host's share of a volume's reserve to its share of the volume's served units, but at
+// least to an equal share, because clients use their hosts unevenly. The argument units is the size of the request that
+// was served; use is the recent rate of the volume through all hosts, as a share of the plan's rate, as the nodes
+// report it. If use is not positive, the share of the reserve stays as it is.
 func (s *Scheduler) updateReserveShare(volume *volumeState, units, use float64) {
 	volume.ownUnits.add(s.now, reserveSmoothingSpan, units)
 	if use > 0 && volume.plan.Reserve > 0 {
--- a/scheduler/volume_limit_test.go
+++ b/scheduler/volume_limit_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A host's token bucket holds half of the host's equal part of burst and slack, and starts full.
+// A host's token bucket holds half of the host's equal share of burst and slack, and starts full.
 func TestGuardVolumeLimit(t *testing.T) {
 	h := newHarness(t, limitedSettings())
 	plan := h.settings.Plans[0]
--- a/scheduler/zone_failover.go
+++ b/scheduler/zone_failover.go
@@ -4,7 +4,7 @@
 
 // selectForData selects a node that holds the data of the request. If all such nodes are unavailable, the
 // request is rejected, except that a request is let through from time to time as a trial if the settings do
-// not allow probes.
+// not allow probes. A request that may wait for no node stays unassigned.
 func (s *Scheduler) selectForData(request *requestState) selection {
 	node, _ := s.shortestWait(request, func(node *nodeState) bool {
 		return s.zoneTracker.Node(node.ID) != zonefailover.Unavailable
