--- a/internal/trust/entry.go
+++ b/internal/trust/entry.go
@@ -10,12 +10,13 @@
 // State is how far a node is trusted with an operation.
 type State int
 
-// The States, with the restriction that each brings. A state has the restrictions of the states above it as well.
+// The States, with the restriction that each brings unless Tracker.updateLevel lowers it. A state has the restrictions
+// of the states above it as well.
 const (
 	Trusted    State = iota // no restriction
 	Suspect                 // no hedged requests
 	Probation               // no retries, and a response that denies that the call has run is not relied on
-	Distrusted              // no new requests while another node can take them
+	Distrusted              // no new requests; they are rejected if all nodes with their data have to be avoided
 )
 
 // stateNames are the names of the States in the trust file and in events.
@@ -39,9 +40,9 @@
 
 // Constants of the state machine. The unit of weight is one SchemaViolation.
 const (
-	suspectWeight  = 3.0  // at which a trusted node becomes suspect
-	distrustWeight = 8.0  // at which a suspect node becomes distrusted
-	clearedWeight  = 1.0  // up to which a node can be trusted again
+	suspectWeight  = 3.0  // weight at which a trusted node becomes suspect
+	distrustWeight = 8.0  // weight at which a suspect node becomes distrusted
+	clearedWeight  = 1.0  // weight up to which a node can be trusted again
 	maxSoftWeight  = 12.0 // upper bound of the weight of all soft evidence
 	maxHardWeight  = 24.0 // upper bound of the weight of all hard evidence
 
@@ -60,9 +61,9 @@
 	// probationResponses is how many conforming responses a node must give before its probation can end.
 	probationResponses = 20
 
-	// maxClientWeight is the upper bound of one client's part of the soft weight.
+	// maxClientWeight is the upper bound of the soft weight that is counted for one client.
 	maxClientWeight = 0.45 * suspectWeight
-	// trackedClients is the number of clients whose parts of the soft weight are tracked.
+	// trackedClients is the number of clients for which an entry counts soft weight.
 	trackedClients = 8
 )
 
@@ -72,7 +73,7 @@
 // entry holds how far a node is trusted with an operation, and the evidence for that.
 type entry struct {
 	key        entryKey
-	version    string // of the node's program, as last reported
+	version    string // version of the node's program, as last reported
 	state      State
 	since      time.Duration // when the state began
 	decayedTo  time.Duration // time up to which the weights have decayed
@@ -84,11 +85,11 @@
 	responses  int                // responses so far, with those of a restored Record
 	counts     [evidenceKinds]int // number of these responses by evidence
 	clients    [trackedClients]clientWeight
-	sample     string   // of the last contradiction
+	sample     string   // description of the last contradiction
 	worst      Evidence // kind with the largest weight so far, and the latest such kind if several have it
 }
 
-// clientWeight is one client's part of the soft weight.
+// clientWeight is the soft weight that is counted for one client.
 type clientWeight struct {
 	client uint64
 	weight float64
@@ -135,9 +136,10 @@
 	}
 }
 
-// admitSoftWeight returns the part of a weight that stays within the client's bound, and adds it to the client's part.
-// A client that is not tracked replaces the one with the lowest weight and inherits that weight, so that a client gains
-// nothing by changing its name (the space-saving sketch of A. Metwally et al., ICDT 2005).
+// admitSoftWeight limits the soft weight that one client can add to the entry to maxClientWeight. It returns how much
+// of the weight the client may still add, and counts this for the client. A client that is not tracked replaces the one
+// with the lowest weight and inherits that weight, so that a client gains nothing by changing its name (the
+// space-saving sketch of A. Metwally et al., ICDT 2005).
 func (e *entry) admitSoftWeight(client uint64, weight float64) float64 {
 	tracked := &e.clients[e.clientIndex(client)]
 	tracked.client = client
--- a/internal/trust/evidence.go
+++ b/internal/trust/evidence.go
@@ -65,7 +65,7 @@
 // Report is the evidence of one response.
 type Report struct {
 	Operation, Node string
-	Version         string // of the node's program; empty: unknown
+	Version         string // version of the node's program; empty: unknown
 	Client          uint64 // hash of the client that sent the request
 	Evidence        Evidence
 	Sample          string // readable description of what was observed
--- a/internal/trust/record.go
+++ b/internal/trust/record.go
@@ -29,9 +29,9 @@
 	Level     string         `json:"level"`
 	SinceMs   int64          `json:"sinceMs"`          // for how long the state has lasted, in milliseconds
 	HoldMs    int64          `json:"holdMs,omitempty"` // length of the last hold, in milliseconds; 0: none
-	Weight    float64        `json:"weight"`           // of all evidence against the node
+	Weight    float64        `json:"weight"`           // weight of all evidence against the node
 	Worst     string         `json:"worst,omitempty"`  // kind of evidence with the largest weight so far
-	Counts    map[string]int `json:"counts,omitempty"` // of contradictions by kind
+	Counts    map[string]int `json:"counts,omitempty"` // number of contradictions by kind
 	Responses int            `json:"answers"`
 	Sample    string         `json:"sample,omitempty"`
 }
--- a/internal/trust/tracker.go
+++ b/internal/trust/tracker.go
@@ -32,7 +32,7 @@
 	OfDescription bool // the change concerns the description, which now counts as wrong unless To is Trusted
 	Level         scheduler.RestrictionLevel
 	Worst         Evidence
-	Counts        map[string]int // of contradictions so far, by kind
+	Counts        map[string]int // number of contradictions so far, by kind
 	Responses     int            // responses so far
 	Sample        string         // description of the last contradiction
 }
--- a/internal/warmrestart/assess.go
+++ b/internal/warmrestart/assess.go
@@ -21,7 +21,7 @@
 	confidenceDecay = time.Minute
 	// maxEstimateAge is the age beyond which the confidence in estimates is 0.
 	maxEstimateAge = 10 * time.Minute
-	// maxReserveRateAge is the age of a state up to which the rate of this host's part of a volume's reserve is
+	// maxReserveRateAge is the age of a state up to which the rate of this host's share of a volume's reserve is
 	// restored.
 	maxReserveRateAge = 30 * time.Second
 	// maxClockSetback is how far the wall clock may have been set back between two incarnations.
@@ -32,7 +32,7 @@
 	maxPlausible = 1e12
 )
 
-// Assessment is the result of Assess.
+// Assessment says what to restore of a previous state.
 type Assessment struct {
 	Learned    scheduler.LearnedState // what to restore
 	KnownNodes int                    // number of nodes whose estimates are restored as well
@@ -43,8 +43,8 @@
 type assessor struct {
 	previous   *scheduler.Snapshot
 	settings   scheduler.Settings
-	now        time.Duration // on the new clock
-	age        time.Duration // of the previous state
+	now        time.Duration // present time on the new clock
+	age        time.Duration // time since the previous state was taken
 	shift      time.Duration // what to add to a time on the previous clock to get the time on the new one
 	confidence float64       // in the estimates of the previous state, from 0 to 1
 }
@@ -128,8 +128,9 @@
 		plausible(node.ConcurrencyLimit, node.MaxRate, node.Latency, node.MinLatency, node.QueueTime, node.QueueWeight)
 }
 
-// restoreEstimates restores the estimates of a node. With less confidence, the concurrency limit is closer to that of
-// an unknown node, the rate to 0 and the latency to the minimum latency. The other values are restored as they are.
+// restoreEstimates restores the estimates of a node. The lower the confidence in the estimates, the closer the
+// concurrency limit is to that of an unknown node, the rate to 0 and the latency to the minimum latency. The other
+// values are copied, and the time of the last update is converted to the new clock.
 func (a *assessor) restoreEstimates(restored *scheduler.LearnedNode, node *scheduler.SnapshotNode) {
 	unknown := initialConcurrencyLimit(a.settings)
 	restored.ConcurrencyLimit = unknown + a.confidence*(node.ConcurrencyLimit-unknown)
@@ -224,8 +225,8 @@
 	return retriedAt
 }
 
-// restoreFleetEstimates restores the estimates that concern all nodes together. With less confidence, the work of each
-// class is closer to 1. The others are restored as they are.
+// restoreFleetEstimates restores the estimates that concern all nodes together. The lower the confidence in the
+// estimates, the closer the work of each class is to 1. The other estimates are copied.
 func (a *assessor) restoreFleetEstimates(learned *scheduler.LearnedState) {
 	previous := a.previous
 	if a.confidence <= minConfidence || len(previous.ClassWork) != len(a.settings.Classes) ||
--- a/internal/warmrestart/helpers_test.go
+++ b/internal/warmrestart/helpers_test.go
@@ -31,7 +31,7 @@
 	return s
 }
 
-// stateAfter returns the state of a Scheduler after a random workload of some events.
+// stateAfter returns the state of a Scheduler after a random workload of the given number of events.
 func stateAfter(t rapid.TB, seed uint64, events int) *scheduler.Snapshot {
 	t.Helper()
 	workload := capturetest.NewWorkload(seed)
--- a/internal/warmrestart/learning_test.go
+++ b/internal/warmrestart/learning_test.go
@@ -13,7 +13,7 @@
 type simulatedNode struct {
 	capturetest.Workload
 	inFlight []scheduler.Outcome
-	endsAt   []time.Duration // of inFlight
+	endsAt   []time.Duration // when each attempt in inFlight ends
 	now      time.Duration
 }
 
--- a/internal/warmrestart/store.go
+++ b/internal/warmrestart/store.go
@@ -28,7 +28,7 @@
 // maxStateBytes is how many bytes of a file with a stored state are read at most.
 const maxStateBytes = 8 << 20
 
-// Suffixes of the other files beside that of the newest generation.
+// Suffixes that are appended to Store.Path to name the other files.
 const (
 	previousSuffix = ".old"       // the generation before the newest one
 	nextSuffix     = ".new"       // a generation that is written but not yet renamed to the newest one
@@ -38,7 +38,7 @@
 // Store keeps the state of one gateway on disk, in two generations. It is used by one goroutine at a time.
 type Store struct {
 	FS   filesystem.FS
-	Path string // of the newest generation; the other files are in the same directory
+	Path string // file of the newest generation; the other files are in the same directory
 	Log  *slog.Logger
 }
 
--- a/internal/zonefailover/node.go
+++ b/internal/zonefailover/node.go
@@ -42,11 +42,11 @@
 
 // node holds the health of a node.
 type node struct {
-	Observation   // the last one
+	Observation   // latest observation of the node
 	state         State
 	since         time.Duration // when the state began
 	trialAt       time.Duration // earliest time of the next trial request, while the node is unavailable
-	trialInterval time.Duration // between the last trial request and trialAt
+	trialInterval time.Duration // time from the last trial request, or from becoming unavailable, to trialAt
 }
 
 // observe stores an observation and returns the change of state that it causes, or nil.
--- a/internal/zonefailover/settings.go
+++ b/internal/zonefailover/settings.go
@@ -33,7 +33,7 @@
 // WorkTiers holds the tiers of the zones for the work of a class, of a plan, or of a class within a plan.
 type WorkTiers struct {
 	Class, Plan int   // -1 matches any
-	Tiers       []int // of the zones, as in Settings
+	Tiers       []int // tier of each zone, as in Settings.Tiers
 }
 
 // Enabled reports whether zone failover is on.
--- a/internal/zonefailover/spillover.go
+++ b/internal/zonefailover/spillover.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// SpilloverLimiter limits the work that goes beyond the first tier, by token buckets. Each gateway has an equal part of
-// the rate and the burst, so that all gateways together stay within the bound without communication: in any period of t
-// seconds, no more than Spillover*t + Burst units spill over. If Share is set, the work that spills over into one zone
-// is also limited to this share of the zone's spare capacity, as this gateway has observed it.
+// SpilloverLimiter limits the work that goes beyond the first tier, by token buckets. Each gateway has an equal share
+// of the rate and the burst, so that all gateways together stay within the bound without communication: in any period
+// of t seconds, no more than Spillover*t + Burst units spill over. If Share is set, the work that spills over into one
+// zone is also limited to this share of the zone's spare capacity, as this gateway has observed it.
 type SpilloverLimiter struct {
 	settings Settings
 	total    tokenBucket   // limits the work that spills over into all zones together
@@ -37,7 +37,7 @@
 	return &SpilloverLimiter{settings: settings, zones: make([]tokenBucket, len(settings.Tiers))}
 }
 
-// gatewayShare returns this gateway's part of the rate and burst of all gateways, as a fraction.
+// gatewayShare returns this gateway's share of the rate and burst of all gateways, as a fraction.
 func (l *SpilloverLimiter) gatewayShare() float64 { return 1 / float64(max(1, l.settings.Siblings)) }
 
 // rate returns the units a second that this gateway may spill over.
--- a/internal/zonefailover/tracker_test.go
+++ b/internal/zonefailover/tracker_test.go
@@ -24,7 +24,7 @@
 	tracker *Tracker
 	now     time.Duration
 	nodes   []*simulatedNode
-	changes []zoneChange // so far; those of nodes are left out
+	changes []zoneChange // changes of zones so far
 }
 
 type simulatedNode struct {
