--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -16,8 +16,8 @@
 	MemoryBytes           int           // bytes of requests and responses in memory, for all connections
 	ConnectionMemoryBytes int           // bytes of requests and responses in memory, for one connection
 	Stall                 time.Duration // how long a response may make no progress before its stream is aborted
-	Age                   time.Duration // at which a connection is asked to go away, plus or minus a fifth; 0: never
-	Requests              int           // after which a connection is asked to go away, plus or minus a fifth; 0: never
+	Age                   time.Duration // age at which a connection is asked to go away, plus or minus a fifth; 0: never
+	Requests              int           // requests until a connection is asked to go away, plus or minus a fifth; 0: never
 }
 
 // check returns an error that names the first invalid field, or nil.
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -24,12 +24,12 @@
 	connections map[ConnectionID]*connection
 	clients     map[string]*client
 	waiting     waitingStreams
-	inFlight    int                       // streams
+	inFlight    int                       // number of streams in flight
 	memory      int                       // bytes reserved for all streams
 	started     uint64                    // streams started so far
 	arrived     uint64                    // streams accepted so far
-	actions     []Action                  // of the current event
-	abuse       map[string]abusiveAddress // by address
+	actions     []Action                  // actions that the current event has caused so far
+	abuse       map[string]abusiveAddress // connections recently closed for abuse, by address
 }
 
 // client counts the streams of a client over all connections. It is removed with its last stream.
@@ -40,10 +40,10 @@
 	id      ConnectionID
 	address string
 	streams map[StreamID]*stream
-	queues  map[string]*clientQueue // of waiting streams, by client
+	queues  map[string]*clientQueue // queues of its waiting streams, by client
 
-	waiting     int // streams
-	inFlight    int // streams
+	waiting     int // number of waiting streams
+	inFlight    int // number of streams in flight
 	memory      int // bytes reserved for its streams
 	streamLimit int // last announced limit of streams
 	requests    int // streams accepted so far
@@ -136,7 +136,7 @@
 	}
 	// A client may open streams before it receives a lowered limit, so the original limit, Config.MaxStreams, applies
 	// here. It may also open a few streams before it receives a GOAWAY. A rejected stream counts as a small violation,
-	// so that the connection of a client that goes on after a GOAWAY for abuse is closed in the end.
+	// so that a client that opens further streams after a GOAWAY for abuse loses the connection in the end.
 	if conn.rejecting || conn.streams[sid] != nil || len(conn.streams) >= c.config.MaxStreams {
 		c.emit(Action{Kind: RejectStream, Connection: id, Stream: sid})
 		c.recordViolation(conn, RejectedStream)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -20,7 +20,7 @@
 // connection and with the logarithm of the number of waiting connections, not with the number of streams. Connections
 // whose waiting clients all have PerClient streams in flight add to it.
 type waitingStreams struct {
-	byArrival list.List      // of *stream
+	byArrival list.List      // all waiting streams, as *stream
 	ready     connectionHeap // connections that have a waiting stream and capacity for another one in flight
 }
 
--- a/internal/admission/violations_test.go
+++ b/internal/admission/violations_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	if c.Connect(banDuration-1, 9, "bad") || !c.Connect(banDuration, 10, "bad") {
-		t.Errorf("the address is not banned for exactly %v", banDuration)
+		t.Errorf("the address is accepted before %v have passed, or still banned then", banDuration)
 	}
 }
 
--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -49,7 +49,7 @@
 	*referenceLimit
 	wheel        [64][]string  // keys by the slot in which they may be idle
 	advancedTo   int           // number of slots that have expired
-	slotDuration time.Duration // of one slot of the wheel
+	slotDuration time.Duration // duration of one slot of the wheel
 }
 
 func (w *wheelLimit) take(now time.Duration, key string) bool {
--- a/internal/ratelimit/fairshare.go
+++ b/internal/ratelimit/fairshare.go
@@ -13,7 +13,7 @@
 // parentUsage tracks how the used part of a burst drains, for one key of a parent. The shares of all children shrink by
 // the same factor, so one scale serves them all.
 type parentUsage struct {
-	scale float64 // by which the parentShare of an entry is multiplied to get its present share
+	scale float64 // factor by which the parentShare of an entry is multiplied to get its present share
 	used  float64 // requests of the burst that were in use at the last call
 	epoch uint32  // increased when used is 0 or scale below minScale, which sets the shares of all children to 0
 }
--- a/internal/ratelimit/fairshare_test.go
+++ b/internal/ratelimit/fairshare_test.go
@@ -18,7 +18,7 @@
 	for now := time.Duration(0); now < 60*time.Second; now += time.Millisecond {
 		for _, client := range []struct {
 			key    string
-			chance float64 // of a request in each millisecond
+			chance float64 // probability of a request in each millisecond
 		}{{"greedy", 0.9}, {"modest", 0.01}, {"eager", 0.2}} {
 			if random.Float64() >= client.chance {
 				continue
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -33,7 +33,7 @@
 	Key   string // the empty string is a key like any other
 }
 
-// Decision is the result of Take.
+// Decision says whether a request is within its limits and, if not, when a retry may be admitted.
 type Decision struct {
 	Admitted   bool
 	Limit      int           // if rejected: index of the limit that makes the request wait longest
@@ -58,7 +58,7 @@
 type reservation struct {
 	table *table
 	limit int
-	hash  uint64 // of the key
+	hash  uint64 // hash of the key
 	exact bool   // the request is counted in a slot, not in the sketch
 }
 
@@ -75,8 +75,8 @@
 // Limiter enforces a list of limits. It owns their tables.
 type Limiter struct {
 	parents    []int             // index of each limit's parent, or noLimit
-	tables     []*table          // of each limit
-	byIdentity map[string]*table // by the definition and whether it is a parent, for Replace
+	tables     []*table          // table of each limit
+	byIdentity map[string]*table // tables by definition and whether it is a parent, for Replace
 	now        time.Duration     // latest time that Take was given
 }
 
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -157,7 +157,7 @@
 		t.Fatal(err)
 	}
 	if decision := l.Take(0, []Claim{{0, "k"}}); !decision.Admitted {
-		t.Error("the changed limit has kept its counts")
+		t.Error("after Replace, a request is rejected by counts of the old definition, want it admitted")
 	}
 	if err := l.Replace([]Definition{{Name: "x"}}); err == nil || l.Take(0, []Claim{{0, "k"}}).Admitted {
 		t.Error("an invalid list of limits is accepted or has changed the limits")
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -21,12 +21,14 @@
 
 // entry counts the requests of one key.
 type entry struct {
-	hash               uint64
-	theoreticalArrival time.Duration // of the next request; if it is not in the future, the whole burst is free
-	parentShare        float64       // of the parent's used requests, divided by the parent's scale
-	epoch              uint32        // of the parent, in which parentShare is valid
-	open               int32         // open requests
-	seen               uint32        // requests so far, up to math.MaxUint32
+	hash uint64
+	// theoreticalArrival is when the next request would arrive at the limit's rate (see table.wait). If this is not in
+	// the future, the whole burst is free.
+	theoreticalArrival time.Duration
+	parentShare        float64 // used requests of the parent that belong to this key, divided by the parent's scale
+	epoch              uint32  // epoch of the parent in which parentShare is valid; in others, the share is 0
+	open               int32   // open requests
+	seen               uint32  // requests so far, up to math.MaxUint32
 }
 
 // idle reports whether a key has its whole burst and no open request, so that it can be forgotten without any loss.
@@ -46,9 +48,9 @@
 	definition     Definition
 	interval       time.Duration // emission interval: the time between two requests at the limit's rate
 	burstTolerance time.Duration
-	grace          time.Duration // for which an idle returning key keeps its slot
+	grace          time.Duration // time for which an idle returning key keeps its slot
 	slots          []entry
-	usage          []parentUsage // of each slot; nil if the limit is no parent
+	usage          []parentUsage // usage of the key in each slot; nil if the limit is no parent
 	sketch         [sketchRows][]sketchCell
 	scratch        entry // estimate for the key that was looked up last of those without a slot
 }
