--- a/internal/capture/doc.go
+++ b/internal/capture/doc.go
@@ -11,8 +11,8 @@
 //     without what came before it. The Recorder keeps the newest parts in memory, up to Options.MaxBytes.
 //   - A chunk is the piece of a part that was added since the last chunk. Once a second the Recorder offers a Chunk
 //     to its Sink, which writes it to disk (package segment).
-//   - A gap stands for records that were lost, because the state did not fit into memory or the Sink could not keep up.
-//     A replay stops at a gap and goes on at the next snapshot.
+//   - A gap is a record in place of records that were lost, because the state did not fit into memory or the Sink could
+//     not keep up. A replay stops at a gap and resumes at the next snapshot.
 //
 // # File format
 //
--- a/internal/capture/invariants/checker.go
+++ b/internal/capture/invariants/checker.go
@@ -148,7 +148,8 @@
 			c.answer(r, "rejected")
 		}
 	case capture.KindFail:
-		if r := c.requests[action.ID]; r != nil { // otherwise the request was not accepted, and failed at once
+		// A request that is not accepted fails on arrival and is not in c.requests.
+		if r := c.requests[action.ID]; r != nil {
 			c.answer(r, "failed")
 		}
 	}
--- a/internal/capture/invariants/state.go
+++ b/internal/capture/invariants/state.go
@@ -126,7 +126,7 @@
 }
 
 func (c *Checker) forgetRequest(r *request) {
-	if c.requests[r.ID] == r { // otherwise a later request has the same ID
+	if c.requests[r.ID] == r { // a later request may have the same ID
 		delete(c.requests, r.ID)
 	}
 	if !r.class.Ordered || r.Key == "" {
--- a/internal/capture/invariants/volume_limit.go
+++ b/internal/capture/invariants/volume_limit.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// forgetFullVolumes forgets the volumes whose token buckets are full again, because a new bucket is full, too.
+// forgetFullVolumes forgets the volumes whose token buckets are full again, because a new bucket is also full.
 func (c *Checker) forgetFullVolumes() {
 	for name, v := range c.volumes {
 		if v.tokensAt(c.now) >= v.burst {
--- a/internal/capture/player.go
+++ b/internal/capture/player.go
@@ -87,7 +87,8 @@
 
 var errNoSnapshot = fmt.Errorf("%w: no snapshot before the first event", ErrDamaged)
 
-// nextEvent reads gaps, notes and snapshots up to the next event, which stays pending.
+// nextEvent reads gaps, notes and snapshots up to the next event. It returns the event without consuming it: p.pending
+// keeps it for the next read.
 func (p *Player) nextEvent() (*Record, error) {
 	for {
 		record, err := p.read()
@@ -138,7 +139,7 @@
 	}
 }
 
-// handleGap counts a gap of lost records. The replay goes on at the next snapshot.
+// handleGap counts a gap of lost records. The replay resumes at the next snapshot.
 func (p *Player) handleGap(lost int) {
 	p.Gaps++
 	p.Lost += lost
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -160,7 +160,7 @@
 }
 
 // readFrame reads one frame. It returns io.EOF if the input ends before the frame. If the input ends within the frame,
-// the error is ErrDamaged and wraps io.ErrUnexpectedEOF, too.
+// the error wraps both ErrDamaged and io.ErrUnexpectedEOF.
 func (r *Reader) readFrame(input io.Reader) (flags uint32, body []byte, err error) {
 	var header [frameHeaderLength]byte
 	n, err := io.ReadFull(input, header[:])
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -29,7 +29,7 @@
 	KindWatch
 	kindFetch // retired: a call for the whole endpoint list
 	KindLog
-	KindGap        // records were lost here; a replay goes on at the next snapshot only
+	KindGap        // records were lost here; a replay resumes only at the next snapshot
 	KindSnapshot   // the Scheduler's state before the next event
 	KindRestored   // an event: the learned state of a previous incarnation
 	KindNote       // a remark of another component, which the Scheduler does not see
@@ -75,13 +75,13 @@
 }
 
 // isAction reports whether records of this kind are actions, which the Scheduler calls for. Kinds that this program
-// does not know count as actions, too.
+// does not know also count as actions.
 func (k Kind) isAction() bool {
 	return !k.IsEvent() && k != KindGap && k != KindSnapshot && k != KindNote
 }
 
 // Record is an event, an action, a snapshot, a gap or a note. Fields that its kind does not use are zero and take no
-// space in a file. The JSON names are those of exported captures.
+// space in a file. Exported captures use the JSON names.
 type Record struct {
 	Kind Kind `cbor:"1,keyasint"`
 	// At is the time of an event on the Scheduler's clock. Actions take place at the time of the event before them.
@@ -98,7 +98,7 @@
 	Outcome     *scheduler.Outcome     `cbor:"10,keyasint,omitempty"`
 	ProbeResult *scheduler.ProbeResult `cbor:"11,keyasint,omitempty" json:"Probed"`
 	Membership  *scheduler.Membership  `cbor:"12,keyasint,omitempty" json:"Members"`
-	// Lost is the number of records that a gap stands for.
+	// Lost is the number of records that were lost at a gap.
 	Lost int `cbor:"13,keyasint,omitempty"`
 	// State is the state that a snapshot holds.
 	State *scheduler.Snapshot `cbor:"14,keyasint,omitempty"`
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -111,7 +111,7 @@
 }
 
 // add appends a record to the current part. A record that can't be encoded breaks the part: a replay stops there
-// and goes on at the next part.
+// and resumes at the next part.
 func (r *Recorder) add(record Record) {
 	r.scratch = record
 	if r.options.Triggers != nil {
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// A state that does not fit into the memory ends the recording. The recording goes on once the state fits again, and a
-// gap stands for the lost records.
+// While the state exceeds the Recorder's memory, the recording pauses. It resumes once the state fits again, with a gap
+// for the lost records.
 func TestRecorderPausesWhileTheStateExceedsItsMemory(t *testing.T) {
 	const maxBytes = 30_000
 	r, err := NewRecorder(settings, 1, Options{MaxBytes: maxBytes}, capturetest.NewWorkload(1))
--- a/internal/capture/recording.go
+++ b/internal/capture/recording.go
@@ -29,7 +29,7 @@
 }
 
 // File returns the recording as a capture file with one block for each part. If records were lost after the
-// last part, a gap at the end stands for them.
+// last part, the file ends with a gap that gives their number.
 func (r Recording) File() ([]byte, error) {
 	out, err := EncodeHeader(&r.head)
 	if err != nil {
--- a/internal/capture/segment/recovery_test.go
+++ b/internal/capture/segment/recovery_test.go
@@ -102,7 +102,8 @@
 	return events, segments
 }
 
-// Files that are not segments, and files with the name of a segment that can't be read, stay unchanged.
+// A file that is not a segment stays unchanged. A file that has the name of a segment but can't be read is neither
+// removed nor emptied, and the recording continues in a new segment.
 func TestForeignFilesStayUnchanged(t *testing.T) {
 	fs := filesystemtest.New()
 	fs.Put(pathOf(7), []byte("something that somebody else has put here"))
--- a/internal/capture/segment/writer.go
+++ b/internal/capture/segment/writer.go
@@ -1,7 +1,7 @@
 // Package segment writes captures to disk as segments. A segment is a file to which chunks are appended. It ends when
 // it reaches a size or an age, or when a write fails. The oldest segments are removed when the total size exceeds its
 // limit. The recorder never waits for the disk: records that are not written in time are lost, and a gap in the capture
-// stands for them.
+// gives their number.
 package segment
 
 import (
@@ -156,7 +156,7 @@
 	}
 }
 
-// write writes a chunk and syncs it. An error ends the open segment, and the Writer goes on after a pause.
+// write writes a chunk and syncs it. An error ends the open segment, and the Writer resumes after a pause.
 func (w *Writer) write(chunk capture.Chunk) {
 	w.queuedBytes.Add(-int64(len(chunk.Frames)))
 	w.lostRecords += chunk.Lost
--- a/internal/capture/segment/writer_test.go
+++ b/internal/capture/segment/writer_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// A full disk pauses the recording with a log line. The writer rarely tries again. When the disk has space again, the
-// recording goes on after a gap.
+// A full disk pauses the recording with a log line. While the disk is full, the writer rarely tries to write. When the
+// disk has space again, the recording resumes after a gap.
 func TestFullDisk(t *testing.T) {
 	fs := filesystemtest.New()
 	fs.Capacity = 6000
@@ -92,7 +92,7 @@
 	}
 }
 
-// A writer that does not keep up loses records but never blocks the recorder. Gaps stand for the lost records.
+// A writer that does not keep up loses records but never blocks the recorder. Gaps take the place of the lost records.
 func TestSlowDisk(t *testing.T) {
 	f := newFixture(t, filesystemtest.New(), Limits{Size: 1 << 20, Age: time.Hour, Total: 1 << 24})
 	for range 3000 {
--- a/internal/capture/shrink/shrink.go
+++ b/internal/capture/shrink/shrink.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// removeParts divides the events into parts and leaves out each part that the property does not need. It goes on with
+// removeParts divides the events into parts and leaves out each part that the property does not need. It continues with
 // smaller parts until each part is a single event.
 func (s *shrinker) removeParts() {
 	for parts := 2; len(s.best.Events) > 1 && s.replaysLeft > 0; {
--- a/internal/capture/summary/summary.go
+++ b/internal/capture/summary/summary.go
@@ -27,11 +27,11 @@
 type Summary struct {
 	Classes []Class
 	Results map[string]map[scheduler.Result]int // numbers of attempts by node and result
-	Seconds map[int64]*Second                   // by second of the Scheduler's clock
+	Seconds map[int64]*Second                   // counts by second of the Scheduler's clock
 	Open    int                                 // requests that have not ended
 
 	settings scheduler.Settings
-	open     map[string]openRequest // by ID
+	open     map[string]openRequest // requests that have not ended, by ID
 }
 
 // Class counts the requests of a class.
--- a/internal/capture/timeline/request_test.go
+++ b/internal/capture/timeline/request_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// Every request of a random workload that the capture holds has a timeline. WriteRequest replays the capture for it,
-// so making snapshots and resuming from them in between must not change what the replay does.
+// Of a random workload, each request of a sample has a timeline if the capture holds the request. WriteRequest replays
+// the capture for it, so making snapshots and resuming from them in between must not change what the replay does.
 func TestEveryRequestHasATimeline(t *testing.T) {
 	workload := capturetest.NewWorkload(3)
 	r, err := capture.NewRecorder(capturetest.Settings, 3, capture.Options{MaxBytes: 400_000}, workload)
--- a/internal/capture/timeline/state.go
+++ b/internal/capture/timeline/state.go
@@ -32,7 +32,7 @@
 	}
 	fmt.Fprintln(table, "\nvolume\tplan\tserved\treserve tokens\treserve rate\tlimit tokens\tlimit rate\t"+
 		"open requests\t\t\t\t\t\t")
-	openRequests := map[int]int{} // by index of the volume
+	openRequests := map[int]int{} // numbers of open requests by index of the volume
 	for _, r := range state.Requests {
 		openRequests[r.Volume]++
 	}
--- a/internal/capture/trigger/watcher.go
+++ b/internal/capture/trigger/watcher.go
@@ -29,7 +29,7 @@
 // the listed nodes, and nothing of earlier seconds.
 type Watcher struct {
 	rules   []Rule
-	states  []ruleState // by rule
+	states  []ruleState // state of each rule, in the order of the rules
 	classes []scheduler.Class
 
 	second    SecondCounts  // counts of the current second
--- a/internal/capture/whatif/play.go
+++ b/internal/capture/whatif/play.go
@@ -39,7 +39,7 @@
 	pending  pendingQueue       // the timers and the ends of attempts that are still to come
 	sequence int                // sequence number of the last event that was added to pending
 	attempts map[string]int     // numbers of attempts that were sent, by request
-	units    map[string]float64 // by request
+	units    map[string]float64 // number of units by request ID
 	open     map[string]bool    // requests without a final answer
 	summary  *summary.Summary
 }
@@ -74,7 +74,8 @@
 		p.summary.Add(&event, p.now)
 		s.RequestArrived(p.now, *event.Request)
 	case capture.KindClientDisconnected:
-		if p.open[event.ID] { // otherwise the client would have got its answer before
+		// If this playback has answered the request already, its client no longer waits and does not disconnect.
+		if p.open[event.ID] {
 			delete(p.open, event.ID)
 			p.summary.Add(&event, p.now)
 			s.ClientDisconnected(p.now, event.ID)
--- a/internal/capture/whatif/whatif_test.go
+++ b/internal/capture/whatif/whatif_test.go
@@ -33,7 +33,7 @@
 	return workload
 }
 
-// Played with its own settings, a workload has the recorded arrivals, and each time the same result.
+// Playing a workload with the recorded settings reproduces the arrivals, and gives the same result each time.
 func TestPlayIsDeterministic(t *testing.T) {
 	workload := readWorkload(t, 4000)
 	var results [][]byte
--- a/internal/capture/write.go
+++ b/internal/capture/write.go
@@ -5,7 +5,7 @@
 // EncodeHeader returns the bytes with which a capture begins: the magic text and the head.
 func EncodeHeader(head *Head) ([]byte, error) { return appendFrame([]byte(magic), head) }
 
-// GapFrame returns the frame of a gap that stands for this number of lost records.
+// GapFrame returns the frame of a gap, given the number of lost records.
 func GapFrame(lost int) ([]byte, error) { return appendFrame(nil, Record{Kind: KindGap, Lost: lost}) }
 
 // writeSize is the number of bytes that Write collects before it writes them.
--- a/internal/contract/catalog/catalog.go
+++ b/internal/contract/catalog/catalog.go
@@ -18,8 +18,8 @@
 
 // Catalog holds all operations of a set of descriptions. It is immutable.
 type Catalog struct {
-	Undescribed      Entry             // of undescribed calls
-	GeneratedClasses []scheduler.Class // for operations that name no class; numbered after those of the settings
+	Undescribed      Entry             // entry of the calls that match no operation
+	GeneratedClasses []scheduler.Class // for operations that name no class; numbered after the classes of the settings
 
 	operations []*contract.Operation // those that New was called with
 	router     *contract.Router
@@ -100,7 +100,7 @@
 }
 
 // Channels with the addresses iscsi/LUN/read and iscsi/LUN/write describe commands of the iSCSI frontend. The address
-// with the literal {lun} stands for all logical units without a channel of their own.
+// with the literal {lun} applies to all logical units without a channel of their own.
 const (
 	commandPrefix = "iscsi/"
 	anyLUN        = "{lun}"
@@ -112,7 +112,7 @@
 }
 
 // Command returns the entry of a READ or WRITE command. It returns nil if the descriptions have no commands at all, and
-// Undescribed if they have only others.
+// Undescribed if they describe only other commands.
 func (c *Catalog) Command(lun int, write bool) *Entry {
 	if len(c.commands) == 0 {
 		return nil
--- a/internal/contract/catalog/class.go
+++ b/internal/contract/catalog/class.go
@@ -20,7 +20,7 @@
 type classAssigner struct {
 	settings  scheduler.Settings
 	generated []scheduler.Class
-	numbers   map[scheduler.Class]int // numbers of the generated classes, which follow those of the settings
+	numbers   map[scheduler.Class]int // numbers of the generated classes, after the classes of the settings
 	faults    contract.Faults
 }
 
--- a/internal/contract/check.go
+++ b/internal/contract/check.go
@@ -25,7 +25,7 @@
 // operationChecker checks one operation.
 type operationChecker struct {
 	operation        *Operation
-	segments         []pathSegment // of the path template
+	segments         []pathSegment // parsed from the path template
 	faults, warnings Faults
 }
 
@@ -39,8 +39,8 @@
 	c.warnings = append(c.warnings, warning)
 }
 
-// check checks the operation and adds it to shapes, which holds the operations checked so far by method, host and shape
-// of the path.
+// check adds the faults and warnings of the operation, and adds the operation to shapes. That map holds the operations
+// checked so far by method, host and path template with blank parameter names, such as "GET a.example/sheets/{}".
 func (c *operationChecker) check(shapes map[string][]*Operation) {
 	o := c.operation
 	if o.Method != "" {
@@ -73,8 +73,9 @@
 	}
 }
 
-// ambiguous reports whether a request can match both of two operations with the same method, host and shape of the
-// path, and neither takes precedence by having more conditions. Only equal media types count as overlapping.
+// ambiguous reports whether a request can match both of two operations and neither takes precedence by having more
+// conditions. The operations have equal methods and hosts, and path templates that differ at most in the names of their
+// parameters. Only equal media types count as overlapping.
 func ambiguous(a, b *Operation) bool {
 	if len(a.When) != len(b.When) {
 		return false
@@ -110,7 +111,9 @@
 		}
 	case NonIdempotent:
 		if o.Method == http.MethodGet || o.Method == http.MethodHead {
-			c.warn("the method is %s, but the operation is not declared safe, so it is never retried", o.Method)
+			const message = "the method is %s, but the operation is not declared safe, " +
+				"so it is not retried once it may have run"
+			c.warn(message, o.Method)
 		}
 	}
 	if o.Idempotency != Idempotent && o.StableFor > 0 {
@@ -144,8 +147,8 @@
 	}
 }
 
-// checkStatus checks that the meaning of a status agrees with how clients interpret the status. Clients take 429 and
-// 503 as a sign that a retry is safe.
+// checkStatus checks that the declared meaning of a status agrees with how clients interpret the status. Clients take
+// 429 and 503 as a sign that a retry is safe.
 func (c *operationChecker) checkStatus(status string, meaning StatusMeaning) {
 	invitesRetry := status == "429" || status == "503"
 	rangeInvitesRetry := status == "4XX" || status == "5XX"
--- a/internal/contract/conformance/inspector.go
+++ b/internal/contract/conformance/inspector.go
@@ -24,7 +24,7 @@
 	Status      int
 	Header      http.Header
 	Body        []byte
-	Duration    time.Duration // of the attempt
+	Duration    time.Duration // time that the attempt took
 	CheckSchema bool          // whether the body is validated against its schema
 }
 
--- a/internal/contract/conformance/inspector_test.go
+++ b/internal/contract/conformance/inspector_test.go
@@ -262,7 +262,7 @@
 	},
 }
 
-// Each response gives the evidence that its description and the responses before it imply.
+// Inspect reports the expected evidence for each response, given the responses before it.
 func TestInspect(t *testing.T) {
 	c := parseCatalog(t, description)
 	for kind, tests := range map[string]evidenceCases{
--- a/internal/contract/registry/registry.go
+++ b/internal/contract/registry/registry.go
@@ -20,7 +20,7 @@
 
 // Options specify how undescribed calls are handled.
 type Options struct {
-	RejectUndescribed bool    // whether they are rejected; otherwise they are admitted but never retried
+	RejectUndescribed bool    // whether to reject them; if not, they are not retried once they may have run
 	Rate              float64 // admitted calls per second; 0: no limit
 	Burst             float64 // calls admitted at once after an idle time; less than 1: 1
 	MaxInFlight       int     // calls in flight; 0: no limit
--- a/internal/contract/registry/report.go
+++ b/internal/contract/registry/report.go
@@ -15,7 +15,7 @@
 // Counts are the numbers of undescribed calls since the last report, and the latest such call.
 type Counts struct {
 	Undescribed int    // all undescribed calls
-	RateLimited int    // those that were rejected because they exceeded the limit
+	RateLimited int    // undescribed calls that were rejected because they exceeded the limit
 	Last        string // the method and path of the latest call, or its logical unit and whether it writes
 }
 
@@ -69,5 +69,5 @@
 	if r.options.RejectUndescribed {
 		return "rejected"
 	}
-	return fmt.Sprintf("admitted without retries, limit %v per second", r.options.Rate)
+	return fmt.Sprintf("not retried, %v a second", r.options.Rate)
 }
--- a/internal/contract/response.go
+++ b/internal/contract/response.go
@@ -9,7 +9,7 @@
 	"github.com/getkin/kin-openapi/openapi3"
 )
 
-// defaultResponse is the key of the response that stands for all statuses without a description of their own.
+// defaultResponse is the key of the response that describes all statuses without a description of their own.
 const defaultResponse = "default"
 
 // Response is the description of the response with one status.
--- a/internal/contract/router.go
+++ b/internal/contract/router.go
@@ -9,8 +9,8 @@
 // match, one that names the host takes precedence over one that names none; then literal segments take precedence over
 // parameters from left to right, and then more conditions over fewer.
 type Router struct {
-	anyHost *routeNode            // of operations that name no host
-	hosts   map[string]*routeNode // by host
+	anyHost *routeNode            // tree of the operations that name no host
+	hosts   map[string]*routeNode // trees of the other operations, by host
 }
 
 // routeNode is a node of the tree. Its routes are the operations whose templates end at it.
--- a/internal/contract/router_test.go
+++ b/internal/contract/router_test.go
@@ -56,7 +56,7 @@
 	return best
 }
 
-// scanSegments reports whether the segments of a path match those of a template.
+// scanSegments reports whether the segments of a path match the segments of a template.
 func scanSegments(segments []pathSegment, parts []string) bool {
 	if len(segments) != len(parts) {
 		return false
@@ -159,7 +159,7 @@
 	return c
 }
 
-// The Router finds the same operation as a scan of all of them.
+// The Router finds the operation that a linear scan of all operations finds.
 func TestRouterEqualsScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var operations []*Operation
--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -65,7 +65,7 @@
 func BenchmarkIndex(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		if n == 10000 {
-			n = 9999 // With the rule for the key, there are 10,000, the highest number allowed.
+			n = 9999 // With the rule for the key, there are 10,000 rules, the maximum of a file.
 		}
 		set := parse(b, manyRules(n))
 		f := request("GET", fmt.Sprintf("/api/app%d/7", n-1), "X-Project", "bridge")
@@ -81,7 +81,7 @@
 	}
 }
 
-// BenchmarkLoad10000 measures loading a file with the highest number of rules.
+// BenchmarkLoad10000 measures loading a file with 10,000 rules, the maximum of a file.
 func BenchmarkLoad10000(b *testing.B) {
 	text := manyRules(9999)
 	for b.Loop() {
--- a/internal/rules/cost.go
+++ b/internal/rules/cost.go
@@ -10,10 +10,10 @@
 
 // Costs in estimated nanoseconds.
 const (
-	requestCost   = 500 // of a request without any rule
-	lookupCost    = 60  // of a lookup in one of the indexes of a stage
-	candidateCost = 25  // of each candidate that is found, without its expressions
-	limitCost     = 300 // of counting a request by one limit, without its expressions
+	requestCost   = 500 // cost of a request without any rule
+	lookupCost    = 60  // cost of a lookup in one of the indexes of a stage
+	candidateCost = 25  // cost of each candidate that is found, without its expressions
+	limitCost     = 300 // cost of counting a request by one limit, without its expressions
 )
 
 // checkBudget estimates the worst-case cost of the set and adds a fault if it exceeds the file's budget.
@@ -53,9 +53,9 @@
 	return slices.ContainsFunc(x.rules, func(r *Rule) bool { return r.SkipOnFault })
 }
 
-// worstAssignmentCost returns the highest cost, over all rules, of evaluating the expressions of the values that a rule
-// sets: only those of the first rule that matches are evaluated. If rules can be skipped, those of several rules may be
-// evaluated; worstCandidateCost then includes their cost, and worstAssignmentCost returns 0.
+// worstAssignmentCost returns the highest cost that the assignments of any one rule can have, because only the
+// assignments of the first matching rule are evaluated. It returns 0 if a fault can skip a rule: the assignments of
+// several rules may then be evaluated, and worstCandidateCost includes their cost.
 func (x *ruleIndex) worstAssignmentCost() expression.Amount {
 	var highest expression.Amount
 	if x.hasSkippableRules() {
--- a/internal/rules/engine/engine.go
+++ b/internal/rules/engine/engine.go
@@ -19,8 +19,8 @@
 	"reachpulley/internal/rules/expression"
 )
 
-// maxLoggedSamples is the number of requests whose shadow differences are logged at first. After these, differences are
-// logged only if reportInterval has passed since the last ones were.
+// maxLoggedSamples is the number of requests for which a difference between the results of the shadow set and of the
+// rules in force is logged at once. After these, one is logged only if reportInterval has passed since the last one.
 const maxLoggedSamples = 5
 
 // Engine evaluates requests by the rules in force, which Swap replaces.
@@ -58,8 +58,8 @@
 	}
 }
 
-// Swap replaces all rules at once; a nil set stands for no rules. Requests in flight keep the rules that they began
-// with. A limit whose definition does not change keeps its counts.
+// Swap replaces all rules at once; a nil set means that there are no rules. Requests in flight keep the rules that they
+// began with. A limit whose definition does not change keeps its counts.
 func (e *Engine) Swap(set, shadow *rules.Set) error {
 	var definitions []ratelimit.Definition
 	if set != nil {
--- a/internal/rules/engine/request.go
+++ b/internal/rules/engine/request.go
@@ -13,7 +13,7 @@
 type Request struct {
 	engine     *Engine
 	evaluation *rules.Evaluation // nil once nothing is left to evaluate
-	set        *rules.Set        // by which the request is evaluated
+	set        *rules.Set        // the rules by which the request is evaluated
 	grant      ratelimit.Grant   // what the request has acquired from limits
 	hasGrant   bool
 }
--- a/internal/rules/expression/cost.go
+++ b/internal/rules/expression/cost.go
@@ -9,8 +9,8 @@
 
 // Worst-case costs in estimated nanoseconds.
 const (
-	startCost           = 250  // of starting an evaluation
-	nodeCost            = 30   // of any operator, constant or variable
+	startCost           = 250  // cost of starting an evaluation
+	nodeCost            = 30   // cost of any operator, constant or variable
 	compareCostPerByte  = 0.1  // of comparing texts, per byte of the shorter one
 	containsCostPerByte = 1.0  // of the operator contains, per byte of the text searched
 	lookupCostPerByte   = 0.1  // of a lookup in a list of constants, per byte of the text looked up
@@ -23,12 +23,12 @@
 // Assumptions about regular expressions.
 const (
 	matchOverheadBytes         = 8    // matching an empty text costs as much as matching so many bytes
-	unknownPatternInstructions = 1000 // of a pattern that can't be compiled
+	unknownPatternInstructions = 1000 // assumed number of instructions of a pattern that can't be compiled
 )
 
 // Lengths of values in bytes.
 const (
-	numberLength    = 20 // of any value that is not a text
+	numberLength    = 20 // length of any value that is not a text
 	hashLength      = 16
 	shortNameLength = 64 // of short texts in the request, such as the method or a class
 )
--- a/internal/rules/expression/environment.go
+++ b/internal/rules/expression/environment.go
@@ -42,13 +42,13 @@
 	ToInt     func(string) int            `expr:"toInt"`
 
 	facts        *Facts
-	segments     [MaxSegments]string // of the path
+	segments     [MaxSegments]string // segments of the request's path
 	segmentCount int
-	cost         int // counted for the request, in estimated nanoseconds
+	cost         int // cost of the request's evaluations so far, in estimated nanoseconds
 	costLimit    int // the cost at which an evaluation is ended, in estimated nanoseconds
 	lets         []namedExpression
 	run          func(*Program) any // runs a program; if it has a fault, panics with the *Fault
-	seed         uint64             // of the function hash
+	seed         uint64             // seed of the function hash
 }
 
 // namedExpression is a named expression of the file. Once it has been evaluated for a request, it holds the value or
--- a/internal/rules/expression/evaluator.go
+++ b/internal/rules/expression/evaluator.go
@@ -6,8 +6,8 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// Evaluator runs programs for one request after another, each of which Begin starts and Clear ends. It must not be used
-// by several goroutines at once.
+// Evaluator runs programs. The caller calls Begin before it runs programs for a request and Clear after the last one;
+// then the Evaluator can be used for another request. It must not be used by several goroutines at once.
 type Evaluator struct {
 	env      environment
 	machines []*vm.VM // one for each depth of named expressions that use others
--- a/internal/rules/expression/explain.go
+++ b/internal/rules/expression/explain.go
@@ -19,8 +19,8 @@
 // maxTermValueBytes is the length to which Terms shortens values.
 const maxTermValueBytes = 80
 
-// Terms evaluates an expression, and those of its calls, operators and conditional expressions that can be evaluated by
-// themselves. The first Term is the whole expression. The argument lets holds the names of the named expressions in the
+// Terms evaluates an expression, and each of its calls, operators and conditional expressions that can be evaluated on
+// its own. The first Term is the whole expression. The argument lets holds the names of the named expressions in the
 // order of their numbers. As Terms compiles every part again, it is meant only for explanations.
 func (e *Evaluator) Terms(p *Program, lets []string) []Term {
 	collector := &termCollector{}
--- a/internal/rules/expression/expression_test.go
+++ b/internal/rules/expression/expression_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// evaluate compiles an expression and runs it once. Empty sizes in the scope stand for DefaultSizes.
+// evaluate compiles an expression and runs it once. If the scope has no sizes, DefaultSizes apply.
 func evaluate(source string, scope Scope, f *Facts) (any, *Fault, error) {
 	if scope.Sizes == (Sizes{}) {
 		scope.Sizes = DefaultSizes
--- a/internal/rules/expression/predicate.go
+++ b/internal/rules/expression/predicate.go
@@ -49,9 +49,9 @@
 }
 
 // simpleConditionChecker finds parts of a condition whose cost is not bounded by the length of their text: lists,
-// ranges, loops, functions and costlyOperators. It rejects literal texts, too.
+// ranges, loops, functions and costlyOperators. It also rejects literal texts.
 type simpleConditionChecker struct {
-	err *locatedError // the first one; nil: none
+	err *locatedError // error about the first such part; nil: there is none
 }
 
 // costlyOperators are the operators whose cost depends on their operands.
--- a/internal/rules/file.go
+++ b/internal/rules/file.go
@@ -5,9 +5,9 @@
 // ruleFile is the content of a rule file.
 type ruleFile struct {
 	Version int              `toml:"version"`
-	Seed    uint64           `toml:"seed"`     // of the function hash
+	Seed    uint64           `toml:"seed"`     // seed of the function hash
 	Budget  int              `toml:"budget"`   // the highest worst-case cost allowed, in estimated nanoseconds
-	OnFault string           `toml:"on_fault"` // for rules and limits that do not have their own
+	OnFault string           `toml:"on_fault"` // the value of on_fault for rules and limits that have none of their own
 	Sizes   expression.Sizes `toml:"sizes"`
 	Const   map[string]any   `toml:"const"`
 	Let     []letEntry       `toml:"let"`
@@ -68,7 +68,7 @@
 // The values of per, which say where a limit holds.
 const (
 	perTier    = "tier"    // over all gateways of the settings, each of which gets an equal share
-	perGateway = "gateway" // at each gateway
+	perGateway = "gateway" // at each gateway separately
 )
 
 // defaultBudget is the worst-case cost that the rules may have if the file names no budget, in estimated nanoseconds
--- a/internal/rules/index.go
+++ b/internal/rules/index.go
@@ -13,7 +13,7 @@
 type ruleIndex struct {
 	rules       []*Rule // in the order of the file; the other fields hold indexes of this slice
 	templates   *pathTrie
-	paths       map[string][]int // by the whole path
+	paths       map[string][]int // rules by the whole path that they require
 	headers     []headerIndex
 	methods     map[string][]int
 	alwaysTried []int
@@ -22,7 +22,7 @@
 // headerIndex lists the rules that require a header to have one value.
 type headerIndex struct {
 	name    string
-	byValue map[string][]int // by the header's first value
+	byValue map[string][]int // rules by the value that the header's first occurrence must have
 }
 
 func newRuleIndex() *ruleIndex {
@@ -33,7 +33,7 @@
 	}
 }
 
-// add appends a rule to those of the stage.
+// add appends a rule to the rules of the stage and lists it in one part of the index.
 func (x *ruleIndex) add(r *Rule) {
 	number := len(x.rules)
 	x.rules = append(x.rules, r)
--- a/internal/rules/load.go
+++ b/internal/rules/load.go
@@ -131,21 +131,21 @@
 	}
 }
 
-// checkOnFault checks the value of a key on_fault.
+// checkOnFault adds a fault unless the value of on_fault at a key is "refuse" (faultRejects) or "skip" (faultSkips).
 func (l *loader) checkOnFault(key, value string) {
 	if value != faultRejects && value != faultSkips {
 		l.addFault(key, "%q is neither %q nor %q", value, faultRejects, faultSkips)
 	}
 }
 
-// checkSize checks a declared size, in bytes.
+// checkSize adds a fault unless a declared size, in bytes, is between minSize and maxSize.
 func (l *loader) checkSize(key string, size int) {
 	if size < minSize || size > maxSize {
 		l.addFault(key, "%d bytes is not between %d and %d bytes", size, minSize, maxSize)
 	}
 }
 
-// checkConstant checks the type of a constant.
+// checkConstant adds a fault unless a constant is a string, a number, a boolean or a list of strings.
 func (l *loader) checkConstant(name string, value any) {
 	switch v := value.(type) {
 	case string, bool, int64, float64:
@@ -208,7 +208,7 @@
 	return value == faultSkips
 }
 
-// compileCondition compiles the condition of the rule or limit at a key and stores it in r. An empty source stands for
+// compileCondition compiles the condition of the rule or limit at a key and stores it in r. An empty source means
 // no condition.
 func (l *loader) compileCondition(key, source string, scope expression.Scope, r *Rule) {
 	if source == "" {
--- a/internal/rules/parse_request.go
+++ b/internal/rules/parse_request.go
@@ -20,7 +20,7 @@
 	Target  string              `json:"target"` // path and query
 	Host    string              `json:"host"`
 	Headers map[string][]string `json:"headers"`
-	Length  int                 `json:"length"` // of the body, in bytes
+	Length  int                 `json:"length"` // length of the body, in bytes
 	Client  string              `json:"client"`
 	Front   string              `json:"front"`
 	Arrival time.Time           `json:"arrival"`
--- a/internal/rules/path_template.go
+++ b/internal/rules/path_template.go
@@ -12,7 +12,7 @@
 // template that ends in {name...} matches paths with any number of further segments, or with none.
 type pathTemplate struct {
 	any       bool           // the template is empty
-	segments  []string       // literal texts; "" stands for a named segment
+	segments  []string       // literal texts; "" represents a named segment
 	params    map[string]int // the number of each named segment, counted from 0
 	openEnded bool           // the template ends in {name...}
 }
--- a/internal/rules/path_trie.go
+++ b/internal/rules/path_trie.go
@@ -9,7 +9,7 @@
 // pathTrie is a node of a tree of path segments, which finds rules by their path templates.
 type pathTrie struct {
 	literals  map[string]*pathTrie
-	named     *pathTrie // for a named segment
+	named     *pathTrie // the subtree for a named segment
 	exact     []int     // rules whose template ends here
 	openEnded []int     // rules whose template also matches any further segments
 }
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -106,7 +106,7 @@
 // beginning to its end while another Set replaces it for later requests.
 type Set struct {
 	Hash         string           // XXH64 of the file's text, in hex digits
-	Path         string           // of the rule file
+	Path         string           // path of the rule file
 	Sizes        expression.Sizes // the largest sizes of a request that the rules evaluate
 	Cost         int              // worst case for one request, in estimated nanoseconds
 	TestRequests []TestRequest    // the requests of the file's own tests
@@ -117,13 +117,13 @@
 	limits   []*limitRule
 	lets     []*expression.Program
 	letNames []string
-	seed     uint64 // of the function hash
+	seed     uint64 // seed of the function hash
 	budget   int    // the highest Cost that the file allows, in estimated nanoseconds
 	settings scheduler.Settings
 	classes  map[string]int // index in settings.Classes, by name
 	plans    map[string]int // index in settings.Plans, by name
 
-	evaluators sync.Pool // of *pooledEvaluator
+	evaluators sync.Pool // holds values of type *pooledEvaluator
 }
 
 // Len returns the number of rules.
