--- a/internal/capture/capturetest/workload.go
+++ b/internal/capture/capturetest/workload.go
@@ -27,7 +27,7 @@
 	now      time.Duration
 	inFlight []scheduler.Outcome // incomplete outcomes of the attempts that have not ended
 	timers   []timer
-	attempts map[string]int // numbers of attempts that were sent, by request
+	attempts map[string]int // numbers of attempts that were sent, by request ID
 }
 
 type timer struct {
@@ -81,8 +81,8 @@
 // Log does nothing.
 func (w *Workload) Log(string) {}
 
-// Play gives random events to a Scheduler: arrivals, disconnects, outcomes of every kind, changes of membership,
-// restrictions, and timers at the same times as those.
+// Play gives random events to a Scheduler: arrivals, disconnects, outcomes of every kind, changes of membership
+// and restrictions. Before each of them, it fires the timers that are due.
 //
 // The order of the random draws must not change, because recorded captures of tests depend on it.
 func (w *Workload) Play(s Scheduler, events int) {
--- a/internal/capture/difference.go
+++ b/internal/capture/difference.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Difference is the error of a replay of which an action or a state differs from the recorded one. It describes the
+// Difference is the error of a replay in which an action or a state differs from the recorded one. It describes the
 // first difference.
 type Difference struct {
 	// Event is the number of the event since the Recorder's start, from 0. If a state differs, it is the number of the
--- a/internal/capture/invariants/retries.go
+++ b/internal/capture/invariants/retries.go
@@ -40,7 +40,7 @@
 	return max(atAllNodes, atNode)
 }
 
-// checkRetry checks that an attempt may follow those before it.
+// checkRetry checks that a request may have another attempt, at the given node, after its earlier attempts.
 func (c *Checker) checkRetry(r *request, n *node) {
 	if maxAttempts := c.settings.Allowed.MaxAttempts; maxAttempts > 0 {
 		c.check(RuleRetries, r.attempts < maxAttempts, r.ID, n.ID, "attempt %d, but only %d are allowed",
--- a/internal/capture/invariants/slow_start.go
+++ b/internal/capture/invariants/slow_start.go
@@ -4,8 +4,8 @@
 
 // checkSlowStart checks that a node that has just started gets no more units than slow start allows. It compares what
 // this host alone sent within the window with what all hosts together may send. The scheduler keeps to this host's
-// share of that, which the checker does not know. So a reported violation is real,
-// whatever the shares of the hosts are.
+// share of that, which the checker does not know. So a reported violation is real, whatever the shares of the hosts
+// are.
 func (c *Checker) checkSlowStart(r *request, n *node) {
 	rules := &c.settings.Rules
 	outside := func(s sentUnits) bool { return s.at <= c.now-rules.SlowStartWindow }
--- a/internal/capture/player.go
+++ b/internal/capture/player.go
@@ -39,7 +39,8 @@
 // NewPlayer returns a Player that begins with the next record of a Reader. A replay must be able to begin there.
 func NewPlayer(r *Reader) *Player { return &Player{reader: r} }
 
-// Scheduler returns the Scheduler in its state after the last step.
+// Scheduler returns the Scheduler in its state after the last step. It is nil while no snapshot has been read, at the
+// start and after a gap.
 func (p *Player) Scheduler() *scheduler.Scheduler { return p.scheduler }
 
 // Next replays the next event. It compares the actions with the recorded ones and the states with recorded snapshots,
--- a/internal/capture/summary/summary.go
+++ b/internal/capture/summary/summary.go
@@ -22,8 +22,8 @@
 	outcomeCount
 )
 
-// Summary counts the requests that arrived within a capture. Other builds read it as JSON, so its JSON names do not
-// change.
+// Summary counts the requests that arrived within a capture, and the attempts that ended within it. Other builds read
+// it as JSON, so its JSON names do not change.
 type Summary struct {
 	Classes []Class
 	Results map[string]map[scheduler.Result]int // numbers of attempts by node and result
--- a/internal/capture/timeline/request.go
+++ b/internal/capture/timeline/request.go
@@ -89,8 +89,8 @@
 	settings  scheduler.Settings
 	request   *scheduler.Request // nil until its arrival is known
 	arrivedAt time.Duration
-	sends     int // attempts that were sent so far
-	lines     int // lines that were written
+	sends     int // number of attempts that were sent so far
+	lines     int // number of lines that were written
 }
 
 // writeEvents replays a capture up to the last of the events with these numbers, and writes each of them.
@@ -147,7 +147,7 @@
 }
 
 // writeEarlierArrival writes the arrival of a request whose arrival is not in the capture: the request was already
-// open in the snapshot with which the capture began or went on after a gap.
+// open in the snapshot with which the capture began or resumed after a gap.
 func (w *requestWriter) writeEarlierArrival(before *scheduler.Snapshot) {
 	for i := range before.Requests {
 		open := &before.Requests[i]
--- a/internal/capture/whatif/play.go
+++ b/internal/capture/whatif/play.go
@@ -38,9 +38,9 @@
 	now      time.Duration      // the simulated time
 	pending  pendingQueue       // the timers and the ends of attempts that are still to come
 	sequence int                // sequence number of the last event that was added to pending
-	attempts map[string]int     // numbers of attempts that were sent, by request
+	attempts map[string]int     // numbers of attempts that were sent, by request ID
 	units    map[string]float64 // number of units by request ID
-	open     map[string]bool    // requests without a final answer
+	open     map[string]bool    // IDs of the requests without a final answer
 	summary  *summary.Summary
 }
 
--- a/internal/capture/whatif/workload.go
+++ b/internal/capture/whatif/workload.go
@@ -27,8 +27,8 @@
 	Recorded *summary.Summary // the outcomes of the requests as recorded
 
 	events       []capture.Record      // events of clients, membership, restored state and restrictions
-	responses    map[string][]response // by node, in the order in which the attempts were sent
-	allResponses []response            // of all nodes, in the order in which the attempts were sent
+	responses    map[string][]response // responses by node, in the order in which the attempts were sent
+	allResponses []response            // responses of all nodes, in the order in which the attempts were sent
 	lastEventAt  time.Duration
 }
 
@@ -101,8 +101,8 @@
 // attempts finds, for the end of an attempt, when it was sent and with how many units.
 type attempts struct {
 	sentAt map[attemptKey]time.Duration
-	units  map[string]float64 // units by request
-	counts map[string]int     // numbers of attempts that were sent, by request
+	units  map[string]float64 // number of units by request ID
+	counts map[string]int     // numbers of attempts that were sent, by request ID
 }
 
 type attemptKey struct {
--- a/internal/contract/catalog/catalog.go
+++ b/internal/contract/catalog/catalog.go
@@ -21,7 +21,7 @@
 	Undescribed      Entry             // entry of the calls that match no operation
 	GeneratedClasses []scheduler.Class // for operations that name no class; numbered after the classes of the settings
 
-	operations []*contract.Operation // those that New was called with
+	operations []*contract.Operation // the operations that New was called with
 	router     *contract.Router
 	entries    map[*contract.Operation]*Entry
 	ordered    []*Entry          // the values of entries, in the order of the descriptions
--- a/internal/contract/conformance/inspect_retry_after.go
+++ b/internal/contract/conformance/inspect_retry_after.go
@@ -18,8 +18,8 @@
 
 // announcedRetry is the time at which a node will accept calls of an operation again, as it announced by Retry-After.
 type announcedRetry struct {
-	id   uint64 // hash of the operation and the node; 0: the slot is empty
-	from time.Duration
+	id   uint64        // hash of the operation and the node; 0: the slot is empty
+	from time.Duration // the announced time
 }
 
 // checkRetryAfter checks whether a rejection contradicts the Retry-After of the previous rejection.
--- a/internal/contract/conformance/observer.go
+++ b/internal/contract/conformance/observer.go
@@ -53,7 +53,7 @@
 	// The following fields belong to Run.
 	inspector  *Inspector // allocated at the first response, to save memory without descriptions
 	trust      *trust.Tracker
-	schemaTime time.Duration  // spent on inspections that validate against schemas
+	schemaTime time.Duration  // time spent on inspections that validate against schemas
 	evidence   map[string]int // counts by kind of evidence, since the last report
 
 	restored []trust.Change // changes by restored records, which NotifyRestored publishes
--- a/internal/contract/difference.go
+++ b/internal/contract/difference.go
@@ -42,8 +42,8 @@
 
 // Diff returns the changes between two versions of a description: new and removed operations, and changes of the
 // idempotency, the key, the latency objective, the deadline, the class and the meanings of statuses. Operations are
-// matched by host, shape of the path, method, conditions and media types, or by channel and action, and the changes are
-// sorted by these.
+// matched by host, path template without its parameter names, method, conditions and media types, or by channel and
+// action. The changes are sorted in the order of these properties.
 func Diff(before, after []*Operation) []Change {
 	oldOperations := byIdentity(before)
 	newOperations := byIdentity(after)
--- a/internal/contract/fault.go
+++ b/internal/contract/fault.go
@@ -30,7 +30,7 @@
 	return strings.NewReplacer("~1", "/", "~0", "~").Replace(token)
 }
 
-// Fault is an error in a description.
+// Fault is an error or a warning about a description.
 type Fault struct {
 	Position SourcePosition
 	Message  string
@@ -39,7 +39,7 @@
 // Error returns the fault as FILE:LINE: POINTER: MESSAGE.
 func (f Fault) Error() string { return f.Position.String() + ": " + f.Message }
 
-// Faults are all errors that were found in descriptions.
+// Faults are the errors or the warnings about descriptions.
 type Faults []Fault
 
 // Error returns one line for each fault.
--- a/internal/contract/operation.go
+++ b/internal/contract/operation.go
@@ -32,7 +32,7 @@
 // StatusMeaning is what a status means for the sender of the call.
 type StatusMeaning string
 
-// The kinds of StatusMeaning. It is empty if the description gives the status no meaning.
+// The kinds of StatusMeaning. The value is empty if the description gives the status no meaning.
 const (
 	Served     StatusMeaning = "served"       // a final response for the client
 	Rejected   StatusMeaning = "refused"      // the call did not run, and a retry is safe
@@ -65,14 +65,14 @@
 	UnitBytes        int           // bytes of the body that count as one unit, in place of Units
 	StableFor        time.Duration // how long responses to the same idempotent call stay the same without a write
 	Volume           Location      // where the name of the volume is
-	Data             Location      // where the name is from which the data key is derived
+	Data             Location      // where the name is that the data key is derived from
 	Shard            Shard
-	Statuses         map[string]StatusMeaning // by number or by range, such as 4XX
+	Statuses         map[string]StatusMeaning // meanings by status number or by range, such as 4XX
 
 	HasBody      bool                 // the operation has a request body
 	Creates      bool                 // the operation describes status 201
 	RequestTypes []string             // media types and ranges of the request body
-	Responses    map[string]*Response // by number, by range such as 4XX, or "default"; nil: none are described
+	Responses    map[string]*Response // by status number, by range such as 4XX, or "default"; nil: none are described
 	Position     SourcePosition
 }
 
@@ -134,7 +134,7 @@
 	return o.Statuses[statusRange(status)]
 }
 
-// Response returns the description of the response with a status; nil if there is none. Even without one, the status
+// Response returns the description of the response with a status; nil if there is none. Even then, the status
 // counts as described if the operation describes no responses at all or gives the status a meaning.
 func (o *Operation) Response(status int) (response *Response, described bool) {
 	if o.Responses == nil {
--- a/internal/rules/engine/report.go
+++ b/internal/rules/engine/report.go
@@ -49,8 +49,9 @@
 	return bySource
 }
 
-// Run logs the number of events by source: the faults of each rule, the rejections by each limit and the differences of
-// the shadow set in each field. It logs once per reportInterval if there were any events, until ctx is done.
+// Run logs the number of events by source: the faults of each rule or limit, the rejections by each limit and the
+// differences of the shadow set in each field. It logs once per reportInterval if there were any events, until ctx is
+// done.
 func (e *Engine) Run(ctx context.Context) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
--- a/internal/rules/evaluate.go
+++ b/internal/rules/evaluate.go
@@ -72,8 +72,8 @@
 // Apply runs all stages. If it returns an error, which is a RuleFault, the request must be rejected.
 func (e *Evaluation) Apply() (Result, error) { return e.runStages(stageCount) }
 
-// Normalise runs only the first stage. It identifies the client for frontends that know all other fields. Its error is
-// that of Apply.
+// Normalise runs only the first stage. It identifies the client for frontends that know all other fields. Its error
+// means the same as the error of Apply.
 func (e *Evaluation) Normalise() (Result, error) { return e.runStages(Normalise + 1) }
 
 // runStages runs the stages that come before end.
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -13,8 +13,8 @@
 	Assigned  map[string]string `json:"gives,omitempty"`   // by field: the value, and the rule in parentheses
 	Rejected  string            `json:"refused,omitempty"` // the error, if the request must be rejected
 	Limits    map[string]string `json:"limits,omitempty"`  // by limit: the key by which it counts the request
-	Cost      int               `json:"cost"`              // as counted, in estimated nanoseconds
-	WorstCase int               `json:"worst"`             // highest cost of any request, estimated at load
+	Cost      int               `json:"cost"`              // counted cost of the request, in estimated nanoseconds
+	WorstCase int               `json:"worst"`             // highest cost of any request, estimated at load, in nanoseconds
 }
 
 // TriedRule records how a rule or limit was evaluated.
--- a/internal/rules/expression/compile.go
+++ b/internal/rules/expression/compile.go
@@ -33,9 +33,9 @@
 	Source        string
 	Type          Type
 	Cost          Amount // worst case, in estimated nanoseconds
-	CostliestTerm string // the term with the highest cost, not counting that of its parts
+	CostliestTerm string // the term with the highest cost, not counting the cost of its parts
 
-	maxLength Amount // of a string value, in bytes
+	maxLength Amount // maximum length of a string value, in bytes
 	code      *vm.Program
 	tree      ast.Node
 	constant  any // the value, if foldConstant has evaluated the expression; otherwise nil
--- a/internal/rules/expression/cost.go
+++ b/internal/rules/expression/cost.go
@@ -11,26 +11,26 @@
 const (
 	startCost           = 250  // cost of starting an evaluation
 	nodeCost            = 30   // cost of any operator, constant or variable
-	compareCostPerByte  = 0.1  // of comparing texts, per byte of the shorter one
-	containsCostPerByte = 1.0  // of the operator contains, per byte of the text searched
-	lookupCostPerByte   = 0.1  // of a lookup in a list of constants, per byte of the text looked up
-	joinCostPerByte     = 0.35 // of joining texts, per byte of the result, which is allocated
-	matchCostPerStep    = 5    // of a regular expression, per byte of the text and instruction of the pattern
-	globCostPerBytePair = 3    // of glob, per byte of the text and byte of the pattern
-	caseCostPerByte     = 4    // of lower and upper, per byte of the text
+	compareCostPerByte  = 0.1  // cost of comparing texts, per byte of the shorter one
+	containsCostPerByte = 1.0  // cost of the operator contains, per byte of the text searched
+	lookupCostPerByte   = 0.1  // cost of a lookup in a list of constants, per byte of the text looked up
+	joinCostPerByte     = 0.35 // cost of joining texts, per byte of the result, which is allocated
+	matchCostPerStep    = 5    // cost of a regular expression, per byte of the text and instruction of the pattern
+	globCostPerBytePair = 3    // cost of glob, per byte of the text and byte of the pattern
+	caseCostPerByte     = 4    // cost of lower and upper, per byte of the text
 )
 
 // Assumptions about regular expressions.
 const (
 	matchOverheadBytes         = 8    // matching an empty text costs as much as matching so many bytes
-	unknownPatternInstructions = 1000 // assumed number of instructions of a pattern that can't be compiled
+	unknownPatternInstructions = 1000 // assumed for a pattern that is not a literal text or can't be compiled
 )
 
 // Lengths of values in bytes.
 const (
 	numberLength    = 20 // length of any value that is not a text
 	hashLength      = 16
-	shortNameLength = 64 // of short texts in the request, such as the method or a class
+	shortNameLength = 64 // length of short texts in the request, such as the method or a class
 )
 
 // caseGrowth is the factor by which lower and upper can lengthen a text, as some letters take more bytes in the other
@@ -43,14 +43,14 @@
 // costEstimator computes bounds of the cost of an expression and of the length of its value. Both follow from the
 // declared sizes, because the only loops are those over the values of one header.
 //
-// In its methods, cost is in estimated nanoseconds and length is that of the value in bytes.
+// In its methods, cost is in estimated nanoseconds, and length is the length of the value in bytes.
 type costEstimator struct {
 	sizes         Sizes
 	lets          map[string]*Program
 	letIndex      map[string]int
 	localLengths  map[string]Amount // lengths of the values that the expression names by let
 	elementLength Amount            // length of the elements over which the current any, all or none loops
-	err           *locatedError     // the first one
+	err           *locatedError     // the first error; nil: there is none
 
 	highestTermCost int
 	costliestTerm   string
@@ -236,7 +236,7 @@
 	}
 	arguments := n.Arguments
 	if environmentFunctions[function].call != nil {
-		arguments = arguments[1:] // without the environment
+		arguments = arguments[1:] // all arguments but the environment
 	}
 	lengths := make([]Amount, maxFunctionArguments) // 0 for arguments that the call does not have
 	for i, argument := range arguments {
--- a/internal/rules/expression/functions.go
+++ b/internal/rules/expression/functions.go
@@ -178,7 +178,7 @@
 
 // environmentFunction is a function that gets the environment as its first argument.
 type environmentFunction struct {
-	call      func(e *environment, args []any) any // args are those in the rule file
+	call      func(e *environment, args []any) any // args are the arguments in the rule file
 	signature any                                  // a pointer to the function type, with the environment
 }
 
--- a/internal/rules/expression/rewriter.go
+++ b/internal/rules/expression/rewriter.go
@@ -25,7 +25,7 @@
 // checks what the library does not check when it compiles, such as patterns and time zones.
 type rewriter struct {
 	scope Scope
-	err   *locatedError // the first one; nil: none
+	err   *locatedError // the first error; nil: there is none
 }
 
 // fail records an error at a node unless there is one already.
--- a/internal/rules/result.go
+++ b/internal/rules/result.go
@@ -20,8 +20,8 @@
 	Shard       int
 	Hosts       int
 	Idempotency string
-	Faults      []RuleFault // those for which rules were skipped
-	Cost        int         // as counted, in estimated nanoseconds; 0 unless the caller stored it here
+	Faults      []RuleFault // faults for which rules were skipped
+	Cost        int         // counted cost, in estimated nanoseconds; 0 unless the caller stored it here
 }
 
 // RuleFault reports that a rule or limit could not be evaluated for a request. If the request exceeds the declared
