--- a/internal/rules/engine/request.go
+++ b/internal/rules/engine/request.go
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// Release returns the evaluator of the request to its pool and the grant of the request to the limits. It must be called
-// exactly once, when the request has been answered or its client has disconnected. A nil Request holds nothing.
+// Release returns the evaluator of the request to its pool and the grant of the request to the limits. It must be
+// called exactly once, when the request has been answered or its client has disconnected. A nil Request holds nothing.
 func (r *Request) Release() {
 	if r == nil {
 		return
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -14,7 +14,7 @@
 	Rejected  string            `json:"refused,omitempty"` // the error, if the request must be rejected
 	Limits    map[string]string `json:"limits,omitempty"`  // by limit: the key by which it counts the request
 	Cost      int               `json:"cost"`              // counted cost of the request, in estimated nanoseconds
-	WorstCase int               `json:"worst"`             // highest cost of any request, estimated at load, in nanoseconds
+	WorstCase int               `json:"worst"`             // highest cost of any request, in estimated nanoseconds
 }
 
 // TriedRule records how a rule or limit was evaluated.
--- a/internal/rules/expression/amount.go
+++ b/internal/rules/expression/amount.go
@@ -29,8 +29,8 @@
 }
 
 // combine applies a function to the fixed terms of two amounts and, for each header of b, to its coefficients in a and
-// b. A header that is missing in a has the coefficient 0 there. A header that is missing in b keeps its coefficient in a,
-// so the function must return x if y is 0.
+// b. A header that is missing in a has the coefficient 0 there. A header that is missing in b keeps its coefficient in
+// a, so the function must return x if y is 0.
 func (a Amount) combine(b Amount, function func(x, y float64) float64) Amount {
 	result := Amount{fixed: function(a.fixed, b.fixed)}
 	if len(a.headers)+len(b.headers) == 0 {
