--- a/internal/capture/player.go
+++ b/internal/capture/player.go
@@ -39,7 +39,8 @@
 // NewPlayer returns a Player that begins with the next record of a Reader. A replay must be able to begin there.
 func NewPlayer(r *Reader) *Player { return &Player{reader: r} }
 
-// Scheduler returns the Scheduler in its state after the last step.
+// Scheduler returns the Scheduler in its state after the last step. It is nil while no snapshot has been read, at the
+// start and after a gap.
 func (p *Player) Scheduler() *scheduler.Scheduler { return p.scheduler }
 
 // Next replays the next event. It compares the actions with the recorded ones and the states with recorded snapshots,
@@ -87,7 +88,8 @@
 
 var errNoSnapshot = fmt.Errorf("%w: no snapshot before the first event", ErrDamaged)
 
-// nextEvent reads gaps, notes and snapshots up to the next event, which stays pending.
+// nextEvent reads gaps, notes and snapshots up to the next event. It returns the event without consuming it: p.pending
+// keeps it for the next read.
 func (p *Player) nextEvent() (*Record, error) {
 	for {
 		record, err := p.read()
@@ -138,7 +140,7 @@
 	}
 }
 
-// handleGap counts a gap of lost records. The replay goes on at the next snapshot.
+// handleGap counts a gap of lost records. The replay resumes at the next snapshot.
 func (p *Player) handleGap(lost int) {
 	p.Gaps++
 	p.Lost += lost
--- a/internal/capture/summary/summary.go
+++ b/internal/capture/summary/summary.go
@@ -22,16 +22,16 @@
 	outcomeCount
 )
 
-// Summary counts the requests that arrived within a capture. Other builds read it as JSON, so its JSON names do not
-// change.
+// Summary counts the requests that arrived within a capture, and the attempts that ended within it. Other builds read
+// it as JSON, so its JSON names do not change.
 type Summary struct {
 	Classes []Class
 	Results map[string]map[scheduler.Result]int // numbers of attempts by node and result
-	Seconds map[int64]*Second                   // by second of the Scheduler's clock
+	Seconds map[int64]*Second                   // counts by second of the Scheduler's clock
 	Open    int                                 // requests that have not ended
 
 	settings scheduler.Settings
-	open     map[string]openRequest // by ID
+	open     map[string]openRequest // requests that have not ended, by ID
 }
 
 // Class counts the requests of a class.
--- a/internal/rules/engine/request.go
+++ b/internal/rules/engine/request.go
@@ -13,7 +13,7 @@
 type Request struct {
 	engine     *Engine
 	evaluation *rules.Evaluation // nil once nothing is left to evaluate
-	set        *rules.Set        // by which the request is evaluated
+	set        *rules.Set        // the rules by which the request is evaluated
 	grant      ratelimit.Grant   // what the request has acquired from limits
 	hasGrant   bool
 }
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// Release gives up what the request holds. It must be called exactly once, when the request has been answered or its
-// client has disconnected. A nil Request holds nothing.
+// Release returns the evaluator of the request to its pool and the grant of the request to the limits. It must be
+// called exactly once, when the request has been answered or its client has disconnected. A nil Request holds nothing.
 func (r *Request) Release() {
 	if r == nil {
 		return
