--- a/cmd/reachpulley/capture_cut.go
+++ b/cmd/reachpulley/capture_cut.go
@@ -20,8 +20,8 @@
 // endOfTime is later than any time on the clock of a recorder.
 const endOfTime = time.Duration(math.MaxInt64)
 
-// Run writes the parts of a capture that hold the events between two times. A part begins with a snapshot, so the first
-// event may be earlier than requested.
+// Run writes a capture of the events between two times. A replay needs a snapshot to start from, so the first event may
+// be earlier than requested.
 func (a captureCut) Run(env environment) error {
 	file, reader, err := openCapture(a.File)
 	if err != nil {
--- a/cmd/reachpulley/capture_verify.go
+++ b/cmd/reachpulley/capture_verify.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// ignores reports whether the check goes on after an error of the replay. With --rules, it goes on after an action that
-// differs from the recorded one: whether the capture of another build obeys the rules does not depend on what this
+// ignores reports whether the check continues after an error of the replay. With --rules, it continues after an action
+// that differs from the recorded one: whether the capture of another build obeys the rules does not depend on what this
 // build would do.
 func (a captureVerify) ignores(err error) bool {
 	var difference *capture.Difference
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// serve answers every batch of the input on the output until the input ends between batches.
+// serve answers every batch of the input on the output. It returns nil at the end of the input, but an error if the
+// input ends within a batch.
 func serve(input io.Reader, output io.Writer) error {
 	decoder := simprotocol.NewDecoder(input)
 	a := adapter{
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -21,8 +21,8 @@
 )
 
 // Run runs nodes, discovery and a gateway until stop ends. The configuration is text or, if text is nil, the example
-// configuration on free ports. The rules are those of ruleFile; if that is empty, there are none. Run writes to w how
-// to try the gateway.
+// configuration on free ports. Run loads the rules from ruleFile; if ruleFile is empty, there are none. It writes to w
+// how to try the gateway.
 func Run(stop context.Context, text []byte, ruleFile string, w io.Writer, log *slog.Logger) error {
 	configuration, operator, err := configure(text, ruleFile)
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 	nodes, err := StartNodes(shards, configuration.Discovery, firstZone(configuration.Settings))
 	if err != nil {
-		return fmt.Errorf("nodes: %w", err)
+		return fmt.Errorf("cannot start nodes and discovery: %w", err)
 	}
 	defer nodes.Close()
 	configuration.Discovery = nodes.Discovery
--- a/internal/filesystem/filesystemtest/filesystemtest.go
+++ b/internal/filesystem/filesystemtest/filesystemtest.go
@@ -35,7 +35,7 @@
 	powerLost bool
 
 	Capacity       int // in bytes; 0: unlimited
-	FailSyncNumber int // number of the sync, of a file or a directory, that fails, 1 for the next; 0: none
+	FailSyncNumber int // which of the following syncs of files and directories fails: 1 is the next one; 0: none
 	PowerLossAfter int // number of bytes that are still written before the power is lost; -1: it is not lost
 }
 
--- a/internal/frontend/h2frontend/conn.go
+++ b/internal/frontend/h2frontend/conn.go
@@ -134,7 +134,8 @@
 // connection after that frame.
 var errConnClosed = errors.New("connection closed by the server")
 
-// recordViolation reports to admission that the client did something that is tolerated only now and then.
+// recordViolation reports to the admission controller that the client did something that is tolerated only now and
+// then.
 func (c *conn) recordViolation(violation admission.Violation) {
 	c.server.notifyAdmission(func(a *admission.Controller, now time.Duration) []admission.Action {
 		return a.RecordViolation(now, c.id, violation)
--- a/internal/frontend/h2frontend/read.go
+++ b/internal/frontend/h2frontend/read.go
@@ -62,7 +62,7 @@
 }
 
 // readPreface reads the client's connection preface and reports whether it is that of HTTP/2. It queues
-// wrongProtocolResponse for clients that speak HTTP/1.
+// wrongProtocolResponse if isHTTP1 recognizes an HTTP/1 request in what the client has sent instead.
 func (c *conn) readPreface() bool {
 	c.netConn.SetReadDeadline(time.Now().Add(requestTimeout))
 	preface := make([]byte, len(http2.ClientPreface))
--- a/internal/frontend/h2frontend/request.go
+++ b/internal/frontend/h2frontend/request.go
@@ -267,7 +267,7 @@
 	})
 }
 
-// completeRequest passes a request to admission once it has arrived completely.
+// completeRequest passes a request to the admission controller once it has arrived completely.
 func (c *conn) completeRequest(st *stream) error {
 	if st.contentLength >= 0 && len(st.body) != st.contentLength {
 		return http2.StreamError{StreamID: st.id, Code: http2.ErrCodeProtocol}
--- a/internal/frontend/h2frontend/server.go
+++ b/internal/frontend/h2frontend/server.go
@@ -17,7 +17,8 @@
 	// Handle answers a request whose body is in memory. The body of the response is in memory, too. The context of
 	// the request is canceled when its client disconnects or its stream is reset.
 	Handle(r *http.Request) *http.Response
-	// ClientID identifies the client that sent a request. Admission shares the capacity fairly among clients.
+	// ClientID identifies the client that sent a request. The admission controller shares the capacity fairly among
+	// clients.
 	ClientID(r *http.Request) string
 }
 
@@ -97,7 +98,7 @@
 // now returns the time since the server started, which is the clock of the admission controller.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// addConn registers a connection. It returns nil if admission rejects the connection.
+// addConn registers a connection. It returns nil if the admission controller rejects it.
 func (s *Server) addConn(netConn net.Conn) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +111,7 @@
 	return c
 }
 
-// removeConn removes a connection from the table and notifies admission.
+// removeConn removes a connection from the table and notifies the admission controller.
 func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/h2frontend/stream.go
+++ b/internal/frontend/h2frontend/stream.go
@@ -31,7 +31,7 @@
 
 	requestComplete bool
 	incompleteBytes int  // bytes of the body that are counted in conn.incompleteBytes
-	registered      bool // the stream is passed to admission, which has to be notified of its end
+	registered      bool // the admission controller knows the stream and has to be notified of its end
 	urgency         int  // from 0, the most urgent, to 7 (RFC 9218)
 
 	responding   bool           // the response is known, and its parts may be written
@@ -50,8 +50,8 @@
 	c.streams[st.id] = st
 }
 
-// handleRequest lets the Handler answer a stream's request. It passes on the response if admission reserves memory for
-// the body, and resets the stream otherwise.
+// handleRequest lets the Handler answer a stream's request. It passes on the response if the admission controller
+// reserves memory for the body, and resets the stream otherwise.
 func (c *conn) handleRequest(st *stream) {
 	resp := c.server.options.Handler.Handle(st.request)
 	body, _ := io.ReadAll(resp.Body) // the body is in memory, so reading it cannot fail
@@ -90,7 +90,8 @@
 	c.wake.Signal()
 }
 
-// respondError answers a request with an error status and a reason as text, and without passing it to admission.
+// respondError answers a request with an error status and a reason as text. The admission controller does not get to
+// know the request.
 func (c *conn) respondError(st *stream, status int, reason string) {
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	c.respond(st, &http.Response{StatusCode: status, Header: header}, []byte(reason+"\n"))
@@ -144,8 +145,8 @@
 	c.reportEnd(st, true)
 }
 
-// resetLocked removes a stream and queues an RST_STREAM. The caller calls reportEnd, unless admission has asked for the
-// reset or the request is incomplete, so that admission does not know the stream.
+// resetLocked removes a stream and queues an RST_STREAM. The caller calls reportEnd, unless the admission controller
+// has asked for the reset, or does not know the stream because the request is incomplete.
 func (c *conn) resetLocked(st *stream, code http2.ErrCode) {
 	c.removeLocked(st)
 	c.queueControlLocked(func() error { return c.framer.WriteRSTStream(st.id, code) })
@@ -166,8 +167,8 @@
 	c.idleSince = time.Now()
 }
 
-// reportEnd notifies admission that a stream has ended, either by a reset or because its response is written. Admission
-// does not know streams that are not registered.
+// reportEnd notifies the admission controller that a stream has ended, either by a reset or because its response is
+// written. It does nothing for a stream that is not registered, which the controller does not know.
 func (c *conn) reportEnd(st *stream, reset bool) {
 	if !st.registered {
 		return
--- a/internal/frontend/h2frontend/write.go
+++ b/internal/frontend/h2frontend/write.go
@@ -111,9 +111,9 @@
 	return nil
 }
 
-// nextStreamLocked returns the stream whose response is written next, or nil if none can be written. It is the most
-// urgent one, and among equally urgent ones that to which a part was written least recently. nextStreamLocked notifies
-// admission of responses that have to wait for a flow-control window.
+// nextStreamLocked returns the stream whose response is written next, or nil if none can be written. Streams are
+// ordered by urgency, then by how long ago a part of their response was taken. nextStreamLocked also tells the
+// admission controller which responses have to wait for a flow-control window.
 func (c *conn) nextStreamLocked() (next *stream) {
 	for _, st := range c.streams {
 		blocked := st.unsentHeader == nil && len(st.unsentBody) > 0 && (st.sendWindow <= 0 || c.sendWindow <= 0)
@@ -139,8 +139,9 @@
 	return st.id < other.id
 }
 
-// setStalledLocked records whether a response waits for a flow-control window, and notifies admission of a change. The
-// notification needs a goroutine of its own, since the server's lock must be taken before the connection's.
+// setStalledLocked records whether a response waits for a flow-control window, and notifies the admission controller of
+// a change. The notification needs a goroutine of its own, since the server's lock must be taken before the
+// connection's.
 func (c *conn) setStalledLocked(st *stream, stalled bool) {
 	if st.stalled == stalled || !st.registered {
 		return
@@ -185,7 +186,7 @@
 	c.mu.Lock()
 	requestComplete := st.requestComplete
 	c.mu.Unlock()
-	if !requestComplete { // the client need not send the rest of the request (RFC 9113, section 8.1)
+	if !requestComplete { // tell the client to stop sending the request (RFC 9113, section 8.1)
 		err = c.framer.WriteRSTStream(st.id, http2.ErrCodeNo)
 	}
 	c.mu.Lock()
--- a/internal/frontend/httpfrontend/frontend.go
+++ b/internal/frontend/httpfrontend/frontend.go
@@ -180,7 +180,8 @@
 }
 
 // Handle returns the response to a request that another frontend has read completely, with the body in memory. The
-// checks and rules are those of ServeHTTP. The context of the request must end when its client disconnects.
+// request passes the same checks and rules as in ServeHTTP. The context of the request must end when its client
+// disconnects.
 func (f *Frontend) Handle(r *http.Request) *http.Response {
 	if r.URL.Path == httpmsg.ReadyPath {
 		return newResponse(r, http.StatusOK, nil, nil)
--- a/internal/frontend/httpfrontend/read_ahead.go
+++ b/internal/frontend/httpfrontend/read_ahead.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	maxReadAhead     = 64 << 10 // buffered bytes from which on run reads no more, so that input waits in the kernel
+	maxReadAhead     = 64 << 10 // buffered bytes at which run stops reading, so that further input waits in the kernel
 	ownBufferSize    = 512      // bytes of the buffer that each connection has
 	pooledBufferSize = 16 << 10 // bytes of a buffer that is borrowed while much input arrives at once
 )
 
-// readBuffers are the borrowed buffers of all connections.
+// readBuffers recycles the buffers that connections borrow while much input arrives at once.
 var readBuffers = sync.Pool{New: func() any { return new([pooledBufferSize]byte) }}
 
 // readAhead reads everything that arrives on a connection as soon as it arrives, and buffers it for http.Server.
 //
 // http.Server itself reads only when it needs more input. It would therefore not notice that a client disconnects
-// while another request of that client waits unread. Nor would it know when a pipelined request arrived, from which
-// moment the time of that request counts.
+// while another request of that client waits unread. Nor would it know when a pipelined request arrived, although
+// the deadline of that request counts from then.
 type readAhead struct {
 	conn  net.Conn
 	ended chan struct{} // closed when no more input will come: the client closed the connection, or it broke
@@ -34,7 +34,7 @@
 	discarded bool            // all input is dropped, and Read returns io.EOF
 	boundary  boundaryScanner // has scanned the input that Read has returned
 
-	lastByteAt time.Time // result of lastArrival
+	lastByteAt time.Time // when the last byte arrived that Read has returned, apart from single-byte reads
 
 	deadline time.Time // time until which Read waits; zero: without limit
 	timer    *time.Timer
--- a/internal/frontend/httpfrontend/request_builder.go
+++ b/internal/frontend/httpfrontend/request_builder.go
@@ -36,7 +36,9 @@
 	contract *contracts.Match // nil: no contracts are in force
 
 	// fromPlatform is set for requests that have headers of the platform (see hasPlatformHeaders), and for all requests
-	// while neither rules nor contracts are in force. Such a request gets no default for a header that it leaves out.
+	// while neither rules nor contracts are in force. Such a request is rejected if it leaves out the header for its
+	// ID or placement, for its class or plan unless a rule overrides that header, or for its deadline unless a rule
+	// sets one.
 	fromPlatform bool
 }
 
--- a/internal/frontend/httpfrontend/server_test.go
+++ b/internal/frontend/httpfrontend/server_test.go
@@ -134,7 +134,8 @@
 			b expect end
 			a send raw ` + answeredRequest + `
 			a expect 200`,
-	// Idle connections of clients that were served would keep new clients out, too.
+	// Otherwise idle connections of clients that were just served could use up the limit, and new clients could not
+	// connect.
 	"a response ends its connection when more than a third of the limit is in use": `
 			a send raw ` + answeredRequest + `
 			a expect 200
@@ -214,7 +215,7 @@
 			a send raw ` + requestLine + platformHeaders + chunked + `GET /ready HTTP/1.1\nHost: h\n\n
 			a expect 411 Connection=close Content-Length is wanted in place of Transfer-Encoding
 			a expect end`,
-	// Under HTTP/1.0 net/http ignores the transfer encoding, too.
+	// In HTTP/1.0 net/http ignores the transfer encoding, so the end of the request is ambiguous.
 	"HTTP/1.0 with a transfer encoding is rejected": `
 			a send raw ` + requestLine10 + platformHeaders + `Connection: keep-alive\n` + chunked + `
 			a expect 505 Connection=close HTTP/1.1 is wanted
--- a/internal/frontend/iscsitarget/command.go
+++ b/internal/frontend/iscsitarget/command.go
@@ -109,7 +109,7 @@
 	if options.Rules == nil || !options.Rules.InForce() {
 		return nil, nil
 	}
-	method := http.MethodGet // stands for a READ in rules
+	method := http.MethodGet // rules see a READ as GET and a WRITE as PUT
 	if t.command.Write {
 		method = http.MethodPut
 	}
--- a/internal/frontend/iscsitarget/data.go
+++ b/internal/frontend/iscsitarget/data.go
@@ -2,8 +2,8 @@
 
 import "reachpulley/internal/proto/iscsi"
 
-// requestData asks the client for the next burst of a WRITE's data. For a READ, or once all data of a WRITE has
-// arrived, it closes dataComplete instead, for which session.execute waits.
+// requestData sends an R2T that asks the client for the next burst of a WRITE's data. For a READ, or once all data of a
+// WRITE has arrived, it sends nothing and closes t.dataComplete; session.execute waits for that.
 func (s *session) requestData(t *task) error {
 	received, total := len(t.command.Data), t.command.Length()
 	if !t.command.Write || received == total {
--- a/internal/frontend/iscsitarget/task.go
+++ b/internal/frontend/iscsitarget/task.go
@@ -20,7 +20,7 @@
 	deadline       time.Time
 	ctx            context.Context // ends with the task
 	cancel         context.CancelFunc
-	dataComplete   chan struct{} // closed once all data of a write has arrived
+	dataComplete   chan struct{} // closed once all data of a write has arrived; for a read, at the start
 
 	// The current R2T of a write. Only the session's reading goroutine uses these fields.
 
--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -31,7 +31,7 @@
 	return &Decoder{reader: bufio.NewReaderSize(r, bufferSize)}
 }
 
-// Next reads one batch. Its error is io.EOF if the input ends between batches; any other error names the line.
+// Next reads one batch. Its error is io.EOF if no batch is left; any other error names the line.
 func (d *Decoder) Next() (Batch, error) {
 	batch, err := d.readBatch()
 	if err != nil && err != io.EOF {
@@ -124,7 +124,7 @@
 		}
 		node, err := decodeNode(fields)
 		if err != nil {
-			return fmt.Errorf("item: %w", err)
+			return fmt.Errorf("catalog: item %d of %d: %w", i+1, count, err)
 		}
 		list.nodes = append(list.nodes, node)
 	}
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -198,7 +198,7 @@
 			a.node.Cancel(a.job)
 			return
 		}
-		g.endAttempt(x, number, scheduler.Canceled, 0) // although the node does not learn that it is canceled
+		g.endAttempt(x, number, scheduler.Canceled, 0) // the attempt ends although its node is not told
 	})
 }
 
@@ -210,7 +210,7 @@
 // Fail answers a request that may have run.
 func (g *Gateway) Fail(id string) { g.answer(id, Answer{Verdict: Failed}) }
 
-// Probe probes a node. An unreachable node does not respond.
+// Probe reports a served probe of a node to the Scheduler after roundTripTime, unless the node is unreachable then.
 func (g *Gateway) Probe(node string) {
 	n := g.Nodes[node]
 	g.Simulation.After(roundTripTime, func() {
--- a/internal/simulation/storm_client.go
+++ b/internal/simulation/storm_client.go
@@ -6,9 +6,9 @@
 	"reachpulley/scheduler"
 )
 
-// stormClient submits a request and waits for the answer, which together are a try. If the request was not served, it
-// retries at once or after the answer's RetryAfter, up to Storm.Tries tries in all. Before its next request, it waits
-// for a random think time.
+// stormClient is a client that sends one request after another. A try is one submission of a request, up to its answer
+// or the client timeout. If a try was not served, the client submits the request again at once, or after the answer's
+// RetryAfter, until it has made Storm.Tries tries. Before its next request, it waits for a random think time.
 type stormClient struct {
 	run     *stormRun
 	gateway *Gateway
--- a/internal/simulation/zone_run.go
+++ b/internal/simulation/zone_run.go
@@ -135,8 +135,8 @@
 	return request
 }
 
-// submit submits a random request. If another answer than Served comes before the client timeout, the client submits
-// another random request instead of a retry, up to the given number of times.
+// submit submits a random request. If an answer other than Served comes before the client timeout, the client submits
+// another random request instead of a retry, up to retries times.
 func (r *zoneRun) submit(g *Gateway, retries int) {
 	s := r.simulation
 	request := r.newRequest()
--- a/tools/doccheck/check.go
+++ b/tools/doccheck/check.go
@@ -14,8 +14,8 @@
 // skippedDirectories holds the names of directories without source code of the product.
 var skippedDirectories = []string{".git", "journal", "testdata", "tools"}
 
-// check walks the source tree below root and returns a line for each missing doc comment: first those of exported
-// names, ordered by file and position, then those of packages, ordered by directory.
+// check walks the source tree below root and returns a line for each missing doc comment: first for exported names,
+// ordered by file and position, then for packages, ordered by directory.
 func check(root string) ([]string, error) {
 	checker := &checker{root: root, fileSet: token.NewFileSet(), packages: map[string]bool{}}
 	if err := filepath.WalkDir(root, checker.visit); err != nil {
