--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -85,7 +85,7 @@
 		}
 	}
 	if together[1] == strings.ReplaceAll(together[2], "who=2", "who=1") {
-		t.Error("instances with different seeds act alike")
+		t.Error("instances 1 and 2 act alike, want different actions as their seeds differ")
 	}
 }
 
@@ -110,7 +110,7 @@
 		t.Errorf("event for an instance that has not been started: error %v, want one that names the instance", err)
 	}
 	if err := serve(strings.NewReader("nonsense\n"), &output); err == nil {
-		t.Error("a malformed batch was accepted")
+		t.Error("serve of a malformed batch returned no error, want one")
 	}
 	output.Reset()
 	unusable := strings.Replace(settings, `"siblings":2`, `"siblings":0`, 1)
--- a/internal/filesystem/filesystem_test.go
+++ b/internal/filesystem/filesystem_test.go
@@ -47,7 +47,7 @@
 			disk := filesystemtest.New()
 			test.fail(disk)
 			if err := filesystem.ReplaceFile(disk, "d/file", []byte("content")); err == nil {
-				t.Error("ReplaceFile returned no error")
+				t.Error("ReplaceFile returned no error, want one")
 			}
 			if files, err := disk.List("d"); err != nil || len(files) > 0 {
 				t.Errorf("files left in the directory: %v; error %v; want none", files, err)
@@ -85,7 +85,7 @@
 		t.Errorf("Create of an existing file: error %v, want %v", err, fs.ErrExist)
 	}
 	if err := disk.Truncate(path("b"), 2); err != nil {
-		t.Error(err)
+		t.Errorf("Truncate: got error %v, want none", err)
 	}
 	files, err := disk.List(directory)
 	want := []filesystem.Info{{Name: "a", Size: 1}, {Name: "b", Size: 2}}
@@ -93,10 +93,10 @@
 		t.Errorf("List: error %v, want none; files (-want +got):\n%s", err, diff)
 	}
 	if err := disk.Remove(path("a")); err != nil {
-		t.Error(err)
+		t.Errorf("Remove: got error %v, want none", err)
 	}
 	if err := disk.Rename(path("b"), path("c")); err != nil {
-		t.Error(err)
+		t.Errorf("Rename: got error %v, want none", err)
 	}
 	content, err := filesystem.ReadFile(disk, path("c"), 10)
 	if err != nil || string(content) != "12" {
--- a/internal/frontend/h2frontend/server_test.go
+++ b/internal/frontend/h2frontend/server_test.go
@@ -216,7 +216,7 @@
 		time.Sleep(1100 * time.Millisecond)
 		c.expect("headers 21 200")
 		if c.received("headers 3 200") {
-			s.t.Error("the second request of the greedy client has been answered, too, want it to wait")
+			s.t.Error("the second request of the greedy client is answered already, want it to wait")
 		}
 	})
 }
--- a/internal/scenariotest/actor.go
+++ b/internal/scenariotest/actor.go
@@ -133,7 +133,8 @@
 }
 
 // expect compares the next received message with text, ignoring differences in white space. The connection of the
-// message becomes the current one, or none if it has ended. If text is nothing, no message must be left to expect.
+// message becomes the current one, or none if it has ended. If text is nothing, expect fails if a message is left in
+// the queue.
 func (a *actor) expect(text string) error {
 	synctest.Wait()
 	if text == nothing {
--- a/internal/simprotocol/decoder_test.go
+++ b/internal/simprotocol/decoder_test.go
@@ -224,7 +224,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		first, err := decodeAll(text)
 		if err != nil && !strings.HasPrefix(err.Error(), "line ") {
-			t.Fatalf("error does not name a line: %v", err)
+			t.Fatalf("got error %q, want one that begins with \"line \"", err)
 		}
 		second, _ := decodeAll(text)
 		if a, b := mustJSON(t, first), mustJSON(t, second); a != b {
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -24,7 +24,7 @@
 		{`"on_probe"`, `"by_post"`},
 	} {
 		if _, err := ParseSettings([]byte(strings.Replace(settingsText, change.from, change.to, 1))); err == nil {
-			t.Errorf("settings with %s in place of %s were accepted", change.to, change.from)
+			t.Errorf("settings with %s in place of %s: got no error, want one", change.to, change.from)
 		}
 	}
 }
--- a/tools/doccheck/check_test.go
+++ b/tools/doccheck/check_test.go
@@ -50,6 +50,6 @@
 		t.Fatal(err)
 	}
 	if _, err := check(root); err == nil {
-		t.Error("check of a file that cannot be parsed returned no error")
+		t.Error("check of a file that cannot be parsed returned no error, want one")
 	}
 }
