--- a/internal/backend/httpbackend/attempt.go
+++ b/internal/backend/httpbackend/attempt.go
@@ -121,8 +121,7 @@
 
 // roundTrip sends a request, reads the response in full and returns the connection to the pool, or closes it if it
 // cannot be reused. If ctx ends first, the connection is closed, which also signals to the node that the response is no
-// longer wanted. The result written
-// reports whether the request's last byte was sent.
+// longer wanted. The result written reports whether the request's last byte was sent.
 func (b *Backend) roundTrip(ctx context.Context, c *conn, request *http.Request) (
 	received response, written bool, err error) {
 	stopClosing := context.AfterFunc(ctx, func() { c.Close() })
--- a/internal/backend/httpbackend/backend.go
+++ b/internal/backend/httpbackend/backend.go
@@ -30,7 +30,7 @@
 )
 
 // errNodeUnavailable means that discovery does not list the node as up.
-var errNodeUnavailable = errors.New("accepts no new work")
+var errNodeUnavailable = errors.New("not up according to discovery")
 
 // errAttemptExpired means that an attempt must not be sent any more: its client disconnected, its deadline passed, or
 // the time is over within which nodes deduplicate retries.
@@ -147,7 +147,7 @@
 	}
 	if !b.directory.Lookup(node).Up {
 		b.pool.put(c)
-		return nil, fmt.Errorf("node %q: %w since the connection was requested", node, errNodeUnavailable)
+		return nil, fmt.Errorf("node %q: %w by the time a connection was available", node, errNodeUnavailable)
 	}
 	return c, nil
 }
--- a/internal/backend/httpbackend/backend_test.go
+++ b/internal/backend/httpbackend/backend_test.go
@@ -387,7 +387,7 @@
 type breakingConn struct {
 	net.Conn
 	far      net.Conn
-	lastByte string // of the request's body
+	lastByte string // the last byte of the request's body
 }
 
 func (b *breakingConn) Write(p []byte) (int, error) {
--- a/internal/backend/httpbackend/pool.go
+++ b/internal/backend/httpbackend/pool.go
@@ -141,7 +141,7 @@
 func (p *pool) watch(c *conn) {
 	_, err := c.reader.Peek(1)
 	silent := errors.Is(err, os.ErrDeadlineExceeded)
-	c.idleWatch <- silent // never blocks
+	c.idleWatch <- silent // does not block: the channel has room for the only value
 	if silent {
 		return
 	}
@@ -193,7 +193,7 @@
 // notifyWaiterLocked notifies the first waiter, which then tries to reserve capacity again.
 func (p *pool) notifyWaiterLocked() {
 	if len(p.waiters) > 0 {
-		p.waiters[0] <- struct{}{} // never blocks
+		p.waiters[0] <- struct{}{} // does not block: a waiter is notified only once
 		p.waiters = p.waiters[1:]
 	}
 }
--- a/internal/backend/httpbackend/response.go
+++ b/internal/backend/httpbackend/response.go
@@ -20,8 +20,8 @@
 	maxHeadSize = 8 << 10
 	// maxHeads is the maximum number of heads read for one request: those of interim (1xx) responses and the final one.
 	maxHeads = 8
-	// smallContent is the size of content, in bytes, from which a response counts as large: the rest of it is read only
-	// after memory for it has been reserved (see Backend.largeResponses).
+	// smallContent is the size, in bytes, below which content is read without reserving memory for it. The rest of
+	// larger content is read only after memory has been reserved (see Backend.largeResponses).
 	smallContent = httpmsg.MaxRequestBody
 )
 
--- a/internal/backend/iscsiinitiator/initiator.go
+++ b/internal/backend/iscsiinitiator/initiator.go
@@ -27,7 +27,7 @@
 
 // Reasons why a command is not sent.
 var (
-	errNodeUnavailable = errors.New("accepts no new work")
+	errNodeUnavailable = errors.New("not up according to discovery")
 	errSessionLimit    = errors.New("session limit reached")
 	errSessionEnding   = errors.New("session is ending")
 	errWindowFull      = errors.New("command window is full")
@@ -38,7 +38,7 @@
 	directory      discovery.EndpointLookup
 	dial           dialFunc
 	connectTimeout time.Duration
-	idleTimeout    time.Duration // of a session without outstanding commands
+	idleTimeout    time.Duration // how long a session may have no outstanding command
 	name           string        // the iSCSI name of the initiator
 	targetName     string        // the iSCSI name of the nodes' target
 	isid           uint32        // the random part of the initiator session ID (ISID)
--- a/internal/backend/iscsiinitiator/session.go
+++ b/internal/backend/iscsiinitiator/session.go
@@ -34,7 +34,7 @@
 	writeMu sync.Mutex // held while a command is numbered and written, so that commands are sent in order
 
 	mu           sync.Mutex
-	cmdSN        uint32           // of the next command
+	cmdSN        uint32           // the number of the next command
 	maxCmdSN     uint32           // the last command number that the node accepts
 	statSN       uint32           // the status number that is expected next from the node
 	tasks        map[uint32]*task // by tag
@@ -106,7 +106,7 @@
 		if !t.written {
 			result = scheduler.ConnectFailed
 		}
-		t.done <- failure(result) // never blocks
+		t.done <- failure(result) // does not block: the channel has room for the only report
 	}
 	if len(s.tasks) > 0 {
 		s.initiator.log.Info("iSCSI session lost", "node", s.node, "commands", len(s.tasks), "err", cause)
--- a/internal/config/capture.go
+++ b/internal/config/capture.go
@@ -16,7 +16,7 @@
 	DiskMB       int           `toml:"disk_mb"`     // disk space for all segments; 0: none are written
 	SegmentMB    int           `toml:"segment_mb"`  // size at which a segment ends
 	SegmentAge   time.Duration `toml:"segment_age"` // age at which a segment ends
-	MaxTriggered int           `toml:"kept"`        // maximum of triggered captures; the oldest are removed first
+	MaxTriggered int           `toml:"kept"`        // maximum number of triggered captures; older ones are removed
 	Triggers     []Trigger     `toml:"trigger"`
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads, checks and completes the configuration of the gateway: the environment, the platform's JSON
-// file and the operator's TOML file. Its errors name the file or the
-// environment variable and, if the fault is at a key, the key.
+// file and the operator's TOML file. Its errors name the file or the environment variable and, if the fault is at a
+// key, the key.
 package config
 
 import (
--- a/internal/config/contracts.go
+++ b/internal/config/contracts.go
@@ -135,9 +135,9 @@
 	}
 }
 
-// LoadCatalog loads descriptions, checks them and compares them with the settings. Faults of their content are reported
-// as contract.Faults: all that are found by the first of these three steps that finds any. If no operation is described
-// that a request can match, the error is of another type.
+// LoadCatalog loads descriptions, checks them and compares them with the settings. If one of these steps finds faults,
+// LoadCatalog returns all faults of this step as contract.Faults and skips the later steps. If the descriptions contain
+// no operation that a request can match, the error is of another type.
 func LoadCatalog(files []string, settings scheduler.Settings) (*catalog.Catalog, error) {
 	return loadCatalog(files, settings, true)
 }
--- a/internal/config/h2c.go
+++ b/internal/config/h2c.go
@@ -10,12 +10,12 @@
 type H2C struct {
 	Enabled            bool          `toml:"enabled"`
 	Listen             string        `toml:"listen"`
-	Connections        int           `toml:"connections"`    // maximum of open connections
-	Streams            int           `toml:"streams"`        // maximum of open streams of a connection
+	Connections        int           `toml:"connections"`    // maximum number of open connections
+	Streams            int           `toml:"streams"`        // maximum number of open streams of a connection
 	MinStreams         int           `toml:"least_streams"`  // minimum to which Streams is lowered under load
-	MaxInFlight        int           `toml:"at_core"`        // maximum of requests queued or in flight, in total
-	PerConnection      int           `toml:"per_connection"` // maximum of requests in flight of one connection
-	PerClient          int           `toml:"per_client"`     // maximum of requests in flight of one client address
+	MaxInFlight        int           `toml:"at_core"`        // maximum number of requests queued or in flight, in total
+	PerConnection      int           `toml:"per_connection"` // maximum number of requests in flight of one connection
+	PerClient          int           `toml:"per_client"`     // maximum number of requests in flight of a client address
 	MaxHeaderBytes     int           `toml:"head"`           // maximum size of a field section, in bytes
 	MemoryKB           int           `toml:"memory_kb"`      // memory for buffered responses
 	ConnectionMemoryKB int           `toml:"connection_kb"`  // memory for one connection, in each direction
--- a/internal/config/iscsi.go
+++ b/internal/config/iscsi.go
@@ -29,8 +29,8 @@
 	Listen      string        `toml:"listen"`
 	Enabled     bool          `toml:"enabled"`
 	Target      string        `toml:"target"`      // name under which clients log in
-	Sessions    int           `toml:"sessions"`    // maximum of concurrent sessions
-	Depth       int           `toml:"depth"`       // maximum of outstanding commands in a session
+	Sessions    int           `toml:"sessions"`    // maximum number of concurrent sessions
+	Depth       int           `toml:"depth"`       // maximum number of outstanding commands in a session
 	Nodes       string        `toml:"nodes"`       // protocol of the storage nodes: NodesHTTP or NodesISCSI
 	Description string        `toml:"description"` // for NodesHTTP: path of the description of the operations
 	NodeTarget  string        `toml:"node_target"` // for NodesISCSI: name of the nodes' target
--- a/internal/config/log.go
+++ b/internal/config/log.go
@@ -7,10 +7,12 @@
 
 // Log is the table [log].
 type Log struct {
-	Format   string        `toml:"format"` // LogJSON or LogText
-	Level    string        `toml:"level"`
-	Repeat   time.Duration `toml:"repeat"` // interval between repeats beyond logging.MaxRepeats; 0: no limit
-	MinLevel slog.Level    `toml:"-"`      // level that Level or envLog names
+	Format string `toml:"format"` // LogJSON or LogText
+	Level  string `toml:"level"`
+	// Repeat limits records with the same message: after the first logging.MaxRepeats, at most one per interval is
+	// written, with the number of those suppressed. Errors are always written. 0: no limit.
+	Repeat   time.Duration `toml:"repeat"`
+	MinLevel slog.Level    `toml:"-"` // level that Level or envLog names
 }
 
 // Formats of the log.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -73,7 +73,7 @@
 	return o, faults.Err()
 }
 
-// readOperatorFile reads the file at path. An empty path stands for the default file, which alone may be missing.
+// readOperatorFile reads the file at path. An empty path means the default file, the only one that may be missing.
 func readOperatorFile(path string) (*configfile.Document, error) {
 	file, err := configfile.Read(cmp.Or(path, defaultOperatorPath))
 	if errors.Is(err, fs.ErrNotExist) && path == "" {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -149,7 +149,9 @@
 // again.
 func (c *Client) watchEnded(from source, err error) {
 	c.mu.Lock()
-	if from.ctx.Err() == nil { // otherwise a watch of the next source may have begun
+	// The context of a source is canceled when the client moves to another source, or ends. After a move, c.watching
+	// belongs to the watch of the new source.
+	if from.ctx.Err() == nil {
 		c.watching = false
 	}
 	c.mu.Unlock()
@@ -172,7 +174,7 @@
 }
 
 // apply updates the directory with a list that a call received and reports the list. requestedFrom is the version from
-// which the call requested changes; call is the call's context.
+// which the call requested changes. call is the context of the call; once it has ended, the list is dropped.
 //
 // A list older than the current one is dropped, as it would bring back nodes that have been removed. The exception is a
 // whole list older than requestedFrom: discovery has restarted its count of versions, and if this list were dropped, no
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -21,8 +21,9 @@
 // errWatchIdle ends a watch that has received nothing for watchIdleTimeout.
 var errWatchIdle = errors.New("discovery watch: no data received for " + watchIdleTimeout.String())
 
-// watch receives the changes of the list since version seq and applies them. It returns when the response has ended,
-// has a malformed list, or has brought nothing for watchIdleTimeout; the error is the reason.
+// watch receives the changes of the list since version seq and applies them. It returns when the watch cannot be
+// opened, when the response has ended, has a malformed or too long list, or has brought nothing for watchIdleTimeout,
+// and when the context of the source has ended. The error is the reason.
 func (c *Client) watch(from source, seq int64) error {
 	ctx, cancel := context.WithCancelCause(from.ctx)
 	defer cancel(nil)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -35,7 +35,7 @@
 // Options configure a [Loop].
 type Options struct {
 	Settings   scheduler.Settings
-	Seed       uint64 // of the scheduler's random draws
+	Seed       uint64 // seed of the scheduler's random draws
 	Clock      Clock
 	Backend    Backend
 	Membership MembershipWatcher
--- a/internal/gateway/captures.go
+++ b/internal/gateway/captures.go
@@ -34,7 +34,7 @@
 	enabled      bool // whether anything is recorded
 	directory    string
 	gatewayName  string
-	maxTriggered int // maximum of retained captures of triggers
+	maxTriggered int // maximum number of retained captures of triggers
 	triggered    chan triggeredCapture
 	log          *slog.Logger
 }
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -20,7 +20,7 @@
 	H2CListener   net.Listener // nil if HTTP/2 is off
 	Log           *slog.Logger
 
-	// Dial opens connections to nodes and to discovery. Nil stands for the real network.
+	// Dial opens connections to nodes and to discovery. Nil: the real network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	Reloads  <-chan os.Signal // each signal requests a reload
--- a/internal/gateway/races_harness_test.go
+++ b/internal/gateway/races_harness_test.go
@@ -125,7 +125,8 @@
 	return w.log.Write(p)
 }
 
-// list formats discovery's list, which consists of the one node.
+// list formats a list of discovery with version seq, in which the test's only node has the given state. If whole is
+// set, the list replaces all earlier ones; otherwise it is a change.
 func (g *testGateway) list(seq int, whole bool, state string) string {
 	return fmt.Sprintf(
 		`{"seq":%d,"whole":%v,"hosts":[{"host":"n","dial":"%s","site":"a","block":0,"health":"%s","born_ms":0}]}`,
--- a/internal/gateway/zone_node_test.go
+++ b/internal/gateway/zone_node_test.go
@@ -14,7 +14,7 @@
 
 // Speed of a zoneNode and the load that it tolerates, as zoneSettings describe them.
 const (
-	timePerUnit       = 20 * time.Millisecond // of one worker at full speed
+	timePerUnit       = 20 * time.Millisecond // time in which one worker at full speed serves a unit
 	nodeWorkers       = 2
 	unitsPerSecond    = 100  // after the slow start: nodeWorkers / timePerUnit
 	slowStartShare    = 0.18 // speed at the start, as a share of the full speed
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -130,7 +130,7 @@
 type zoneResults struct {
 	mu             sync.Mutex
 	sent           int
-	answered       map[int]int // by status
+	answered       map[int]int // number of responses by status
 	newObjectsLost int         // writes of new objects with status 502
 }
 
--- a/internal/logging/repeat_limiter.go
+++ b/internal/logging/repeat_limiter.go
@@ -63,7 +63,7 @@
 // messageCount counts the records with one message.
 type messageCount struct {
 	limiter    rate.Sometimes
-	suppressed int // since the last record that was written
+	suppressed int // number of records suppressed since the last written one
 }
 
 func newMessageCounts(interval time.Duration) *messageCounts {
--- a/internal/proto/iscsi/pdu.go
+++ b/internal/proto/iscsi/pdu.go
@@ -132,21 +132,21 @@
 // Field identifies a 32-bit field of the header by its offset.
 type Field int
 
-// The 32-bit fields. Some share an offset, since they belong to different opcodes.
+// The 32-bit fields, each with the PDUs that have it. Some share an offset, since they belong to different opcodes.
 const (
 	InitiatorTaskTag  Field = 16 // Initiator Task Tag
-	ExpectedLength    Field = 20 // Expected Data Transfer Length, of SCSI Command
-	TargetTransferTag Field = 20 // Target Transfer Tag, of R2T, Data-Out, Data-In and NOP
-	ReferencedTaskTag Field = 20 // Referenced Task Tag, of Task Management Function Request
-	CmdSN             Field = 24 // of requests
-	StatSN            Field = 24 // of responses
-	ExpStatSN         Field = 28 // of requests
-	ExpCmdSN          Field = 28 // of responses
-	MaxCmdSN          Field = 32 // of responses
-	DataSN            Field = 36 // of Data-Out and Data-In
-	BufferOffset      Field = 40 // of Data-Out, Data-In and R2T
-	DesiredLength     Field = 44 // Desired Data Transfer Length, of R2T
-	Residual          Field = 44 // Residual Count, of SCSI Response and Data-In
+	ExpectedLength    Field = 20 // Expected Data Transfer Length, in SCSI Command
+	TargetTransferTag Field = 20 // Target Transfer Tag, in R2T, Data-Out, Data-In and NOP
+	ReferencedTaskTag Field = 20 // Referenced Task Tag, in Task Management Function Request
+	CmdSN             Field = 24 // in requests
+	StatSN            Field = 24 // in responses
+	ExpStatSN         Field = 28 // in requests
+	ExpCmdSN          Field = 28 // in responses
+	MaxCmdSN          Field = 32 // in responses
+	DataSN            Field = 36 // in Data-Out and Data-In
+	BufferOffset      Field = 40 // in Data-Out, Data-In and R2T
+	DesiredLength     Field = 44 // Desired Data Transfer Length, in R2T
+	Residual          Field = 44 // Residual Count, in SCSI Response and Data-In
 )
 
 // Get returns the value of a field.
--- a/internal/proto/iscsi/scsi.go
+++ b/internal/proto/iscsi/scsi.go
@@ -31,12 +31,12 @@
 	Blocks    uint32
 	BlockSize uint32 // bytes
 	Write     bool
-	Data      []byte // of a write
+	Data      []byte // the data to write
 }
 
 // Reply is a node's answer to a Command.
 type Reply struct {
-	Data []byte // of a read
+	Data []byte // the data that a read returned
 }
 
 // Length returns how many bytes the command transfers.
--- a/internal/scsihttp/scsihttp.go
+++ b/internal/scsihttp/scsihttp.go
@@ -36,7 +36,7 @@
 	write    *operation
 }
 
-// operation is the HTTP operation that carries out a command.
+// operation is the HTTP operation that carries out SCSI reads or SCSI writes.
 type operation struct {
 	method     string
 	path       string // with {name} in place of each path parameter
