--- a/internal/backend/httpbackend/fuzz_test.go
+++ b/internal/backend/httpbackend/fuzz_test.go
@@ -22,8 +22,8 @@
 func (c *receivingConn) Read(p []byte) (int, error)      { return c.Reader.Read(p) }
 func (c *receivingConn) SetReadDeadline(time.Time) error { return nil }
 
-// Whatever a node sends, a response that is accepted is final and within its maximum size, and nothing that follows it
-// has been consumed.
+// Whatever a node sends, a response that is accepted is final and within its maximum size, and the bytes that are left
+// after it are the end of what the node sent.
 func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyesHTTP/1.1 200 OK\r\n"))
 	f.Add([]byte("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\ny\r\n0\r\n\r\n"))
@@ -46,7 +46,7 @@
 		c.reader.Read(buffered)
 		unread := text[len(text)-network.Len():]
 		if left := append(buffered, unread...); !bytes.HasSuffix(text, left) {
-			t.Fatalf("%q is left after the response, which is no suffix of %q", left, text)
+			t.Fatalf("%q is left after the response, want a suffix of %q", left, text)
 		}
 	})
 }
--- a/internal/config/log.go
+++ b/internal/config/log.go
@@ -12,7 +12,7 @@
 	// Repeat limits records with the same message: after the first logging.MaxRepeats, at most one per interval is
 	// written, with the number of those suppressed. Errors are always written. 0: no limit.
 	Repeat   time.Duration `toml:"repeat"`
-	MinLevel slog.Level    `toml:"-"` // level that Level or envLog names
+	MinLevel slog.Level    `toml:"-"` // the level that envLog names, or else that of Level
 }
 
 // Formats of the log.
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -108,7 +108,7 @@
 		contracts.Catalog, faults = catalog.New(operations, settings)
 	}
 	if len(faults) > 0 {
-		t.Fatal(faults)
+		t.Fatalf("faults in the contracts of the test: %v", faults)
 	}
 	return contracts
 }
--- a/internal/gateway/races_test.go
+++ b/internal/gateway/races_test.go
@@ -119,7 +119,7 @@
 	if len(dials) != 2 {
 		t.Fatalf("%d connections, want 2", len(dials))
 	}
-	g.stop() // which ends the second connection
+	g.stop() // the stop ends the second connection
 	g.accept(g.node).wantEnd()
 }
 
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -248,7 +248,7 @@
 	}
 }
 
-// iSCSI commands count towards the limits of rules, too. Their client is the initiator.
+// iSCSI commands count towards the limits of rules, as HTTP requests do. Their client is the initiator.
 func TestRulesOfTheISCSIFrontend(t *testing.T) {
 	scenario{
 		script: initiatorLogin + `
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -11,8 +11,8 @@
 	// within 0.4 s; until then they are served as before.
 	noticePeriod = 500 * time.Millisecond
 
-	// drainTimeout bounds the rest of the shutdown. Accepted requests are answered by their own deadlines, which may
-	// be this far away.
+	// drainTimeout bounds the shutdown after the notice period. Accepted requests are answered by their own deadlines,
+	// which may be this far away.
 	drainTimeout = 10 * time.Second
 )
 
--- a/internal/gateway/stored_test.go
+++ b/internal/gateway/stored_test.go
@@ -134,7 +134,7 @@
 		name     string
 		settings scheduler.Settings
 		nodes    int // number of nodes whose state is restored
-		known    int // number of those nodes whose estimates are restored, too
+		known    int // number of restored nodes that also have their estimates restored
 		volumes  int // number of volumes whose state is restored
 	}{
 		{"state-demo.capture", demo.Head.Settings, 2, 2, 1},
@@ -148,7 +148,7 @@
 			}
 			state, _ := store.Load(stored.settings)
 			if state == nil {
-				t.Fatal("the stored state could not be read")
+				t.Fatalf("the stored state %q could not be read", store.Path)
 			}
 			const now, age = time.Hour, 3 * time.Second
 			assessment := warmrestart.Assess(state, stored.settings, now, age, now-age-state.Now)
