--- a/cmd/reachpulley/serve_test.go
+++ b/cmd/reachpulley/serve_test.go
@@ -111,7 +111,7 @@
 	return c
 }
 
-// writeConfig writes the configuration with an address of discovery.
+// writeConfig writes the configuration file with the given address of the discovery service.
 func (c signalsConfig) writeConfig(t *testing.T, discovery string) {
 	t.Helper()
 	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"limits":{"cores":4,"memory_mb":4096},"settings":%s,`+
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -30,7 +30,7 @@
 	types     map[string]bool
 }
 
-// readPackages parses all packages of the module that have files besides tests, by directory.
+// readPackages returns the packages of the module that have non-test files, keyed by directory.
 func readPackages(t *testing.T) map[string]*goPackage {
 	t.Helper()
 	packages := map[string]*goPackage{}
--- a/internal/config/iscsi.go
+++ b/internal/config/iscsi.go
@@ -36,7 +36,9 @@
 	NodeTarget  string        `toml:"node_target"` // for NodesISCSI: name of the nodes' target
 	UnitTables  []logicalUnit `toml:"unit"`
 
-	Units []iscsitarget.Unit `toml:"-"` // UnitTables, with names replaced by indexes in the settings
+	// Units are the UnitTables with defaults filled in, and with the names of plans and classes replaced by their
+	// indexes in the settings.
+	Units []iscsitarget.Unit `toml:"-"`
 }
 
 // logicalUnit is a table [[iscsi.unit]].
@@ -81,7 +83,8 @@
 	}
 }
 
-// validate checks the unit and returns it with names replaced by indexes in the settings.
+// validate checks the unit and returns it with defaults filled in, and with the names of its plan and classes replaced
+// by their indexes in the settings.
 func (u logicalUnit) validate(v tableValidator, settings scheduler.Settings) iscsitarget.Unit {
 	v.requireRange("lun", u.LUN, 0, maxLUN)
 	v.require(len(u.Volume) == volumeDigits, "volume", "%q is not %d hex digits", u.Volume, volumeDigits)
--- a/internal/configfile/decode.go
+++ b/internal/configfile/decode.go
@@ -51,8 +51,8 @@
 	return d.Fault(key, "%s", decodeMessage(decodeError.Unwrap()))
 }
 
-// unknownKeys returns a fault for each key within a value for which valueType has no field. The decoder's own check is
-// not used because it reports unknown keys only if it finds no other fault.
+// unknownKeys returns a fault for each key in value, at any depth, that matches no field of valueType. The decoder's
+// own check is not used because it reports unknown keys only if it finds no other fault.
 func (d *Document) unknownKeys(path string, value any, valueType reflect.Type) Faults {
 	for valueType.Kind() == reflect.Pointer {
 		valueType = valueType.Elem()
--- a/internal/configfile/index.go
+++ b/internal/configfile/index.go
@@ -157,7 +157,8 @@
 		return 6, 1
 	case 'U':
 		return 10, 1
-	case ' ', '\t', '\r', '\n': // a backslash at the end of a line removes all white space up to the next character
+	case ' ', '\t', '\r', '\n':
+		// A backslash at the end of a line removes the white space up to the next character that is not white space.
 		following := strings.TrimLeft(text[1:], " \t\r\n")
 		return len(text) - len(following), 0
 	}
--- a/internal/contract/router_test.go
+++ b/internal/contract/router_test.go
@@ -111,7 +111,7 @@
 
 var drawnLiterals = rapid.SampledFrom([]string{"a", "b", "c", "a b", "é"})
 
-// drawPath draws a path of 1 to 4 segments, or a template if it may have parameters.
+// drawPath draws a path of 1 to 4 segments. If parameters is true, each segment may be a parameter such as {p0}.
 func drawPath(t *rapid.T, label string, parameters bool) string {
 	var path strings.Builder
 	for i := range rapid.IntRange(1, 4).Draw(t, label) {
--- a/internal/frontend/httpfrontend/request_builder.go
+++ b/internal/frontend/httpfrontend/request_builder.go
@@ -101,7 +101,7 @@
 	header    string
 	kind      string         // "class" or "plan", for error messages
 	index     map[string]int // index in the settings by name
-	fromRules int            // index that the rules set
+	fromRules int            // index in the settings that a rule set, used only if one applies (see resolve)
 	fallback  int            // index if no other source states one; -1: none
 }
 
--- a/internal/gateway/checkpoint.go
+++ b/internal/gateway/checkpoint.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// restore hands the loop what the previous incarnation has learned, as far as that is still valid.
+// restore loads the state that the gateway saved before it restarted, and passes the part that is still valid to the
+// event loop.
 func (c *checkpointer) restore() {
 	settings := c.head.Settings
 	state, taken := c.store.Load(settings)
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -52,8 +52,8 @@
 	return conformanceMonitor{Observer: conformance.New(options, records, age), store: store}
 }
 
-// run runs the observer and the store until ctx ends. The store ends last, so that it writes what the observer saved
-// last.
+// run runs the observer and the store until ctx ends. The store is stopped only after the observer has ended, so that
+// it also writes the records that the observer saved just before.
 func (m conformanceMonitor) run(ctx context.Context) {
 	observed, endObserved := context.WithCancel(context.Background())
 	var storing sync.WaitGroup
--- a/internal/retrybudget/settings.go
+++ b/internal/retrybudget/settings.go
@@ -19,7 +19,7 @@
 	MinShare float64 `toml:"least" json:"Least"`
 	// Trickle is how many retries a second each budget earns in any case.
 	Trickle float64 `toml:"trickle"`
-	// Burst is how many earned retries a budget can hold.
+	// Burst is the maximum number of retries that a budget can save up. A new budget starts with it.
 	Burst float64 `toml:"burst"`
 	// Cells is the number of budgets. Keys whose hashes fall into the same cell share a budget.
 	Cells int `toml:"cells"`
--- a/internal/scsihttp/scsihttp_test.go
+++ b/internal/scsihttp/scsihttp_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// Load rejects descriptions by which commands cannot be translated.
+// Load rejects API descriptions with which SCSI commands cannot be translated into HTTP requests.
 func TestLoadRejectsUnusableDescriptions(t *testing.T) {
 	text, err := os.ReadFile(descriptionPath)
 	if err != nil {
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -20,8 +20,9 @@
 	return result
 }
 
-// A slow shared resource fails calls but still processes them. Without retry budgets, the retries that a slowdown
-// causes keep the resource overloaded until the end. With budgets, the storm recovers within 15 s.
+// A slow shared resource still processes the accepted calls whose callers have stopped waiting. Without retry budgets,
+// the retries that a slowdown causes keep the resource overloaded until the end of the simulation. With budgets, the
+// rate of served requests recovers within 15 s after the slowdown.
 func TestRetryBudgetsEndStorm(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		s := SharedResourceStorm(seed)
--- a/internal/trust/entry.go
+++ b/internal/trust/entry.go
@@ -42,7 +42,7 @@
 const (
 	suspectWeight  = 3.0  // weight at which a trusted node becomes suspect
 	distrustWeight = 8.0  // weight at which a suspect node becomes distrusted
-	clearedWeight  = 1.0  // weight up to which a node can be trusted again
+	clearedWeight  = 1.0  // highest weight at which a suspect or probation node can be trusted again; see also evict
 	maxSoftWeight  = 12.0 // upper bound of the weight of all soft evidence
 	maxHardWeight  = 24.0 // upper bound of the weight of all hard evidence
 
--- a/internal/trust/fleet_test.go
+++ b/internal/trust/fleet_test.go
@@ -20,7 +20,8 @@
 	now     time.Duration
 	nodes   int
 	clients int
-	// evidence and version are those of a node's responses, by the time since the start.
+	// evidence and version return the Evidence and the Version that are reported for a node's responses when elapsed
+	// has passed since fleetStart.
 	evidence func(node int, elapsed time.Duration) Evidence
 	version  func(node int, elapsed time.Duration) string
 
--- a/internal/trust/tracker.go
+++ b/internal/trust/tracker.go
@@ -102,7 +102,8 @@
 	return cmp.Or(cmp.Compare(a.key.operation, b.key.operation), cmp.Compare(a.key.node, b.key.node))
 }
 
-// track returns the entry of a key, which is added if it is new. It returns nil if too many entries are tracked.
+// track returns the entry of a key and adds it if there is none. If MaxEntries are tracked already, it evicts entries
+// to make room, and returns nil if none can be evicted.
 func (t *Tracker) track(now time.Duration, key entryKey) *entry {
 	if e := t.entries[key]; e != nil {
 		return e
--- a/internal/zonefailover/zone.go
+++ b/internal/zonefailover/zone.go
@@ -29,9 +29,9 @@
 	Since           time.Duration // when State began
 	Flaps           int           // outages in a row: those that are not forgotten yet (see flapMemory)
 	RecoveryTime    time.Duration `json:"Calm"`   // how long it is recovering at least before it is available again
-	RespondingShare float64       `json:"Heard"`  // share of all its nodes, by size
-	SilentShare     float64       `json:"Silent"` // share of its contacted nodes, by size
-	RemovedShare    float64       `json:"Gone"`   // share of all its nodes, by size
+	RespondingShare float64       `json:"Heard"`  // share of responding nodes among all of the zone, weighted by size
+	SilentShare     float64       `json:"Silent"` // share of silent nodes among the contacted ones, weighted by size
+	RemovedShare    float64       `json:"Gone"`   // share of removed nodes among all of the zone, weighted by size
 	Nodes           int
 
 	// SilentSince is since when at least unavailableShare has been silent. It is 0 if less is silent, or if the gateway
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// weightPerWork is the priority weight of the request's class, divided by the work that a unit of the class
-// causes relative to the mean over all classes (see Scheduler.classWork).
+// weightPerWork is the priority weight of the request's class divided by Scheduler.classWork, the ratio of
+// the class's latency per unit to the mean latency per unit of all requests.
 func (s *Scheduler) weightPerWork(request *requestState) float64 {
 	return request.class.PriorityWeight / s.classWork[request.Class]
 }
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -41,7 +41,9 @@
 	firstSentAt  time.Duration
 	firstAttempt int
 
-	spilledOver   bool // the node was selected in a zone beyond the request's home tier
+	// spilledOver says that the request writes a new object and was assigned, within the spillover limit, to a node
+	// outside the first tier of zones that the settings allow for it.
+	spilledOver   bool
 	charged       bool // the units of the request were taken from the volume's limit, if the volume has one
 	mayStillRun   bool // an attempt ended without an answer and may still run
 	streamStarted bool
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -34,8 +34,8 @@
 }
 
 // NarrowedBy returns the policy that allows only retries that both policies allow. If one scope is the zone
-// and the other the shard, there is no node for which both policies promise to discard repeated requests, so
-// the result allows no retry.
+// and the other the shard, only nodes in both discard repeated requests. No DedupScope describes these nodes,
+// so the result allows no retry.
 func (p RetryPolicy) NarrowedBy(other RetryPolicy) RetryPolicy {
 	switch {
 	case p.Idempotency < other.Idempotency:
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -7,9 +7,9 @@
 	"reachpulley/internal/zonefailover"
 )
 
-// SnapshotVersion is the version of [Snapshot] that this program writes and resumes from. The types in this file
-// are stored as arrays without field names, so any change to their fields or to the order of the fields needs a new
-// version.
+// SnapshotVersion is the version of [Snapshot] that this program writes and resumes from. Snapshot and most
+// types that it contains, also those in other files and packages, are marked toarray and stored as arrays without field
+// names. Any change to their fields or to the order of the fields needs a new version.
 const SnapshotVersion = 4
 
 // Snapshot is the whole state of a Scheduler as plain data. A Scheduler that is resumed from it makes the same
--- a/scheduler/snapshot_decode.go
+++ b/scheduler/snapshot_decode.go
@@ -11,7 +11,8 @@
 var ErrSnapshot = errors.New("scheduler: inconsistent snapshot")
 
 // Resume returns a Scheduler that continues from a snapshot and calls actions. It fails with [ErrSnapshot] if the
-// snapshot has another version, was made with other settings, or refers to parts that it does not contain.
+// snapshot has another version, does not fit the classes, plans or zones of the settings, or contains values that no
+// Scheduler can have, such as references to parts that the snapshot does not contain.
 func Resume(settings Settings, snapshot *Snapshot, actions Actions) (*Scheduler, error) {
 	s, err := New(settings, 0, actions)
 	if err != nil {
