--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -10,14 +10,14 @@
 	MaxInFlight           int           // streams in flight, over all connections
 	PerConnection         int           // streams in flight of one connection
 	PerClient             int           // streams in flight of one client, over all its connections
-	MaxStreams            int           // streams of a connection, in flight or waiting: SETTINGS_MAX_CONCURRENT_STREAMS
+	MaxStreams            int           // streams of a connection in flight or waiting: SETTINGS_MAX_CONCURRENT_STREAMS
 	MinStreams            int           // lowest limit of streams of a connection, under load or after many violations
 	MaxConnections        int           // open connections
 	MemoryBytes           int           // bytes of requests and responses in memory, for all connections
 	ConnectionMemoryBytes int           // bytes of requests and responses in memory, for one connection
 	Stall                 time.Duration // how long a response may make no progress before its stream is aborted
-	Age                   time.Duration // age at which a connection is asked to go away, plus or minus a fifth; 0: never
-	Requests              int           // requests until a connection is asked to go away, plus or minus a fifth; 0: never
+	Age                   time.Duration // age at which a connection is asked to go away, plus or minus 20%; 0: never
+	Requests              int           // requests until a connection is asked to go away, plus or minus 20%; 0: never
 }
 
 // check returns an error that names the first invalid field, or nil.
--- a/internal/backend/iscsiinitiator/send.go
+++ b/internal/backend/iscsiinitiator/send.go
@@ -121,7 +121,8 @@
 	end := offset + length
 	for dataSN := uint32(0); offset < end; dataSN++ {
 		next := min(end, offset+s.params.MaxSendSegment)
-		p := iscsi.NewPDU(iscsi.DataOut, 0).SetLUN(t.command.LUN).Set(iscsi.InitiatorTaskTag, r2t.Get(iscsi.InitiatorTaskTag))
+		p := iscsi.NewPDU(iscsi.DataOut, 0).SetLUN(t.command.LUN).
+			Set(iscsi.InitiatorTaskTag, r2t.Get(iscsi.InitiatorTaskTag))
 		p.Set(iscsi.TargetTransferTag, r2t.Get(iscsi.TargetTransferTag)).Set(iscsi.BufferOffset, uint32(offset))
 		if next == end {
 			p.Header[1] = iscsi.Final
--- a/internal/capture/hash_test.go
+++ b/internal/capture/hash_test.go
@@ -25,7 +25,8 @@
 			t.Errorf("seed %d: %d events of the hashed capture replayed, want %d; error: %v", seed, events, want, err)
 		}
 		if !bytes.Equal(hashed, hash(key)) || bytes.Equal(hashed, hash([]byte("another key, too"))) {
-			t.Errorf("seed %d: hashing with the same key again gave another capture, or with another key the same one", seed)
+			t.Errorf("seed %d: hashing with the same key again gave another capture, "+
+				"or with another key the same one", seed)
 		}
 		_, records := readFile(t, hashed)
 		for _, record := range records {
@@ -35,7 +36,8 @@
 			}
 			if strings.HasPrefix(request.Volume, "v") || len(request.ID) != hashLength ||
 				request.Volume == request.Key {
-				t.Fatalf("seed %d: request %+v, want hashes of %d hex digits in place of names", seed, request, hashLength)
+				t.Fatalf("seed %d: request %+v, want hashes of %d hex digits in place of names",
+					seed, request, hashLength)
 			}
 		}
 	}
--- a/internal/capture/invariants/checker_test.go
+++ b/internal/capture/invariants/checker_test.go
@@ -32,7 +32,8 @@
 		requests, arrivals := len(checker.requests), len(checker.arrivals)
 		volumes, keys := len(checker.volumes), len(checker.orderedKeys)
 		if requests > 2500 || arrivals > 2500 || volumes > 5 || keys > 9 {
-			t.Fatalf("the checker keeps %d requests, %d arrivals, %d volumes, %d ordered keys, want at most 2500, 2500, 5, 9",
+			t.Fatalf("the checker keeps %d requests, %d arrivals, %d volumes, %d ordered keys, "+
+				"want at most 2500, 2500, 5, 9",
 				requests, arrivals, volumes, keys)
 		}
 	})
--- a/internal/capture/segment/helpers_test.go
+++ b/internal/capture/segment/helpers_test.go
@@ -175,6 +175,7 @@
 	content := fs.Content(directory + "/" + segment.Name)
 	complete, err := capture.CompleteLength(bytes.NewReader(content))
 	if err != nil || complete != segment.Size {
-		t.Errorf("segment %q: %d bytes in complete frames, want %d; error: %v", segment.Name, complete, segment.Size, err)
+		t.Errorf("segment %q: %d bytes in complete frames, want %d; error: %v",
+			segment.Name, complete, segment.Size, err)
 	}
 }
--- a/internal/capture/shrink/shrink_test.go
+++ b/internal/capture/shrink/shrink_test.go
@@ -90,7 +90,8 @@
 				t.Fatal(err)
 			}
 			if events, err := capture.Replay(openFile(t, file)); err != nil || events != len(shrunk.Events) {
-				t.Errorf("%d events of the shrunk case replayed, want all %d; error: %v", events, len(shrunk.Events), err)
+				t.Errorf("%d events of the shrunk case replayed, want all %d; error: %v",
+					events, len(shrunk.Events), err)
 			}
 		})
 	}
--- a/internal/capture/timeline/request_test.go
+++ b/internal/capture/timeline/request_test.go
@@ -44,7 +44,8 @@
 			for _, line := range lines { // in this order
 				_, after, found := strings.Cut(remaining, line)
 				if !found {
-					t.Fatalf("%q is missing or out of order, want the texts %q in this order in\n%s", line, lines, out.String())
+					t.Fatalf("%q is missing or out of order, want the texts %q in this order in\n%s",
+						line, lines, out.String())
 				}
 				remaining = after
 			}
--- a/internal/capture/trigger/second_test.go
+++ b/internal/capture/trigger/second_test.go
@@ -34,7 +34,8 @@
 	}
 	condition, err := expression.CompilePredicate[SecondCounts]("refused / arrived > 0.5 and left_out == 0")
 	if err != nil || !condition.Holds(SecondCounts{Arrived: 2, Rejected: 2}) || condition.Holds(SecondCounts{}) {
-		t.Errorf("valid condition: error %v; want none, and that it holds for 2 rejected of 2 requests but not for none", err)
+		t.Errorf("valid condition: error %v; want none, "+
+			"and that it holds for 2 rejected of 2 requests but not for none", err)
 	}
 }
 
--- a/internal/contract/catalog/class.go
+++ b/internal/contract/catalog/class.go
@@ -78,7 +78,8 @@
 		add(message, policy.Window, class.Name, class.DedupWindow)
 	}
 	if bothWithKey && policy.NarrowedBy(class.RetryPolicy()).Scope != policy.Scope {
-		add("the scope (group) of the key, %s, has more nodes than its class %q allows", operation.DedupScope, class.Name)
+		add("the scope (group) of the key, %s, has more nodes than its class %q allows",
+			operation.DedupScope, class.Name)
 	}
 	if operation.Deadline > class.Deadline {
 		const message = "the deadline of %v is longer than that of its class %q, %v"
--- a/internal/contract/difference_test.go
+++ b/internal/contract/difference_test.go
@@ -56,7 +56,9 @@
 			withKey("header", "Idempotency-Key", 1), withKey("header", "idempotency-key", 1), false, "",
 		},
 		"the key parameter is renamed": {withKey("path", "x", time.Second), renamed, false, ""},
-		"the key is another parameter": {withKey("path", "x", 1), withKey("path", "y", 1), true, "its key was in path x"},
+		"the key is another parameter": {
+			withKey("path", "x", 1), withKey("path", "y", 1), true, "its key was in path x",
+		},
 		"the key is remembered longer": {
 			withKey("query", "k", time.Second), withKey("query", "k", time.Minute), true,
 			"was remembered for 1s and is for 1m0s",
@@ -73,7 +75,8 @@
 				dangerous = dangerous || change.Dangerous
 			}
 			if dangerous != test.dangerous || test.want == "" && text != "" || !strings.Contains(text, test.want) {
-				t.Errorf("dangerous %v, want %v; want a change with %q, got:\n%s", dangerous, test.dangerous, test.want, text)
+				t.Errorf("dangerous %v, want %v; want a change with %q, got:\n%s",
+					dangerous, test.dangerous, test.want, text)
 			}
 		})
 	}
--- a/internal/contract/fuzz_test.go
+++ b/internal/contract/fuzz_test.go
@@ -58,7 +58,8 @@
 		t.Errorf("idempotency %q of %+v, want safe, keyed or unsafe", o.Idempotency, o)
 	}
 	if o.LatencyObjective < 0 || o.Deadline < 0 || o.Deadline > 0 && o.Deadline < o.LatencyObjective {
-		t.Errorf("latency objective %v, deadline %v of %+v; want neither to be negative, and the deadline not to be shorter",
+		t.Errorf("latency objective %v, deadline %v of %+v; want neither to be negative, "+
+			"and the deadline not to be shorter",
 			o.LatencyObjective, o.Deadline, o)
 	}
 }
--- a/internal/contract/load.go
+++ b/internal/contract/load.go
@@ -34,7 +34,8 @@
 		return nil, fileFault(path, err.Error())
 	}
 	if info.Size() > MaxFileBytes {
-		return nil, fileFault(path, fmt.Sprintf("the file has %d bytes, more than %d MiB", info.Size(), MaxFileBytes>>20))
+		return nil, fileFault(path,
+			fmt.Sprintf("the file has %d bytes, more than %d MiB", info.Size(), MaxFileBytes>>20))
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/contract/registry/registry_test.go
+++ b/internal/contract/registry/registry_test.go
@@ -57,7 +57,8 @@
 		}
 		get := func(path string) (*Match, error) { return r.Begin(contract.Call{Method: "GET", Path: path}) }
 		if match, err := get("/x"); match != nil || err != nil || r.InForce() {
-			t.Fatalf("without a catalog: match %v, error %v, in force %v; want nil, nil, false", match, err, r.InForce())
+			t.Fatalf("without a catalog: match %v, error %v, in force %v; want nil, nil, false",
+				match, err, r.InForce())
 		}
 		r.Swap(sheetCatalog(t), false)
 		var matches []*Match
--- a/internal/filesystem/filesystemtest/filesystemtest.go
+++ b/internal/filesystem/filesystemtest/filesystemtest.go
@@ -21,7 +21,8 @@
 var (
 	// ErrSync is the error of the sync that FailSyncNumber selects.
 	ErrSync = errors.New("filesystemtest: sync failed")
-	// ErrPowerLost is the error of the write during which the simulated power is lost, and of all later changes and syncs.
+	// ErrPowerLost is the error of the write during which the simulated power is lost, and of all later changes and
+	// syncs.
 	ErrPowerLost = errors.New("filesystemtest: power lost")
 )
 
--- a/internal/frontend/h2frontend/server_test.go
+++ b/internal/frontend/h2frontend/server_test.go
@@ -132,7 +132,8 @@
 				t.Fatalf("response to %q: %v, error %v, want status 505", request, resp, err)
 			}
 			if body, err := io.ReadAll(resp.Body); err != nil || !strings.Contains(string(body), "prior knowledge") {
-				t.Errorf("response to %q: body %q, error %v, want a body that mentions prior knowledge", request, body, err)
+				t.Errorf("response to %q: body %q, error %v, want a body that mentions prior knowledge",
+					request, body, err)
 			}
 			conn.Close()
 		})
@@ -268,8 +269,8 @@
 		}
 	}
 	if urgent < 16 || other > 1 {
-		s.t.Errorf("%d DATA frames of the urgent response, want at least 16; %d of the other one before the last of them, "+
-			"want at most 1: %q", urgent, other, c.events)
+		s.t.Errorf("%d DATA frames of the urgent response, want at least 16; %d of the other one "+
+			"before the last of them, want at most 1: %q", urgent, other, c.events)
 	}
 }
 
--- a/internal/gateway/contracts_fleet_test.go
+++ b/internal/gateway/contracts_fleet_test.go
@@ -278,7 +278,11 @@
 		{name: "a client cannot discredit nodes", discredit: true},
 		{name: "a retry is run again", faults: contractFaults{runsRetries: true}, operation: write},
 		{name: "responses do not match their schema", faults: contractFaults{otherSchema: true}, operation: read},
-		{name: "a write that ran is reported as not run", faults: contractFaults{deniesEffects: true}, operation: write},
+		{
+			name:      "a write that ran is reported as not run",
+			faults:    contractFaults{deniesEffects: true},
+			operation: write,
+		},
 		{name: "a read has an effect", faults: contractFaults{changingReads: true}, operation: read},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -133,7 +133,9 @@
 }
 
 func (s scenario) addActors(testbed *scenariotest.Scenario) {
-	client := scenariotest.HTTP{VisibleHeaders: []string{"X-Request-Id", "Idempotency-Key", "Retry-After", "Connection"}}
+	client := scenariotest.HTTP{
+		VisibleHeaders: []string{"X-Request-Id", "Idempotency-Key", "Retry-After", "Connection"},
+	}
 	testbed.Client("client", "gate:1", client)
 	testbed.Client("other", "gate:1", client)
 	for _, name := range []string{"initiator", "second", "other-initiator", "third", "fourth"} {
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -243,7 +243,8 @@
 			t.Errorf("%.0f units spilled over before the outage, want at most %v", spilledBefore, spilloverBurst)
 		}
 		if results.answered[http.StatusOK] < results.sent/2 || results.newObjectsLost > 30 {
-			t.Errorf("of %d requests: responses by status %v, %d new objects lost; want 200 for half, and at most 30 lost",
+			t.Errorf("of %d requests: responses by status %v, %d new objects lost; "+
+				"want 200 for half, and at most 30 lost",
 				results.sent, results.answered, results.newObjectsLost)
 		}
 		cancel()
--- a/internal/rules/engine/engine_test.go
+++ b/internal/rules/engine/engine_test.go
@@ -101,7 +101,8 @@
 		three, err3 := admit()
 		var rejection LimitError
 		if err1 != nil || err2 != nil || !errors.As(err3, &rejection) || rejection.RetryAfter != time.Second {
-			t.Fatalf("errors %v, %v, %v; want only a LimitError with a RetryAfter of 1s for the third request", err1, err2, err3)
+			t.Fatalf("errors %v, %v, %v; want only a LimitError with a RetryAfter of 1s for the third request",
+				err1, err2, err3)
 		}
 		for _, request := range []*Request{one, two, three} {
 			request.Release()
--- a/internal/rules/file.go
+++ b/internal/rules/file.go
@@ -61,7 +61,7 @@
 
 // The values of on_fault, which say what a fault does to a request.
 const (
-	faultRejects = "refuse" // the request is rejected with status 400, and the error names the rule and what it requires
+	faultRejects = "refuse" // the request is rejected with status 400; the error names the rule and what it requires
 	faultSkips   = "skip"   // the rule does not apply, and the next one is tried
 )
 
--- a/internal/rules/index_test.go
+++ b/internal/rules/index_test.go
@@ -75,7 +75,8 @@
 			f.BodyLength = rapid.IntRange(0, 10).Draw(t, "length")
 			got, err := set.evaluateBy(indexCandidates, f)
 			want, wantErr := set.evaluateBy(allCandidates, f)
-			if fmt.Sprint(err) != fmt.Sprint(wantErr) || got.Hosts != want.Hosts || got.SetBy[Hosts] != want.SetBy[Hosts] {
+			if fmt.Sprint(err) != fmt.Sprint(wantErr) || got.Hosts != want.Hosts ||
+				got.SetBy[Hosts] != want.SetBy[Hosts] {
 				t.Fatalf("hosts by the index %d (%v), by trying all rules %d (%v)", got.Hosts, err, want.Hosts, wantErr)
 			}
 			if got.Cost > set.Cost {
--- a/internal/simulation/zone_scenario.go
+++ b/internal/simulation/zone_scenario.go
@@ -42,14 +42,15 @@
 	Late                     int     // number of requests served after the latency objective
 	NewObjectsLost           int     // number of writes of new objects that failed
 	SpilledUnits             float64 // units of new objects sent to zones other than the gateway's
-	SlowStartLoad            float64 // highest load of a node in slow start, as a share of the load above which it crashes
+	SlowStartLoad            float64 // highest load of a node in slow start, as a share of that above which it crashes
 }
 
 // ZoneResult is the outcome of a scenario.
 type ZoneResult struct {
-	Seconds            []ZoneSecond
-	Crashed            []string       // ids of the nodes that crashed in slow start
-	DetectedAfter      time.Duration  // time from the first loss until lost nodes got only probing attempts; -1: no loss
+	Seconds []ZoneSecond
+	Crashed []string // ids of the nodes that crashed in slow start
+	// DetectedAfter is the time from the first loss until lost nodes got only probing attempts; -1: no loss.
+	DetectedAfter      time.Duration
 	Violations         []string       // violations of what must hold in each scenario
 	LastAttemptsByNode map[string]int // number of attempts by node id in the last 10 seconds
 	MaxExcessSpillover float64        // most units by which the spillover from a zone exceeded its limit; 0: never
--- a/internal/simulation/zone_scenario_test.go
+++ b/internal/simulation/zone_scenario_test.go
@@ -95,7 +95,8 @@
 			for i := range scenario.NodesPerZone {
 				attempts := result.LastAttemptsByNode[nodeID(0, i)]
 				if i < returning && attempts < 50 || i >= returning && attempts > 60 {
-					t.Errorf("%s got %d attempts in the last 10 s, want at least 50 if it returned (%t), else at most 60",
+					t.Errorf("%s got %d attempts in the last 10 s, want at least 50 if it returned (%t), "+
+						"else at most 60",
 						nodeID(0, i), attempts, i < returning)
 				}
 			}
